--- /dev/null
+++ b/relay/buffered.go
@@ -0,0 +1,135 @@
+package relay
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net/http"
+
+	"woaddoor/contract"
+	"woaddoor/upstream"
+)
+
+// maxBufferedAnswer is the largest answer that is buffered before it is delivered, in bytes.
+const maxBufferedAnswer = 8 << 20
+
+// errAnswerTooLong means that an answer exceeds maxBufferedAnswer.
+var errAnswerTooLong = errors.New("answer is longer than 8 MiB")
+
+// serveBuffered answers a request with one complete answer. The answer is buffered to its end,
+// so that a broken one can be retried or reported as an error.
+func (r *Relay) serveBuffered(ctx context.Context, j *job, c Caller) (RequestEnd, *contract.Refusal) {
+	var failure *Head // most recent answer with an error status
+	var failureBody []byte
+	for {
+		e, refused := r.selectUpstream(j)
+		if refused != nil && failure != nil {
+			return r.deliver(j, c, failure, failureBody)
+		}
+		if refused != nil {
+			return Refused, refused
+		}
+		head, body, err := r.attemptBuffered(ctx, j, e)
+		if err == nil && !head.NotRun {
+			failure, failureBody = head, body
+		}
+		if err == nil && head.isFinal(j) {
+			return r.deliver(j, c, head, body)
+		}
+		if ctx.Err() != nil {
+			return r.contextEnd(ctx, j)
+		}
+		if reason := r.checkRetry(j, j.Route.Repeatable()); reason != "" {
+			if failure != nil {
+				return r.deliver(j, c, failure, failureBody)
+			}
+			return Refused, r.refuseAfterFailures(j, reason, err)
+		}
+		r.recordRetry(j, err)
+	}
+}
+
+// isFinal reports whether an answer is delivered even if other attempts are possible.
+func (h *Head) isFinal(j *job) bool {
+	return !h.NotRun && (h.Status < http.StatusInternalServerError || !j.Route.Repeatable())
+}
+
+func (r *Relay) deliver(j *job, c Caller, h *Head, body []byte) (RequestEnd, *contract.Refusal) {
+	j.outcome, j.status = contract.Ran, h.Status
+	if err := c.Whole(h, body); err != nil {
+		return Gone, nil
+	}
+	return Delivered, nil
+}
+
+// contextEnd returns how a request ends whose context was canceled, by the caller's
+// disconnection or by the deadline.
+func (r *Relay) contextEnd(ctx context.Context, j *job) (RequestEnd, *contract.Refusal) {
+	if errors.Is(context.Cause(ctx), errDeadline) {
+		return Refused, refuseDeadline(j)
+	}
+	return Gone, nil
+}
+
+// errUnsigned means that a successful answer lacks the upstream's signature.
+var errUnsigned = errors.New("answer lacks the upstream's signature")
+
+// errNotRun means that the upstream rejected the request without executing it.
+var errNotRun = errors.New("upstream did not run the request")
+
+// attemptBuffered makes one attempt and reads the answer to its end.
+func (r *Relay) attemptBuffered(ctx context.Context, j *job, e upstream.Entry) (*Head, []byte, error) {
+	began := r.opts.Now()
+	a, err := r.send(ctx, j, e, nil, r.firstAnswerTimeout(j))
+	if err != nil {
+		r.recordSendFailure(j, err, began)
+		return nil, nil, err
+	}
+	defer a.close()
+	body, err := io.ReadAll(io.LimitReader(a.answer, maxBufferedAnswer+1))
+	if err == nil && len(body) > maxBufferedAnswer {
+		err = errAnswerTooLong
+	}
+	return a.head, body, r.recordAnswer(j, a, err)
+}
+
+// recordAnswer records how an attempt at a complete answer ended.
+func (r *Relay) recordAnswer(j *job, a *attempt, err error) error {
+	took := r.opts.Now().Sub(a.startedAt)
+	h := a.head
+	result := upstream.Failed
+	switch {
+	case errors.Is(err, errAnswerTooLong):
+	case err != nil:
+		result = upstream.Broken
+	case h.NotRun:
+		r.recordAttemptEnd(j, a.entry, upstream.TurnedAway, took)
+		j.recordFailure(contract.NotRun, true)
+		return nil
+	case h.Status < http.StatusMultipleChoices && !h.Sealed:
+		err = errUnsigned
+	case h.Status >= http.StatusInternalServerError:
+		r.observeRelease(j, a, true)
+		r.recordAttemptEnd(j, a.entry, upstream.Failed, took)
+		j.recordFailure(contract.Ran, true)
+		return nil
+	default:
+		a.addTime(j, timeToFirstAnswer, took)
+		r.observeRelease(j, a, false)
+		r.observeLatency(j, took)
+		j.firstAnswerAt = r.opts.Now()
+		j.sends++
+		r.recordAttemptEnd(j, a.entry, upstream.Good, took)
+		r.clearSuspect(j)
+		return nil
+	}
+	r.recordAttemptEnd(j, a.entry, result, took)
+	j.recordFailure(contract.Ran, true)
+	return err
+}
+
+// recordRetry counts a retry and logs the reason for it.
+func (r *Relay) recordRetry(j *job, err error) {
+	r.Metrics.retries.Inc(1)
+	r.logRetry(j, err)
+}
--- a/relay/cold.go
+++ b/relay/cold.go
@@ -8,16 +8,17 @@
 	"woaddoor/upstream"
 )
 
-// ColdBounds bound what a cold upstream gets from all VMs together in any second, from
-// what it bears a second. The zero value bounds nothing beyond that.
+// ColdBounds limits the requests per second that a cold upstream receives from all VMs
+// together, relative to the configured rate that it can handle. The zero value allows that
+// rate and no more.
 type ColdBounds struct {
-	// Overshoot is how many times what it bears, at least 1, and Slack how many requests
-	// more.
+	// Overshoot is the multiple of the configured rate that is allowed, at least 1. Slack is
+	// added to the result, in requests per second.
 	Overshoot, Slack float64
 }
 
-// of returns what an upstream of a service may get while it is cold.
-func (b ColdBounds) of(s *route.Service) upstream.ColdBound {
+// boundFor returns the limit of a cold upstream of a service.
+func (b ColdBounds) boundFor(s *route.Service) upstream.ColdBound {
 	if s == nil || s.Cold.PerSecond <= 0 {
 		return upstream.ColdBound{}
 	}
@@ -26,26 +27,26 @@
 	}
 }
 
-// logCold says which upstreams are taken to be cold now. The caller holds mu.
-func (r *Relay) logCold() {
+// logColdUpstreams logs which upstreams are newly considered cold. The caller holds mu.
+func (r *Relay) logColdUpstreams() {
 	for _, c := range r.table.Chilled() {
 		r.log.Info("upstreams-cold", zap.String("why", c.Why), zap.Int("count", len(c.Upstreams)), zap.Duration("for", c.For),
-			zap.Strings("upstreams", idsOf(c.Upstreams)))
+			zap.Strings("upstreams", idStrings(c.Upstreams)))
 	}
 }
 
-// idsLogged bounds how many upstreams one line names.
-const idsLogged = 64
+// maxLoggedIDs limits how many upstreams are named in one log line.
+const maxLoggedIDs = 64
 
-func idsOf(ids []contract.UpstreamID) []string {
-	out := make([]string, 0, min(len(ids), idsLogged))
-	for _, id := range ids[:min(len(ids), idsLogged)] {
+func idStrings(ids []contract.UpstreamID) []string {
+	out := make([]string, 0, min(len(ids), maxLoggedIDs))
+	for _, id := range ids[:min(len(ids), maxLoggedIDs)] {
 		out = append(out, string(id))
 	}
 	return out
 }
 
-// Cold returns how many upstreams are taken to be cold.
+// Cold returns how many upstreams are considered cold.
 func (r *Relay) Cold() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- /dev/null
+++ b/relay/crashes.go
@@ -0,0 +1,114 @@
+package relay
+
+import (
+	"context"
+	"time"
+
+	"go.uber.org/zap"
+
+	"woaddoor/contract"
+	"woaddoor/exchange"
+	"woaddoor/quarantine"
+	"woaddoor/upstream"
+)
+
+// probeTimeout limits the connection attempt that determines whether an upstream has crashed.
+// A running machine responds within the network delay, or after one second if its first packet
+// was lost. An upstream that has crashed is back after a few seconds.
+const probeTimeout = 1500 * time.Millisecond
+
+// contentPrint returns the hash of the request's content.
+func (j *job) contentPrint() quarantine.Print {
+	if j.cachedPrint == nil {
+		p := quarantine.PrintOf(j.Workspace, j.Host, j.URI, j.Body)
+		j.cachedPrint = &p
+	}
+	return *j.cachedPrint
+}
+
+// staleConnectionWindow is the time after a send within which a broken connection does not
+// prove that the upstream was running at the time of the send. If the connection no longer
+// exists on the machine, its reset arrives within the network delay, a few milliseconds. When
+// all connections to a data centre were refused, requests were tried on the idle connections
+// of one upstream after another, and each attempt broke off within 2 ms.
+const staleConnectionWindow = 25 * time.Millisecond
+
+// recordBrokenConnection records that the connection of a request to an upstream broke off.
+// One connection attempt to its address determines whether the upstream has crashed. The
+// caller holds mu.
+func (r *Relay) recordBrokenConnection(j *job, e upstream.Entry) {
+	now := r.opts.Now()
+	if !j.upstreamSeen && now.Sub(j.sentAt) < staleConnectionWindow || !r.endIsUnplanned(e) {
+		return
+	}
+	life := e.Life()
+	s := quarantine.Suspect{
+		Print: j.contentPrint(), Request: j.ID, Service: j.service, Workspace: j.Workspace, Route: j.Route.Name, Sent: j.sentAt, Broke: now,
+	}
+	probe, ended := r.possibleCrashes.Broke(life, e.Address, s)
+	if probe {
+		go r.probeUpstream(life, e.Address)
+	}
+	if ended {
+		r.recordCrash(life, "known", []quarantine.Suspect{s})
+	}
+}
+
+// endIsUnplanned reports whether the end of an upstream would be a crash. Upstreams that are
+// leaving, and those of a release that another one has replaced, end as planned. The caller
+// holds mu.
+func (r *Relay) endIsUnplanned(e upstream.Entry) bool {
+	listed, ok := r.entries[e.ID]
+	if !ok || listed.Born != e.Born || r.table.Leaves(e.ID) || r.rolledBack[e.Service][e.Release] {
+		return false
+	}
+	completed := r.completedReleases[e.Service]
+	return completed == "" || completed == e.Release
+}
+
+// probeUpstream connects to the address of an upstream whose connections broke off, to
+// determine whether it has crashed.
+func (r *Relay) probeUpstream(l contract.Life, address string) {
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
+	defer cancel()
+	err := exchange.Reach(ctx, address)
+	if !exchange.NothingListens(err) {
+		r.log.Debug("upstream-reached", zap.String("upstream", string(l.Upstream)), zap.Error(err))
+		return
+	}
+	r.withLock(func() { r.recordCrash(l, "nothing listens", r.possibleCrashes.Ended(l)) })
+}
+
+// detectReplaced detects crashes from the upstream list: a new incarnation at the address of
+// an upstream shows that the earlier one has ended. The caller holds mu.
+func (r *Relay) detectReplaced() {
+	if !r.possibleCrashes.Any() {
+		return
+	}
+	incarnations := make(map[string]contract.Life, len(r.entries))
+	for _, e := range r.entries {
+		incarnations[e.Address] = e.Life()
+	}
+	incarnationAt := func(address string) (contract.Life, bool) {
+		l, ok := incarnations[address]
+		return l, ok
+	}
+	for _, l := range r.possibleCrashes.Replaced(incarnationAt) {
+		r.recordCrash(l, "another incarnation is listed", r.possibleCrashes.Ended(l))
+	}
+}
+
+// recordCrash records that an upstream crashed while it executed requests. The caller holds
+// mu.
+func (r *Relay) recordCrash(l contract.Life, evidence string, suspects []quarantine.Suspect) {
+	for _, s := range suspects {
+		r.recordSuspect(l, s, s.Broke)
+		r.log.Warn("upstream-ended", zap.String("upstream", string(l.Upstream)), zap.Int64("born", l.Born), zap.String("by", evidence),
+			zap.String("request", string(s.Request)), zap.Stringer("print", s.Print), zap.String("route", s.Route),
+			zap.String("workspace", string(s.Workspace)), zap.Int64("ran_ms", s.Broke.Sub(s.Sent).Milliseconds()),
+			zap.Int("beside", len(suspects)-1))
+	}
+	if len(suspects) > 0 {
+		r.Metrics.upstreamsEnded.Inc(1)
+	}
+}
--- /dev/null
+++ b/relay/gossip.go
@@ -0,0 +1,78 @@
+package relay
+
+import (
+	"time"
+
+	"woaddoor/contract"
+	"woaddoor/reading"
+	"woaddoor/upstream"
+)
+
+// Sent describes a prompt that a VM has sent to an upstream, as reported to other VMs. It
+// tells them how much prefill precedes their own prompts, and what the upstream will cache.
+type Sent struct {
+	Upstream contract.UpstreamID `cbor:"1,keyasint"`
+	Model    contract.ModelID    `cbor:"2,keyasint"`
+	Tokens   int                 `cbor:"3,keyasint"`
+	Parts    []reading.Part      `cbor:"4,keyasint"`
+	// Takes is the prefill time that the sending VM expects.
+	Takes time.Duration `cbor:"5,keyasint"`
+	// TokenTime is the model's prefill time per token as measured by the sending VM; zero if
+	// it has too few samples.
+	TokenTime time.Duration `cbor:"6,keyasint,omitempty"`
+	// Born identifies the incarnation of the upstream that received the prompt.
+	Born int64 `cbor:"7,keyasint,omitempty"`
+}
+
+// Opinion is the confidence that a model reported for one of its answers, as exchanged between
+// VMs.
+type Opinion struct {
+	Model contract.ModelID `cbor:"1,keyasint"`
+	// Largest is the model whose answers define good quality.
+	Largest contract.ModelID `cbor:"2,keyasint"`
+	Opinion float64          `cbor:"3,keyasint"`
+}
+
+// HearOpinions records the confidence that models reported for answers to other VMs' requests.
+func (r *Relay) HearOpinions(opinions []Opinion) {
+	if !r.opts.Policy.Has(upstream.Telling) {
+		return
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, report := range opinions {
+		r.confidences.Observe(report.Model, report.Largest, report.Opinion)
+	}
+}
+
+// recordConfidence records the confidence that a model reported for an answer, and passes it
+// on to other VMs. The caller holds mu.
+func (r *Relay) recordConfidence(m, largest contract.ModelID, confidence float64) {
+	if confidence < 0 {
+		return // the model does not report its confidence
+	}
+	r.confidences.Observe(m, largest, confidence)
+	if r.opts.Opinion != nil {
+		r.opts.Opinion(Opinion{m, largest, confidence})
+	}
+}
+
+// minReportedPrefill is the shortest prefill that is reported to other VMs. A shorter one
+// delays other requests by no more than one or two engine steps.
+const minReportedPrefill = 25 * time.Millisecond
+
+// HearSent records the prompts that another VM has sent to upstreams.
+func (r *Relay) HearSent(sent []Sent) {
+	if !r.opts.Policy.Has(upstream.Telling) {
+		return
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.opts.Now()
+	for _, prompt := range sent {
+		if !r.isCurrent(prompt.Upstream, prompt.Born) {
+			continue // of an earlier incarnation, or not in this VM's list
+		}
+		r.table.Told(prompt.Upstream, reading.Prompt{Model: prompt.Model, Tokens: prompt.Tokens, Parts: prompt.Parts}, prompt.Takes, prompt.TokenTime, now)
+	}
+}
--- /dev/null
+++ b/relay/latency.go
@@ -0,0 +1,109 @@
+package relay
+
+import (
+	"time"
+
+	"woaddoor/rollout"
+)
+
+// latencyStats is a running estimate of the time to the first answer, for one route and model
+// or for all prompts.
+type latencyStats struct {
+	mean, deviation float64 // in seconds
+	samples         int
+}
+
+// Parameters of latencyStats.
+const (
+	// latencyWeight is the weight of a new sample in the mean and the deviation.
+	latencyWeight = 0.05
+	// timeoutDeviations is the number of deviations above the mean at which an attempt times
+	// out.
+	timeoutDeviations = 6
+	// The timeout lies between minTimeoutPart and maxTimeoutPart of the route's objective.
+	// With a lower minimum, a busy upstream would be mistaken for a silent one. When all
+	// upstreams are slow, the measured latency determines the timeout, because moving a
+	// request from one queue to the end of another only adds work. initialTimeoutPart applies
+	// until the latency is known.
+	minTimeoutPart     = 0.4
+	initialTimeoutPart = 0.8
+	maxTimeoutPart     = 4.0
+	// minLatencySamples is the number of samples from which the estimate is used.
+	minLatencySamples = 10
+)
+
+// latencyOf returns the latency estimate for the job's route and model. All jobs with a prompt
+// share one estimate, of the delay beyond the expected time to the first answer. The caller
+// holds mu.
+func (r *Relay) latencyOf(j *job) *latencyStats {
+	key := j.Route.Name + "|" + string(j.model)
+	if j.PromptTokens > 0 {
+		key = allPromptsKey
+	}
+	stats, ok := r.latencies[key]
+	if !ok {
+		stats = &latencyStats{}
+		r.latencies[key] = stats
+	}
+	return stats
+}
+
+// allPromptsKey is the key of the latency estimate that all prompts share.
+const allPromptsKey = ""
+
+// timeout returns how long an upstream may take to begin its answer.
+func (s *latencyStats) timeout(objective time.Duration) time.Duration {
+	seconds := initialTimeoutPart * objective.Seconds()
+	if s.samples >= minLatencySamples {
+		slow := s.mean + timeoutDeviations*s.deviation
+		seconds = min(max(slow, minTimeoutPart*objective.Seconds()), maxTimeoutPart*objective.Seconds())
+	}
+	return time.Duration(seconds * float64(time.Second))
+}
+
+func (s *latencyStats) observe(latency time.Duration) {
+	s.samples++
+	if s.samples == 1 {
+		s.mean, s.deviation = latency.Seconds(), latency.Seconds()/2
+		return
+	}
+	deviation := latency.Seconds() - s.mean
+	s.mean += latencyWeight * deviation
+	s.deviation += latencyWeight * (max(deviation, -deviation) - s.deviation)
+}
+
+// observeLatency records the time from a send to the first answer.
+func (r *Relay) observeLatency(j *job, latency time.Duration) {
+	r.withLock(func() { r.latencyOf(j).observe(max(latency-j.pending.estimate.First(), 0)) })
+}
+
+// observeRelease passes an answer to the comparison between a canary release and the others.
+func (r *Relay) observeRelease(j *job, a *attempt, failed bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	c := r.canaries[a.entry.Service]
+	if c == nil {
+		return
+	}
+	answer := rollout.Answer{OnTrial: a.entry.Release == c.Order().Release, Failed: failed, Times: a.times}
+	before, _ := c.Counts()
+	if c.Observe(answer, r.opts.Now()) {
+		r.logBadRelease(c)
+		r.wakeVerdicts()
+	}
+	if after, _ := c.Counts(); after.Bad > before.Bad && r.opts.BadAnswer != nil {
+		r.opts.BadAnswer()
+	}
+}
+
+// Kinds of times that are compared between releases.
+const (
+	timeToFirstAnswer = "|first"
+	timePerEvent      = "|event"
+)
+
+// addTime adds a measured time of the answer to the comparison between a canary release and
+// the others.
+func (a *attempt) addTime(j *job, kind string, d time.Duration) {
+	a.times = append(a.times, rollout.Time{Kind: j.Route.Name + "|" + string(j.model) + kind, Seconds: d.Seconds()})
+}
--- a/relay/log.go
+++ b/relay/log.go
@@ -12,31 +12,31 @@
 	"woaddoor/rollout"
 )
 
-// finish counts a request and logs it, once, at its end.
-func (r *Relay) finish(j *job, end End, f *contract.Refusal) {
+// recordRequestEnd counts a request that has ended and logs it once.
+func (r *Relay) recordRequestEnd(j *job, end RequestEnd, refusal *contract.Refusal) {
 	now := r.opts.Now()
-	r.Metrics.count(j, end, f, now)
+	r.Metrics.countEnd(j, end, refusal, now)
 	fields := []zap.Field{
 		zap.String("request", string(j.ID)), zap.String("route", j.Route.Name), zap.String("workspace", string(j.Workspace)),
-		zap.Int64("revision", int64(j.Revision)), zap.String("upstream", string(j.last.ID)), zap.String("release", j.last.Release),
-		zap.String("model", string(j.model)), zap.Float64("confidence", j.confident),
+		zap.Int64("revision", int64(j.Revision)), zap.String("upstream", string(j.lastUpstream.ID)), zap.String("release", j.lastUpstream.Release),
+		zap.String("model", string(j.model)), zap.Float64("confidence", j.confidence),
 		zap.Uint64("session", j.Session), zap.Int("sends", j.sends), zap.Int("failures", j.failures), zap.Stringer("outcome", j.outcome), zap.Int("status", j.status),
 		zap.Int64("objective_ms", j.Route.Objective.Milliseconds()), zap.Int64("took_ms", now.Sub(j.Arrived).Milliseconds()),
 	}
 	if j.escalated {
-		fields = append(fields, zap.Float64("given_up_confidence", j.givenUp))
+		fields = append(fields, zap.Float64("given_up_confidence", j.discardedConfidence))
 	}
-	if !j.firstAt.IsZero() {
-		fields = append(fields, zap.Int64("first_ms", j.firstAt.Sub(j.Arrived).Milliseconds()))
+	if !j.firstAnswerAt.IsZero() {
+		fields = append(fields, zap.Int64("first_ms", j.firstAnswerAt.Sub(j.Arrived).Milliseconds()))
 	}
 	if end == Refused || end == Cut {
-		fields = append(fields, r.beliefs(j)...)
+		fields = append(fields, r.decisionContext(j)...)
 	}
-	if f != nil && f.Kind == contract.RefusedHeld {
-		fields = append(fields, zap.Stringer("print", j.print()))
+	if refusal != nil && refusal.Kind == contract.RefusedHeld {
+		fields = append(fields, zap.Stringer("print", j.contentPrint()))
 	}
-	if f != nil {
-		fields = append(fields, zap.String("reason", string(f.Kind)), zap.String("step", string(f.Step)), zap.String("detail", f.Detail))
+	if refusal != nil {
+		fields = append(fields, zap.String("reason", string(refusal.Kind)), zap.String("step", string(refusal.Step)), zap.String("detail", refusal.Detail))
 	}
 	switch end {
 	case Delivered:
@@ -50,59 +50,60 @@
 	}
 }
 
-// beliefs returns what the decisions on a request rested on, and how old it was.
-func (r *Relay) beliefs(j *job) []zap.Field {
+// decisionContext returns log fields with the state on which the decisions for a request were
+// based, and its age.
+func (r *Relay) decisionContext(j *job) []zap.Field {
 	fields := []zap.Field{}
 	if r.opts.ListAge != nil {
 		fields = append(fields, zap.Int64("list_age_ms", r.opts.ListAge().Milliseconds()))
 	}
-	r.locked(func() {
+	r.withLock(func() {
 		if resting, leaving := r.table.Resting(r.opts.Now()); resting+leaving > 0 {
 			fields = append(fields, zap.Int("upstreams_resting", resting), zap.Int("upstreams_say_leaving", leaving))
 		}
 		if limited := r.table.CountLimited(); limited > 0 {
 			fields = append(fields, zap.Int("upstreams_limited", limited))
 		}
-		if len(r.evacuated) > 0 {
+		if len(r.evacuations) > 0 {
 			var centres []string
-			for _, dc := range slices.Sorted(maps.Keys(r.evacuated)) {
+			for _, dc := range slices.Sorted(maps.Keys(r.evacuations)) {
 				centres = append(centres, string(dc))
 			}
 			fields = append(fields, zap.Strings("evacuated", centres))
 		}
 		fields = append(fields, zap.Int("upstreams", len(r.entries)), zap.Int("upstreams_cold", r.table.Cold(r.opts.Now())), zap.Int("vms", r.opts.VMs()),
-			zap.Float64("budget_left", round(r.budget(j.service).Left(r.opts.VMs(), r.opts.Now()))))
+			zap.Float64("budget_left", roundToHundredths(r.retryBudget(j.service).Left(r.opts.VMs(), r.opts.Now()))))
 	})
 	return fields
 }
 
-func round(x float64) float64 { return math.Round(x*100) / 100 }
+func roundToHundredths(x float64) float64 { return math.Round(x*100) / 100 }
 
-// logAttempt says what was expected of an attempt at a prompt, and what came. The
-// caller holds mu.
-func (r *Relay) logAttempt(j *job, h *Head) {
-	w := j.waits
-	r.log.Info("attempt", zap.String("request", string(j.ID)), zap.String("upstream", string(w.upstream)), zap.String("model", string(j.model)), zap.String("why", j.why),
-		zap.Int("prompt", j.PromptTokens), zap.Int("shared", w.work.Prompt.Shared()), zap.Int("kept", w.expected.Kept),
-		zap.Int64("wait_ms", w.expected.Wait.Milliseconds()), zap.Int64("read_ms", w.expected.Reading.Milliseconds()),
-		zap.Int64("first_ms", r.opts.Now().Sub(w.since).Milliseconds()), zap.Float64("confidence", h.Confidence))
+// logFirstToken logs the estimates for an attempt at a prompt beside the measured time to the
+// first answer. The caller holds mu.
+func (r *Relay) logFirstToken(j *job, h *Head) {
+	pending := j.pending
+	r.log.Info("attempt", zap.String("request", string(j.ID)), zap.String("upstream", string(pending.upstream)), zap.String("model", string(j.model)), zap.String("why", j.modelReason),
+		zap.Int("prompt", j.PromptTokens), zap.Int("shared", pending.work.Prompt.Shared()), zap.Int("kept", pending.estimate.Kept),
+		zap.Int64("wait_ms", pending.estimate.Wait.Milliseconds()), zap.Int64("read_ms", pending.estimate.Reading.Milliseconds()),
+		zap.Int64("first_ms", r.opts.Now().Sub(pending.sentAt).Milliseconds()), zap.Float64("confidence", h.Confidence))
 }
 
-// logRetry says why a request is sent once more.
+// logRetry logs the reason for another attempt.
 func (r *Relay) logRetry(j *job, err error) {
-	why := "failure of the upstream's own"
+	why := "upstream answered with a server error"
 	if err != nil {
 		why = err.Error()
 	}
-	r.log.Info("retry", zap.String("request", string(j.ID)), zap.String("upstream", string(j.last.ID)),
-		zap.Uint64("session", j.Session), zap.Int("sends", j.sends), zap.String("why", why), zap.Duration("left", time.Until(j.Deadline).Round(time.Millisecond)), zap.Bool("began", j.began))
+	r.log.Info("retry", zap.String("request", string(j.ID)), zap.String("upstream", string(j.lastUpstream.ID)),
+		zap.Uint64("session", j.Session), zap.Int("sends", j.sends), zap.String("why", why), zap.Duration("left", time.Until(j.Deadline).Round(time.Millisecond)), zap.Bool("began", j.headSent))
 }
 
-// logVerdict says that a release was found bad here.
-func (r *Relay) logVerdict(c *rollout.Canary) {
-	trial, old := c.Counts()
+// logBadRelease logs that this VM found a release to be bad.
+func (r *Relay) logBadRelease(c *rollout.Canary) {
+	trial, others := c.Counts()
 	o := c.Order()
 	r.log.Warn("release-bad", zap.String("service", string(o.Service)), zap.String("release", o.Release),
 		zap.Int64("trial_bad", trial.Bad), zap.Int64("trial_good", trial.Good),
-		zap.Int64("others_bad", old.Bad), zap.Int64("others_good", old.Good))
+		zap.Int64("others_bad", others.Bad), zap.Int64("others_good", others.Good))
 }
--- a/relay/models.go
+++ b/relay/models.go
@@ -14,195 +14,196 @@
 
 // Parameters of the choice of a model.
 const (
-	// tryShare is the part of the requests that a model answers first which is
-	// neither the smallest nor the largest and of which less than triedEnough
-	// answers are known: what it is worth cannot be learnt otherwise.
-	tryShare    = 0.03
-	triedEnough = 25
+	// explorationShare is the share of requests whose first answer comes from a model other
+	// than the smallest and the largest, while fewer than explorationSamples answers of that
+	// model are known. Without such requests the quality of its answers could not be learned.
+	explorationShare   = 0.03
+	explorationSamples = 25
 )
 
-// choice is a model that could answer a job, and what is expected of it.
-type choice struct {
+// modelOption is a model that could answer a job, with its expected cost, quality and latency.
+type modelOption struct {
 	model contract.ModelID
 	cascade.Option
-	// first is when its answer is expected to begin, from its send on, and wait
-	// the part of that for which its prompt waits for others.
-	first, wait time.Duration
-	// could tells whether an upstream would take a request for it now.
-	could bool
+	// timeToFirst is the expected time from the send to the first part of the answer.
+	// queueWait is the part of that time for which the prompt is queued.
+	timeToFirst, queueWait time.Duration
+	// available is set if an upstream would now accept a request for the model.
+	available bool
 }
 
-// chooseModel names the model that answers first. For a request that is not worth a
-// try it returns when it may come back, and true. The caller holds mu.
-func (r *Relay) chooseModel(j *job) (after time.Duration, hopeless bool) {
+// chooseModel selects the model that answers first. If no model can begin an answer before the
+// deadline, it returns the delay after which the caller may retry, and true. The caller holds
+// mu.
+func (r *Relay) chooseModel(j *job) (retryAfter time.Duration, unreachable bool) {
 	models := j.Route.Models
 	if !j.ChooseModel || len(models) == 0 {
 		return 0, false
 	}
 	now := r.opts.Now()
-	choices := r.choices(j, now)
-	if m, ok := r.untried(j, models); ok {
-		j.model, j.why = m, whyUntried
+	options := r.modelOptions(j, now)
+	if m, ok := r.explorationModel(j, models); ok {
+		j.model, j.modelReason = m, reasonExploration
 	} else {
-		j.model, j.why = r.best(j, choices, now)
+		j.model, j.modelReason = r.bestFirstModel(j, options, now)
 	}
-	return r.hopeless(j, choices, now)
+	return r.deadlineUnreachable(j, options, now)
 }
 
-// Reasons for the model that answers first.
+// Reasons for the choice of the model.
 const (
-	whyAlone   = "best alone"
-	whyThen    = "best with a larger one after it"
-	whyUntried = "little known"
-	whyPoor    = "poor answer given up"
+	reasonAlone       = "highest value without escalation"
+	reasonThenLarger  = "highest value with escalation"
+	reasonExploration = "exploration"
+	reasonEscalation  = "escalation"
 )
 
-// untried returns now and then a model of which little is known.
-func (r *Relay) untried(j *job, models []contract.ModelID) (contract.ModelID, bool) {
-	if len(models) < 3 || !r.opts.Policy.Has(upstream.Untried) || r.random.Float64() >= tryShare {
+// explorationModel occasionally returns a model of which few answers are known.
+func (r *Relay) explorationModel(j *job, models []contract.ModelID) (contract.ModelID, bool) {
+	if len(models) < 3 || !r.opts.Policy.Has(upstream.Untried) || r.random.Float64() >= explorationShare {
 		return "", false
 	}
 	largest := models[len(models)-1]
 	for _, m := range models[1 : len(models)-1] {
-		if r.opinions.Seen(m) < triedEnough && r.opinions.Seen(largest) >= triedEnough {
+		if r.confidences.Seen(m) < explorationSamples && r.confidences.Seen(largest) >= explorationSamples {
 			return m, true
 		}
 	}
 	return "", false
 }
 
-// best returns the model that is worth most as the first to answer. The caller
-// holds mu.
-func (r *Relay) best(j *job, choices []choice, now time.Time) (contract.ModelID, string) {
-	giveUp := j.mayGiveUp() && r.opts.Policy.Has(upstream.Escalation) // else an answer could not be given up for another
-	repeat := r.repeatPrice(j, now)
-	model, why, most := choices[0].model, whyAlone, choices[0].Alone()
-	for i, c := range choices {
-		first := i < len(choices)-1 || !giveUp || r.opts.Policy.Has(upstream.LargestAlone)
-		if v := c.Alone(); v > most && first {
-			model, why, most = c.model, whyAlone, v
+// bestFirstModel returns the model with the highest expected value as the first to answer, and
+// the reason. The caller holds mu.
+func (r *Relay) bestFirstModel(j *job, options []modelOption, now time.Time) (contract.ModelID, string) {
+	mayEscalate := j.mayDiscardAnswer() && r.opts.Policy.Has(upstream.Escalation) // an answer can be discarded for one of a larger model
+	resendPrice := r.resendPrice(j, now)
+	model, reason, bestValue := options[0].model, reasonAlone, options[0].Alone()
+	for i, option := range options {
+		mayAnswerAlone := i < len(options)-1 || !mayEscalate || r.opts.Policy.Has(upstream.LargestAlone)
+		if value := option.Alone(); value > bestValue && mayAnswerAlone {
+			model, reason, bestValue = option.model, reasonAlone, value
 		}
-		if !giveUp || i == len(choices)-1 {
+		if !mayEscalate || i == len(options)-1 {
 			continue
 		}
-		for _, larger := range choices[i+1:] {
-			second := larger.after(j, c.first, now)
-			second.Price += repeat
-			if v := c.Then(second); v > most {
-				model, why, most = c.model, whyThen, v
+		for _, larger := range options[i+1:] {
+			second := larger.afterDelay(j, option.timeToFirst, now)
+			second.Price += resendPrice
+			if value := option.Then(second); value > bestValue {
+				model, reason, bestValue = option.model, reasonThenLarger, value
 			}
 		}
 	}
-	return model, why
+	return model, reason
 }
 
-// repeatPrice returns what one more send of the job's service costs the requests that
-// will want one: where callers are told to come back since upstreams have all that they
-// take, it is sent in the place of one of theirs. The caller holds mu.
-func (r *Relay) repeatPrice(j *job, now time.Time) float64 {
-	if r.table.CountLimited() > 0 && r.returnsOf(j.service).Awaited(now) {
-		return 1 / j.weight
+// resendPrice returns the price of one more send to the job's service, which later requests
+// then cannot use. While callers that were refused at the upstreams' rate limits wait to
+// retry, the send displaces one of theirs. The caller holds mu.
+func (r *Relay) resendPrice(j *job, now time.Time) float64 {
+	if r.table.CountLimited() > 0 && r.retrySchedule(j.service).Awaited(now) {
+		return 1 / j.relativeValue
 	}
-	return cascade.RepeatPrice(r.budget(j.service).Used(retry.ForEscalation, r.opts.VMs(), now), r.opts.RepeatPrice)
+	return cascade.RepeatPrice(r.retryBudget(j.service).Used(retry.ForEscalation, r.opts.VMs(), now), r.opts.RepeatPrice)
 }
 
-// mayGiveUp tells whether an answer to a request could be given up for another.
-func (j *job) mayGiveUp() bool { return j.Route.Repeatable() && j.Route.MaxAttempts > 1 }
+// mayDiscardAnswer reports whether an answer to the request may be discarded for another.
+func (j *job) mayDiscardAnswer() bool { return j.Route.Repeatable() && j.Route.MaxAttempts > 1 }
 
-// hopeless returns when a request may come back whose prompt no engine would begin
-// to read before its deadline, and whether that is so: waiting would be in vain.
-// Only queues count: where none is, a try corrects a time that is wrong. Those that
-// are turned away together come back over as long as the queue takes. The caller
-// holds mu.
-func (r *Relay) hopeless(j *job, choices []choice, now time.Time) (after time.Duration, hopeless bool) {
+// deadlineUnreachable reports whether no engine could begin to prefill the request's prompt
+// before the deadline, and returns the delay after which the caller may retry. Only queueing
+// time counts: without a queue, an attempt corrects a wrong estimate. The retry times of
+// callers that are refused together are spread over the length of the queue. The caller holds
+// mu.
+func (r *Relay) deadlineUnreachable(j *job, options []modelOption, now time.Time) (retryAfter time.Duration, unreachable bool) {
 	if !r.opts.Policy.Has(upstream.EarlyRefusal) {
 		return 0, false
 	}
 	soonest := time.Duration(math.MaxInt64)
-	for _, c := range choices {
-		if !now.Add(c.wait).After(j.Deadline) {
+	for _, option := range options {
+		if !now.Add(option.queueWait).After(j.Deadline) {
 			return 0, false
 		}
-		soonest = min(soonest, c.wait)
+		soonest = min(soonest, option.queueWait)
 	}
-	over := now.Add(soonest).Sub(j.Deadline)
-	after = over + time.Duration(r.random.Float64()*float64(soonest))
-	if o := r.outlook(j, now); o.AtLimit > 0 { // one of those takes it sooner than the queues are read
-		after = min(after, r.backAtLimit(j.service, o, now))
+	overdue := now.Add(soonest).Sub(j.Deadline)
+	retryAfter = overdue + time.Duration(r.random.Float64()*float64(soonest))
+	if o := r.outlook(j, now); o.AtLimit > 0 { // an upstream at its limit accepts the request before the queues are empty
+		retryAfter = min(retryAfter, r.retryAfterAtLimit(j.service, o, now))
 	}
-	return after, true
+	return retryAfter, true
 }
 
-// choices returns the models of a job, smallest first, and what is expected of
-// each when it is asked now. The caller holds mu.
-func (r *Relay) choices(j *job, now time.Time) []choice {
+// modelOptions returns the models of a job, smallest first, with what is expected of each if
+// the request is sent now. The caller holds mu.
+func (r *Relay) modelOptions(j *job, now time.Time) []modelOption {
 	models := j.Route.Models
 	largest := models[len(models)-1]
-	out := make([]choice, len(models))
+	out := make([]modelOption, len(models))
 	for i, m := range models {
-		c := choice{model: m, Option: cascade.Option{Good: r.opinions.Good(m, largest), Cost: r.dearestPart(j) * r.costPart(j, i)}}
-		if e, ok := r.estimate(j, m, now); ok {
-			c.first, c.wait, c.Price, c.could = e.First(), e.Wait, r.table.Price(e)/j.weight, true
+		option := modelOption{model: m, Option: cascade.Option{Good: r.confidences.Good(m, largest), Cost: r.costToValue(j) * r.relativeCost(j, i)}}
+		if estimate, ok := r.estimateModel(j, m, now); ok {
+			option.timeToFirst, option.queueWait, option.Price, option.available = estimate.First(), estimate.Wait, r.table.Price(estimate)/j.relativeValue, true
 		}
-		c.Option = c.after(j, 0, now)
-		out[i] = c
+		option.Option = option.afterDelay(j, 0, now)
+		out[i] = option
 	}
 	return out
 }
 
-// after returns what is expected of a model when it is asked after a delay.
-func (c choice) after(j *job, delay time.Duration, now time.Time) cascade.Option {
-	begins := now.Add(delay + c.first)
-	o := c.Option
-	o.Never = begins.After(j.Deadline)
-	o.Late = upstream.LateRisk(upstream.ObjectivePart(begins.Sub(j.Arrived), j.Route.Objective))
-	return o
+// afterDelay returns the option as expected if the request is sent after a delay.
+func (o modelOption) afterDelay(j *job, delay time.Duration, now time.Time) cascade.Option {
+	begins := now.Add(delay + o.timeToFirst)
+	expected := o.Option
+	expected.Never = begins.After(j.Deadline)
+	expected.Late = upstream.LateRisk(upstream.ObjectivePart(begins.Sub(j.Arrived), j.Route.Objective))
+	return expected
 }
 
-// costPart returns what a model of a job costs against the dearest; where costs
-// are not told, by its place among the models, which are in order of size.
-func (r *Relay) costPart(j *job, place int) float64 {
+// relativeCost returns the cost of a model relative to the most expensive one. Without
+// configured costs it is derived from the position among the models, which are ordered by
+// size.
+func (r *Relay) relativeCost(j *job, index int) float64 {
 	models := j.Route.Models
-	if c, ok := r.costs[j.service][models[place]]; ok {
-		return c / r.dearest(j)
+	if c, ok := r.modelCosts[j.service][models[index]]; ok {
+		return c / r.highestModelCost(j)
 	}
-	return math.Pow(costStep, float64(len(models)-1-place))
+	return math.Pow(defaultCostStep, float64(len(models)-1-index))
 }
 
-// costStep is what a model costs against the next larger one where costs are not
-// told: 0.13 and 0.5 on the sheets.
-const costStep = 0.25
+// defaultCostStep is the cost of a model relative to the next larger one if no costs are
+// configured. Known deployments have ratios of 0.13 and 0.5.
+const defaultCostStep = 0.25
 
-// dearest returns what the dearest model of the job's service costs; 1 where
-// costs are not told.
-func (r *Relay) dearest(j *job) float64 {
-	most := 0.0
-	for _, c := range r.costs[j.service] {
-		most = max(most, c)
+// highestModelCost returns the cost of the most expensive model of the job's service, or 1 if
+// no costs are configured.
+func (r *Relay) highestModelCost(j *job) float64 {
+	highest := 0.0
+	for _, c := range r.modelCosts[j.service] {
+		highest = max(highest, c)
 	}
-	if most == 0 {
+	if highest == 0 {
 		return 1
 	}
-	return most
+	return highest
 }
 
-// estimate returns what is expected of a model at the upstream that the job would
-// go to. The caller holds mu.
-func (r *Relay) estimate(j *job, m contract.ModelID, now time.Time) (upstream.Estimate, bool) {
-	with := *j
-	with.model = m
-	for _, pools := range r.eligible(&with, now) {
-		if e, ok := r.table.Best(r.query(&with, pools, now), now, r.random); ok {
+// estimateModel returns the estimate for a model at the upstream that would be chosen for the
+// job. The caller holds mu.
+func (r *Relay) estimateModel(j *job, m contract.ModelID, now time.Time) (upstream.Estimate, bool) {
+	candidate := *j
+	candidate.model = m
+	for _, pools := range r.eligiblePools(&candidate, now) {
+		if e, ok := r.table.Best(r.upstreamQuery(&candidate, pools, now), now, r.random); ok {
 			return e, true
 		}
 	}
 	return upstream.Estimate{}, false
 }
 
-// escalates decides whether the answer that begins with a head is given up for
-// one of a larger model, which it returns, and takes that send out of the
-// budget.
-func (r *Relay) escalates(j *job, h *Head) (contract.ModelID, bool) {
+// decideEscalation decides whether to discard the answer that begins with a head and to ask a
+// larger model instead. It returns that model and takes the extra send from the retry budget.
+func (r *Relay) decideEscalation(j *job, h *Head) (contract.ModelID, bool) {
 	models := j.Route.Models
 	if !j.ChooseModel || len(models) == 0 {
 		return "", false
@@ -210,66 +211,66 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if j.release == "" || !r.onTrial(j) {
-		r.opinion(j.model, models[len(models)-1], h.Confidence)
+		r.recordConfidence(j.model, models[len(models)-1], h.Confidence)
 	}
-	if j.began || !r.opts.Policy.Has(upstream.Escalation) || !j.mayGiveUp() || j.model == models[len(models)-1] || j.sends+1 >= j.Route.MaxAttempts {
+	if j.headSent || !r.opts.Policy.Has(upstream.Escalation) || !j.mayDiscardAnswer() || j.model == models[len(models)-1] || j.sends+1 >= j.Route.MaxAttempts {
 		return "", false
 	}
 	now := r.opts.Now()
-	larger := r.larger(j, h, now)
-	if larger == "" || !r.budget(j.service).Take(retry.ForEscalation, r.opts.VMs(), now) {
+	larger := r.escalationModel(j, h, now)
+	if larger == "" || !r.retryBudget(j.service).Take(retry.ForEscalation, r.opts.VMs(), now) {
 		return "", false
 	}
 	return larger, true
 }
 
-// onTrial tells whether the job's release is on trial: nothing is learnt of its
-// answers but whether it is bad. The caller holds mu.
+// onTrial reports whether the job runs on a canary release. Its answers are used only to judge
+// the release. The caller holds mu.
 func (r *Relay) onTrial(j *job) bool {
 	c := r.canaries[j.service]
 	return c != nil && c.Order().Release == j.release
 }
 
-// larger returns the larger model for which an answer is worth giving up, or "".
-// The caller holds mu.
-func (r *Relay) larger(j *job, h *Head, now time.Time) contract.ModelID {
-	choices := r.choices(j, now)
-	own := 0
-	for i, c := range choices {
-		if c.model == j.model {
-			own = i
+// escalationModel returns the larger model for which it is worth discarding the answer, or ""
+// if there is none. The caller holds mu.
+func (r *Relay) escalationModel(j *job, h *Head, now time.Time) contract.ModelID {
+	options := r.modelOptions(j, now)
+	current := 0
+	for i, option := range options {
+		if option.model == j.model {
+			current = i
 		}
 	}
-	largest := choices[len(choices)-1].model
-	good := r.opinions.GoodAt(j.model, largest, h.Confidence)
-	answer := choices[own].Option
+	largest := options[len(options)-1].model
+	good := r.confidences.GoodAt(j.model, largest, h.Confidence)
+	answer := options[current].Option
 	answer.Late = 0
 	if now.Sub(j.Arrived) > j.Route.Objective {
 		answer.Late = 1
 	}
-	model, most := contract.ModelID(""), answer.Kept(good)
-	repeat := r.repeatPrice(j, now)
-	for _, c := range choices[own+1:] {
-		if !c.could {
-			continue // a ready answer is not given up for none
+	model, bestValue := contract.ModelID(""), answer.Kept(good)
+	resendPrice := r.resendPrice(j, now)
+	for _, option := range options[current+1:] {
+		if !option.available {
+			continue // keep the answer if no upstream accepts a request for the larger model
 		}
-		c.Price += repeat
-		if v := c.After(answer, good); v > most {
-			model, most = c.model, v
+		option.Price += resendPrice
+		if value := option.After(answer, good); value > bestValue {
+			model, bestValue = option.model, value
 		}
 	}
 	return model
 }
 
-// escalated moves the job to a larger model.
-func (r *Relay) escalated(j *job, a *attempt, to contract.ModelID) {
+// recordEscalation switches the job to a larger model.
+func (r *Relay) recordEscalation(j *job, a *attempt, larger contract.ModelID) {
 	r.Metrics.escalations.Inc(1)
-	r.ended(j, a.entry, upstream.Abandoned, 0)
-	r.observe(j, a, false)
+	r.recordAttemptEnd(j, a.entry, upstream.Abandoned, 0)
+	r.observeRelease(j, a, false)
 	j.sends++
 	j.outcome = contract.Ran
-	j.model, j.why = to, whyPoor
-	j.escalated, j.givenUp = true, a.head.Confidence
-	r.log.Info("given-up", zap.String("request", string(j.ID)), zap.String("upstream", string(a.entry.ID)), zap.String("for", string(to)),
+	j.model, j.modelReason = larger, reasonEscalation
+	j.escalated, j.discardedConfidence = true, a.head.Confidence
+	r.log.Info("given-up", zap.String("request", string(j.ID)), zap.String("upstream", string(a.entry.ID)), zap.String("for", string(larger)),
 		zap.Float64("confidence", a.head.Confidence))
 }
--- /dev/null
+++ b/relay/notices.go
@@ -0,0 +1,110 @@
+package relay
+
+import (
+	"errors"
+	"time"
+
+	"go.uber.org/zap"
+
+	"woaddoor/contract"
+	"woaddoor/upstream"
+)
+
+// recordNotices records the notices in the head of an answer, even if the answer is not
+// delivered.
+func (r *Relay) recordNotices(j *job, h *Head, e upstream.Entry) {
+	if h.Unread != nil {
+		r.log.Warn("word-not-understood", zap.String("upstream", string(e.ID)), zap.String("request", string(j.ID)), zap.Int("status", h.Status), zap.Error(h.Unread))
+	}
+	if h.Said == (upstream.Said{}) {
+		return // no notices, as in most refusals
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.recordLimit(j, h, e)
+	notices := h.Said
+	notices.Rest = min(notices.Rest, r.opts.LongestRest)
+	changed := r.table.TakeWord(e.Life(), notices, r.opts.Now())
+	if changed == (upstream.Said{}) {
+		return // nothing new, as in almost every answer
+	}
+	fields := []zap.Field{zap.String("upstream", string(e.ID)), zap.Int64("born", e.Born), zap.String("address", e.Address),
+		zap.String("service", string(e.Service)), zap.String("request", string(j.ID)), zap.Int("status", h.Status)}
+	if changed.Leaving {
+		r.Metrics.leaveNotices.Inc(1)
+		r.log.Info("upstream-leaves", append(fields, zap.Bool("listed_leaving", r.entries[e.ID].Leaving))...)
+	}
+	if changed.Rest > 0 {
+		r.Metrics.backoffNotices.Inc(1)
+		if r.opts.Rest != nil {
+			r.opts.Rest(Rest{e.Life(), changed.Rest})
+		}
+		r.log.Info("upstream-rests", append(fields, zap.Duration("for", changed.Rest), zap.Duration("asked", h.Said.Rest))...)
+	}
+}
+
+// Rest is a back-off that an upstream requested from one VM, as reported to other VMs. It
+// binds only that VM, but shows the others that the upstream may reject their requests too.
+type Rest struct {
+	Life contract.Life `cbor:"1,keyasint"`
+	// Left is the remaining time of the back-off.
+	Left time.Duration `cbor:"2,keyasint"`
+}
+
+// HearRests records the back-offs that upstreams have requested from other VMs.
+func (r *Relay) HearRests(rests []Rest) {
+	if len(rests) == 0 || !r.opts.Policy.Has(upstream.Telling) {
+		return
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, rest := range rests {
+		if r.isCurrent(rest.Life.Upstream, rest.Life.Born) {
+			r.table.RestTold(rest.Life.Upstream, min(rest.Left, r.opts.LongestRest), r.opts.Now())
+		}
+	}
+}
+
+// errUnavailableMeanwhile means that an upstream announced that it accepts no more requests
+// while a request waited for a connection to it.
+var errUnavailableMeanwhile = errors.New("upstream stopped accepting requests while a connection to it was awaited")
+
+// checkStillAvailable returns an error if the selected upstream no longer accepts the request.
+// Opening a connection may take 250 ms, and notices in the answers to other requests may
+// arrive during that time.
+func (r *Relay) checkStillAvailable(j *job, e upstream.Entry) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.table.Takes(e.Life(), r.opts.Now()) && r.claimLimit(j, e) {
+		return nil
+	}
+	r.Metrics.sendsBlocked.Inc(1)
+	return errUnavailableMeanwhile
+}
+
+// countUnwantedSend counts a selection of an upstream that has asked for none. The caller
+// holds mu.
+func (r *Relay) countUnwantedSend(id contract.UpstreamID, now time.Time) {
+	resting, leaving := r.table.WordOf(id, now)
+	if resting {
+		r.Metrics.sendsToBackedOff.Inc(1)
+	}
+	if leaving {
+		r.Metrics.sendsToLeaving.Inc(1)
+	}
+}
+
+// logEndedBackoffs logs the back-offs that have ended. The caller holds mu.
+func (r *Relay) logEndedBackoffs(now time.Time) {
+	for _, l := range r.table.RestsEnded(now) {
+		r.log.Info("upstream-rest-ends", zap.String("upstream", string(l.Upstream)), zap.Int64("born", l.Born))
+	}
+}
+
+// Resting returns how many of the listed upstreams have requested a back-off, and how many
+// have announced their shutdown.
+func (r *Relay) Resting() (resting, leaving int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.table.Resting(r.opts.Now())
+}
--- /dev/null
+++ b/relay/prompt_load.go
@@ -0,0 +1,63 @@
+package relay
+
+import (
+	"time"
+
+	"woaddoor/contract"
+	"woaddoor/scaling"
+)
+
+// promptLoadSpan is the time over which the prefill work is averaged.
+const promptLoadSpan = 2 * time.Second
+
+// promptLoad is the prefill work that this VM sends to the engines of a service.
+type promptLoad struct {
+	// prefillSeconds and prompts are the expected prefill time and the number of prompts in
+	// the current span, which began at spanStart.
+	prefillSeconds, prompts float64
+	spanStart               time.Time
+	// rate is the work per second during the last complete span.
+	rate scaling.Work
+}
+
+// rotate ends the current span if its time is over.
+func (l *promptLoad) rotate(now time.Time) {
+	passed := now.Sub(l.spanStart)
+	if passed < promptLoadSpan {
+		return
+	}
+	l.rate = scaling.Work{Reading: l.prefillSeconds / passed.Seconds(), Prompts: l.prompts / passed.Seconds()}
+	l.prefillSeconds, l.prompts, l.spanStart = 0, 0, now
+}
+
+// recordPromptLoad records a prompt and the time that an engine of the service is expected to
+// spend on its prefill. The caller holds mu.
+func (r *Relay) recordPromptLoad(s contract.ServiceID, prefill time.Duration, now time.Time) {
+	load := r.promptLoads[s]
+	if load == nil {
+		load = &promptLoad{spanStart: now}
+		r.promptLoads[s] = load
+	}
+	load.rotate(now)
+	load.prefillSeconds += prefill.Seconds()
+	load.prompts++
+}
+
+// Work returns the work that this VM sends to the upstreams of each service.
+func (r *Relay) Work() map[contract.ServiceID]scaling.Work {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.opts.Now()
+	work := make(map[contract.ServiceID]scaling.Work)
+	for s, load := range r.promptLoads {
+		load.rotate(now)
+		work[s] = load.rate
+	}
+	for id, n := range r.table.Busy() {
+		s := r.entries[id].Service
+		serviceWork := work[s]
+		serviceWork.Places += float64(n)
+		work[s] = serviceWork
+	}
+	return work
+}
--- /dev/null
+++ b/relay/reachability.go
@@ -0,0 +1,96 @@
+package relay
+
+import (
+	"context"
+	"time"
+
+	"go.uber.org/zap"
+
+	"woaddoor/clock"
+	"woaddoor/contract"
+	"woaddoor/exchange"
+	"woaddoor/logs"
+	"woaddoor/upstream"
+)
+
+// Timing of the reachability checks.
+const (
+	// probeInterval is the interval between probes of data centres that appear unreachable. A
+	// data centre that is back is detected within one interval. Each probe opens a connection
+	// to an upstream, which has a cost.
+	probeInterval = 250 * time.Millisecond
+	// isolationDelay is how long a VM must be isolated before it reports that. A single lost
+	// packet does not count as isolation.
+	isolationDelay = 500 * time.Millisecond
+)
+
+// Reach probes data centres that appear unreachable until ctx ends, so that no request has to
+// discover their state.
+func (r *Relay) Reach(ctx context.Context) {
+	for ctx.Err() == nil {
+		clock.Pause(ctx, probeInterval)
+		var away map[contract.DataCentreID]string
+		r.withLock(func() { away = r.table.Away(r.opts.Now(), r.random) })
+		for dc, address := range away {
+			go r.probeDataCentre(ctx, dc, address)
+		}
+		r.updateIsolation()
+	}
+}
+
+// probeDataCentre probes a data centre through one of its upstreams.
+func (r *Relay) probeDataCentre(ctx context.Context, dc contract.DataCentreID, address string) {
+	err := exchange.Reach(ctx, address)
+	ok := err == nil || exchange.NothingListens(err)
+	r.withLock(func() { r.table.Reached(dc, ok, r.opts.Now()) })
+	if ok {
+		r.log.Info("data-centre-reached", zap.String("data_centre", string(dc)), zap.String("by", address))
+		return
+	}
+	r.log.Debug("data-centre-away", append(logs.Failure(err), zap.String("data_centre", string(dc)))...)
+}
+
+// suspectDataCentre schedules a probe of the data centre of an upstream that has become
+// silent.
+func (r *Relay) suspectDataCentre(e upstream.Entry) {
+	if e.DataCentre != r.opts.DataCentre {
+		r.withLock(func() { r.table.Doubt(e.DataCentre) })
+	}
+}
+
+// updateIsolation checks whether this VM is isolated, and logs changes.
+func (r *Relay) updateIsolation() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.opts.Now()
+	var isolated contract.ServiceID
+	for id := range r.poolsByRelease {
+		if r.isIsolated(id, now) {
+			isolated = id
+		}
+	}
+	switch {
+	case isolated == "" && !r.isolatedSince.IsZero():
+		r.log.Info("cut-off-ends", zap.Duration("after", now.Sub(r.isolatedSince).Round(time.Millisecond)))
+		r.isolatedSince = time.Time{}
+	case isolated != "" && r.isolatedSince.IsZero():
+		r.log.Warn("cut-off", zap.String("service", string(isolated)), zap.Int("upstreams", len(r.entries)))
+		r.isolatedSince = now
+	}
+}
+
+// isIsolated reports whether no upstream of a service can be reached because all other data
+// centres are unreachable. While the VM's own data centre is evacuated, its upstreams do not
+// count: the operator's order applies even if no other upstream is left, and a VM that is not
+// ready directs callers to VMs that can serve them. The caller holds mu.
+func (r *Relay) isIsolated(s contract.ServiceID, now time.Time) bool {
+	return r.table.CutOff(r.opts.DataCentre, r.notEvacuated(poolsExcept(r.poolsByRelease[s], r.rolledBack[s]), 0, now), now)
+}
+
+// CutOff reports whether this VM has been isolated from all upstreams of a service for at
+// least isolationDelay. Callers are better served by a VM that can reach some.
+func (r *Relay) CutOff() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return !r.isolatedSince.IsZero() && r.opts.Now().Sub(r.isolatedSince) >= isolationDelay
+}
--- /dev/null
+++ b/relay/refusals.go
@@ -0,0 +1,158 @@
+package relay
+
+import (
+	"fmt"
+	"time"
+
+	"woaddoor/contract"
+	"woaddoor/quarantine"
+	"woaddoor/retry"
+	"woaddoor/upstream"
+)
+
+// Delays after which a caller can usefully retry.
+const (
+	// retryAfterBusy is the approximate time until a slot at an upstream becomes free.
+	retryAfterBusy = 250 * time.Millisecond
+	// retryAfterListUpdate is the approximate time between reads of the upstream list.
+	retryAfterListUpdate = 600 * time.Millisecond
+)
+
+// refuseQuarantined refuses a request whose content has crashed the upstreams that executed
+// it.
+func refuseQuarantined(j *job, c *quarantine.Case) *contract.Refusal {
+	f := &contract.Refusal{
+		Kind: contract.RefusedHeld, Outcome: j.outcome, Step: contract.StepPick,
+		Detail: fmt.Sprintf("requests with this content (%s) have crashed %d upstreams one after another and are no longer sent", c.Print, max(len(c.Ends), quarantine.Limit)),
+	}
+	return f.WithRetryAfter(quarantine.ComeBack)
+}
+
+// retryAfterRestart is the approximate time in which a crashed upstream restarts.
+const retryAfterRestart = 2 * time.Second
+
+// refuseLastUpstream refuses a request that could crash the last available upstream of its
+// service.
+func refuseLastUpstream(j *job) *contract.Refusal {
+	f := &contract.Refusal{
+		Kind: contract.RefusedHeld, Outcome: j.outcome, Step: contract.StepPick,
+		Detail: "requests with this content have crashed upstreams, and only one available upstream is left",
+	}
+	return f.WithRetryAfter(retryAfterRestart)
+}
+
+// refuseUnlisted refuses a request for a service without a known upstream.
+func refuseUnlisted(j *job) *contract.Refusal {
+	f := &contract.Refusal{
+		Kind: contract.RefusedNoUpstream, Outcome: j.outcome, Step: contract.StepPick, Detail: "no upstream of the service is listed",
+	}
+	return f.WithRetryAfter(retryAfterListUpdate)
+}
+
+// refuseRegion refuses a request whose service has no upstream in an allowed region. Only a
+// change of the configuration or of the deployment can help.
+func refuseRegion(j *job) *contract.Refusal {
+	f := &contract.Refusal{
+		Kind: contract.RefusedRegion, Outcome: j.outcome, Step: contract.StepPick,
+		Detail: fmt.Sprintf("the service has no upstream in the allowed regions: route %v, workspace %v", j.Route.Regions, j.Regions),
+	}
+	return f.WithRetryAfter(retryAfterRegion)
+}
+
+// retryAfterRegion is the delay before a retry if the service has no upstream in an allowed
+// region.
+const retryAfterRegion = time.Minute
+
+// refuseNoUpstream refuses a request that no upstream can accept now. The caller holds mu.
+func (r *Relay) refuseNoUpstream(j *job, now time.Time) *contract.Refusal {
+	if r.outsideRegions(j) {
+		return refuseRegion(j)
+	}
+	o := r.outlook(j, now)
+	if o.Listed == 0 {
+		return refuseUnlisted(j)
+	}
+	f := &contract.Refusal{
+		Kind: contract.RefusedNoUpstream, Outcome: j.outcome, Step: contract.StepPick,
+		Detail: fmt.Sprintf("none of %d upstreams of the service can accept the request now: %d back off, %d are leaving, %d are at their rate limit (%.1f requests/s)",
+			o.Listed, o.Resting, o.Leaving, o.AtLimit, o.PerSecond),
+	}
+	switch {
+	case o.Closed() && o.AtLimit > 0:
+		f.Kind = contract.RefusedAtLimit
+	case o.Closed():
+		f.Kind = contract.RefusedResting
+		f.Detail += fmt.Sprintf(", the first back-off ends in %v", o.In.Round(time.Millisecond))
+	}
+	return f.WithRetryAfter(r.retryAfter(j.service, o, retryAfterListUpdate, now))
+}
+
+// retryAfter returns the delay before a retry. It is defaultDelay unless all upstreams of the
+// service reject requests. If all of them back off, retries start when the first back-off
+// period ends, spread over a period as long as the back-off itself, up to maxRetrySpread.
+// Retries then arrive no faster than new requests. The caller holds mu.
+func (r *Relay) retryAfter(s contract.ServiceID, o upstream.Outlook, defaultDelay time.Duration, now time.Time) time.Duration {
+	if !o.Closed() {
+		return defaultDelay
+	}
+	if o.AtLimit > 0 {
+		return r.retryAfterAtLimit(s, o, now)
+	}
+	return o.In + time.Duration(r.random.Float64()*float64(min(o.Rest, maxRetrySpread)))
+}
+
+// retryAfterAtLimit returns the delay before a retry at upstreams that have reached their rate
+// limits. Each VM schedules the retries of its callers at its share of these limits. The
+// caller holds mu.
+func (r *Relay) retryAfterAtLimit(s contract.ServiceID, o upstream.Outlook, now time.Time) time.Duration {
+	return r.retrySchedule(s).Next(o.PerSecond/float64(max(r.opts.VMs(), 1)), maxRetrySpread, r.random.Float64(), now)
+}
+
+// maxRetrySpread limits the period over which retries after a back-off are spread. A longer
+// period would exceed the time that most callers have.
+const maxRetrySpread = 5 * time.Second
+
+// retrySchedule returns the schedule of retries by refused callers of a service. The caller
+// holds mu.
+func (r *Relay) retrySchedule(s contract.ServiceID) *retry.Returns {
+	schedule, ok := r.retrySchedules[s]
+	if !ok {
+		schedule = &retry.Returns{}
+		r.retrySchedules[s] = schedule
+	}
+	return schedule
+}
+
+// refuseLongQueue refuses a request whose deadline will pass before any engine can begin its
+// prefill.
+func refuseLongQueue(j *job, retryAfter time.Duration) *contract.Refusal {
+	f := &contract.Refusal{
+		Kind: contract.RefusedLimit, Outcome: contract.NotRun, Step: contract.StepPick,
+		Detail: "no model can begin an answer before the deadline: the queues at the engines are too long",
+	}
+	return f.WithRetryAfter(max(retryAfter, retryAfterBusy))
+}
+
+// refuseAfterFailures refuses a request after failed attempts.
+func (r *Relay) refuseAfterFailures(j *job, reason retry.Reason, err error) *contract.Refusal {
+	f := &contract.Refusal{
+		Kind: contract.RefusedUpstream, Outcome: j.outcome, Step: contract.StepSend, Peer: string(j.lastUpstream.ID),
+		Detail: fmt.Sprintf("%v; not tried again: %s", err, reason),
+	}
+	if j.outcome == contract.NotRun {
+		f.Kind = contract.RefusedLimit
+	}
+	r.withLock(func() {
+		now := r.opts.Now()
+		f.RetryAfter = r.retryAfter(j.service, r.outlook(j, now), retryAfterBusy, now)
+	})
+	return f
+}
+
+// refuseDeadline refuses a request whose deadline has passed.
+func refuseDeadline(j *job) *contract.Refusal {
+	return &contract.Refusal{
+		Kind: contract.RefusedDeadline, Outcome: j.outcome, Step: contract.StepAnswer, Peer: string(j.lastUpstream.ID),
+		Detail: "the deadline or the route's timeout passed before the answer arrived",
+	}
+}
--- a/relay/regions.go
+++ b/relay/regions.go
@@ -6,9 +6,9 @@
 	"woaddoor/contract"
 )
 
-// AllowedIn tells whether a request may be run, and what it holds be kept, in a region: both
-// its route and its workspace have to allow it. Where neither names any, all are allowed; a
-// region that is not known is allowed only then.
+// AllowedIn reports whether a request may be executed, and its content stored, in a region.
+// Both its route and its workspace must allow the region. If neither restricts regions, all
+// are allowed. An unknown region is allowed only in that case.
 func (q *Request) AllowedIn(region string) bool {
 	return allows(q.Route.Regions, region) && allows(q.Regions, region)
 }
@@ -17,25 +17,25 @@
 	return len(regions) == 0 || slices.Contains(regions, region)
 }
 
-// regional tells whether the request may not go everywhere.
-func (q *Request) regional() bool { return len(q.Route.Regions)+len(q.Regions) > 0 }
+// regionRestricted reports whether the request is restricted to certain regions.
+func (q *Request) regionRestricted() bool { return len(q.Route.Regions)+len(q.Regions) > 0 }
 
-// inside returns the pools that stand where the request may be. The caller holds mu.
-func (r *Relay) inside(q *Request, ids []contract.PoolID) []contract.PoolID {
-	if !q.regional() {
+// allowedPools returns the pools in the regions that the request allows. The caller holds mu.
+func (r *Relay) allowedPools(q *Request, ids []contract.PoolID) []contract.PoolID {
+	if !q.regionRestricted() {
 		return ids
 	}
 	return slices.DeleteFunc(slices.Clone(ids), func(id contract.PoolID) bool {
-		return !q.AllowedIn(r.opts.Regions[r.centreOf[id]])
+		return !q.AllowedIn(r.opts.Regions[r.dataCentreOf[id]])
 	})
 }
 
-// outside tells whether the service has upstreams, and none where the request may be. The
-// caller holds mu.
-func (r *Relay) outside(j *job) bool {
-	if !j.regional() {
+// outsideRegions reports whether the service has upstreams but none in the regions that the
+// request allows. The caller holds mu.
+func (r *Relay) outsideRegions(j *job) bool {
+	if !j.regionRestricted() {
 		return false
 	}
-	ids := all(r.releases[j.service], nil)
-	return len(ids) > 0 && len(r.inside(j.Request, ids)) == 0
+	ids := poolsExcept(r.poolsByRelease[j.service], nil)
+	return len(ids) > 0 && len(r.allowedPools(j.Request, ids)) == 0
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -19,122 +19,130 @@
 	"woaddoor/upstream"
 )
 
-// Options set up a Relay.
+// Options configures a Relay.
 type Options struct {
 	Dialect    Dialect
 	DataCentre contract.DataCentreID
-	// Regions names the region of each data centre.
+	// Regions maps each data centre to its region.
 	Regions map[contract.DataCentreID]string
-	// Self names this life of the process in what it counts.
+	// Self identifies this incarnation of the VM process in the rollout evidence that it
+	// counts.
 	Self rollout.Observer
 	Log  *zap.Logger
 	Now  func() time.Time
-	// Budget bounds repeated sends.
+	// Budget limits retries and escalations.
 	Budget retry.WindowOptions
-	// VMs returns how many VMs share the budget and upstreams' connections.
+	// VMs returns how many VMs share the retry budget and the upstreams' connection limits.
 	VMs func() int
-	// Policy says which mechanisms are left out.
+	// Policy holds the decision mechanisms that are disabled.
 	Policy upstream.Policy
-	// CanaryShare is the largest part of a service's requests that a bad release
-	// may get over the whole of its order.
+	// CanaryShare is the largest share of a service's requests that a bad release may receive
+	// over the whole rollout order.
 	CanaryShare float64
-	// BadAnswer is called, without waiting, at each bad answer of a release on
-	// trial, so that other VMs hear of it at once. May be nil.
+	// BadAnswer is called at each bad answer of a canary release, so that the other VMs are
+	// notified at once. It must not block. May be nil.
 	BadAnswer func()
-	// Suspected is called, without waiting, when other VMs are to hear at once of a
-	// content that ends upstreams. May be nil.
+	// Suspected is called when the other VMs must be notified at once of content that is
+	// suspected of crashing upstreams. It must not block. May be nil.
 	Suspected func()
-	// ListAge returns how old the store's word on the list of upstreams is. May
-	// be nil.
+	// ListAge returns the age of the upstream list that was last read from the store. May be
+	// nil.
 	ListAge func() time.Duration
-	// Sent is called, without waiting, with each prompt that goes to an upstream
-	// and takes long enough to be told to other VMs. May be nil.
+	// Sent is called with each prompt that is sent to an upstream and whose prefill is long
+	// enough to report to other VMs. It must not block. May be nil.
 	Sent func(Sent)
-	// Group returns of which upstreams other VMs tell. May be nil: of none.
+	// Group returns the group of upstreams to which other VMs report their sends. Nil means
+	// that none are reported.
 	Group func() upstream.Group
-	// Evacuation is how soon the upstreams of a data centre that is evacuated get
-	// nothing more; zero where there is no bound.
+	// Evacuation is the time after which the upstreams of an evacuated data centre must
+	// receive no more requests; zero means that there is no bound.
 	Evacuation time.Duration
-	// WorthOfCost is what a request of the first rank is worth, in what the dearest
-	// model's answer to it costs; zero means cascade.DefaultWorthOfCost.
+	// WorthOfCost is the value of a request of the highest priority as a multiple of what the
+	// most expensive model's answer to it costs. Zero means cascade.DefaultWorthOfCost.
 	WorthOfCost float64
-	// LongestRest bounds for how long an upstream is obeyed that asks for a rest; zero means
+	// LongestRest caps the back-off period that an upstream can request. Zero means
 	// upstream.DefaultLongestRest.
 	LongestRest time.Duration
-	// RepeatPrice is what a repeat costs when the budget is used up, in parts of what a
-	// request is worth.
+	// RepeatPrice is the price of a repeated send when the retry budget is used up, as a
+	// fraction of the request's value.
 	RepeatPrice float64
-	// Cold bounds what cold upstreams get, beyond what the configuration tells.
+	// Cold limits the requests to cold upstreams, in addition to the limits of the
+	// configuration.
 	Cold ColdBounds
-	// Owners returns the VMs that share this data centre's cold upstreams. May be
-	// nil: there is no other.
+	// Owners returns the VMs that share the cold upstreams of this data centre. Nil means that
+	// this VM is the only one.
 	Owners func() upstream.Owners
-	// Rest is called, without waiting, with each rest that an upstream asks for. May be nil.
+	// Rest is called with each back-off that an upstream requests. It must not block. May be
+	// nil.
 	Rest func(Rest)
-	// Limit is called, without waiting, with what an answer tells of its upstream's limit
-	// that others are to hear, those of other data centres too if it says so. May be nil.
+	// Limit is called with each change of an upstream's rate limit that other VMs must learn.
+	// If far is set, the VMs of other data centres must learn it too. It must not block. May
+	// be nil.
 	Limit func(known upstream.LimitKnown, far bool)
-	// Opinion is called, without waiting, with each model's opinion of one of its
-	// answers. May be nil.
+	// Opinion is called with the confidence that a model reports for each of its answers. It
+	// must not block. May be nil.
 	Opinion func(Opinion)
-	// Began is called, without waiting, with each request that an upstream has begun to
-	// run, and when. May be nil.
+	// Began is called with the workspace of each request that an upstream has begun to
+	// execute, and the time at which execution began. It must not block. May be nil.
 	Began func(w contract.WorkspaceID, at time.Time)
-	// Wake is called, without waiting, when a release is found bad. May be nil.
+	// Wake is called when a release is found to be bad. It must not block. May be nil.
 	Wake func()
 	// Seed seeds the random source. Zero means a seed from the clock.
 	Seed uint64
 }
 
-// Relay is the request path of one VM.
+// Relay forwards the requests of one VM to upstreams.
 type Relay struct {
 	opts    *Options
 	log     *zap.Logger
 	Metrics *Metrics
 
-	// mu guards the decision state below. It is held for one decision at a time
-	// and never across I/O.
+	// mu guards the decision state below. It is held for one decision at a time and never
+	// across I/O.
 	mu      sync.Mutex
 	random  *rand.Rand
 	table   *upstream.Table
 	entries map[contract.UpstreamID]upstream.Entry
 	pools   map[contract.UpstreamID]*exchange.Pool
-	// dialedBefore counts the connections of pools that are closed.
-	dialedBefore int64
-	releases     map[contract.ServiceID]map[string][]contract.PoolID
-	limits       map[contract.ServiceID]int
-	costs        map[contract.ServiceID]map[contract.ModelID]float64
-	budgets      map[contract.ServiceID]*retry.Window
-	// returns are when callers may come back that were refused since all upstreams of a
-	// service had what they take.
-	returns  map[contract.ServiceID]*retry.Returns
-	canaries map[contract.ServiceID]*rollout.Canary
-	// undone are the releases found bad, by service: their upstreams drain, and
-	// a later order for another release does not bring them back.
-	undone map[contract.ServiceID]map[string]bool
-	// settled are the releases that were brought in last, by service: sessions
-	// stay there under a later order, whatever else still runs.
-	settled map[contract.ServiceID]string
-	paces   map[string]*pace
-	// opinions are what models think of their answers, and what that is worth.
-	opinions *cascade.Opinions
-	// group says of which upstreams other VMs tell.
-	group upstream.Group
-	// alone is since when this VM has been cut off; zero while it is not.
-	alone time.Time
-	// evacuated are the data centres whose upstreams are to get nothing more.
-	evacuated map[contract.DataCentreID]evacuation
-	// doubts are the upstreams of which it is open whether they ended under requests,
-	// and cases the contents under which some have.
-	doubts *quarantine.Doubts
-	cases  *quarantine.Table
-	// busy is the reading that this VM gives the engines of each service.
-	busy map[contract.ServiceID]*busy
-	// centreOf is the data centre of each pool.
-	centreOf map[contract.PoolID]contract.DataCentreID
+	// closedPoolDials counts the connections that were dialed by pools that are now closed.
+	closedPoolDials  int64
+	poolsByRelease   map[contract.ServiceID]map[string][]contract.PoolID
+	connectionLimits map[contract.ServiceID]int
+	modelCosts       map[contract.ServiceID]map[contract.ModelID]float64
+	retryBudgets     map[contract.ServiceID]*retry.Window
+	// retrySchedules assign Retry-After times, by service, to callers that were refused
+	// because all upstreams of the service were at their rate limits.
+	retrySchedules map[contract.ServiceID]*retry.Returns
+	canaries       map[contract.ServiceID]*rollout.Canary
+	// rolledBack holds the releases found to be bad, by service. Their upstreams drain, and a
+	// later rollout order for another release does not bring them back.
+	rolledBack map[contract.ServiceID]map[string]bool
+	// completedReleases holds the release of the last completed rollout, by service. Sessions
+	// stay on it during a later rollout, whatever other releases still run.
+	completedReleases map[contract.ServiceID]string
+	latencies         map[string]*latencyStats
+	// confidences relates the confidence that models report for their answers to the quality
+	// of those answers.
+	confidences *cascade.Opinions
+	// gossipGroup is the group of upstreams to which other VMs report their sends.
+	gossipGroup upstream.Group
+	// isolatedSince is when this VM could no longer reach any upstream of some service; zero
+	// while it is not isolated.
+	isolatedSince time.Time
+	// evacuations holds the data centres whose upstreams must receive no more requests.
+	evacuations map[contract.DataCentreID]evacuation
+	// possibleCrashes holds the upstreams whose connections broke off and that may have
+	// crashed. quarantineCases holds the content of the requests under which upstreams did
+	// crash.
+	possibleCrashes *quarantine.Doubts
+	quarantineCases *quarantine.Table
+	// promptLoads holds, by service, the prefill work that this VM sends to the engines.
+	promptLoads map[contract.ServiceID]*promptLoad
+	// dataCentreOf maps each pool to its data centre.
+	dataCentreOf map[contract.PoolID]contract.DataCentreID
 }
 
-// New returns a relay that knows no upstreams.
+// New returns a relay without upstreams.
 func New(opts *Options) *Relay {
 	opts.WorthOfCost = cmp.Or(opts.WorthOfCost, cascade.DefaultWorthOfCost)
 	opts.LongestRest = cmp.Or(opts.LongestRest, upstream.DefaultLongestRest)
@@ -144,56 +152,57 @@
 	}
 	return &Relay{
 		opts: opts, log: opts.Log, Metrics: newMetrics(),
-		random:   rand.New(rand.NewPCG(seed, seed>>1)),
-		table:    upstream.NewTable(upstream.Options{Listed: true, Policy: opts.Policy}),
-		entries:  make(map[contract.UpstreamID]upstream.Entry),
-		pools:    make(map[contract.UpstreamID]*exchange.Pool),
-		releases: make(map[contract.ServiceID]map[string][]contract.PoolID),
-		limits:   make(map[contract.ServiceID]int),
-		costs:    make(map[contract.ServiceID]map[contract.ModelID]float64),
-		budgets:  make(map[contract.ServiceID]*retry.Window),
-		returns:  make(map[contract.ServiceID]*retry.Returns),
-		canaries: make(map[contract.ServiceID]*rollout.Canary),
-		undone:   make(map[contract.ServiceID]map[string]bool),
-		settled:  make(map[contract.ServiceID]string),
-		paces:    make(map[string]*pace),
-		opinions: cascade.NewOpinions(),
-		busy:     make(map[contract.ServiceID]*busy),
-		doubts:   quarantine.NewDoubts(), cases: quarantine.NewTable(),
+		random:            rand.New(rand.NewPCG(seed, seed>>1)),
+		table:             upstream.NewTable(upstream.Options{Listed: true, Policy: opts.Policy}),
+		entries:           make(map[contract.UpstreamID]upstream.Entry),
+		pools:             make(map[contract.UpstreamID]*exchange.Pool),
+		poolsByRelease:    make(map[contract.ServiceID]map[string][]contract.PoolID),
+		connectionLimits:  make(map[contract.ServiceID]int),
+		modelCosts:        make(map[contract.ServiceID]map[contract.ModelID]float64),
+		retryBudgets:      make(map[contract.ServiceID]*retry.Window),
+		retrySchedules:    make(map[contract.ServiceID]*retry.Returns),
+		canaries:          make(map[contract.ServiceID]*rollout.Canary),
+		rolledBack:        make(map[contract.ServiceID]map[string]bool),
+		completedReleases: make(map[contract.ServiceID]string),
+		latencies:         make(map[string]*latencyStats),
+		confidences:       cascade.NewOpinions(),
+		promptLoads:       make(map[contract.ServiceID]*promptLoad),
+		possibleCrashes:   quarantine.NewDoubts(), quarantineCases: quarantine.NewTable(),
 	}
 }
 
-func (r *Relay) locked(f func()) {
+// withLock calls f while holding mu.
+func (r *Relay) withLock(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
 }
 
-// connectionShare is the part of an upstream's connections that all VMs
-// together plan to use: the rest is for VMs that are not known yet.
+// connectionShare is the part of an upstream's connections that all VMs together plan to use.
+// The rest is reserved for VMs that are not yet known.
 const connectionShare = 0.85
 
-// lives tells whether an upstream is still in the life in which it was met. What is
-// told of an earlier one says nothing of this one. The caller holds mu.
-func (r *Relay) lives(id contract.UpstreamID, born int64) bool {
+// isCurrent reports whether an upstream still runs the given incarnation. Reports about an
+// earlier incarnation do not apply to the current one. The caller holds mu.
+func (r *Relay) isCurrent(id contract.UpstreamID, incarnation int64) bool {
 	e, ok := r.entries[id]
-	return ok && e.Born == born
+	return ok && e.Born == incarnation
 }
 
-// pool returns the connections to an upstream.
-func (r *Relay) pool(e upstream.Entry) *exchange.Pool {
+// connectionPool returns the connection pool of an upstream and creates it if there is none.
+func (r *Relay) connectionPool(e upstream.Entry) *exchange.Pool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p, ok := r.pools[e.ID]
 	if !ok {
-		p = exchange.NewPool(e.Address, cmp.Or(r.limits[e.Service], leastConnections))
+		p = exchange.NewPool(e.Address, cmp.Or(r.connectionLimits[e.Service], minConnections))
 		r.pools[e.ID] = p
 	}
 	return p
 }
 
-// Connections returns how many connections to upstreams are open, and how many
-// were opened so far.
+// Connections returns how many connections to upstreams are open, and how many were opened so
+// far.
 func (r *Relay) Connections() (open int, dialed int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -202,16 +211,15 @@
 		open += n
 		dialed += total
 	}
-	return open, dialed + r.dialedBefore
+	return open, dialed + r.closedPoolDials
 }
 
-// BudgetLeft returns the smallest part of the budget of repeated sends that is
-// left at any service, 0 to 1.
+// BudgetLeft returns the smallest unused fraction of any service's retry budget, from 0 to 1.
 func (r *Relay) BudgetLeft() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	left := 1.0
-	for _, w := range r.budgets {
+	for _, w := range r.retryBudgets {
 		left = min(left, w.Left(r.opts.VMs(), r.opts.Now()))
 	}
 	return left
@@ -224,59 +232,62 @@
 	return len(r.entries)
 }
 
-// errSilent means that an upstream did not answer for longer than it should.
+// errSilent is the error of an attempt whose upstream sent nothing within its timeout.
 var errSilent = errors.New("upstream is silent")
 
-// Serve has a request answered. The refusal is set only with Refused.
-func (r *Relay) Serve(ctx context.Context, req *Request, c Caller) (End, *contract.Refusal) {
+// Serve answers a request through an upstream and returns how the request ended. A refusal is
+// always returned with Refused, and may be returned with Cut.
+func (r *Relay) Serve(ctx context.Context, req *Request, c Caller) (RequestEnd, *contract.Refusal) {
 	ctx, cancel := context.WithDeadlineCause(ctx, req.Deadline, errDeadline)
 	defer cancel()
-	j := &job{Request: req, outcome: contract.NotRun, confident: -1, weight: 1}
-	var after time.Duration
-	hopeless := false
-	r.locked(func() {
-		j.service = req.Route.Pick(r.random.Float64())
-		r.budget(j.service).Request(r.opts.Now())
+	j := &job{Request: req, outcome: contract.NotRun, confidence: -1, relativeValue: 1}
+	var retryAfter time.Duration
+	unreachable := false
+	r.withLock(func() {
+		j.service = req.Route.PickService(r.random.Float64())
+		r.retryBudget(j.service).Request(r.opts.Now())
 		if isStream(req) {
-			j.weight = r.table.Came(req.Route.Objective, r.worth(j), r.senders(), r.opts.Now())
+			j.relativeValue = r.table.Came(req.Route.Objective, r.requestValue(j), r.sendingVMs(), r.opts.Now())
 		}
-		after, hopeless = r.chooseModel(j)
+		retryAfter, unreachable = r.chooseModel(j)
 	})
-	var end End
+	var end RequestEnd
 	var refused *contract.Refusal
 	switch {
 	case len(req.Route.Shares) == 0:
-		end, refused = Refused, unlisted(j)
-	case hopeless:
-		end, refused = Refused, noRoom(j, after)
+		end, refused = Refused, refuseUnlisted(j)
+	case unreachable:
+		end, refused = Refused, refuseLongQueue(j, retryAfter)
 	case isStream(req):
-		end, refused = r.stream(ctx, j, c)
+		end, refused = r.serveStream(ctx, j, c)
 	default:
-		end, refused = r.plain(ctx, j, c)
+		end, refused = r.serveBuffered(ctx, j, c)
 	}
-	r.finish(j, end, refused)
+	r.recordRequestEnd(j, end, refused)
 	return end, refused
 }
 
-// senders returns how many VMs send to the engines that this VM hears of: the price
-// of their time goes by what comes to them. All VMs of five data centres before the
-// engines of one made it five times too high. The caller holds mu.
-func (r *Relay) senders() int {
-	if r.group.VMs > 0 {
-		return r.group.VMs
+// sendingVMs returns how many VMs send requests to the engines in this VM's gossip group. The
+// price of engine time depends on the demand from these VMs. Counting all VMs of five data
+// centres for the engines of one data centre made the price five times too high. The caller
+// holds mu.
+func (r *Relay) sendingVMs() int {
+	if r.gossipGroup.VMs > 0 {
+		return r.gossipGroup.VMs
 	}
 	return r.opts.VMs()
 }
 
-// errDeadline ends the work on a request whose time is up.
+// errDeadline is the cancellation cause of a request whose deadline has passed.
 var errDeadline = errors.New("deadline passed")
 
-// budget returns the budget of a service. The caller holds mu.
-func (r *Relay) budget(s contract.ServiceID) *retry.Window {
-	w, ok := r.budgets[s]
+// retryBudget returns the retry budget of a service and creates it if there is none. The
+// caller holds mu.
+func (r *Relay) retryBudget(s contract.ServiceID) *retry.Window {
+	budget, ok := r.retryBudgets[s]
 	if !ok {
-		w = retry.NewWindow(r.opts.Budget)
-		r.budgets[s] = w
+		budget = retry.NewWindow(r.opts.Budget)
+		r.retryBudgets[s] = budget
 	}
-	return w
+	return budget
 }
--- a/relay/request.go
+++ b/relay/request.go
@@ -1,11 +1,11 @@
-// Package relay is the path of a request through a VM: it admits, chooses the
-// model and the upstream, sends, judges the answer, and delivers, resumes,
-// retries, escalates or ends. It knows no protocol's names: a front decodes
-// callers' requests into Request and encodes what comes back, and a Dialect
-// does the same towards upstreams.
+// Package relay carries a request through a VM. It admits the request, chooses the model and
+// the upstream, sends the request and checks the answer. It then delivers or resumes the
+// answer, retries, escalates to a larger model, or ends the request. The package is
+// independent of the wire protocols: a front end decodes callers' requests into Request and
+// encodes the answers, and a Dialect does the same for upstreams.
 //
-// The decisions are made by the pure packages upstream, retry, stream, cascade
-// and rollout; this one feeds them with what happens.
+// The packages upstream, retry, stream, cascade and rollout make the decisions and do no I/O.
+// This package passes them the events that they need.
 package relay
 
 import (
@@ -18,98 +18,100 @@
 	"woaddoor/upstream"
 )
 
-// Request is one caller's request.
+// Request is a request of one caller.
 type Request struct {
 	ID        contract.RequestID
 	Workspace contract.WorkspaceID
-	// Regions are those in which the workspace allows its requests to be; empty for all.
+	// Regions are the regions to which the workspace restricts its requests; empty means any
+	// region.
 	Regions []string
-	// Priority is its rank; 0 is the most urgent.
+	// Priority is the rank of the request; 0 is the most urgent.
 	Priority int
 	Route    *route.Route
-	// Revision is that of the configuration that Route is from.
+	// Revision is the revision of the configuration that contains Route.
 	Revision contract.Revision
 
 	Method, URI, Host string
-	// Header holds what is passed on to upstreams.
+	// Header holds the header fields that are forwarded to upstreams.
 	Header http.Header
 	Body   []byte
 
 	Arrived time.Time
-	// Deadline is when the answer is no longer wanted, or the route's timeout
-	// if that comes first.
+	// Deadline is the earlier of the caller's deadline and the route's timeout.
 	Deadline time.Time
-	// LastEvent is the id of the last event that the caller has of a stream,
-	// if it has any.
+	// LastEvent is the id of the last stream event that the caller has received; nil if there
+	// is none.
 	LastEvent *int64
 
-	// ChooseModel tells whether the router names the model.
+	// ChooseModel is set if the router chooses the model.
 	ChooseModel bool
-	// PromptTokens and OutputTokens are the size of the prompt and the most
-	// that may come out; zero when unknown.
+	// PromptTokens is the size of the prompt, and OutputTokens the largest size of the answer;
+	// zero means unknown.
 	PromptTokens, OutputTokens int
-	// Parts are those of the prompt, in order; the last one is the request's own.
+	// Parts are the parts of the prompt in order. The last part belongs to this request alone.
 	Parts []reading.Part
-	// Subject keys the part of the prompt that other requests share; zero for
-	// none.
+	// Subject is a key of the part of the prompt that is shared with other requests; zero if
+	// there is none.
 	Subject uint64
-	// Session keys the requests that belong together; zero for none.
+	// Session is a key shared by all requests of one session; zero if there is none.
 	Session uint64
 }
 
-// Head is the head of an answer.
+// Head is the status and header of an upstream's answer, in decoded form.
 type Head struct {
 	Status int
-	// Header holds what is passed on to the caller.
+	// Header holds the header fields that are forwarded to the caller.
 	Header http.Header
-	// Sealed tells whether the answer carries the upstream's signature, without
-	// which no success is passed on.
+	// Sealed is set if the answer carries the upstream's signature. Successful answers without
+	// a signature are not forwarded.
 	Sealed bool
-	// NotRun tells whether the upstream says that it did not run the request.
+	// NotRun is set if the upstream states that it did not execute the request.
 	NotRun bool
-	// Moved tells whether another upstream has the address.
+	// Moved is set if another upstream now has the address.
 	Moved bool
-	// Confidence is the model's own opinion of its answer, 0 to 1; negative
-	// when it tells none.
+	// Confidence is the confidence that the model reports for its answer, from 0 to 1;
+	// negative if it reports none.
 	Confidence float64
-	// Weights is the version of the weights that made the answer; empty when
-	// the upstream does not tell.
+	// Weights is the version of the model weights that produced the answer; empty if the
+	// upstream does not report it.
 	Weights string
-	// Load is what the upstream tells of itself, if it does.
+	// Load is the load that the upstream reports; nil if it reports none.
 	Load *Load
-	// Said is what it asks of those that send to it, and Unread why a part of that could
-	// not be understood.
+	// Said holds the notices with which the upstream asks senders to back off, to observe a
+	// rate limit or to expect its shutdown. Unread is the error of a notice that could not be
+	// parsed.
 	Said   upstream.Said
 	Unread error
 }
 
-// Load is what an upstream has to do.
+// Load is the number of running and waiting requests and of slots at an upstream.
 type Load struct{ Running, Waiting, Slots int }
 
-// Caller is where the answer goes. An error of any of its methods means that
-// the caller is gone.
+// Caller receives the answer to a request. An error of any of its methods means that the
+// caller has disconnected.
 type Caller interface {
-	// Whole gives a whole answer.
+	// Whole delivers a complete answer.
 	Whole(h *Head, body []byte) error
-	// Begin gives the head of a stream, Pass whole events of it, and End its
-	// end.
+	// Begin delivers the head of a stream, Pass delivers complete events, and End ends the
+	// stream.
 	Begin(h *Head) error
 	Pass(events []byte) error
 	End() error
 }
 
-// End says how a request ended.
-type End uint8
+// RequestEnd is the way in which a request ended.
+type RequestEnd uint8
 
-// The ends.
+// Ways in which a request ends.
 const (
-	// Delivered means that the caller has a whole answer.
-	Delivered End = iota
-	// Refused means that the caller is owed a refusal.
+	// Delivered means that the caller has received a complete answer.
+	Delivered RequestEnd = iota
+	// Refused means that the request was refused; the refusal has yet to be sent to the
+	// caller.
 	Refused
-	// Cut means that a stream that had begun cannot be finished: its
-	// connection has to be broken, so that it does not look whole.
+	// Cut means that a stream was started but cannot be completed. The connection must be
+	// broken, so that the stream does not look complete.
 	Cut
-	// Gone means that the caller left.
+	// Gone means that the caller has disconnected.
 	Gone
 )
--- a/relay/rollouts.go
+++ b/relay/rollouts.go
@@ -8,47 +8,49 @@
 	"woaddoor/upstream"
 )
 
-// SetOrder takes in an order, or a newer state of it.
+// SetOrder records a rollout order or a newer state of it.
 func (r *Relay) SetOrder(o rollout.Order) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c := r.canaries[o.Service]
-	if c != nil && c.Order().Revision > o.Revision {
-		return // late word of an earlier order
+	canary := r.canaries[o.Service]
+	if canary != nil && canary.Order().Revision > o.Revision {
+		return // late update of an earlier order
 	}
-	r.noteEnd(o)
-	if c != nil && c.Order().Release == o.Release {
-		c.Update(o)
+	r.recordOrderState(o)
+	if canary != nil && canary.Order().Release == o.Release {
+		canary.Update(o)
 		return
 	}
 	r.canaries[o.Service] = rollout.NewCanary(o, r.opts.CanaryShare, r.opts.Now())
 }
 
-// noteEnd notes how an order ended. The caller holds mu.
-func (r *Relay) noteEnd(o rollout.Order) {
-	if r.undone[o.Service] == nil {
-		r.undone[o.Service] = make(map[string]bool)
+// recordOrderState records whether the release of an order is rolled back, completed, or still
+// being rolled out. The caller holds mu.
+func (r *Relay) recordOrderState(o rollout.Order) {
+	if r.rolledBack[o.Service] == nil {
+		r.rolledBack[o.Service] = make(map[string]bool)
 	}
 	switch o.State {
 	case rollout.OrderUndone:
-		r.undone[o.Service][o.Release] = true
+		r.rolledBack[o.Service][o.Release] = true
 	case rollout.OrderCompleted:
-		r.settled[o.Service] = o.Release
-		delete(r.undone[o.Service], o.Release)
+		r.completedReleases[o.Service] = o.Release
+		delete(r.rolledBack[o.Service], o.Release)
 	default:
-		delete(r.undone[o.Service], o.Release)
+		delete(r.rolledBack[o.Service], o.Release)
 	}
 }
 
-// Verdict is how an order is to end.
+// Verdict is the state in which a rollout order is to end.
 type Verdict struct {
 	Order rollout.Order
 	State rollout.OrderState
-	// Trial and Others are what this VM has seen.
+	// Trial counts the answers of the canary release that this VM has seen, and Others those
+	// of other releases.
 	Trial, Others rollout.Counts
 }
 
-// Verdicts returns the orders that are to end now, by what this VM knows.
+// Verdicts returns the rollout orders that should end now, based on what this VM knows.
 func (r *Relay) Verdicts() []Verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,7 +64,7 @@
 	return out
 }
 
-// Evidence returns what this VM tells another of releases on trial.
+// Evidence returns the evidence about canary releases that this VM reports to another.
 func (r *Relay) Evidence(to rollout.Hearer) rollout.Evidence {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,14 +75,15 @@
 	return e
 }
 
-// OrderAge is how long ago an order was given.
+// OrderAge is the time since a rollout order was issued.
 type OrderAge struct {
 	Service contract.ServiceID `cbor:"1,keyasint"`
 	Release string             `cbor:"2,keyasint"`
 	Age     time.Duration      `cbor:"3,keyasint"`
 }
 
-// OrderAges returns the ages of open orders that this VM knows by its own clock.
+// OrderAges returns the ages of the open rollout orders that this VM has measured with its own
+// clock.
 func (r *Relay) OrderAges() []OrderAge {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -94,7 +97,7 @@
 	return ages
 }
 
-// HearAges takes in the ages that another VM knows.
+// HearAges records the ages of rollout orders that another VM knows.
 func (r *Relay) HearAges(ages []OrderAge) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -105,8 +108,8 @@
 	}
 }
 
-// Hear takes in what other VMs have counted, and tells whether more bad answers are
-// known by it.
+// Hear merges the evidence of other VMs and reports whether it raises the number of known bad
+// answers.
 func (r *Relay) Hear(e rollout.Evidence) (worse bool) {
 	if len(e) == 0 {
 		return false
@@ -116,28 +119,28 @@
 	for _, c := range r.canaries {
 		before := c.Known()
 		if c.Hear(e, r.opts.Self, r.opts.DataCentre) {
-			r.logVerdict(c)
-			r.wake()
+			r.logBadRelease(c)
+			r.wakeVerdicts()
 		}
 		worse = worse || c.Known().Bad > before.Bad
 	}
 	return worse
 }
 
-// wake asks for the verdicts to be looked at. The caller holds mu.
-func (r *Relay) wake() {
+// wakeVerdicts triggers an evaluation of the verdicts. The caller holds mu.
+func (r *Relay) wakeVerdicts() {
 	if r.opts.Wake != nil {
 		r.opts.Wake()
 	}
 }
 
-// Level compares the upstreams with one another, and is called every second or
-// so.
+// Level updates the comparison between upstreams and expires old state. It is called about
+// once a second.
 func (r *Relay) Level() {
-	// Both before mu: they take a lock of their own.
-	var g upstream.Group
+	// Group and Owners acquire their own locks, so they are called before mu is acquired.
+	var group upstream.Group
 	if r.opts.Group != nil {
-		g = r.opts.Group()
+		group = r.opts.Group()
 	}
 	owners := upstream.Owners{Self: r.opts.Self.VM, VMs: []contract.VMID{r.opts.Self.VM}}
 	if r.opts.Owners != nil {
@@ -145,21 +148,21 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.group = g
-	r.table.SetGroup(g)
+	r.gossipGroup = group
+	r.table.SetGroup(group)
 	r.table.SetOwners(r.opts.DataCentre, owners)
 	r.table.Level(r.opts.DataCentre, r.opts.Now())
-	r.noteRests(r.opts.Now())
-	r.doubts.Expire(r.opts.Now())
-	r.cases.Expire(r.opts.Now())
+	r.logEndedBackoffs(r.opts.Now())
+	r.possibleCrashes.Expire(r.opts.Now())
+	r.quarantineCases.Expire(r.opts.Now())
 }
 
-// Releases tells whether a release of a service is being brought in, and whether one has
-// been.
-func (r *Relay) Releases(s contract.ServiceID) (under, brought bool) {
+// Releases reports whether a rollout of the service is in progress, and whether one has
+// completed.
+func (r *Relay) Releases(s contract.ServiceID) (rollingOut, completed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := r.canaries[s]
-	under = c != nil && c.Order().State == rollout.OrderOpen && r.opts.Now().Sub(c.Order().Issued) < c.Order().Length
-	return under, r.settled[s] != ""
+	rollingOut = c != nil && c.Order().State == rollout.OrderOpen && r.opts.Now().Sub(c.Order().Issued) < c.Order().Length
+	return rollingOut, r.completedReleases[s] != ""
 }
--- /dev/null
+++ b/relay/selection.go
@@ -0,0 +1,285 @@
+package relay
+
+import (
+	"context"
+	"errors"
+	"maps"
+	"slices"
+	"time"
+
+	"woaddoor/config"
+	"woaddoor/contract"
+	"woaddoor/exchange"
+	"woaddoor/reading"
+	"woaddoor/retry"
+	"woaddoor/route"
+	"woaddoor/upstream"
+)
+
+func isStream(r *Request) bool { return r.Route.Kind == route.Stream }
+
+// selectUpstream chooses the upstream of the next attempt and counts the request at that
+// upstream.
+func (r *Relay) selectUpstream(j *job) (upstream.Entry, *contract.Refusal) {
+	r.preparePrint(j)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.opts.Now()
+	if refused := r.checkQuarantine(j, now); refused != nil {
+		return upstream.Entry{}, refused
+	}
+	if j.failures > 0 && r.isIsolated(j.service, now) {
+		return upstream.Entry{}, r.refuseNoUpstream(j, now) // other upstreams would fail too
+	}
+	for _, pools := range r.eligiblePools(j, now) {
+		id, err := r.table.Pick(r.upstreamQuery(j, pools, now), now, r.random)
+		if err != nil {
+			continue
+		}
+		if r.risksLastUpstream(j, id, pools, now) {
+			return upstream.Entry{}, refuseLastUpstream(j)
+		}
+		r.countUnwantedSend(id, now)
+		r.recordLimitClaim(j, r.entries[id].Life())
+		r.table.Sent(id)
+		r.recordPendingPrompt(j, id, now)
+		j.release = pools.release
+		if j.release == "" {
+			j.release = r.entries[id].Release
+		}
+		j.lastUpstream, j.sentAt, j.upstreamSeen = r.entries[id], now, false
+		return j.lastUpstream, nil
+	}
+	return upstream.Entry{}, r.refuseNoUpstream(j, now)
+}
+
+// hasCandidate reports whether any upstream could be chosen for the next attempt. The caller
+// holds mu.
+func (r *Relay) hasCandidate(j *job, now time.Time) bool {
+	return slices.ContainsFunc(r.eligiblePools(j, now), func(c candidatePools) bool {
+		return r.table.Any(r.poolQuery(c, j.exclude), now)
+	})
+}
+
+// outlook summarizes when the upstreams that a request may use accept requests again. The
+// caller holds mu.
+func (r *Relay) outlook(j *job, now time.Time) upstream.Outlook {
+	var pools []contract.PoolID
+	for _, c := range r.eligiblePools(j, now) {
+		pools = append(pools, c.pools...)
+	}
+	if len(pools) == 0 {
+		return upstream.Outlook{} // an empty pool list would mean all pools
+	}
+	return r.table.Outlook(upstream.Query{Kind: config.EnginePool, Pools: pools}, now)
+}
+
+// hasAlternative reports whether an upstream that has not been tried could accept the request.
+// An upstream that is suspected of being faulty counts only if suspected is set.
+func (r *Relay) hasAlternative(j *job, suspected bool) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.opts.Now()
+	excluded := append(slices.Clone(j.exclude), j.lastUpstream.ID)
+	return slices.ContainsFunc(r.eligiblePools(j, now), func(c candidatePools) bool {
+		return r.table.Another(r.poolQuery(c, excluded), suspected, now)
+	})
+}
+
+// candidatePools are pools to choose from. release is empty if the pools may belong to any
+// release.
+type candidatePools struct {
+	release string
+	pools   []contract.PoolID
+}
+
+// eligiblePools returns the pools that may receive the request, in the order in which they are
+// tried. The caller holds mu.
+func (r *Relay) eligiblePools(j *job, now time.Time) []candidatePools {
+	byRelease := r.poolsByRelease[j.service]
+	canary := r.canaries[j.service]
+	if canary == nil {
+		return r.filterPools(j, []candidatePools{{pools: poolsExcept(byRelease, nil)}}, now)
+	}
+	target := canary.Order().Release
+	canaryPools := candidatePools{release: target, pools: byRelease[target]}
+	excluded := maps.Clone(r.rolledBack[j.service])
+	excluded[target] = true
+	var others []candidatePools
+	if completed := r.completedReleases[j.service]; completed != "" && !excluded[completed] {
+		others = append(others, candidatePools{pools: byRelease[completed]})
+	}
+	others = append(others, candidatePools{pools: poolsExcept(byRelease, excluded)})
+	order := others
+	switch {
+	case !j.headSent && j.failures > 0 && j.release == target && canary.Suspected():
+		order = append(others, canaryPools)
+	case j.headSent && j.release == target: // a stream stays on its release
+		order = append([]candidatePools{canaryPools}, others...)
+	case !j.headSent && canary.Choose(j.Session, now):
+		order = append([]candidatePools{canaryPools}, others...)
+	case canary.Moving(now):
+		order = append(others, canaryPools)
+	}
+	return r.filterPools(j, order, now)
+}
+
+// poolsExcept returns the pools of all releases that are not excluded.
+func poolsExcept(byRelease map[string][]contract.PoolID, excluded map[string]bool) []contract.PoolID {
+	var ids []contract.PoolID
+	for release, pools := range byRelease {
+		if !excluded[release] {
+			ids = append(ids, pools...)
+		}
+	}
+	return ids
+}
+
+// recordAttemptEnd records how an attempt ended. timeToFirst is the time to its first answer.
+func (r *Relay) recordAttemptEnd(j *job, e upstream.Entry, result upstream.Result, timeToFirst time.Duration) {
+	r.withLock(func() {
+		r.recordPromptDropped(j)
+		if r.isCurrent(e.ID, e.Born) {
+			r.table.Done(e.ID, result, timeToFirst, r.opts.Now())
+			r.logColdUpstreams()
+		}
+		if result == upstream.Broken {
+			r.recordBrokenConnection(j, e)
+		}
+	})
+}
+
+// upstreamQuery returns the query for an upstream in the candidate pools that fits the job.
+// The caller holds mu.
+func (r *Relay) upstreamQuery(j *job, c candidatePools, now time.Time) upstream.Query {
+	q := r.poolQuery(c, j.exclude)
+	q.Prefix, q.Work = j.Subject, r.promptWork(j, now)
+	return q
+}
+
+// poolQuery returns a query for any upstream in the candidate pools that is not excluded.
+func (r *Relay) poolQuery(c candidatePools, excluded []contract.UpstreamID) upstream.Query {
+	return upstream.Query{Kind: config.EnginePool, Pools: c.pools, DataCentre: r.opts.DataCentre, Exclude: excluded}
+}
+
+// promptWork describes the work that a request with the job's model causes at an upstream. The
+// caller holds mu.
+func (r *Relay) promptWork(j *job, now time.Time) upstream.Work {
+	return upstream.Work{
+		Prompt:    reading.Prompt{Model: j.model, Tokens: j.PromptTokens, Parts: j.Parts},
+		Objective: j.Route.Objective, Elapsed: now.Sub(j.Arrived),
+	}
+}
+
+// recordPendingPrompt records the prefill work that an attempt adds to an upstream, and
+// reports it to other VMs if it is long. The caller holds mu.
+func (r *Relay) recordPendingPrompt(j *job, id contract.UpstreamID, now time.Time) {
+	j.pending = pendingPrompt{}
+	if j.PromptTokens == 0 {
+		return // a request to a plain service has no prompt
+	}
+	j.pending = pendingPrompt{upstream: id, incarnation: r.entries[id].Born, work: r.promptWork(j, now), sentAt: now}
+	j.pending.estimate, j.pending.ticket = r.table.Expect(id, j.pending.work, r.opts.DataCentre, now)
+	r.Metrics.countPrompt(j.pending.work, j.pending.estimate, r.table.Price(j.pending.estimate))
+	r.recordPromptLoad(j.service, j.pending.estimate.Reading, now)
+	if e := j.pending.estimate; e.Reading >= minReportedPrefill && r.opts.Sent != nil {
+		r.opts.Sent(Sent{
+			Upstream: id, Born: j.pending.incarnation, Model: j.model, Tokens: j.PromptTokens, Parts: j.Parts,
+			Takes: e.Reading, TokenTime: r.table.TokenTime(j.model),
+		})
+	}
+}
+
+// recordAnswerBegin records that the answer to the current attempt has begun. The caller holds
+// mu.
+func (r *Relay) recordAnswerBegin(j *job) {
+	pending := j.pending
+	j.pending.upstream = ""
+	if pending.upstream != "" && r.isCurrent(pending.upstream, pending.incarnation) {
+		now := r.opts.Now()
+		r.table.Begun(pending.upstream, pending.ticket, pending.work, pending.estimate, now.Sub(pending.sentAt), now)
+	}
+}
+
+// recordPromptDropped records that the current attempt ended before its answer began. The
+// caller holds mu.
+func (r *Relay) recordPromptDropped(j *job) {
+	pending := j.pending
+	j.pending.upstream = ""
+	if pending.upstream != "" && r.isCurrent(pending.upstream, pending.incarnation) {
+		r.table.Dropped(pending.upstream, pending.ticket, r.opts.Now())
+	}
+}
+
+// checkRetry decides whether to make another attempt and takes it from the retry budget. It
+// returns the reason against another attempt, or "".
+func (r *Relay) checkRetry(j *job, repeatable bool) retry.Reason {
+	now := r.opts.Now()
+	attempt := retry.Attempt{Number: j.sends, Outcome: j.outcome, Repeatable: repeatable, Deadline: j.Deadline, Expected: minAttemptTime}
+	if barred := attempt.Barred(max(j.Route.MaxAttempts, 1), now); barred != "" {
+		return barred
+	}
+	if j.failures >= maxUnreachable+j.Route.MaxAttempts {
+		return retry.Attempts
+	}
+	if j.sends == 0 {
+		return "" // no upstream has received the request, so nothing is repeated
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.hasCandidate(j, now) {
+		return retry.NoOther // leave the budget to other requests
+	}
+	if !r.retryBudget(j.service).Take(retry.ForRetry, r.opts.VMs(), now) {
+		return retry.OverBudget
+	}
+	return ""
+}
+
+// minAttemptTime is the shortest remaining time in which an attempt can succeed. It covers the
+// network delay and the shortest answer.
+const minAttemptTime = 30 * time.Millisecond
+
+// recordFailure adds a failed attempt to the state of the request.
+func (j *job) recordFailure(o contract.Outcome, sent bool) {
+	j.failures++
+	if sent {
+		j.sends++
+	}
+	j.outcome = j.outcome.Worse(o)
+	j.exclude = append(j.exclude, j.lastUpstream.ID)
+}
+
+// recordSendFailure records an attempt that ended without the head of an answer.
+func (r *Relay) recordSendFailure(j *job, err error, began time.Time) {
+	var exchangeErr *exchange.Error
+	sent, outcome := true, contract.Unknown
+	if errors.As(err, &exchangeErr) {
+		sent, outcome = exchangeErr.Sent, exchangeErr.Outcome()
+	}
+	result := upstream.Failed
+	switch {
+	case errors.Is(err, context.Canceled), errors.Is(err, errDeadline):
+		result = upstream.Abandoned // canceled by the caller or by its deadline
+	case errors.Is(err, errUnavailableMeanwhile):
+		result = upstream.Abandoned // the attempt shows nothing about the upstream
+	case errors.Is(err, exchange.ErrBusy):
+		result = upstream.Full
+	case !sent && exchange.NothingListens(err):
+		result = upstream.Down
+	case !sent:
+		result = upstream.Unreachable
+	case exchangeErr != nil:
+		result, j.upstreamSeen = upstream.Broken, exchangeErr.Fresh
+	}
+	if !sent {
+		r.releaseLimitClaim(j)
+	}
+	took := r.opts.Now().Sub(began)
+	r.recordAttemptEnd(j, j.lastUpstream, result, took)
+	if errors.Is(err, errSilent) {
+		r.observeLatency(j, took) // a lower bound of the answer's latency
+		r.suspectDataCentre(j.lastUpstream)
+	}
+	j.recordFailure(outcome, sent)
+}
--- a/relay/send.go
+++ b/relay/send.go
@@ -13,150 +13,156 @@
 	"woaddoor/upstream"
 )
 
-// Send is one attempt at a request, as a Dialect encodes it.
+// Send describes one attempt to be encoded by a Dialect.
 type Send struct {
 	Upstream upstream.Entry
-	// Model is the model asked for, when the router chooses it.
+	// Model is the requested model if the router chooses it.
 	Model contract.ModelID
-	// Left is how long the upstream may work.
+	// Left is the remaining time for the upstream to answer.
 	Left time.Duration
-	// LastEvent is the event after which a stream goes on, if any.
+	// LastEvent is the id of the event after which a stream is resumed; nil if it starts at
+	// the beginning.
 	LastEvent *int64
-	// Weights is the version of the weights that has to go on with a stream.
+	// Weights is the version of the model weights with which a stream must be resumed.
 	Weights string
 }
 
-// Dialect is the protocol of the upstreams.
+// Dialect implements the protocol of the upstreams.
 type Dialect interface {
-	// Encode returns the request that an attempt sends.
+	// Encode returns the request to send for an attempt.
 	Encode(r *Request, s Send) *exchange.Request
-	// Belongs tells whether an answer is to the request.
+	// Belongs reports whether an answer belongs to the request.
 	Belongs(r *Request, h http.Header) bool
-	// Decode reads the head of an answer.
+	// Decode decodes the head of an answer.
 	Decode(status int, h http.Header) *Head
 }
 
-// job is the work on one request.
+// job is the state of one request that is being served.
 type job struct {
 	*Request
-	service contract.ServiceID
-	model   contract.ModelID
-	why     string // why that model
-	// weight is what the request is worth against a mean one.
-	weight   float64
-	release  string
-	exclude  []contract.UpstreamID
-	sends    int // that may have reached an upstream
-	failures int // of any kind
-	outcome  contract.Outcome
-	status   int // of the answer that was delivered
-	weights  string
-	// began is set once the caller has the head of a stream.
-	began     bool
-	escalated bool
-	last      upstream.Entry
-	firstAt   time.Time // when the first answer or event came
-	confident float64   // of the answer that is passed on
-	givenUp   float64   // of the smaller model's that was given up
-	// waits is what the present attempt waits for.
-	waits waits
-	// sentAt is when the present attempt was sent, there whether its upstream has shown
-	// since that it was there, and printed the content's print once it was asked for.
-	sentAt  time.Time
-	there   bool
-	printed *quarantine.Print
-	// counted tells that an upstream is known to have begun to run the request.
-	counted bool
-	// claim tells that the present attempt took from this VM's part of its upstream's limit.
-	claim bool
+	service     contract.ServiceID
+	model       contract.ModelID
+	modelReason string // reason for the choice of the model
+	// relativeValue is the value of the request relative to that of a mean request.
+	relativeValue  float64
+	release        string
+	exclude        []contract.UpstreamID
+	sends          int // attempts that may have reached an upstream
+	failures       int // failed attempts of any kind
+	outcome        contract.Outcome
+	status         int // status code of the delivered answer
+	weightsVersion string
+	// headSent is set once the caller has received the head of a stream.
+	headSent            bool
+	escalated           bool
+	lastUpstream        upstream.Entry
+	firstAnswerAt       time.Time // when the first answer or event arrived
+	confidence          float64   // reported for the forwarded answer
+	discardedConfidence float64   // reported for a smaller model's discarded answer
+	// pending is the prompt of the current attempt while its answer has not begun.
+	pending pendingPrompt
+	// sentAt is when the current attempt was sent. upstreamSeen is set once its upstream has
+	// responded since. cachedPrint is the hash of the request's content, computed on first
+	// use.
+	sentAt       time.Time
+	upstreamSeen bool
+	cachedPrint  *quarantine.Print
+	// executionReported is set once an upstream's start of execution has been reported.
+	executionReported bool
+	// limitClaimed is set if the current attempt has taken from this VM's share of its
+	// upstream's rate limit.
+	limitClaimed bool
 }
 
-// waits is an attempt whose answer has not begun. The zero value is none.
-type waits struct {
-	upstream contract.UpstreamID // empty once it has begun or ended
-	born     int64               // that of its entry
-	work     upstream.Work
-	expected upstream.Estimate
-	ticket   reading.Ticket
-	since    time.Time
+// pendingPrompt is a prompt that was sent and whose answer has not begun. The zero value means
+// that there is none.
+type pendingPrompt struct {
+	upstream    contract.UpstreamID // empty once the answer has begun or the attempt has ended
+	incarnation int64               // identifies the upstream's incarnation
+	work        upstream.Work
+	estimate    upstream.Estimate
+	ticket      reading.Ticket
+	sentAt      time.Time
 }
 
-// attempt is one send that got the head of an answer.
+// attempt is one send for which the head of an answer was received.
 type attempt struct {
-	entry  upstream.Entry
-	answer *exchange.Answer
-	head   *Head
-	began  time.Time
-	times  []rollout.Time
-	cancel context.CancelFunc
+	entry     upstream.Entry
+	answer    *exchange.Answer
+	head      *Head
+	startedAt time.Time
+	times     []rollout.Time
+	cancel    context.CancelFunc
 }
 
-// maxUnsent bounds how many upstreams are found unreachable for one request.
-const maxUnsent = 4
+// maxUnreachable limits how many unreachable upstreams are tried for one request, in addition
+// to the route's attempts.
+const maxUnreachable = 4
 
-// onceIdle is how long a connection may have been idle that a request which may
-// not run again goes over: upstreams drop idle connections without a word, and
-// what is then sent over them may have run.
-const onceIdle = time.Second
+// maxIdleUnrepeatable is the longest idle time of a connection that may carry a request which
+// must not be executed twice. Upstreams close idle connections without notice, and a request
+// that was sent on such a connection may have been executed.
+const maxIdleUnrepeatable = time.Second
 
-// send sends the request to an upstream and waits for the head of its answer; for
-// longer than silent only while no other upstream could take the request.
-func (r *Relay) send(ctx context.Context, j *job, e upstream.Entry, lastEvent *int64, silent time.Duration) (*attempt, error) {
+// send sends the request to an upstream and waits for the head of the answer. Once timeout has
+// passed, it waits further only while no other upstream could accept the request.
+func (r *Relay) send(ctx context.Context, j *job, e upstream.Entry, lastEvent *int64, timeout time.Duration) (*attempt, error) {
 	now := r.opts.Now()
-	pool := r.pool(e)
+	pool := r.connectionPool(e)
 	ctx, cancel := context.WithCancelCause(ctx)
-	silence := r.watch(j, now.Add(silent), func() { cancel(errSilent) })
-	s := Send{Upstream: e, Model: j.model, Left: j.Deadline.Sub(now), LastEvent: lastEvent}
+	watchdog := r.watchSilence(j, now.Add(timeout), func() { cancel(errSilent) })
+	send := Send{Upstream: e, Model: j.model, Left: j.Deadline.Sub(now), LastEvent: lastEvent}
 	if lastEvent != nil {
-		s.Weights = j.weights
+		send.Weights = j.weightsVersion
 	}
-	req := r.opts.Dialect.Encode(j.Request, s)
+	req := r.opts.Dialect.Encode(j.Request, send)
 	if !j.Route.Repeatable() {
-		req.MaxIdle = onceIdle
+		req.MaxIdle = maxIdleUnrepeatable
 	}
-	req.Barred = func() error { return r.barredMeanwhile(j, e) }
-	x, err := pool.Do(ctx, req, func(h http.Header) bool { return r.opts.Dialect.Belongs(j.Request, h) })
-	late := silence.stop()
+	req.Barred = func() error { return r.checkStillAvailable(j, e) }
+	answer, err := pool.Do(ctx, req, func(h http.Header) bool { return r.opts.Dialect.Belongs(j.Request, h) })
+	timedOut := watchdog.stop()
 	if err != nil {
 		cancel(nil)
 		return nil, err
 	}
-	head := r.opts.Dialect.Decode(x.Status, x.Header)
-	r.hear(j, head, e)
-	if late {
-		x.Close()
+	head := r.opts.Dialect.Decode(answer.Status, answer.Header)
+	r.recordNotices(j, head, e)
+	if timedOut {
+		answer.Close()
 		cancel(nil)
 		return nil, &exchange.Error{Sent: true, Err: errSilent}
 	}
-	a := &attempt{entry: e, answer: x, head: head, began: now, cancel: func() { cancel(nil) }}
-	j.there = true
-	r.locked(func() { r.answered(j, head, e) })
-	r.ran(j, head)
+	a := &attempt{entry: e, answer: answer, head: head, startedAt: now, cancel: func() { cancel(nil) }}
+	j.upstreamSeen = true
+	r.withLock(func() { r.recordHead(j, head, e) })
+	r.reportExecution(j, head)
 	return a, nil
 }
 
-// answered takes in the head of an answer. The caller holds mu.
-func (r *Relay) answered(j *job, h *Head, e upstream.Entry) {
-	alive := r.lives(e.ID, e.Born) // else it tells of an earlier life
-	if alive && !h.NotRun {
+// recordHead records the head of an answer. The caller holds mu.
+func (r *Relay) recordHead(j *job, h *Head, e upstream.Entry) {
+	current := r.isCurrent(e.ID, e.Born) // otherwise the head describes an earlier incarnation
+	if current && !h.NotRun {
 		r.table.Accepted(e.ID)
 	}
-	if alive && h.Load != nil {
+	if current && h.Load != nil {
 		r.table.Loaded(e.ID, h.Load.Running, h.Load.Waiting, r.opts.Now())
 	}
-	if h.Status == http.StatusOK && !h.NotRun && j.waits.upstream != "" {
-		r.logAttempt(j, h)
-		r.begun(j)
+	if h.Status == http.StatusOK && !h.NotRun && j.pending.upstream != "" {
+		r.logFirstToken(j, h)
+		r.recordAnswerBegin(j)
 	}
 }
 
-// ran tells, once, of a workspace's request that an upstream has begun to run: with its first
-// token, or where it is answered whole, when it was sent.
-func (r *Relay) ran(j *job, h *Head) {
-	if h.NotRun || j.counted || j.Workspace == "" || r.opts.Began == nil {
+// reportExecution reports, once for each request of a workspace, that an upstream has begun to
+// execute it. The reported time is that of the first token of a stream and that of the send
+// otherwise.
+func (r *Relay) reportExecution(j *job, h *Head) {
+	if h.NotRun || j.executionReported || j.Workspace == "" || r.opts.Began == nil {
 		return
 	}
-	j.counted = true
+	j.executionReported = true
 	at := j.sentAt
 	if isStream(j.Request) {
 		at = r.opts.Now()
@@ -164,8 +170,7 @@
 	r.opts.Began(j.Workspace, at)
 }
 
-// close ends an attempt; its connection is kept only when the answer was read
-// whole.
+// close ends an attempt. The connection is reused only if the answer was read to the end.
 func (a *attempt) close() {
 	a.answer.Close()
 	a.cancel()
--- a/relay/streaming.go
+++ b/relay/streaming.go
@@ -13,71 +13,73 @@
 	"woaddoor/upstream"
 )
 
-// Errors of streamed answers.
+// Errors that end an attempt at a streamed answer.
 var (
-	// errBroken means that a stream ended within an event.
-	errBroken = errors.New("stream ended within an event")
-	// errStalled means that an upstream stopped sending, against its own pace.
+	// errTruncated means that a stream ended within an event.
+	errTruncated = errors.New("stream ended within an event")
+	// errStalled means that an upstream paused for too long compared with the earlier pauses
+	// of the same stream.
 	errStalled = errors.New("stream has stalled")
-	// errEscalated means that a smaller model's answer was given up.
-	errEscalated = errors.New("answer of the smaller model given up")
-	// errFailed means that the upstream answered with a failure of its own.
-	errFailed = errors.New("upstream failed")
-	// errCallerGone means that the caller could not be written to.
-	errCallerGone = errors.New("caller is gone")
+	// errEscalated means that a smaller model's answer was discarded in favor of a larger
+	// model.
+	errEscalated = errors.New("answer of the smaller model discarded")
+	// errServerFailure means that the upstream answered with a 5xx status.
+	errServerFailure = errors.New("upstream answered with a server error")
+	// errCallerGone means that writing to the caller failed.
+	errCallerGone = errors.New("caller has disconnected")
 )
 
-// series is a streamed answer on its way to the caller, over one upstream or
-// several.
-type series struct {
+// streamTransfer forwards a streamed answer to the caller. The answer may come from several
+// upstreams in turn.
+type streamTransfer struct {
 	relay  *Relay
 	job    *job
 	caller Caller
 	events stream.Events
-	// failure is the newest failure that an upstream answered with.
-	failure *Head
-	body    []byte
-	passed  int // events given to the caller
+	// nonStreamHead and nonStreamBody are the newest answer that was not an event stream.
+	nonStreamHead   *Head
+	nonStreamBody   []byte
+	eventsForwarded int // events sent to the caller
 }
 
-// stream has a request answered as a series of events.
-func (r *Relay) stream(ctx context.Context, j *job, c Caller) (End, *contract.Refusal) {
-	s := &series{relay: r, job: j, caller: c}
+// serveStream answers a request with a stream of events.
+func (r *Relay) serveStream(ctx context.Context, j *job, c Caller) (RequestEnd, *contract.Refusal) {
+	s := &streamTransfer{relay: r, job: j, caller: c}
 	if j.LastEvent != nil {
 		s.events.After(*j.LastEvent)
 	}
 	for {
-		e, refused := r.pick(j)
+		e, refused := r.selectUpstream(j)
 		if refused != nil {
-			return s.giveUp(refused)
+			return s.abort(refused)
 		}
-		err := s.attempt(ctx, e)
+		err := s.attemptStream(ctx, e)
 		switch {
 		case err == nil:
-			return s.finish()
+			return s.complete()
 		case errors.Is(err, errEscalated):
 			continue
 		case errors.Is(err, errCallerGone):
 			return Gone, nil
 		case ctx.Err() != nil:
-			end, refused := r.over(ctx, j)
+			end, refused := r.contextEnd(ctx, j)
 			if end == Gone {
 				return end, nil
 			}
-			return s.giveUp(refused)
+			return s.abort(refused)
 		}
-		if why := r.again(j, j.Route.Repeatable()); why != "" {
-			return s.giveUp(r.gaveUp(j, why, err))
+		if reason := r.checkRetry(j, j.Route.Repeatable()); reason != "" {
+			return s.abort(r.refuseAfterFailures(j, reason, err))
 		}
-		r.retried(j, err)
+		r.recordRetry(j, err)
 	}
 }
 
-// finish ends a series that is whole.
-func (s *series) finish() (End, *contract.Refusal) {
+// complete ends a transfer whose answer is complete.
+func (s *streamTransfer) complete() (RequestEnd, *contract.Refusal) {
 	s.job.outcome, s.job.status = contract.Ran, http.StatusOK
-	if s.failure != nil { // an answer that is not a series
-		return s.relay.deliver(s.job, s.caller, s.failure, s.body)
+	if s.nonStreamHead != nil { // the final answer is not an event stream
+		return s.relay.deliver(s.job, s.caller, s.nonStreamHead, s.nonStreamBody)
 	}
 	if err := s.caller.End(); err != nil {
 		return Gone, nil
@@ -85,168 +87,169 @@
 	return Delivered, nil
 }
 
-// giveUp ends a series that is not whole.
-func (s *series) giveUp(f *contract.Refusal) (End, *contract.Refusal) {
-	if s.job.began {
+// abort ends a transfer whose answer is incomplete.
+func (s *streamTransfer) abort(f *contract.Refusal) (RequestEnd, *contract.Refusal) {
+	if s.job.headSent {
 		return Cut, f
 	}
-	if s.failure != nil && f.Kind != contract.RefusedDeadline {
-		return s.relay.deliver(s.job, s.caller, s.failure, s.body)
+	if s.nonStreamHead != nil && f.Kind != contract.RefusedDeadline {
+		return s.relay.deliver(s.job, s.caller, s.nonStreamHead, s.nonStreamBody)
 	}
 	return Refused, f
 }
 
-func (s *series) begin(h *Head) error {
-	if s.job.began {
+func (s *streamTransfer) sendHead(h *Head) error {
+	if s.job.headSent {
 		return nil
 	}
-	s.job.began = true
+	s.job.headSent = true
 	return s.caller.Begin(h)
 }
 
-// lastEvent returns the event after which an upstream is to go on.
-func (s *series) lastEvent() *int64 {
+// lastEvent returns the id of the event after which an upstream must resume the stream, or
+// nil.
+func (s *streamTransfer) lastEvent() *int64 {
 	if last, ok := s.events.Last(); ok {
 		return &last
 	}
 	return nil
 }
 
-// attempt passes on what one upstream sends until its end. It returns nil when
-// the series, or a final answer of another kind, is whole.
-func (s *series) attempt(ctx context.Context, e upstream.Entry) error {
+// attemptStream forwards the stream of one upstream to its end. It returns nil once the
+// stream, or a final answer that is not a stream, is complete.
+func (s *streamTransfer) attemptStream(ctx context.Context, e upstream.Entry) error {
 	r, j := s.relay, s.job
 	began := r.opts.Now()
-	s.failure, s.body = nil, nil
-	a, err := r.send(ctx, j, e, s.lastEvent(), s.silentIn())
+	s.nonStreamHead, s.nonStreamBody = nil, nil
+	a, err := r.send(ctx, j, e, s.lastEvent(), s.eventTimeout())
 	if err != nil {
-		r.failed(j, err, began)
+		r.recordSendFailure(j, err, began)
 		return err
 	}
 	defer a.close()
 	switch h := a.head; {
 	case h.Status != http.StatusOK || h.NotRun:
-		return s.other(a)
+		return s.readNonStream(a)
 	case !h.Sealed:
-		r.ended(j, e, upstream.Failed, 0)
-		j.note(contract.Ran, true)
-		return errUnsealed
+		r.recordAttemptEnd(j, e, upstream.Failed, 0)
+		j.recordFailure(contract.Ran, true)
+		return errUnsigned
 	}
-	if to, ok := r.escalates(j, a.head); ok {
-		r.escalated(j, a, to)
+	if larger, ok := r.decideEscalation(j, a.head); ok {
+		r.recordEscalation(j, a, larger)
 		return errEscalated
 	}
-	j.weights, j.confident = a.head.Weights, a.head.Confidence
-	err = s.pump(a)
-	if err == nil && s.begin(a.head) != nil { // a series without events is whole too
+	j.weightsVersion, j.confidence = a.head.Weights, a.head.Confidence
+	err = s.forward(a)
+	if err == nil && s.sendHead(a.head) != nil { // a stream without events is complete too
 		err = errCallerGone
 	}
-	return s.judge(ctx, a, err)
+	return s.recordEnd(ctx, a, err)
 }
 
-// silentIn returns how long an attempt may be silent before its first event.
-func (s *series) silentIn() time.Duration {
-	if s.job.began {
-		return s.relay.pauseLimit(s.job.Route.Gap)
+// eventTimeout returns how long the next attempt may take to send its first event.
+func (s *streamTransfer) eventTimeout() time.Duration {
+	if s.job.headSent {
+		return s.relay.maxPause(s.job.Route.Gap)
 	}
-	return s.relay.silentIn(s.job)
+	return s.relay.firstAnswerTimeout(s.job)
 }
 
-// other takes in an answer that is not a series of events.
-func (s *series) other(a *attempt) error {
+// readNonStream reads an answer that is not an event stream.
+func (s *streamTransfer) readNonStream(a *attempt) error {
 	r, j := s.relay, s.job
-	body, err := io.ReadAll(io.LimitReader(a.answer, maxWhole))
-	if err = r.judge(j, a, err); err != nil {
+	body, err := io.ReadAll(io.LimitReader(a.answer, maxBufferedAnswer))
+	if err = r.recordAnswer(j, a, err); err != nil {
 		return err
 	}
 	if a.head.NotRun {
 		return errNotRun
 	}
-	s.failure, s.body = a.head, body
+	s.nonStreamHead, s.nonStreamBody = a.head, body
 	if a.head.Status >= http.StatusInternalServerError {
-		return errFailed
+		return errServerFailure
 	}
-	return nil // final, such as 400
+	return nil // final answer, such as status 400
 }
 
-// judge notes how an upstream's part of a series ended.
-func (s *series) judge(ctx context.Context, a *attempt, err error) error {
+// recordEnd records how the part of a stream that came from one upstream ended.
+func (s *streamTransfer) recordEnd(ctx context.Context, a *attempt, err error) error {
 	r, j := s.relay, s.job
-	first := time.Duration(0)
-	if !j.firstAt.IsZero() {
-		first = max(j.firstAt.Sub(a.began), 0)
+	timeToFirst := time.Duration(0)
+	if !j.firstAnswerAt.IsZero() {
+		timeToFirst = max(j.firstAnswerAt.Sub(a.startedAt), 0)
 	}
 	switch {
 	case err == nil:
-		r.ended(j, a.entry, upstream.Good, first)
-		r.locked(func() { r.table.Held(r.opts.Now().Sub(j.firstAt)) })
-		if s.passed >= eventsCompared && j.failures == 0 {
-			a.took(j, kindEvent, r.opts.Now().Sub(j.firstAt)/time.Duration(s.passed))
+		r.recordAttemptEnd(j, a.entry, upstream.Good, timeToFirst)
+		r.withLock(func() { r.table.Held(r.opts.Now().Sub(j.firstAnswerAt)) })
+		if s.eventsForwarded >= minComparedEvents && j.failures == 0 {
+			a.addTime(j, timePerEvent, r.opts.Now().Sub(j.firstAnswerAt)/time.Duration(s.eventsForwarded))
 		}
-		r.observe(j, a, false)
-		r.answeredWhole(j)
+		r.observeRelease(j, a, false)
+		r.clearSuspect(j)
 		j.sends++
 	case ctx.Err() != nil || errors.Is(err, errCallerGone):
-		r.ended(j, a.entry, upstream.Abandoned, 0)
+		r.recordAttemptEnd(j, a.entry, upstream.Abandoned, 0)
 		j.sends++
 	default:
-		r.ended(j, a.entry, upstream.Broken, 0)
-		j.note(contract.Ran, true)
+		r.recordAttemptEnd(j, a.entry, upstream.Broken, 0)
+		j.recordFailure(contract.Ran, true)
 		s.events.Restart()
 	}
 	return err
 }
 
-// eventsCompared is how many events a stream has at least when its pace is
+// minComparedEvents is the smallest number of events of a stream whose time per event is
 // compared between releases.
-const eventsCompared = 6
+const minComparedEvents = 6
 
-// Bounds of the pause between two events, as multiples of the route's longest:
-// a stream that paused that long is late whatever is done, and upstreams that
-// read long prompts pause for a second and more, so that leaving one sooner
-// costs more streams than it saves.
+// Bounds of the longest tolerated pause between two events, as multiples of the route's target
+// gap. After such a pause the stream is late in any case. Upstreams pause for a second or more
+// while they prefill long prompts, so abandoning them sooner interrupts more streams than it
+// saves.
 const (
-	pauseFrom = 1.6
-	pauseTo   = 2.2
-	// pauseDefault is used where a route does not say.
-	pauseDefault = 5 * time.Second
+	minPauseFactor = 1.6
+	maxPauseFactor = 2.2
+	// defaultMaxPause applies to routes without a target gap.
+	defaultMaxPause = 5 * time.Second
 )
 
-func (r *Relay) pauseLimit(gap time.Duration) time.Duration {
+func (r *Relay) maxPause(gap time.Duration) time.Duration {
 	if gap == 0 {
-		return pauseDefault
+		return defaultMaxPause
 	}
-	return time.Duration(pauseTo * float64(gap))
+	return time.Duration(maxPauseFactor * float64(gap))
 }
 
-// eventBuffer is the size of one read of a stream, in bytes.
-const eventBuffer = 4 << 10
+// readBufferSize is the size of the buffer for reading a stream, in bytes.
+const readBufferSize = 4 << 10
 
-// pump passes events on as they come.
-func (s *series) pump(a *attempt) error {
+// forward sends events to the caller as they arrive.
+func (s *streamTransfer) forward(a *attempt) error {
 	r, j := s.relay, s.job
-	longest := r.pauseLimit(j.Route.Gap)
+	longest := r.maxPause(j.Route.Gap)
 	pace := stream.NewPace(stream.PaceOptions{
-		Longest: longest, Shortest: time.Duration(pauseFrom / pauseTo * float64(longest)),
-		First: max(a.began.Add(s.silentIn()).Sub(r.opts.Now()), longest),
+		Longest: longest, Shortest: time.Duration(minPauseFactor / maxPauseFactor * float64(longest)),
+		First: max(a.startedAt.Add(s.eventTimeout()).Sub(r.opts.Now()), longest),
 	}, r.opts.Now())
-	silence := r.watch(j, pace.Due(), a.answer.Abort)
-	defer silence.stop()
-	buf := make([]byte, eventBuffer)
+	watchdog := r.watchSilence(j, pace.Due(), a.answer.Abort)
+	defer watchdog.stop()
+	buf := make([]byte, readBufferSize)
 	for {
 		n, err := a.answer.Read(buf)
-		if perr := s.pass(a, pace, buf[:n]); perr != nil {
-			return perr
+		if forwardErr := s.forwardEvents(a, pace, buf[:n]); forwardErr != nil {
+			return forwardErr
 		}
-		silence.heard(pace.Due())
+		watchdog.extend(pace.Due())
 		switch {
 		case errors.Is(err, io.EOF) && s.events.Partial():
-			return errBroken
+			return errTruncated
 		case errors.Is(err, io.EOF):
 			return nil
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			r.Metrics.stalls.Inc(1)
-			r.doubt(a.entry)
+			r.suspectDataCentre(a.entry)
 			return errStalled
 		case err != nil:
 			return err
@@ -254,8 +257,8 @@
 	}
 }
 
-// pass gives the whole events among the bytes to the caller.
-func (s *series) pass(a *attempt, pace *stream.Pace, p []byte) error {
+// forwardEvents sends the complete events among the received bytes to the caller.
+func (s *streamTransfer) forwardEvents(a *attempt, pace *stream.Pace, p []byte) error {
 	if len(p) == 0 {
 		return nil
 	}
@@ -265,13 +268,13 @@
 	}
 	now := s.relay.opts.Now()
 	pace.Chunk(now)
-	if s.passed == 0 {
-		s.job.firstAt = now
-		s.relay.paced(s.job, now.Sub(a.began))
-		a.took(s.job, kindFirst, now.Sub(a.began))
+	if s.eventsForwarded == 0 {
+		s.job.firstAnswerAt = now
+		s.relay.observeLatency(s.job, now.Sub(a.startedAt))
+		a.addTime(s.job, timeToFirstAnswer, now.Sub(a.startedAt))
 	}
-	s.passed += n
-	if s.begin(a.head) != nil || s.caller.Pass(whole) != nil {
+	s.eventsForwarded += n
+	if s.sendHead(a.head) != nil || s.caller.Pass(whole) != nil {
 		return errCallerGone
 	}
 	return nil
--- a/relay/scale_bench_test.go
+++ b/relay/upstream_list_bench_test.go
@@ -9,9 +9,9 @@
 	"woaddoor/upstream"
 )
 
-// BenchmarkOneChange measures one changed entry of a list of 10,000 upstreams.
-func BenchmarkOneChange(b *testing.B) {
-	r := testRelay()
+// BenchmarkChangeOneUpstream measures the change of one entry in a list of 10,000 upstreams.
+func BenchmarkChangeOneUpstream(b *testing.B) {
+	r := newTestRelay()
 	var entries []upstream.Entry
 	for i := range 10_000 {
 		entries = append(entries, upstream.Entry{
--- a/route/route.go
+++ b/route/route.go
@@ -1,6 +1,6 @@
-// Package route holds the configuration of a deployment in the form that the
-// request path reads: which route takes a request, which workspace a key
-// belongs to, and what bounds hold. A Table is never changed once made.
+// Package route holds the configuration of a deployment in the form that the request path
+// reads: which route handles a request, which workspace owns a key, and which limits apply. A
+// Table is immutable.
 package route
 
 import (
@@ -13,20 +13,22 @@
 	"woaddoor/scaling"
 )
 
-// Kind says how often a request of a route may run.
+// Kind determines how often a request of a route may be executed and whether its answer is
+// streamed.
 type Kind uint8
 
-// The kinds of routes.
+// Kinds of routes.
 const (
-	// Unsafe requests run at most once for each caller's attempt.
+	// Unsafe requests are executed at most once for each attempt of the caller.
 	Unsafe Kind = iota
-	// Safe requests may run more than once.
+	// Safe requests may be executed more than once.
 	Safe
-	// Stream requests are answered by a series of events.
+	// Stream requests are answered with a stream of events.
 	Stream
 )
 
-// Route is one route.
+// Route assigns the requests of a host and path prefix to services, with their limits and
+// objectives.
 type Route struct {
 	Name string
 	// Host is in lower case, without a port.
@@ -34,96 +36,100 @@
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time that a request is held.
+	// Timeout is the longest time for which a request is served.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or its first event, is on
-	// time.
+	// Objective is the target for the time to the answer, or to its first event.
 	Objective time.Duration
-	// Gap is the longest pause between two events that is on time; zero when
-	// the route does not say.
+	// Gap is the target for the longest pause between two events; zero if the route sets none.
 	Gap time.Duration
-	// MaxAttempts is how many upstreams one caller's attempt may be sent to.
+	// MaxAttempts is the largest number of upstreams to which one attempt of the caller may be
+	// sent.
 	MaxAttempts int
-	// Priority is its rank; 0 is the most urgent.
+	// Priority is the rank of the route's requests; 0 is the most urgent.
 	Priority int
 	Shares   []Share
-	// Models are those that the router may choose from, smallest first; empty
-	// when the caller names the model.
+	// Models are the models from which the router may choose, smallest first; empty if the
+	// caller names the model.
 	Models    []contract.ModelID
 	Anonymous bool
 	Resumable bool
-	// Regions are those in which its requests may be; empty for all.
+	// Regions are the regions to which the route's requests are restricted; empty means any
+	// region.
 	Regions []string
 }
 
-// Repeatable tells whether a request of the route may run more than once.
+// Repeatable reports whether a request of the route may be executed more than once.
 func (r *Route) Repeatable() bool { return r.Kind == Safe || r.Kind == Stream && r.Resumable }
 
-// Share is the part of a route's requests that goes to a service.
+// Share is the relative share of a route's requests that a service receives.
 type Share struct {
 	Service contract.ServiceID
 	Weight  int
 }
 
-// Service is a set of upstreams that answer alike.
+// Service is a set of interchangeable upstreams.
 type Service struct {
 	ID contract.ServiceID
-	// MaxConnections is what one upstream accepts from all callers together.
+	// MaxConnections is the number of connections that one upstream accepts from all callers
+	// together.
 	MaxConnections int
-	// Costs are what models cost for 1,000 tokens made; a token read counts as
-	// a quarter of one made. Empty for a plain service.
+	// Costs are the costs of the models for 1,000 output tokens. A prompt token costs a
+	// quarter of an output token. Empty for a service without models.
 	Costs map[contract.ModelID]float64
-	// Memory is how many tokens one of its engines keeps; zero for a plain
-	// service.
+	// Memory is the number of tokens that one engine of the service can cache; zero for a
+	// service without models.
 	Memory int
-	// Cold says what its upstreams bear after a start.
+	// Cold is the load that the service's upstreams can handle after a start.
 	Cold Cold
-	// Scaling is what may be ordered of its upstreams; nil where nothing may.
+	// Scaling limits the upstreams that may be ordered for the service; nil if none may be
+	// ordered.
 	Scaling *scaling.Limits
 }
 
-// Cold is what an upstream bears while it is cold. The zero value is of one that
-// bears all from its start on.
+// Cold is the load that a cold upstream can handle. The zero value describes an upstream that
+// can handle its full load from the start.
 type Cold struct {
-	// For is how long an upstream stays cold after a start during traffic.
+	// For is how long an upstream stays cold after a start while its service receives traffic.
 	For time.Duration
-	// PerSecond is how many requests a second it bears meanwhile, from all VMs
-	// together; zero means no bound.
+	// PerSecond is the number of requests per second that a cold upstream can handle from all
+	// VMs together; zero means no limit.
 	PerSecond float64
 }
 
-// Workspace is a customer that requests run for.
+// Workspace is a customer on whose behalf requests run.
 type Workspace struct {
 	ID contract.WorkspaceID
-	// Priority takes the place of the route's when HasPriority is set.
+	// Priority overrides the route's priority if HasPriority is set.
 	Priority    int
 	HasPriority bool
-	// Regions are those in which its requests may be; empty for all.
+	// Regions are the regions to which the workspace restricts its requests; empty means any
+	// region.
 	Regions []string
 }
 
-// Limits bound what callers send. Zero means no bound.
+// Limits bounds the requests that callers send. Zero means no limit.
 type Limits struct {
 	Header, Body          contract.Bytes
 	HeaderTimeout, Idling time.Duration
 }
 
-// Table is one configuration.
+// Table is one revision of the configuration.
 type Table struct {
-	// Revision orders configurations: a VM never goes back to a lower one.
+	// Revision orders configurations. A VM never returns to a lower revision.
 	Revision contract.Revision
-	// Version is the operator's number of the configuration.
+	// Version is the operator's version number of the configuration.
 	Version  int64
 	Services map[contract.ServiceID]*Service
 	Limits   Limits
-	// Keyed tells whether requests need a key.
+	// Keyed is set if requests need a key.
 	Keyed bool
 
 	byHost map[string][]*Route
 	byKey  map[string]*Workspace
 }
 
-// NewTable returns a table of routes and of workspaces by their keys.
+// NewTable returns a table with the given routes, and with workspaces by key. A nil map means
+// that requests need no key.
 func NewTable(routes []*Route, keys map[string]*Workspace) *Table {
 	t := &Table{byHost: make(map[string][]*Route), byKey: keys, Keyed: keys != nil}
 	for _, r := range routes {
@@ -132,7 +138,7 @@
 	return t
 }
 
-// Routes returns how many routes there are.
+// Routes returns the number of routes.
 func (t *Table) Routes() int {
 	n := 0
 	for _, routes := range t.byHost {
@@ -141,8 +147,8 @@
 	return n
 }
 
-// Find returns the route of a host with the longest prefix that begins path,
-// or nil. The path is compared as it was sent, still escaped.
+// Find returns the route for a host with the longest prefix that matches the path, or nil. The
+// path is compared in its escaped form.
 func (t *Table) Find(host, path string) *Route {
 	var best *Route
 	for _, r := range t.byHost[hostName(host)] {
@@ -161,15 +167,16 @@
 	return strings.ToLower(host)
 }
 
-// ByKey returns the workspace that holds a key.
+// ByKey returns the workspace that owns a key.
 func (t *Table) ByKey(key string) (*Workspace, bool) {
 	w, ok := t.byKey[key]
 	return w, ok
 }
 
-// Pick returns the service of a route that a point in [0, 1) falls to. Shares
-// without weight get nothing, unless no share has any.
-func (r *Route) Pick(point float64) contract.ServiceID {
+// PickService returns the service of a route at a point in [0, 1), in proportion to the
+// weights of the shares. A share with weight zero is picked only if all weights are zero; the
+// first share is then picked.
+func (r *Route) PickService(point float64) contract.ServiceID {
 	total := 0
 	for _, s := range r.Shares {
 		total += s.Weight
@@ -187,13 +194,13 @@
 	return r.Shares[0].Service
 }
 
-// Objective returns the shortest objective of the routes to a service; zero where no route
-// says.
+// Objective returns the shortest objective of all routes to a service, or zero if none sets an
+// objective.
 func (t *Table) Objective(s contract.ServiceID) time.Duration {
 	shortest := time.Duration(0)
 	for _, routes := range t.byHost {
 		for _, r := range routes {
-			if r.Objective > 0 && r.goesTo(s) && (shortest == 0 || r.Objective < shortest) {
+			if r.Objective > 0 && r.sendsTo(s) && (shortest == 0 || r.Objective < shortest) {
 				shortest = r.Objective
 			}
 		}
@@ -201,7 +208,7 @@
 	return shortest
 }
 
-// goesTo tells whether a part of the route's requests goes to a service.
-func (r *Route) goesTo(s contract.ServiceID) bool {
+// sendsTo reports whether the service receives a share of the route's requests.
+func (r *Route) sendsTo(s contract.ServiceID) bool {
 	return slices.ContainsFunc(r.Shares, func(x Share) bool { return x.Service == s })
 }
