--- a/relay/log.go
+++ b/relay/log.go
@@ -91,7 +91,7 @@
 
 // logRetry logs the reason for another attempt.
 func (r *Relay) logRetry(j *job, err error) {
-	why := "upstream answered with a server error"
+	why := "upstream answered with a failure"
 	if err != nil {
 		why = err.Error()
 	}
