--- a/site/site.go
+++ b/site/site.go
@@ -19,27 +19,29 @@
 	"woaddoor/upstream"
 )
 
-// Options set up a Site.
+// Options configure a Site.
 type Options struct {
 	VM contract.VMID
-	// FirstStart is true only when the whole system starts for the first time.
+	// FirstStart is set only for the very first start of the whole deployment.
 	FirstStart     bool
 	Configurations Source[*route.Table]
 	Upstreams      Source[upstream.Entry]
 	Orders         Source[rollout.Order]
-	// Evacuations are the data centres whose upstreams are to get nothing more. May
-	// be nil: the deployment has none.
+	// Evacuations lists the data centres whose upstreams receive no further requests. It
+	// is nil where the deployment supports no evacuations.
 	Evacuations Source[Evacuation]
-	// Held are the contents that are sent to no upstream, and HeldNotes how they are
-	// written; both or none.
+	// Held lists the quarantined contents, which are sent to no upstream. HeldNotes
+	// writes them to the store. Either both are set or neither.
 	Held      Source[quarantine.Held]
 	HeldNotes HeldNotes
-	// NoteOrder writes that an order is under way, or how it ended.
+	// NoteOrder records in the store that a rollout order has started, or how it ended.
 	NoteOrder func(ctx context.Context, o rollout.Order, state rollout.OrderState) error
 	Peers     *Peers
-	// Leader acts for all VMs where this one is to. May be nil: none does.
+	// Leader runs the tasks that only one VM of the deployment performs. It is nil where
+	// there are no such tasks.
 	Leader *leader.Leader
-	// VMs lists the link addresses of VMs, and PutVM adds this one's.
+	// VMs returns the link addresses of the VMs registered in the store. PutVM registers
+	// this VM.
 	VMs   func(ctx context.Context) (map[contract.VMID]string, error)
 	PutVM func(ctx context.Context) error
 	// Link is this VM's link address.
@@ -47,146 +49,151 @@
 	Relay *relay.Relay
 	Log   *zap.Logger
 	Now   func() time.Time
-	// Registry counts what the VM asks the store for, and why. May be nil.
+	// Registry receives counters of the store calls and the reasons for them. It may be
+	// nil.
 	Registry metrics.Registry
 }
 
-// Site is what one VM knows.
+// Site holds one VM's state of the deployment: the configuration, the upstreams, the
+// rollout orders, the evacuations and the quarantined contents.
 type Site struct {
 	opts  *Options
 	log   *zap.Logger
 	table atomic.Pointer[route.Table]
-	woken chan struct{}
-	// ready is closed once a configuration and a list of upstreams are known, and
-	// wanted once a caller's request came before.
-	ready, wanted       chan struct{}
-	readyOnce, wantOnce sync.Once
-	// drawn is this VM's place among those that start together and know no other.
-	drawn int
-	// notes are what is to be written of orders; only tick uses them.
-	notes map[noteKey]*note
+	wake  chan struct{}
+	// ready is closed once a configuration and a list of upstreams are known.
+	// requestWaiting is closed when a client request arrives before that.
+	ready, requestWaiting  chan struct{}
+	readyOnce, waitingOnce sync.Once
+	// randomRank is the rank that this VM uses while it knows no other VM. It is random
+	// so that VMs that start together do not all list the store at the same time.
+	randomRank int
+	// orderWrites holds the pending writes of order states. Only tick uses it.
+	orderWrites map[writeKey]*pendingWrite
 
 	// mu guards the fields below.
-	mu      sync.Mutex
-	listing *Listing
-	listedU bool
-	// partial tells that only a part of the first list is known, and pushed is the
-	// configuration with which the relay was handed the whole list last.
-	partial bool
-	pushed  *route.Table
-	// evacuated are the evacuations in force, by name.
-	evacuated map[string]evacuated
+	mu             sync.Mutex
+	listing        *Listing
+	upstreamsKnown bool
+	// partial is set while only the first page of the first upstream list is known.
+	// pushedTable is the configuration that was in force when the relay last received the
+	// whole list.
+	partial     bool
+	pushedTable *route.Table
+	// activeEvacuations holds the evacuations in force by object name.
+	activeEvacuations map[string]activeEvacuation
 }
 
-// New returns a site that knows nothing.
+// New returns a Site without any state.
 func New(opts *Options) *Site {
 	if opts.Registry == nil {
 		opts.Registry = metrics.NewRegistry()
 	}
 	return &Site{
-		opts: opts, log: opts.Log, listing: NewListing(), woken: make(chan struct{}, 1),
-		ready: make(chan struct{}), wanted: make(chan struct{}),
-		drawn: rand.IntN(wantedPlaces),
-		notes: make(map[noteKey]*note), evacuated: make(map[string]evacuated),
+		opts: opts, log: opts.Log, listing: NewListing(), wake: make(chan struct{}, 1),
+		ready: make(chan struct{}), requestWaiting: make(chan struct{}),
+		randomRank:  rand.IntN(requestRanks),
+		orderWrites: make(map[writeKey]*pendingWrite), activeEvacuations: make(map[string]activeEvacuation),
 	}
 }
 
-// Table returns the configuration in force, nil before one is known.
+// Table returns the configuration in force, or nil before one is known.
 func (s *Site) Table() *route.Table { return s.table.Load() }
 
-// Ready tells whether a configuration and a list of upstreams are known.
+// Ready reports whether a configuration and a list of upstreams are known.
 func (s *Site) Ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Load() != nil && s.listedU
+	return s.table.Load() != nil && s.upstreamsKnown
 }
 
-// firstWait is how long a request waits at a VM that has just started and knows
-// nothing yet: asking the store takes some 10 ms, and a tenth of a second is an
-// eighth of the objective of a page.
-const firstWait = 100 * time.Millisecond
+// startupWait bounds how long a request waits at a VM that has just started and has no
+// state yet. Reading the store takes about 10 ms, and 100 ms is an eighth of the latency
+// objective of a page.
+const startupWait = 100 * time.Millisecond
 
-// Await waits until this VM can serve, for firstWait at the most. At a VM that knows
-// nothing it has the store asked at once: callers come to one that is not ready only
-// where others are gone too, so nobody may be there to tell it. After all of six VMs
-// were killed, 194 requests were turned away within 0.3 s, in which VMs waited for
-// each other.
+// Await waits until this VM can serve, for at most startupWait. If the VM has no state,
+// Await makes it list the store at once: clients reach a VM that is not ready only when
+// other VMs are down too, so there may be no peer to get the state from. After all six
+// VMs of a deployment were killed, 194 requests were rejected within 0.3 s while the VMs
+// waited for each other.
 func (s *Site) Await(ctx context.Context) {
 	select {
 	case <-s.ready:
 		return
 	default:
 	}
-	s.wantOnce.Do(func() {
+	s.waitingOnce.Do(func() {
 		s.log.Info("wanted")
-		close(s.wanted)
+		close(s.requestWaiting)
 	})
 	select {
 	case <-s.ready:
 	case <-ctx.Done():
-	case <-time.After(firstWait):
+	case <-time.After(startupWait):
 	}
 }
 
-// noteReady lets go what waits for this VM to be able to serve. The caller holds mu.
-func (s *Site) noteReady() {
-	if s.table.Load() != nil && s.listedU {
+// signalIfReady releases the requests that wait in Await once this VM can serve. The
+// caller holds mu.
+func (s *Site) signalIfReady() {
+	if s.table.Load() != nil && s.upstreamsKnown {
 		s.readyOnce.Do(func() { close(s.ready) })
 	}
 }
 
-// Upstreams returns the list of upstreams.
+// Upstreams returns the known upstreams.
 func (s *Site) Upstreams() []upstream.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.listing.Entries()
 }
 
-// Ages returns how old the store's word is on the configuration and on the
-// list of upstreams; negative when there was none.
+// Ages returns the time since the store last confirmed the configuration and the list of
+// upstreams. An age is negative if the store has never confirmed it.
 func (s *Site) Ages() (configuration, upstreams time.Duration) {
 	return s.age(s.opts.Configurations.Name()), s.age(s.opts.Upstreams.Name())
 }
 
 func (s *Site) age(kind string) time.Duration {
-	if have, known := s.opts.Peers.status(kind); known {
-		return have.Age
+	if status, known := s.opts.Peers.status(kind); known {
+		return status.Age
 	}
 	return -1
 }
 
-// Wake asks for the verdicts on releases to be looked at now.
+// Wake triggers an immediate evaluation of the release verdicts.
 func (s *Site) Wake() {
 	select {
-	case s.woken <- struct{}{}:
-	default: // asked for already
+	case s.wake <- struct{}{}:
+	default: // already triggered
 	}
 }
 
-// Run keeps up until ctx ends.
+// Run keeps the state of this VM up to date until ctx ends.
 func (s *Site) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	configs := newFollower(ctx, s, s.opts.Configurations, s.applyTable, func(bool) {})
-	upstreams := newFollower(ctx, s, s.opts.Upstreams, s.applyUpstreams, s.reached)
-	upstreams.early = s.applyFirst
+	upstreams := newFollower(ctx, s, s.opts.Upstreams, s.applyUpstreams, s.recordStoreCall)
+	upstreams.applyFirstPage = s.applyFirstUpstreams
 	orders := newFollower(ctx, s, s.opts.Orders, s.applyOrders, func(bool) {})
-	s.opts.Peers.share(s.opts.Configurations.Name(), configs)
-	s.opts.Peers.share(s.opts.Upstreams.Name(), upstreams)
-	s.opts.Peers.share(s.opts.Orders.Name(), orders)
-	s.opts.Peers.judge(s.opts.Relay)
-	runs := []func(context.Context){configs.run, upstreams.run, orders.run, s.tick, s.opts.Peers.Run, s.enlist}
+	s.opts.Peers.registerKind(s.opts.Configurations.Name(), configs)
+	s.opts.Peers.registerKind(s.opts.Upstreams.Name(), upstreams)
+	s.opts.Peers.registerKind(s.opts.Orders.Name(), orders)
+	s.opts.Peers.attachRelay(s.opts.Relay)
+	runs := []func(context.Context){configs.run, upstreams.run, orders.run, s.tick, s.opts.Peers.Run, s.maintainRegistration}
 	if s.opts.Evacuations != nil {
 		evacuations := newFollower(ctx, s, s.opts.Evacuations, s.applyEvacuations, func(bool) {})
-		s.opts.Peers.share(s.opts.Evacuations.Name(), evacuations)
+		s.opts.Peers.registerKind(s.opts.Evacuations.Name(), evacuations)
 		runs = append(runs, evacuations.run)
 	}
 	if s.opts.Held != nil {
 		held := newFollower(ctx, s, s.opts.Held, s.applyHeld, func(bool) {})
-		s.opts.Peers.share(s.opts.Held.Name(), held)
-		runs = append(runs, held.run, s.keepHeld)
+		s.opts.Peers.registerKind(s.opts.Held.Name(), held)
+		runs = append(runs, held.run, s.syncHeld)
 	}
 	if s.opts.Leader != nil {
-		runs = append(runs, s.lead, s.opts.Peers.gather)
+		runs = append(runs, s.runLeader, s.opts.Peers.reportUsage)
 	}
 	for _, run := range runs {
 		wg.Add(1)
@@ -198,8 +205,8 @@
 	wg.Wait()
 }
 
-// lead acts for all VMs, once this one can serve.
-func (s *Site) lead(ctx context.Context) {
+// runLeader runs the deployment-wide tasks once this VM can serve.
+func (s *Site) runLeader(ctx context.Context) {
 	select {
 	case <-s.ready:
 		s.opts.Leader.Run(ctx)
@@ -207,17 +214,18 @@
 	}
 }
 
-// Resign gives up what this VM does for all: it is about to end.
+// Resign gives up the deployment-wide tasks before this VM shuts down.
 func (s *Site) Resign(ctx context.Context) {
 	if s.opts.Leader != nil {
 		s.opts.Leader.Resign(ctx)
 	}
 }
 
-// configName is the name of the newest configuration's object.
+// configName is the object name of the current configuration.
 const configName = "main"
 
-// applyTable puts a configuration in force if it is newer.
+// applyTable puts a configuration from the store in force if it is newer than the current
+// one.
 func (s *Site) applyTable(c Changes[*route.Table], _ bool) {
 	for _, i := range c.Items {
 		if i.Name == configName && !i.Deleted && i.Err == nil {
@@ -226,8 +234,9 @@
 	}
 }
 
-// setTable puts a configuration in force unless it is older than the one that
-// is: a stale read, a late answer and a peer that is behind change nothing.
+// setTable puts a configuration in force unless the current one has the same or a later
+// revision. Stale reads, late responses and peers that lag behind therefore change
+// nothing.
 func (s *Site) setTable(t *route.Table, from string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -239,47 +248,52 @@
 	s.log.Info("configuration", zap.Int64("version", t.Version), zap.Int64("revision", int64(t.Revision)),
 		zap.String("from", from), zap.Int("routes", t.Routes()))
 	s.pushUpstreams()
-	s.noteReady()
+	s.signalIfReady()
 }
 
-// pushUpstreams hands the relay what has changed in the list, or the whole list where the
-// configuration has changed or nothing was handed over before. The caller holds mu.
+// pushUpstreams passes the changed upstreams to the relay. It passes the whole list if
+// the configuration has changed or if the relay has not received the whole list yet. The
+// caller holds mu.
 func (s *Site) pushUpstreams() {
 	t := s.table.Load()
 	var services map[contract.ServiceID]*route.Service
 	if t != nil {
 		services = t.Services
 	}
-	changed, gone := s.listing.Take()
+	changed, removed := s.listing.TakeChanges()
 	if s.partial {
 		s.opts.Relay.SetSomeUpstreams(s.listing.Entries(), services)
 		return
 	}
-	if s.pushed != nil && s.pushed == t && s.opts.Relay.ChangeUpstreams(changed, gone, services) {
+	if s.pushedTable != nil && s.pushedTable == t && s.opts.Relay.ChangeUpstreams(changed, removed, services) {
 		return
 	}
 	s.opts.Relay.SetUpstreams(s.listing.Entries(), services)
-	s.pushed = t
+	s.pushedTable = t
 }
 
-func (s *Site) reached(ok bool) {
+func (s *Site) recordStoreCall(ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.listing.Reached(ok, s.opts.Now())
+	s.listing.RecordStoreCall(ok, s.opts.Now())
 }
 
-// applyFirst takes in the first part of a long list: enough to serve by.
-func (s *Site) applyFirst(c Changes[upstream.Entry]) { s.takeUpstreams(c, false, true) }
+// applyFirstUpstreams applies the first page of a long list so that the VM can serve
+// before the rest has arrived.
+func (s *Site) applyFirstUpstreams(c Changes[upstream.Entry]) { s.updateUpstreams(c, false, true) }
 
-func (s *Site) applyUpstreams(c Changes[upstream.Entry], full bool) { s.takeUpstreams(c, full, false) }
+func (s *Site) applyUpstreams(c Changes[upstream.Entry], full bool) {
+	s.updateUpstreams(c, full, false)
+}
 
-// takeUpstreams takes in changes of the list, or a part of the first one.
-func (s *Site) takeUpstreams(c Changes[upstream.Entry], full, part bool) {
+// updateUpstreams applies changes of the upstream list. partial means that c is only the
+// first page of the first list.
+func (s *Site) updateUpstreams(c Changes[upstream.Entry], full, partial bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.listedU, s.partial = true, part
+	s.upstreamsKnown, s.partial = true, partial
 	for _, i := range c.Items {
-		if s.listing.Knows(i) {
+		if s.listing.IsUnchanged(i) {
 			continue
 		}
 		s.log.Info("upstream", zap.String("upstream", i.Name), zap.Bool("gone", i.Deleted), zap.Bool("leaving", i.Value.Leaving),
@@ -289,22 +303,23 @@
 	if s.listing.Apply(c, full, s.opts.Now()) {
 		s.pushUpstreams()
 	}
-	s.noteReady()
+	s.signalIfReady()
 }
 
-// tickEvery is how often what depends on time alone is looked at.
-const tickEvery = 250 * time.Millisecond
+// tickInterval is the period of the tasks that depend on time alone.
+const tickInterval = 250 * time.Millisecond
 
-// tick does what depends on time: entries that lapsed, verdicts, comparisons.
+// tick runs the periodic tasks: it expires lapsed upstreams, has the relay compare the
+// upstreams with one another, and writes the verdicts on releases.
 func (s *Site) tick(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-s.woken:
+		case <-s.wake:
 		}
 		s.mu.Lock()
 		if s.listing.Expire(s.opts.Now()) {
@@ -313,25 +328,25 @@
 		s.mu.Unlock()
 		s.opts.Relay.Level()
 		for _, v := range s.opts.Relay.Verdicts() {
-			s.noteOrder(ctx, v)
+			s.writeOrderState(ctx, v)
 		}
 	}
 }
 
-// newFollower returns a follower of a kind of objects for a site.
-func newFollower[T any](ctx context.Context, s *Site, source Source[T], apply func(Changes[T], bool), reached func(bool)) *follower[T] {
-	asks := time.Time{}
-	if s.opts.Peers.Expected() {
-		asks = s.opts.Now().Add(again)
+// newFollower returns a follower of one kind of objects.
+func newFollower[T any](ctx context.Context, s *Site, source Source[T], apply func(Changes[T], bool), onStoreCall func(bool)) *follower[T] {
+	listNotBefore := time.Time{}
+	if s.opts.Peers.HasSeeds() {
+		listNotBefore = s.opts.Now().Add(restartListDelay)
 		if s.opts.FirstStart {
-			asks = s.opts.Now().Add(introduced)
+			listNotBefore = s.opts.Now().Add(firstStartListDelay)
 		}
 	}
 	return &follower[T]{
-		malformed: make(map[string]string), early: func(Changes[T]) {},
-		source: source, log: s.log, registry: s.opts.Registry, apply: apply, reached: reached, ledger: NewLedger(source.Name()),
-		wanted: s.wanted, drawn: s.drawn,
-		duty:  NewDuty(s.opts.Peers.Watcher(), source.Timing(), asks),
-		place: s.opts.Peers.Place, news: func() { s.opts.Peers.News(ctx) }, confirmed: func() { s.opts.Peers.Confirmed(ctx) }, now: s.opts.Now,
+		decodeErrors: make(map[string]string), applyFirstPage: func(Changes[T]) {},
+		source: source, log: s.log, registry: s.opts.Registry, apply: apply, onStoreCall: onStoreCall, ledger: NewLedger(source.Name()),
+		requestWaiting: s.requestWaiting, randomRank: s.randomRank,
+		election: NewWatcherElection(s.opts.Peers.AsWatcher(), source.Timing(), listNotBefore),
+		rank:     s.opts.Peers.Rank, announceChange: func() { s.opts.Peers.AnnounceChange(ctx) }, announceNoChange: func() { s.opts.Peers.AnnounceNoChange(ctx) }, now: s.opts.Now,
 	}
 }
--- a/site/source.go
+++ b/site/source.go
@@ -1,10 +1,10 @@
-// Package site keeps what one VM knows of its deployment in step with the
-// platform's store and with the other VMs: the configuration, the upstreams,
-// the orders to bring in a release, and which VMs there are.
+// Package site keeps one VM's state of its deployment up to date, from the platform's
+// store and from the other VMs. The state consists of the configuration, the upstreams,
+// the rollout orders, the evacuations, the quarantined contents and the set of VMs.
 //
-// What is known only moves forward: each object carries the revision at which
-// the store changed it, and an older one never takes the place of a newer one,
-// whichever way it comes.
+// State only moves forward: each object carries the store revision of its last change,
+// and an older version never replaces a newer one, whether it comes from the store or
+// from a peer.
 package site
 
 import (
@@ -16,8 +16,8 @@
 	"woaddoor/contract"
 )
 
-// Errors that a store tells apart. Every other error means that the call may or
-// may not have taken effect.
+// Errors of store calls. After any other error, the call may or may not have taken
+// effect.
 var (
 	ErrConflict    = errors.New("object has another revision")
 	ErrNotFound    = errors.New("no such object")
@@ -26,8 +26,8 @@
 	ErrEnough      = errors.New("rest of the list is not wanted")
 )
 
-// Raw is an object as the store holds it, in the form in which VMs hand it to
-// one another.
+// Raw is an undecoded object as the store holds it, in the form in which VMs send it to
+// each other.
 type Raw struct {
 	Name     string            `cbor:"1,keyasint"`
 	Revision contract.Revision `cbor:"2,keyasint"`
@@ -36,31 +36,31 @@
 	Status   json.RawMessage   `cbor:"5,keyasint,omitempty"`
 }
 
-// Item is one object, or the news that it is gone.
+// Item is an object or its deletion.
 type Item[T any] struct {
 	Raw
 	Value T
-	// Err is why Value could not be decoded.
+	// Err is the error from decoding Value.
 	Err error
 }
 
-// Changes are objects and the revision of the store up to which they hold.
+// Changes holds objects and the store revision up to which they are complete.
 type Changes[T any] struct {
 	Items    []Item[T]
 	Revision contract.Revision
 }
 
-// Source is one kind of the store's objects.
+// Source provides one kind of the store's objects.
 type Source[T any] interface {
 	Name() string
-	// Timing is how the kind is kept up with.
+	// Timing returns the timing with which the kind is kept up to date.
 	Timing() Timing
-	// List returns all objects. It hands what each call to the store brings to page, and
-	// fails with ErrEnough when that wants no more.
+	// List returns all objects. It passes the result of each store call to page, and
+	// fails with ErrEnough when page returns false.
 	List(ctx context.Context, page func(c Changes[T], more bool) bool) (Changes[T], error)
-	// Watch waits for changes after a revision. It fails with ErrHistoryGone
-	// when only List can tell what has changed.
+	// Watch waits for changes after a revision. It fails with ErrHistoryGone if the store
+	// no longer has the changes since then, so that List is needed.
 	Watch(ctx context.Context, after contract.Revision, wait time.Duration) (Changes[T], error)
-	// Decode reads an object that another VM has handed over.
+	// Decode decodes an object that another VM has sent.
 	Decode(Raw) (T, error)
 }
--- a/site/usage.go
+++ b/site/usage.go
@@ -12,113 +12,117 @@
 	"woaddoor/vm"
 )
 
-// Gathered is what a hub has gathered of usage since the VM that reports it last answered.
-// One that is lost or comes twice changes nothing: the next one tells the same or more.
-type Gathered struct {
+// UsageReport is the usage that a hub has collected since the lease holder last
+// acknowledged a report. Lost and duplicate reports do no harm: the next one contains the
+// same or more.
+type UsageReport struct {
 	From       contract.VMLife       `cbor:"1,keyasint"`
 	DataCentre contract.DataCentreID `cbor:"2,keyasint"`
 	Parts      []usage.Part          `cbor:"3,keyasint,omitempty"`
-	// Work is what the teller and its leaves give the upstreams of each service to do.
+	// Work is the work that the sender and its leaves give to the upstreams of each
+	// service.
 	Work map[contract.ServiceID]scaling.Work `cbor:"5,keyasint,omitempty"`
-	// Ends tells that the teller is about to end, and is not to be waited for.
-	Ends bool `cbor:"4,keyasint,omitempty"`
+	// ShuttingDown means that the sender is about to end, so that the recipient need not
+	// wait for further reports.
+	ShuttingDown bool `cbor:"4,keyasint,omitempty"`
 }
 
-// gatherEvery is how often a hub tells what it has gathered. What a VM or a whole data
-// centre had not told when it is lost is missing from a report.
-const gatherEvery = 500 * time.Millisecond
+// usageReportInterval is the period in which a hub reports the usage it has collected. If
+// a VM or a whole data centre is lost, the usage that it had not reported is missing.
+const usageReportInterval = 500 * time.Millisecond
 
-// lifeOf names the life of a VM that tells of itself.
+// lifeOf returns the life of a VM from its member record.
 func lifeOf(m vm.Member) contract.VMLife {
 	return contract.VMLife{VM: m.VM, Incarnation: m.Incarnation}
 }
 
-// usageFor returns what a hearer is to be told of usage, and the mark of that.
-func (p *Peers) usageFor(hearer contract.VMLife) ([]usage.Part, uint64) {
+// usageFor returns the usage to send to a recipient, and a sequence mark for its
+// acknowledgement.
+func (p *Peers) usageFor(recipient contract.VMLife) ([]usage.Part, uint64) {
 	if p.usage == nil {
 		return nil, 0
 	}
-	return p.usage.For(hearer)
+	return p.usage.For(recipient)
 }
 
-// usageAnswered notes that a hearer knows of usage up to a mark.
-func (p *Peers) usageAnswered(hearer contract.VMLife, mark uint64) {
+// acknowledgeUsage records that a recipient has received usage up to a sequence mark.
+func (p *Peers) acknowledgeUsage(recipient contract.VMLife, sequence uint64) {
 	if p.usage != nil {
-		p.usage.Answered(hearer, mark)
+		p.usage.Answered(recipient, sequence)
 	}
 }
 
-func (p *Peers) hearUsage(parts []usage.Part) {
+func (p *Peers) recordUsage(parts []usage.Part) {
 	if p.usage != nil {
 		p.usage.Hear(parts)
 	}
 }
 
-// gather tells the holder of the lease what this hub has gathered, until ctx ends.
-func (p *Peers) gather(ctx context.Context) {
+// reportUsage reports the usage collected by this hub to the lease holder until ctx ends.
+func (p *Peers) reportUsage(ctx context.Context) {
 	for ctx.Err() == nil {
-		clock.Pause(ctx, gatherEvery)
-		if p.look().isHub && !p.ends.Load() {
-			p.gatherOnce(ctx)
+		clock.Pause(ctx, usageReportInterval)
+		if p.currentView().isHub && !p.shuttingDown.Load() {
+			p.reportUsageOnce(ctx)
 		}
 	}
 }
 
-// gatherOnce tells the holder of the lease what this VM knows of usage.
-func (p *Peers) gatherOnce(ctx context.Context) {
+// reportUsageOnce reports the usage known to this VM to the lease holder.
+func (p *Peers) reportUsageOnce(ctx context.Context) {
 	if p.lease == nil {
 		return
 	}
 	seen, _, _ := p.lease.Known()
 	to := seen.Object.Holder
-	address := p.holderLink(to)
+	address := p.leaseHolderLink(to)
 	p.mu.Lock()
 	self := p.table.Self()
 	p.mu.Unlock()
 	if address == "" || to == lifeOf(self) {
 		return
 	}
-	g := Gathered{From: lifeOf(self), DataCentre: self.DataCentre, Ends: p.ends.Load()}
+	g := UsageReport{From: lifeOf(self), DataCentre: self.DataCentre, ShuttingDown: p.shuttingDown.Load()}
 	var mark uint64
 	g.Parts, mark = p.usageFor(to)
-	g.Work = p.gatheredWork()
-	ctx, cancel := context.WithTimeout(ctx, farTimeout)
+	g.Work = p.localAndLeafWork()
+	ctx, cancel := context.WithTimeout(ctx, remoteTimeout)
 	defer cancel()
-	if _, err := link.Call[Gathered, struct{}](ctx, p.endpoint, address, link.KindUsage, g); err != nil {
-		p.silent(err) // told again with the next
+	if _, err := link.Call[UsageReport, struct{}](ctx, p.endpoint, address, link.KindUsage, g); err != nil {
+		p.logSilentPeer(err) // the next report includes it
 		return
 	}
-	p.usageAnswered(to, mark)
+	p.acknowledgeUsage(to, mark)
 }
 
-// answerGathered takes in what another hub has gathered.
-func (p *Peers) answerGathered(_ context.Context, _ string, g Gathered) (struct{}, error) {
-	p.hearWork(p.hubWork, g.From, g.Work)
+// handleUsageReport records the usage and work that another hub has reported.
+func (p *Peers) handleUsageReport(_ context.Context, _ string, g UsageReport) (struct{}, error) {
+	p.recordWork(p.hubWork, g.From, g.Work)
 	if p.usage != nil {
 		p.usage.Hear(g.Parts)
-		p.usage.Gathered(g.From, g.DataCentre, g.Ends)
+		p.usage.Gathered(g.From, g.DataCentre, g.ShuttingDown)
 	}
 	return struct{}{}, nil
 }
 
-// LastUsage tells what this VM has counted, for the last time: it is about to end.
+// LastUsage reports the remaining usage of this VM before it shuts down.
 func (p *Peers) LastUsage(ctx context.Context) {
-	p.ends.Store(true)
-	v := p.look()
+	p.shuttingDown.Store(true)
+	v := p.currentView()
 	if !v.isHub {
-		p.beatHub(ctx, v)
+		p.heartbeatHub(ctx, v)
 		return
 	}
-	p.gatherOnce(ctx)
+	p.reportUsageOnce(ctx)
 }
 
-// Centres returns the data centres that have VMs, as far as is known.
+// Centres returns the data centres that are known to have VMs.
 func (p *Peers) Centres() []contract.DataCentreID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []contract.DataCentreID
 	for dc, c := range p.counts {
-		if c.n > 0 {
+		if c.vms > 0 {
 			out = append(out, dc)
 		}
 	}
--- a/site/view.go
+++ b/site/view.go
@@ -9,147 +9,147 @@
 	"woaddoor/vm"
 )
 
-// view is what a VM makes of the VMs that it knows, at one moment. It is never
-// changed once made.
+// view is an immutable snapshot of the known VMs.
 type view struct {
-	at time.Time
-	// live is how many VMs live, vms how many there are at the most.
-	live, vms int
-	// ranked are the live VMs of the own data centre, this one among them, in the
-	// order in which they would watch the store, without those that do not answer
-	// this VM; hubs are the first of them.
+	takenAt time.Time
+	// live is the number of live VMs. total is the largest number of VMs that the
+	// deployment may have.
+	live, total int
+	// ranked holds the live VMs of this data centre, including this one, in the order in
+	// which they would watch the store. VMs that do not reply to this one are left out.
+	// hubs holds the first of them.
 	ranked, hubs []vm.Member
-	// near are the other live VMs of the own data centre, by name, and digest
-	// tells two VMs whether they know of the same ones.
-	near   []vm.Member
-	digest uint64
-	// far are those of each other data centre that speak for it, those that do
-	// not answer this VM last.
-	far map[contract.DataCentreID][]vm.Member
-	// place is where this VM stands, and isHub whether it is a hub.
-	place Place
+	// localPeers holds the other live VMs of this data centre, sorted by name. digest
+	// shows two VMs whether they know the same VMs of their data centre.
+	localPeers []vm.Member
+	digest     uint64
+	// remote holds the representatives of each other data centre. Those that do not reply
+	// to this VM come last.
+	remote map[contract.DataCentreID][]vm.Member
+	// rank is the rank of this VM, and isHub reports whether it is a hub.
+	rank  Rank
 	isHub bool
 	group upstream.Group
 }
 
 // Ages of views.
 const (
-	// viewFor is how old a view may be: who lives changes over seconds.
-	viewFor = 250 * time.Millisecond
-	// viewLeast is the age up to which a view holds though something has changed:
-	// at a start, words of dozens of VMs come within milliseconds.
-	viewLeast = 20 * time.Millisecond
+	// maxViewAge is the maximum age of a view. The set of live VMs changes over seconds.
+	maxViewAge = 250 * time.Millisecond
+	// minViewAge is the age up to which a view is used although something has changed. At
+	// a start, messages of dozens of VMs arrive within milliseconds.
+	minViewAge = 20 * time.Millisecond
 )
 
-// look returns the view of this moment. The caller does not hold mu.
-func (p *Peers) look() *view {
-	if v := p.seen.Load(); v != nil {
-		age := p.now().Sub(v.at)
-		if age < viewLeast || age < viewFor && !p.changed.Load() {
+// currentView returns the current view. The caller does not hold mu.
+func (p *Peers) currentView() *view {
+	if v := p.cachedView.Load(); v != nil {
+		age := p.now().Sub(v.takenAt)
+		if age < minViewAge || age < maxViewAge && !p.viewStale.Load() {
 			return v
 		}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.changed.Store(false)
-	v := p.makeView(p.now())
-	p.seen.Store(v)
+	p.viewStale.Store(false)
+	v := p.buildView(p.now())
+	p.cachedView.Store(v)
 	return v
 }
 
-// makeView looks at all that is known. The caller holds mu.
-func (p *Peers) makeView(now time.Time) *view {
+// buildView builds a view from the known VMs. The caller holds mu.
+func (p *Peers) buildView(now time.Time) *view {
 	self := p.table.Self()
 	live := p.table.Live(now)
-	v := &view{at: now, live: len(live), far: make(map[contract.DataCentreID][]vm.Member)}
-	own := []vm.Member{self}
+	v := &view{takenAt: now, live: len(live), remote: make(map[contract.DataCentreID][]vm.Member)}
+	local := []vm.Member{self}
 	for _, m := range live {
 		if m.DataCentre == p.dc && m.VM != self.VM {
-			v.near = append(v.near, m)
-			own = append(own, m)
+			v.localPeers = append(v.localPeers, m)
+			local = append(local, m)
 		}
 	}
-	v.digest = vm.DigestOf(own)
-	v.ranked = p.answering(vm.Ranked(own, p.dc), now)
+	v.digest = vm.DigestOf(local)
+	v.ranked = p.responsive(vm.Ranked(local, p.dc), now)
 	v.hubs = vm.Hubs(v.ranked)
 	v.isHub = slices.ContainsFunc(v.hubs, func(m vm.Member) bool { return m.VM == self.VM })
-	for _, m := range p.table.Far(speakers+spareSpeakers, now) {
-		v.far[m.DataCentre] = append(v.far[m.DataCentre], m)
+	for _, m := range p.table.Far(representatives+spareRepresentatives, now) {
+		v.remote[m.DataCentre] = append(v.remote[m.DataCentre], m)
 	}
-	for dc, members := range v.far {
-		v.far[dc] = p.answeringFirst(members, now)
+	for dc, members := range v.remote {
+		v.remote[dc] = p.responsiveFirst(members, now)
 	}
-	v.place = p.placeIn(v)
-	v.vms = max(p.countAll(len(own), now), v.live, len(p.listed)+1)
-	v.group = upstream.Group{Region: v.vms <= regionMost, VMs: len(own)}
+	v.rank = p.rankIn(v)
+	v.total = max(p.totalVMs(len(local), now), v.live, len(p.listedAddresses)+1)
+	v.group = upstream.Group{Region: v.total <= maxVMsForRegionalReports, VMs: len(local)}
 	if v.group.Region {
-		v.group.VMs = v.vms
+		v.group.VMs = v.total
 	}
 	return v
 }
 
-// Owners returns the VMs that share the cold upstreams of this data centre: those
-// that live and those that fell silent of late, which may only be cut off from this
-// one and go on sending. A VM that has just started may not know them all yet; one
-// that nobody of its own data centre has answered sends none at first.
+// Owners returns the VMs among which the cold upstreams of this data centre are divided:
+// the live VMs and those that recently fell silent. The latter may only be cut off from
+// this VM and still send requests. A VM that has just started may not know all of them
+// yet. At first it owns no cold upstreams until a VM of its data centre has replied.
 func (p *Peers) Owners() upstream.Owners {
-	v := p.look()
+	v := p.currentView()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
 	self := p.table.Self().VM
-	o := upstream.Owners{Self: self, Unsure: p.Expected() && now.Sub(p.started) < settleFor}
-	if p.Expected() && !p.settled {
-		if o.Unsure {
-			return o
+	owners := upstream.Owners{Self: self, Unsure: p.HasSeeds() && now.Sub(p.started) < seedPeriod}
+	if p.HasSeeds() && !p.rankKnown {
+		if owners.Unsure {
+			return owners
 		}
-		o.Unsure = true
+		owners.Unsure = true
 	}
-	o.VMs = append(o.VMs, self)
-	for _, m := range append(slices.Clone(v.near), p.silentNear(ownersKept, now)...) {
-		o.VMs = append(o.VMs, m.VM)
+	owners.VMs = append(owners.VMs, self)
+	for _, m := range append(slices.Clone(v.localPeers), p.silentLocal(silentOwnerPeriod, now)...) {
+		owners.VMs = append(owners.VMs, m.VM)
 	}
-	slices.Sort(o.VMs)
-	return o
+	slices.Sort(owners.VMs)
+	return owners
 }
 
-// ownersKept is how long a silent VM counts as one that shares cold upstreams: as long
-// as a cut between VMs of a data centre is likely to last. A VM that is gone leaves its
-// part unused meanwhile.
-const ownersKept = time.Minute
+// silentOwnerPeriod is how long a silent VM still owns cold upstreams, as long as a
+// network partition within a data centre is likely to last. If the VM is gone, its share
+// is unused meanwhile.
+const silentOwnerPeriod = time.Minute
 
-// placeIn returns where this VM stands among those that could watch the store for
-// its region. The caller holds mu.
-func (p *Peers) placeIn(v *view) Place {
+// rankIn returns the rank of this VM among those that may watch the store for its region.
+// The caller holds mu.
+func (p *Peers) rankIn(v *view) Rank {
 	self := p.table.Self().VM
-	place := Place{Alone: len(v.near) == 0 && p.Expected(), Near: slices.IndexFunc(v.ranked, func(m vm.Member) bool { return m.VM == self })}
-	for dc := range v.far {
+	rank := Rank{Isolated: len(v.localPeers) == 0 && p.HasSeeds(), Local: slices.IndexFunc(v.ranked, func(m vm.Member) bool { return m.VM == self })}
+	for dc := range v.remote {
 		if dc < p.dc && p.sameRegion(dc) {
-			place.DataCentre++
+			rank.DataCentre++
 		}
 	}
-	if !p.settled && p.firstStart {
-		place.Near = max(place.Near, unsettledPlace) // its place is not known yet
+	if !p.rankKnown && p.firstStart {
+		rank.Local = max(rank.Local, unknownRank) // the rank is not known yet
 	}
-	return place
+	return rank
 }
 
-// answering leaves out the VMs that have not answered this one of late. The caller
+// responsive leaves out the VMs that recently failed to reply to this one. The caller
 // holds mu.
-func (p *Peers) answering(members []vm.Member, now time.Time) []vm.Member {
-	return slices.DeleteFunc(members, func(m vm.Member) bool { return p.shunned(m.ControlLink, now) })
+func (p *Peers) responsive(members []vm.Member, now time.Time) []vm.Member {
+	return slices.DeleteFunc(members, func(m vm.Member) bool { return p.unresponsive(m.ControlLink, now) })
 }
 
-// answeringFirst puts the VMs that have not answered this one of late last. The
-// caller holds mu.
-func (p *Peers) answeringFirst(members []vm.Member, now time.Time) []vm.Member {
+// responsiveFirst moves the VMs that recently failed to reply to this one to the end. It
+// returns at most as many VMs as a data centre has representatives. The caller holds mu.
+func (p *Peers) responsiveFirst(members []vm.Member, now time.Time) []vm.Member {
 	var first, last []vm.Member
 	for _, m := range members {
-		if p.shunned(m.ControlLink, now) {
+		if p.unresponsive(m.ControlLink, now) {
 			last = append(last, m)
 		} else {
 			first = append(first, m)
 		}
 	}
-	return append(first, last...)[:min(speakers, len(members))]
+	return append(first, last...)[:min(representatives, len(members))]
 }
--- a/site/work.go
+++ b/site/work.go
@@ -7,68 +7,70 @@
 	"woaddoor/scaling"
 )
 
-// works is what VMs give the upstreams of each service to do, as they told last.
-type works map[contract.VMLife]heardWork
+// workReports holds the work that VMs give to the upstreams of each service, as last
+// reported by each VM.
+type workReports map[contract.VMLife]workReport
 
-type heardWork struct {
+type workReport struct {
 	work map[contract.ServiceID]scaling.Work
 	at   time.Time
 }
 
-// workFor is for how long a VM's word of its work counts: that of one that has ended, or has
-// another hub, is not counted for longer.
-const workFor = 2 * time.Second
+// workExpiry is how long a VM's report of its work counts. Without a newer report, the VM
+// has ended or has another hub.
+const workExpiry = 2 * time.Second
 
-// sum adds what was told of late to work, and forgets the rest.
-func (w works) sum(work map[contract.ServiceID]scaling.Work, now time.Time) {
-	for life, heard := range w {
-		if now.Sub(heard.at) > workFor {
+// addTo adds the recent reports to work and deletes the others.
+func (w workReports) addTo(work map[contract.ServiceID]scaling.Work, now time.Time) {
+	for life, reported := range w {
+		if now.Sub(reported.at) > workExpiry {
 			delete(w, life)
 			continue
 		}
-		for id, x := range heard.work {
+		for id, x := range reported.work {
 			work[id] = work[id].Plus(x)
 		}
 	}
 }
 
-// ownWork returns what this VM gives upstreams to do; nil where nobody asks.
-func (p *Peers) ownWork() map[contract.ServiceID]scaling.Work {
-	t := p.judged()
-	if p.lease == nil || t == nil {
+// localWork returns the work that this VM gives to upstreams, or nil if there is no lease
+// holder to use it.
+func (p *Peers) localWork() map[contract.ServiceID]scaling.Work {
+	exchange := p.relayOrNil()
+	if p.lease == nil || exchange == nil {
 		return nil
 	}
-	return t.Work()
+	return exchange.Work()
 }
 
-// hearWork takes in what a leaf, or a hub with its leaves, gives upstreams to do.
-func (p *Peers) hearWork(to works, from contract.VMLife, work map[contract.ServiceID]scaling.Work) {
+// recordWork records the work reported by a leaf, or by a hub including its leaves.
+func (p *Peers) recordWork(reports workReports, from contract.VMLife, work map[contract.ServiceID]scaling.Work) {
 	if len(work) == 0 {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	to[from] = heardWork{work, p.now()}
+	reports[from] = workReport{work, p.now()}
 }
 
-// gatheredWork returns what this VM and its leaves give upstreams to do.
-func (p *Peers) gatheredWork() map[contract.ServiceID]scaling.Work {
+// localAndLeafWork returns the work that this VM and its leaves give to upstreams.
+func (p *Peers) localAndLeafWork() map[contract.ServiceID]scaling.Work {
 	work := make(map[contract.ServiceID]scaling.Work)
-	for id, w := range p.ownWork() {
+	for id, w := range p.localWork() {
 		work[id] = w
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.leafWork.sum(work, p.now())
+	p.leafWork.addTo(work, p.now())
 	return work
 }
 
-// AllWork returns what all VMs give the upstreams of each service to do, as far as this one
-// was told: the holder of the lease is told by all hubs.
+// AllWork returns the work that all VMs give to the upstreams of each service, as far as
+// it was reported to this VM. All hubs report it to the lease holder.
 func (p *Peers) AllWork() map[contract.ServiceID]scaling.Work {
-	work := p.gatheredWork()
+	work := p.localAndLeafWork()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.hubWork.sum(work, p.now())
+	p.hubWork.addTo(work, p.now())
 	return work
 }
