--- a/datacentre/status.go
+++ b/datacentre/status.go
@@ -59,25 +59,25 @@
 // exist. Each VM that has not acknowledged the revision is pending until sureAt.
 func Assess(revision contract.Revision, statuses []Status, expected map[contract.VMID]contract.DataCentreID, sureAt time.Time) Force {
 	f := Force{Revision: revision, SureAt: sureAt}
-	acked := make(map[contract.VMID]contract.Revision)
-	where := make(map[contract.VMID]contract.DataCentreID)
-	for _, st := range statuses {
-		for _, v := range st.VMs {
-			acked[v.VM] = v.Revision
-			where[v.VM] = st.DataCentre
+	acknowledged := make(map[contract.VMID]contract.Revision)
+	dataCentreOf := make(map[contract.VMID]contract.DataCentreID)
+	for _, status := range statuses {
+		for _, v := range status.VMs {
+			acknowledged[v.VM] = v.Revision
+			dataCentreOf[v.VM] = status.DataCentre
 		}
 	}
 	for v, dc := range expected {
-		if _, ok := where[v]; !ok {
-			where[v] = dc
+		if _, ok := dataCentreOf[v]; !ok {
+			dataCentreOf[v] = dc
 		}
 	}
-	for v, dc := range where {
-		if acked[v] >= revision {
+	for v, dc := range dataCentreOf {
+		if acknowledged[v] >= revision {
 			f.InForce = append(f.InForce, v)
 			continue
 		}
-		f.Pending = append(f.Pending, PendingVM{dc, v, acked[v], sureAt})
+		f.Pending = append(f.Pending, PendingVM{dc, v, acknowledged[v], sureAt})
 	}
 	slices.Sort(f.InForce)
 	slices.SortFunc(f.Pending, func(a, b PendingVM) int { return cmp.Compare(a.VM, b.VM) })
--- a/site/broadcast.go
+++ b/site/broadcast.go
@@ -46,7 +46,7 @@
 }
 
 // Grave informs the hubs at once of a harmful event: the failure of a release on trial,
-// or a content that has crashed an upstream.
+// or a request content that has crashed an upstream.
 func (p *Peers) Grave(ctx context.Context) {
 	p.urgentRounds.run(func() { p.forwardUrgent(ctx, false) })
 }
--- a/site/broadcast_test.go
+++ b/site/broadcast_test.go
@@ -21,32 +21,32 @@
 	applied  int // number of deltas received
 }
 
-func (c *revisionKind) status() (KindStatus, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return KindStatus{Kind: "k", LastChange: c.revision, Revision: c.revision}, true
+func (k *revisionKind) status() (KindStatus, bool) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	return KindStatus{Kind: "k", LastChange: k.revision, Revision: k.revision}, true
 }
 
-func (c *revisionKind) compareWithPeer(h KindStatus) Comparison {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return Comparison{Behind: h.LastChange > c.revision, Request: ChangesRequest{Kind: "k", After: c.revision, Known: true}}
+func (k *revisionKind) compareWithPeer(peer KindStatus) Comparison {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	return Comparison{Behind: peer.LastChange > k.revision, Request: ChangesRequest{Kind: "k", After: k.revision, Known: true}}
 }
 
-func (c *revisionKind) changesSince(contract.Revision, bool) Delta {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return Delta{Kind: "k", At: c.revision}
+func (k *revisionKind) changesSince(contract.Revision, bool) Delta {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	return Delta{Kind: "k", At: k.revision}
 }
 
-func (c *revisionKind) applyFromPeer(d Delta, _ KindStatus, _ string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.revision = max(c.revision, d.At)
-	c.applied++
+func (k *revisionKind) applyFromPeer(d Delta, _ KindStatus, _ string) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	k.revision = max(k.revision, d.At)
+	k.applied++
 }
 
-func (c *revisionKind) isWatching() bool { return false }
+func (k *revisionKind) isWatching() bool { return false }
 
 // gossipFleet is a set of VMs in two data centres that exchange messages over loopback.
 type gossipFleet struct {
@@ -54,26 +54,26 @@
 	kinds []*revisionKind
 }
 
-func startGossipFleet(t *testing.T, ctx context.Context, each int) *gossipFleet {
+func startGossipFleet(t *testing.T, ctx context.Context, perDataCentre int) *gossipFleet {
 	t.Helper()
 	f := &gossipFleet{}
 	var members []vm.Member
 	for _, dc := range []contract.DataCentreID{"d", "e"} {
-		for i := range each {
-			p, h, m := testPeers(t, fmt.Sprintf("%s%02d", dc, i), dc)
+		for i := range perDataCentre {
+			p, recorder, m := testPeers(t, fmt.Sprintf("%s%02d", dc, i), dc)
 			go func() { // drains reports that this test does not check
 				for {
 					select {
 					case <-ctx.Done():
 						return
-					case <-h.sent:
-					case <-h.opinions:
+					case <-recorder.sent:
+					case <-recorder.opinions:
 					}
 				}
 			}()
-			c := &revisionKind{revision: 1}
-			p.registerKind("k", c)
-			f.peers, f.kinds, members = append(f.peers, p), append(f.kinds, c), append(members, m)
+			kind := &revisionKind{revision: 1}
+			p.registerKind("k", kind)
+			f.peers, f.kinds, members = append(f.peers, p), append(f.kinds, kind), append(members, m)
 		}
 	}
 	for _, p := range f.peers {
@@ -88,12 +88,12 @@
 const changeTimeout = 20 * time.Second
 
 // awaitRevision waits until all VMs except some know a revision.
-func (f *gossipFleet) awaitRevision(t *testing.T, at contract.Revision, except map[int]bool) {
+func (f *gossipFleet) awaitRevision(t *testing.T, revision contract.Revision, except map[int]bool) {
 	t.Helper()
 	for deadline := time.Now().Add(changeTimeout); ; time.Sleep(10 * time.Millisecond) {
 		behind := 0
-		for i, c := range f.kinds {
-			if have, _ := c.status(); have.LastChange < at && !except[i] {
+		for i, kind := range f.kinds {
+			if status, _ := kind.status(); status.LastChange < revision && !except[i] {
 				behind++
 			}
 		}
@@ -101,7 +101,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("%d VMs do not know revision %d", behind, at)
+			t.Fatalf("%d VMs do not know revision %d", behind, revision)
 		}
 	}
 }
@@ -111,29 +111,29 @@
 // has ended without notice.
 func TestChangeReachesAllVMs(t *testing.T) {
 	is := is.New(t)
-	const each = 12
+	const perDataCentre = 12
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	f := startGossipFleet(t, ctx, each)
-	change := func(from int, at contract.Revision) {
+	f := startGossipFleet(t, ctx, perDataCentre)
+	change := func(from int, revision contract.Revision) {
 		f.kinds[from].mu.Lock()
-		f.kinds[from].revision = at
+		f.kinds[from].revision = revision
 		f.kinds[from].mu.Unlock()
 		f.peers[from].AnnounceChange(ctx)
 	}
 	change(0, 2)
 	f.awaitRevision(t, 2, nil)
-	gone := make(map[int]bool)
-	hubs := f.peers[each].currentView().hubs
+	closed := make(map[int]bool)
+	hubs := f.peers[perDataCentre].currentView().hubs
 	is.Equal(len(hubs), wantHubs)
 	for i, p := range f.peers {
 		if p.AsWatcher().VM == hubs[0].VM {
-			gone[i] = true
+			closed[i] = true
 			is.NoErr(p.endpoint.Close())
 		}
 	}
 	change(0, 3)
-	f.awaitRevision(t, 3, gone)
+	f.awaitRevision(t, 3, closed)
 }
 
 // wantHubs is the number of hubs in a data centre of twelve VMs.
--- a/site/coalescer.go
+++ b/site/coalescer.go
@@ -16,26 +16,26 @@
 	scheduled bool
 }
 
-func newCoalescer(period time.Duration) *coalescer { return &coalescer{interval: period} }
+func newCoalescer(interval time.Duration) *coalescer { return &coalescer{interval: interval} }
 
 // run runs f now or at the end of the interval.
-func (s *coalescer) run(f func()) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.scheduled {
+func (c *coalescer) run(f func()) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.scheduled {
 		return
 	}
 	now := time.Now()
-	if wait := s.interval - now.Sub(s.lastRun); wait > 0 {
-		s.scheduled = true
+	if wait := c.interval - now.Sub(c.lastRun); wait > 0 {
+		c.scheduled = true
 		time.AfterFunc(wait, func() {
-			s.mu.Lock()
-			s.scheduled, s.lastRun = false, time.Now()
-			s.mu.Unlock()
+			c.mu.Lock()
+			c.scheduled, c.lastRun = false, time.Now()
+			c.mu.Unlock()
 			f()
 		})
 		return
 	}
-	s.lastRun = now
+	c.lastRun = now
 	go f()
 }
--- a/site/election_test.go
+++ b/site/election_test.go
@@ -39,12 +39,12 @@
 	revision int
 }
 
-func newModelFleet(dataCentres, each int, timing Timing, asks time.Time) *modelFleet {
+func newModelFleet(dataCentres, perDataCentre int, timing Timing, listNotBefore time.Time) *modelFleet {
 	f := &modelFleet{}
 	for dc := range dataCentres {
-		for n := range each {
+		for n := range perDataCentre {
 			id := contract.VMID(fmt.Sprintf("vm-%d-%d", dc, n))
-			f.vms = append(f.vms, &modelVM{id: id, dc: dc, rank: Rank{Local: n, DataCentre: dc}, election: NewWatcherElection(Watcher{VM: id}, timing, asks)})
+			f.vms = append(f.vms, &modelVM{id: id, dc: dc, rank: Rank{Local: n, DataCentre: dc}, election: NewWatcherElection(Watcher{VM: id}, timing, listNotBefore)})
 		}
 	}
 	return f
@@ -114,7 +114,7 @@
 // partitions data centres, in any order, while the store receives changes. A VM that has
 // been able for long enough to reach the store, or a VM that does, must know each change
 // within the bound. The age of the last confirmation is no measure of this: it may exceed
-// the bound during a watch that a change would end at once.
+// the bound during a watch that a change would end at once (seed in docs/FINDINGS.md).
 func TestChangesKnownWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(100, 0)
@@ -122,24 +122,24 @@
 		const bound = 2 * time.Second
 		for range rapid.IntRange(1, 12).Draw(t, "events") {
 			v := f.vms[rapid.IntRange(0, len(f.vms)-1).Draw(t, "vm")]
-			switch rapid.SampledFrom([]string{"freeze", "wake", "away", "back", "cut", "heal", "wait"}).Draw(t, "event") {
+			switch rapid.SampledFrom([]string{"freeze", "resume", "reject calls", "accept calls", "partition", "heal", "wait"}).Draw(t, "event") {
 			case "freeze":
 				v.frozen = true
-			case "wake":
+			case "resume":
 				v.frozen = false
-			case "away":
+			case "reject calls":
 				v.storeRefuses = true
-			case "back":
+			case "accept calls":
 				v.storeRefuses = false
-			case "cut":
-				for _, o := range f.vms {
-					if o.dc == v.dc {
-						o.partition = 1 + v.dc
+			case "partition":
+				for _, other := range f.vms {
+					if other.dc == v.dc {
+						other.partition = 1 + v.dc
 					}
 				}
 			case "heal":
-				for _, o := range f.vms {
-					o.partition = 0
+				for _, other := range f.vms {
+					other.partition = 0
 				}
 			case "wait":
 			}
@@ -169,8 +169,8 @@
 // storeReachable reports whether a VM, or one that it receives messages from, reaches the
 // store.
 func (f *modelFleet) storeReachable(v *modelVM) bool {
-	for _, o := range f.vms {
-		if !o.frozen && !o.storeRefuses && o.partition == v.partition {
+	for _, other := range f.vms {
+		if !other.frozen && !other.storeRefuses && other.partition == v.partition {
 			return true
 		}
 	}
@@ -208,7 +208,7 @@
 	is.True(f.calls <= 11) // one a second
 }
 
-// TestStrongerVMPrecedesWeaker checks that a VM with more strength is preferred as
+// TestStrongerVMPrecedesWeaker checks that a VM with a higher Strength is preferred as
 // watcher.
 func TestStrongerVMPrecedesWeaker(t *testing.T) {
 	is := is.New(t)
@@ -229,9 +229,9 @@
 		a, b = b, a
 	}
 	first, second := NewWatcherElection(a, testTiming, time.Time{}), NewWatcherElection(b, testTiming, time.Time{})
-	for _, d := range []*WatcherElection{first, second} {
-		is.True(d.ShouldWatch(false, Rank{}, now))
-		d.RecordStoreCall(true, now)
+	for _, e := range []*WatcherElection{first, second} {
+		is.True(e.ShouldWatch(false, Rank{}, now))
+		e.RecordStoreCall(true, now)
 	}
 	first.RecordPeerStatus(now, b, now, now)
 	second.RecordPeerStatus(now, a, now, now)
@@ -250,7 +250,7 @@
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	f := newModelFleet(5, 59, testTiming, now.Add(firstStartListDelay))
-	simulate := func(d time.Duration) (asked int) {
+	simulate := func(d time.Duration) (watchers int) {
 		f.calls = 0
 		watching := make(map[contract.VMID]bool)
 		for end := now.Add(d); now.Before(end); now = now.Add(modelStep) {
@@ -293,12 +293,12 @@
 func TestFewVMsListStoreForWaitingRequests(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1000, 0)
-	countListing := func(isolated bool, within time.Duration) int {
+	countListing := func(isolated bool, after time.Duration) int {
 		n := 0
 		for rank := range 100 {
-			d := NewWatcherElection(Watcher{VM: "v"}, testTiming, start.Add(time.Hour))
-			d.RecordWaitingRequest(rank%requestRanks, start)
-			if d.ShouldWatch(false, Rank{Local: rank, Isolated: isolated}, start.Add(within)) {
+			e := NewWatcherElection(Watcher{VM: "v"}, testTiming, start.Add(time.Hour))
+			e.RecordWaitingRequest(rank%requestRanks, start)
+			if e.ShouldWatch(false, Rank{Local: rank, Isolated: isolated}, start.Add(after)) {
 				n++
 			}
 		}
--- a/site/evacuations_test.go
+++ b/site/evacuations_test.go
@@ -19,8 +19,8 @@
 	return New(&Options{Relay: r, Log: zap.NewNop(), Now: now})
 }
 
-func evacuationItem(dc string, at contract.Revision) Item[Evacuation] {
-	return Item[Evacuation]{Raw: Raw{Name: dc, Revision: at}, Value: Evacuation{DataCentre: contract.DataCentreID(dc)}}
+func evacuationItem(dc string, revision contract.Revision) Item[Evacuation] {
+	return Item[Evacuation]{Raw: Raw{Name: dc, Revision: revision}, Value: Evacuation{DataCentre: contract.DataCentreID(dc)}}
 }
 
 // TestOlderListKeepsEvacuation checks that a list made before an evacuation was requested
@@ -48,10 +48,10 @@
 		source: namedSource{}, log: zap.New(core), registry: metrics.NewRegistry(), ledger: NewLedger("k"),
 		decodeErrors: make(map[string]string), apply: func(Changes[Evacuation], bool) {},
 	}
-	apply := func(at contract.Revision, err error) {
-		i := evacuationItem("d", at)
+	apply := func(revision contract.Revision, err error) {
+		i := evacuationItem("d", revision)
 		i.Err = err
-		f.applyChanges(Changes[Evacuation]{Revision: at, Items: []Item[Evacuation]{i}}, at == 1)
+		f.applyChanges(Changes[Evacuation]{Revision: revision, Items: []Item[Evacuation]{i}}, revision == 1)
 	}
 	malformed := contract.Fail(contract.StepPlatform, "d", ErrNotFound)
 	apply(1, malformed)
--- a/site/follow_test.go
+++ b/site/follow_test.go
@@ -31,9 +31,9 @@
 	is.Equal(firstPageItems, 1)
 	sendFromPeer()
 	is.True(!f.acceptPage(page, true))
-	at, known := f.revision()
+	revision, known := f.revision()
 	is.True(known)
-	is.Equal(int(at), 5)
+	is.Equal(int(revision), 5)
 	f.relist = true
 	is.True(f.acceptPage(page, true)) // a list read again is read to the end
 	is.Equal(firstPageItems, 1)
--- a/site/gossip.go
+++ b/site/gossip.go
@@ -47,7 +47,8 @@
 	// Deltas are the changes since the sender's last announcement. A recipient that is up
 	// to date with that announcement need not request them.
 	Deltas []PushedDelta `cbor:"12,keyasint,omitempty"`
-	// Suspects are contents that crash upstreams and whose state has recently changed.
+	// Suspects are request contents that crash upstreams and whose state has recently
+	// changed.
 	Suspects []quarantine.Told `cbor:"14,keyasint,omitempty"`
 	// LimitsDigest identifies the upstream limits that the sender considers valid. A
 	// recipient that knows others replies with Limits, because reports of limits may have
@@ -78,7 +79,8 @@
 
 // KindStatus reports how far a VM's state of one kind of objects is up to date.
 type KindStatus struct {
-	Kind       string            `cbor:"1,keyasint"`
+	Kind string `cbor:"1,keyasint"`
+	// LastChange is the revision of the newest known change.
 	LastChange contract.Revision `cbor:"2,keyasint"`
 	// Revision is the store revision up to which the state is complete. Age is the time
 	// since the store confirmed that.
@@ -95,9 +97,9 @@
 	// Behind means that the peer has newer changes, which Request asks for.
 	Behind  bool
 	Request ChangesRequest
-	// Fresher means that the peer's status confirms this VM's state at a later time than
-	// known before, or names another active watcher.
-	Fresher bool
+	// ConfirmedLater means that the peer's status confirms this VM's state at a later
+	// time than known before, or names another active watcher.
+	ConfirmedLater bool
 }
 
 // ChangesRequest requests the changes of a kind after a revision.
@@ -148,8 +150,8 @@
 		msg.Evidence, msg.OrderAges, msg.Suspects = exchange.Evidence(evidenceAudience[recipients]), exchange.OrderAges(), exchange.Suspects()
 		msg.LimitsDigest = exchange.LimitsDigest()
 	}
-	for _, s := range kinds {
-		if status, known := s.status(); known {
+	for _, kind := range kinds {
+		if status, known := kind.status(); known {
 			msg.Kinds = append(msg.Kinds, status)
 		}
 	}
@@ -254,14 +256,14 @@
 // version. A limit that has ended is left out if the other VM does not know it.
 func limitsToSend(ours, theirs []upstream.LimitKnown) []report {
 	versions := make(map[contract.Life]uint64, len(theirs))
-	for _, k := range theirs {
-		versions[k.Life] = k.Version
+	for _, limit := range theirs {
+		versions[limit.Life] = limit.Version
 	}
 	var missing []report
-	for _, k := range ours {
-		version, known := versions[k.Life]
-		if known && k.Version > version || !known && k.Limit.Word == upstream.LimitNamed {
-			missing = append(missing, report{limit: &k})
+	for _, limit := range ours {
+		version, known := versions[limit.Life]
+		if known && limit.Version > version || !known && limit.Limit.Word == upstream.LimitNamed {
+			missing = append(missing, report{limit: &limit})
 		}
 	}
 	return missing
--- a/site/held.go
+++ b/site/held.go
@@ -11,25 +11,25 @@
 	"woaddoor/quarantine"
 )
 
-// HeldNotes writes quarantined contents to the store, where they survive a power loss of
-// all VMs at once.
+// HeldNotes writes quarantined request contents to the store, where they survive a power
+// loss of all VMs at once.
 type HeldNotes interface {
-	// PutHeld adds a content. It leaves an existing object unchanged.
+	// PutHeld adds a request content. It leaves an existing object unchanged.
 	PutHeld(ctx context.Context, h quarantine.Held) error
-	// TryHeld counts one more trial of a content if its object still has the known
-	// revision, so that only one VM gets the trial.
+	// TryHeld counts one more trial of a request content if its object still has the
+	// known revision, so that only one VM gets the trial.
 	TryHeld(ctx context.Context, h quarantine.Held) error
-	// DropHeld removes a content.
+	// DropHeld removes a request content.
 	DropHeld(ctx context.Context, p quarantine.Print) error
 }
 
-// States of a quarantined content in write keys and logs.
+// States of a quarantined request content in write keys and logs.
 const (
 	heldStateStored  = "held"
 	heldStateCleared = "cleared"
 )
 
-// applyHeld applies the quarantined contents in the store to the relay.
+// applyHeld applies the quarantined request contents in the store to the relay.
 func (s *Site) applyHeld(c Changes[quarantine.Held], full bool) {
 	stored := make(map[quarantine.Print]bool, len(c.Items))
 	for _, i := range c.Items {
@@ -49,13 +49,14 @@
 	if !full {
 		return
 	}
-	for _, p := range s.opts.Relay.HeldButFor(stored) { // a content stored after the list was made has a later revision
+	for _, p := range s.opts.Relay.HeldButFor(stored) { // a request content stored after the list was made has a later revision
 		s.opts.Relay.Released(p, c.Revision)
 	}
 }
 
-// syncHeld writes changes of quarantined contents to the store until ctx ends. It runs in
-// its own loop because calls to a slow store would delay the verdicts on releases.
+// syncHeld writes changes of quarantined request contents to the store until ctx ends. It
+// runs in its own loop because calls to a slow store would delay the verdicts on
+// releases.
 func (s *Site) syncHeld(ctx context.Context) {
 	pending := make(map[writeKey]*pendingWrite)
 	for ctx.Err() == nil {
@@ -64,8 +65,8 @@
 	}
 }
 
-// writeHeldChanges writes changes of quarantined contents once this VM's write delay has
-// passed. Trials are claimed without a delay.
+// writeHeldChanges writes changes of quarantined request contents once this VM's write
+// delay has passed. Trials are claimed without a delay.
 func (s *Site) writeHeldChanges(ctx context.Context, pending map[writeKey]*pendingWrite) {
 	changes := s.opts.Relay.HeldNotes()
 	for _, h := range changes.Store {
--- a/site/hubs.go
+++ b/site/hubs.go
@@ -51,14 +51,14 @@
 const recentMaxPeriod = time.Minute
 
 // recordCount records the number of VMs in a data centre. The caller holds mu.
-func (p *Peers) recordCount(dc contract.DataCentreID, n int, at, now time.Time) {
+func (p *Peers) recordCount(dc contract.DataCentreID, vms int, at, now time.Time) {
 	c := p.counts[dc]
 	if c.vms > 0 && !at.After(c.at) {
 		return
 	}
-	c.vms, c.at = n, at
-	if n >= c.recentMax || now.Sub(c.recentMaxAt) > recentMaxPeriod {
-		c.recentMax, c.recentMaxAt = n, now
+	c.vms, c.at = vms, at
+	if vms >= c.recentMax || now.Sub(c.recentMaxAt) > recentMaxPeriod {
+		c.recentMax, c.recentMaxAt = vms, now
 	}
 	p.counts[dc] = c
 }
@@ -127,10 +127,10 @@
 	for _, m := range p.hubsForLeaf(v) {
 		msg := p.gossipToHub()
 		msg.Work = work
-		var mark uint64
-		msg.Usage, mark = p.usageFor(lifeOf(m))
+		var sequence uint64
+		msg.Usage, sequence = p.usageFor(lifeOf(m))
 		if p.exchangeGossip(ctx, m.ControlLink, localTimeout, msg) {
-			p.acknowledgeUsage(lifeOf(m), mark)
+			p.acknowledgeUsage(lifeOf(m), sequence)
 			return
 		}
 	}
@@ -219,13 +219,13 @@
 			known[m.ControlLink] = true
 		}
 	}
-	for a := range p.listedAddresses {
-		if !known[a] && v.total <= maxVMsForListedDiscovery {
-			candidates = append(candidates, a)
+	for address := range p.listedAddresses {
+		if !known[address] && v.total <= maxVMsForListedDiscovery {
+			candidates = append(candidates, address)
 		}
 	}
 	for _, s := range [][]string{seeds, candidates} {
-		rand.Shuffle(len(s), func(a, b int) { s[a], s[b] = s[b], s[a] })
+		rand.Shuffle(len(s), func(address, b int) { s[address], s[b] = s[b], s[address] })
 	}
 	return append(seeds[:min(1, len(seeds))], candidates[:min(maxDiscoveryTargets, len(candidates))]...)
 }
--- a/site/idle_bench_test.go
+++ b/site/idle_bench_test.go
@@ -17,14 +17,14 @@
 )
 
 // startFleet starts Peers of VMs in several data centres within this process and returns
-// them. Each VM knows only the seeds. prepare may change the Peers of the nth VM before
-// they run.
-func startFleet(b testing.TB, ctx context.Context, dataCentres, each int, prepare func(n int, p *Peers)) []*Peers {
+// them. Each VM knows at most three seeds at first. prepare may change the Peers of the
+// nth VM before they run.
+func startFleet(b testing.TB, ctx context.Context, dataCentres, perDataCentre int, prepare func(n int, p *Peers)) []*Peers {
 	b.Helper()
 	var selves []vm.Member
 	var endpoints []*link.Endpoint
 	for dc := range dataCentres {
-		for n := range each {
+		for n := range perDataCentre {
 			name := fmt.Sprintf("vm-%d-%03d", dc, n)
 			identity, err := keys.NewByAddress(name, func(string) bool { return true })
 			if err != nil {
@@ -42,7 +42,7 @@
 	for i, e := range endpoints {
 		var seeds []string
 		for dc := range min(dataCentres, 3) {
-			seeds = append(seeds, endpoints[dc*each].Address())
+			seeds = append(seeds, endpoints[dc*perDataCentre].Address())
 		}
 		p := NewPeers(&PeersOptions{Endpoint: e, Self: selves[i], Seeds: seeds, Log: zap.NewNop(), Now: time.Now})
 		prepare(len(all), p)
--- a/site/lease.go
+++ b/site/lease.go
@@ -74,8 +74,8 @@
 // Turn returns how long this VM waits before it acquires a free lease, and whether it may
 // acquire it at all. Only the representatives of a data centre may, one after the other.
 func (p *Peers) Turn() (time.Duration, bool) {
-	place := p.Rank()
-	return writeDelayFor(place), place.Local < representatives
+	rank := p.Rank()
+	return writeDelayFor(rank), rank.Local < representatives
 }
 
 // LeaseChanged informs the other hubs and data centres at once that the lease holder has
--- a/site/limits_test.go
+++ b/site/limits_test.go
@@ -22,11 +22,11 @@
 }
 
 // nextLimits returns the limits in the next report that a VM receives.
-func nextLimits(t *testing.T, h *recordingRelay) []upstream.LimitKnown {
+func nextLimits(t *testing.T, recorder *recordingRelay) []upstream.LimitKnown {
 	t.Helper()
 	select {
-	case k := <-h.limits:
-		return k
+	case limits := <-recorder.limits:
+		return limits
 	case <-time.After(5 * time.Second):
 		t.Fatal("no report of limits received")
 		return nil
@@ -39,8 +39,8 @@
 	is := is.New(t)
 	a, others := fourPeers(t)
 	a.Limit(knownLimit(1)[0], true)
-	for _, h := range others {
-		is.Equal(nextLimits(t, h), knownLimit(1))
+	for _, recorder := range others {
+		is.Equal(nextLimits(t, recorder), knownLimit(1))
 	}
 	a.Limit(knownLimit(2)[0], false)
 	is.Equal(nextLimits(t, others[0]), knownLimit(2))
@@ -94,14 +94,14 @@
 	}
 	ours := []upstream.LimitKnown{
 		known("same", 2, upstream.LimitNamed), known("older", 2, upstream.LimitNamed), known("newer", 4, upstream.LimitNone),
-		known("lacked", 1, upstream.LimitNamed), known("over and lacked", 2, upstream.LimitNone),
+		known("missing", 1, upstream.LimitNamed), known("ended and missing", 2, upstream.LimitNone),
 	}
 	theirs := []upstream.LimitKnown{known("same", 2, upstream.LimitNamed), known("older", 3, upstream.LimitNamed), known("newer", 3, upstream.LimitNamed)}
 	var sent []contract.UpstreamID
 	for _, x := range limitsToSend(ours, theirs) {
 		sent = append(sent, x.limit.Life.Upstream)
 	}
-	is.Equal(sent, []contract.UpstreamID{"newer", "lacked"})
+	is.Equal(sent, []contract.UpstreamID{"newer", "missing"})
 }
 
 // BenchmarkLimitReports measures the reports on 200 upstreams that stay limited: the size
--- a/site/listing_test.go
+++ b/site/listing_test.go
@@ -134,7 +134,7 @@
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			l := ledgers[rapid.IntRange(0, 2).Draw(t, "vm")]
-			switch rapid.SampledFrom([]string{"put", "delete", "list", "watch", "hand", "late"}).Draw(t, "event") {
+			switch rapid.SampledFrom([]string{"put", "delete", "list", "watch", "send", "resend"}).Draw(t, "event") {
 			case "put":
 				revision++
 				r := Raw{Name: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"), Revision: revision}
@@ -161,7 +161,7 @@
 					}
 				}
 				l.Apply(d)
-			case "hand":
+			case "send":
 				from := ledgers[rapid.IntRange(0, 2).Draw(t, "from")]
 				at, known := l.Revision()
 				if _, knows := from.Revision(); !knows {
@@ -172,7 +172,7 @@
 				if fromAt, _ := from.Revision(); !known || fromAt > at {
 					l.Apply(d)
 				}
-			case "late":
+			case "resend":
 				if len(sent) > 0 {
 					d := sent[rapid.IntRange(0, len(sent)-1).Draw(t, "which")]
 					if at, known := l.Revision(); known && d.At <= at {
--- a/site/pack_test.go
+++ b/site/pack_test.go
@@ -96,13 +96,13 @@
 	built int
 }
 
-func (c *countingKind) status() (KindStatus, bool) {
-	return KindStatus{Kind: c.list.Kind, Revision: c.list.At}, true
+func (k *countingKind) status() (KindStatus, bool) {
+	return KindStatus{Kind: k.list.Kind, Revision: k.list.At}, true
 }
 
-func (c *countingKind) changesSince(contract.Revision, bool) Delta {
-	c.built++
-	return c.list
+func (k *countingKind) changesSince(contract.Revision, bool) Delta {
+	k.built++
+	return k.list
 }
 
 // BenchmarkPack measures packing and unpacking a list of 3,000 upstreams.
--- a/site/peers.go
+++ b/site/peers.go
@@ -82,8 +82,8 @@
 	started  time.Time
 	// changeRounds and confirmationRounds limit the rate of the rounds that announce
 	// changes and the absence of changes. urgentRounds limits the rate of those that
-	// announce harm: failed responses of a release on trial and contents that crash
-	// upstreams.
+	// announce harm: failed responses of a release on trial and request contents that
+	// crash upstreams.
 	changeRounds, confirmationRounds, urgentRounds *coalescer
 	// discoverNow triggers an immediate message to VMs that the store lists. unknownPeer
 	// signals contact from a VM that this one has not yet seen in the store's list.
@@ -194,7 +194,8 @@
 }
 
 // relayExchange is the part of the relay that exchanges state with other VMs: evidence on
-// releases on trial, and observations of upstreams.
+// releases on trial, request contents that crash upstreams, and observations of
+// upstreams.
 type relayExchange interface {
 	Evidence(to rollout.Hearer) rollout.Evidence
 	Hear(e rollout.Evidence) (worse bool)
@@ -219,20 +220,20 @@
 }
 
 // registerKind adds a kind of objects to exchange with other VMs.
-func (p *Peers) registerKind(kind string, s replicatedKind) {
+func (p *Peers) registerKind(kind string, objects replicatedKind) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.kinds[kind] = s
+	p.kinds[kind] = objects
 }
 
 // status returns this VM's status of a kind of objects, and whether it has any state of
 // the kind.
 func (p *Peers) status(kind string) (KindStatus, bool) {
-	s := p.kind(kind)
-	if s == nil {
+	objects := p.kind(kind)
+	if objects == nil {
 		return KindStatus{}, false
 	}
-	return s.status()
+	return objects.status()
 }
 
 // kind returns a kind of objects, or nil if it is not registered.
@@ -308,11 +309,10 @@
 // Alone reports whether this VM knows no other live VM.
 func (p *Peers) Alone() bool { return p.currentView().live == 1 }
 
-// Count returns the largest number of VMs that the deployment may have.
+// Count returns an upper estimate of the number of VMs in the deployment.
 func (p *Peers) Count() int { return p.currentView().total }
 
-// Group returns the set of VMs from which this one receives reports on requests to
-// upstreams.
+// Group returns the group of VMs whose requests to upstreams are reported to this VM.
 func (p *Peers) Group() upstream.Group { return p.currentView().group }
 
 // Rank returns the rank of this VM among those that may watch the store for its region.
--- a/site/peers_test.go
+++ b/site/peers_test.go
@@ -80,10 +80,10 @@
 	is := is.New(t)
 	const n = 57
 	all := members("d", n)
-	hubFor := func(self vm.Member, without contract.VMID) (hub contract.VMID, hubs int) {
+	hubFor := func(self vm.Member, excluded contract.VMID) (hub contract.VMID, hubs int) {
 		p, now := idlePeers(t, self)
 		for _, m := range all {
-			if m.VM != without {
+			if m.VM != excluded {
 				p.table.Heard(m, now)
 			}
 		}
@@ -93,12 +93,12 @@
 		}
 		return p.hubsForLeaf(v)[0].VM, len(v.hubs)
 	}
-	before := make(map[contract.VMID]contract.VMID)
+	hubOf := make(map[contract.VMID]contract.VMID)
 	leaves := make(map[contract.VMID]int)
 	for _, m := range all {
 		hub, hubs := hubFor(m, "")
 		is.Equal(hubs, vm.HubCount(n))
-		before[m.VM] = hub
+		hubOf[m.VM] = hub
 		leaves[hub]++
 	}
 	is.Equal(len(leaves), vm.HubCount(n)) // all VMs agree on the hubs
@@ -107,14 +107,14 @@
 		most = max(most, k)
 	}
 	is.True(most <= 2*n/vm.HubCount(n))
-	removed := before[all[0].VM]
+	removed := hubOf[all[0].VM]
 	moved := 0
 	for _, m := range all {
 		if m.VM == removed {
 			continue
 		}
 		hub, _ := hubFor(m, removed)
-		if hub != before[m.VM] && before[m.VM] != removed {
+		if hub != hubOf[m.VM] && hubOf[m.VM] != removed {
 			moved++
 		}
 	}
@@ -176,9 +176,9 @@
 	exchange := func() {
 		hub.cachedView.Store(nil)
 		leaf.cachedView.Store(nil)
-		w := leaf.gossipToHub()
-		hub.recordMembers(w, false)
-		leaf.recordMembers(hub.replyToLeaf(w), true)
+		msg := leaf.gossipToHub()
+		hub.recordMembers(msg, false)
+		leaf.recordMembers(hub.replyToLeaf(msg), true)
 		leaf.cachedView.Store(nil)
 	}
 	exchange()
--- a/site/receive.go
+++ b/site/receive.go
@@ -71,8 +71,8 @@
 // recordLocalMembers records what a VM of this data centre reports about the other VMs
 // there. The caller holds mu.
 func (p *Peers) recordLocalMembers(msg GossipMessage, isReply bool, now time.Time) {
-	for _, a := range msg.UnknownToHub {
-		p.addListedAddress(a)
+	for _, address := range msg.UnknownToHub {
+		p.addListedAddress(address)
 	}
 	switch {
 	case !isReply:
@@ -127,7 +127,7 @@
 		if comparison.Behind && p.mayPull(fromLocal) {
 			changed = p.pull(ctx, msg.Self, kind, comparison.Request, status) || changed
 		}
-		confirmedLater = confirmedLater || comparison.Fresher
+		confirmedLater = confirmedLater || comparison.ConfirmedLater
 	}
 	switch {
 	case changed:
@@ -169,8 +169,8 @@
 const pullTakeoverAfter = 1200 * time.Millisecond
 
 // mayPull reports whether this VM may request changes from a peer. It requests them from
-// other data centres only as a representative of its own, or, after remotePullDelay, while
-// it knows no other VM there.
+// other data centres only as a representative of its own, or, after remotePullDelay,
+// while it knows no other VM there.
 func (p *Peers) mayPull(fromLocal bool) bool {
 	if fromLocal {
 		return true
--- a/site/registration.go
+++ b/site/registration.go
@@ -107,8 +107,8 @@
 		return err
 	}
 	addresses := make([]string, 0, len(vms))
-	for _, a := range vms {
-		addresses = append(addresses, a)
+	for _, address := range vms {
+		addresses = append(addresses, address)
 	}
 	s.opts.Peers.AddListed(addresses)
 	s.log.Info("vms-listed", zap.Int("listed", len(vms)))
--- a/site/replicate.go
+++ b/site/replicate.go
@@ -53,7 +53,7 @@
 	if status.Age < storeReachableWithin {
 		f.onStoreCall(true)
 	}
-	return Comparison{Fresher: confirmedLater}
+	return Comparison{ConfirmedLater: confirmedLater}
 }
 
 // changesSince returns the changes that a peer lacks.
--- a/site/reports.go
+++ b/site/reports.go
@@ -82,9 +82,9 @@
 
 // enqueue appends a report to a list that is sent in rounds. It drops the report if the
 // list is full.
-func (s *reportQueue) enqueue(list *[]report, t report) {
+func (q *reportQueue) enqueue(list *[]report, r report) {
 	if len(*list) < maxQueuedReports {
-		*list = append(*list, t)
+		*list = append(*list, r)
 	}
 }
 
@@ -105,14 +105,14 @@
 
 // Limit reports a rate limit of an upstream to other VMs without blocking. toRemote sends
 // it to other data centres too, regardless of the number of VMs.
-func (p *Peers) Limit(k upstream.LimitKnown, toRemote bool) {
-	p.queueReport(report{limit: &k, remote: toRemote})
+func (p *Peers) Limit(limit upstream.LimitKnown, toRemote bool) {
+	p.queueReport(report{limit: &limit, remote: toRemote})
 }
 
 // queueReport sends a report with this VM's next round.
-func (p *Peers) queueReport(t report) {
+func (p *Peers) queueReport(r report) {
 	p.reports.mu.Lock()
-	p.reports.enqueue(&p.reports.pending, t)
+	p.reports.enqueue(&p.reports.pending, r)
 	p.reports.mu.Unlock()
 	p.reports.ownRounds.run(p.sendReports)
 }
@@ -135,7 +135,7 @@
 		p.queueForward(pending)
 	}
 	if !v.group.Region {
-		pending = slices.DeleteFunc(slices.Clone(pending), func(t report) bool { return !t.remote })
+		pending = slices.DeleteFunc(slices.Clone(pending), func(r report) bool { return !r.remote })
 		if len(pending) == 0 {
 			return
 		}
@@ -147,10 +147,10 @@
 
 // queueForward forwards reports with this hub's next round. A hub without leaves forwards
 // them at once, because it is the number of leaves that makes a round expensive.
-func (p *Peers) queueForward(list []report) {
+func (p *Peers) queueForward(reports []report) {
 	p.reports.mu.Lock()
-	for _, t := range list {
-		p.reports.enqueue(&p.reports.pendingForward, t)
+	for _, r := range reports {
+		p.reports.enqueue(&p.reports.pendingForward, r)
 	}
 	p.reports.mu.Unlock()
 	if !p.hasLeaves() {
@@ -176,33 +176,33 @@
 }
 
 // reportsFor returns the reports to send to a VM, which is a hub or a leaf of this one.
-func reportsFor(list []report, to contract.VMID, hub bool) []report {
-	return slices.DeleteFunc(slices.Clone(list), func(t report) bool { return !t.shouldSendTo(to, hub) })
+func reportsFor(reports []report, to contract.VMID, hub bool) []report {
+	return slices.DeleteFunc(slices.Clone(reports), func(r report) bool { return !r.shouldSendTo(to, hub) })
 }
 
 // shouldSendTo reports whether a VM receives a report. No VM receives its own report,
 // even if it is a leaf of this hub but considers itself a hub. A hub does not receive
 // reports that all hubs already have.
-func (t report) shouldSendTo(to contract.VMID, hub bool) bool {
-	return t.from != to && !(hub && t.knownToHubs)
+func (r report) shouldSendTo(to contract.VMID, toHub bool) bool {
+	return r.from != to && !(toHub && r.knownToHubs)
 }
 
 // sendReportMessages sends reports to a VM without blocking, in messages that each fit
 // into a packet.
-func (p *Peers) sendReportMessages(to vm.Member, list []report, forward bool) {
+func (p *Peers) sendReportMessages(to vm.Member, reports []report, forward bool) {
 	from := p.AsWatcher().VM
 	var messages []UpstreamReport
 	m := UpstreamReport{From: from, Forward: forward}
-	for _, t := range list {
+	for _, r := range reports {
 		switch {
-		case t.sent != nil:
-			m.Sent = append(m.Sent, *t.sent)
-		case t.rest != nil:
-			m.Rests = append(m.Rests, *t.rest)
-		case t.limit != nil:
-			m.Limits = append(m.Limits, *t.limit)
+		case r.sent != nil:
+			m.Sent = append(m.Sent, *r.sent)
+		case r.rest != nil:
+			m.Rests = append(m.Rests, *r.rest)
+		case r.limit != nil:
+			m.Limits = append(m.Limits, *r.limit)
 		default:
-			m.Opinions = append(m.Opinions, *t.opinion)
+			m.Opinions = append(m.Opinions, *r.opinion)
 		}
 		if len(m.Sent) == maxSentPerMessage || len(m.Opinions) == maxOpinionsPerMessage || len(m.Rests) == maxRestsPerMessage || len(m.Limits) == maxLimitsPerMessage {
 			messages = append(messages, m)
--- a/site/reports_test.go
+++ b/site/reports_test.go
@@ -42,13 +42,13 @@
 func (*recordingRelay) OrderAges() []relay.OrderAge              { return nil }
 func (*recordingRelay) HearAges([]relay.OrderAge)                {}
 func (*recordingRelay) Suspects() []quarantine.Told              { return nil }
-func (h *recordingRelay) HearSent(s []relay.Sent)                { sendNonEmpty(h.sent, s) }
-func (h *recordingRelay) HearOpinions(o []relay.Opinion)         { sendNonEmpty(h.opinions, o) }
-func (h *recordingRelay) HearRests(r []relay.Rest)               { sendNonEmpty(h.rests, r) }
-func (h *recordingRelay) Limits() []upstream.LimitKnown          { return h.known }
-func (h *recordingRelay) LimitsDigest() uint64                   { return h.digest }
-func (h *recordingRelay) HearLimits(limits []upstream.LimitKnown, _ bool, _ contract.VMID) {
-	sendNonEmpty(h.limits, limits)
+func (r *recordingRelay) HearSent(sent []relay.Sent)             { sendNonEmpty(r.sent, sent) }
+func (r *recordingRelay) HearOpinions(opinions []relay.Opinion)  { sendNonEmpty(r.opinions, opinions) }
+func (r *recordingRelay) HearRests(rests []relay.Rest)           { sendNonEmpty(r.rests, rests) }
+func (r *recordingRelay) Limits() []upstream.LimitKnown          { return r.known }
+func (r *recordingRelay) LimitsDigest() uint64                   { return r.digest }
+func (r *recordingRelay) HearLimits(limits []upstream.LimitKnown, _ bool, _ contract.VMID) {
+	sendNonEmpty(r.limits, limits)
 }
 
 // sendNonEmpty sends items unless there are none.
@@ -124,10 +124,10 @@
 	a.Opinion(relay.Opinion{Model: "m", Largest: "l", Opinion: 0.5})
 	a.Rest(rest)
 	a.Sent(sent)
-	for _, h := range others {
-		is.Equal(<-h.sent, []relay.Sent{sent})
-		is.Equal(<-h.opinions, []relay.Opinion{{Model: "m", Largest: "l", Opinion: 0.5}})
-		is.Equal(<-h.rests, []relay.Rest{rest})
+	for _, recorder := range others {
+		is.Equal(<-recorder.sent, []relay.Sent{sent})
+		is.Equal(<-recorder.opinions, []relay.Opinion{{Model: "m", Largest: "l", Opinion: 0.5}})
+		is.Equal(<-recorder.rests, []relay.Rest{rest})
 	}
 }
 
@@ -141,8 +141,8 @@
 	var relays []*recordingRelay
 	var members []vm.Member
 	for i := range n {
-		p, h, m := testPeers(t, fmt.Sprintf("v%d", i), "d")
-		all, relays, members = append(all, p), append(relays, h), append(members, m)
+		p, recorder, m := testPeers(t, fmt.Sprintf("v%d", i), "d")
+		all, relays, members = append(all, p), append(relays, recorder), append(members, m)
 	}
 	for _, p := range all {
 		p.addMembers(members)
@@ -155,10 +155,10 @@
 	for i, p := range all {
 		p.Sent(relay.Sent{Upstream: contract.UpstreamID(fmt.Sprint(i)), Model: "m", Tokens: 9, Takes: time.Second})
 	}
-	for i, h := range relays {
+	for i, recorder := range relays {
 		received := make(map[contract.UpstreamID]int)
 		for len(received) < n-1 {
-			for _, s := range <-h.sent {
+			for _, s := range <-recorder.sent {
 				received[s.Upstream]++
 			}
 		}
@@ -173,9 +173,9 @@
 func TestReportsAreNotSentBack(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []struct {
-		told report
-		hub  bool
-		goes bool
+		report report
+		toHub  bool
+		want   bool
 	}{
 		{report{from: "a"}, false, true},
 		{report{from: "a"}, true, true},
@@ -184,6 +184,6 @@
 		{report{from: "b"}, false, false},
 		{report{from: "b"}, true, false}, // a leaf that considers itself a hub
 	} {
-		is.Equal(c.told.shouldSendTo("b", c.hub), c.goes)
+		is.Equal(c.report.shouldSendTo("b", c.toHub), c.want)
 	}
 }
--- a/site/site.go
+++ b/site/site.go
@@ -30,8 +30,8 @@
 	// Evacuations lists the data centres whose upstreams receive no further requests. It
 	// is nil where the deployment supports no evacuations.
 	Evacuations Source[Evacuation]
-	// Held lists the quarantined contents, which are sent to no upstream. HeldNotes
-	// writes them to the store. Either both are set or neither.
+	// Held lists the quarantined request contents, which are sent to no upstream.
+	// HeldNotes writes them to the store. Either both are set or neither.
 	Held      Source[quarantine.Held]
 	HeldNotes HeldNotes
 	// NoteOrder records in the store that a rollout order has started, or how it ended.
--- a/site/startup_test.go
+++ b/site/startup_test.go
@@ -23,22 +23,22 @@
 func (k *ledgerKind) status() (KindStatus, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	at, known := k.ledger.Revision()
-	return KindStatus{Kind: "servers", LastChange: k.ledger.LastChange(), Revision: at}, known
+	revision, known := k.ledger.Revision()
+	return KindStatus{Kind: "servers", LastChange: k.ledger.LastChange(), Revision: revision}, known
 }
 
-func (k *ledgerKind) compareWithPeer(h KindStatus) Comparison {
-	have, known := k.status()
-	if !known || h.LastChange > have.Revision {
-		return Comparison{Behind: true, Request: ChangesRequest{Kind: h.Kind, After: have.Revision, Known: known}}
+func (k *ledgerKind) compareWithPeer(peer KindStatus) Comparison {
+	own, known := k.status()
+	if !known || peer.LastChange > own.Revision {
+		return Comparison{Behind: true, Request: ChangesRequest{Kind: peer.Kind, After: own.Revision, Known: known}}
 	}
 	return Comparison{}
 }
 
-func (k *ledgerKind) changesSince(after contract.Revision, holds bool) Delta {
+func (k *ledgerKind) changesSince(after contract.Revision, known bool) Delta {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.ledger.Since(after, holds)
+	return k.ledger.Since(after, known)
 }
 
 func (k *ledgerKind) applyFromPeer(d Delta, _ KindStatus, _ string) {
@@ -51,11 +51,11 @@
 
 // startWithList starts VMs of which one knows a list of upstreams, and waits until all
 // do. It returns how long that took and how many bytes of changes were sent.
-func startWithList(tb testing.TB, dataCentres, each, upstreams, threshold int) (took time.Duration, bytes int64) {
+func startWithList(tb testing.TB, dataCentres, perDataCentre, upstreams, threshold int) (took time.Duration, bytes int64) {
 	tb.Helper()
 	ctx, cancel := context.WithCancel(tb.Context())
 	defer cancel()
-	all := startFleet(tb, ctx, dataCentres, each, func(n int, p *Peers) {
+	all := startFleet(tb, ctx, dataCentres, perDataCentre, func(n int, p *Peers) {
 		k := &ledgerKind{ledger: NewLedger("servers")}
 		if n == 0 {
 			k.ledger.Apply(upstreamDelta(upstreams))
@@ -107,10 +107,10 @@
 // BenchmarkFleetStart measures sending a list of 3,000 upstreams to 300 VMs that start
 // together, with and without compression.
 func BenchmarkFleetStart(b *testing.B) {
-	for name, from := range map[string]int{"packed": 0, "plain": noCompression} {
+	for name, threshold := range map[string]int{"packed": 0, "plain": noCompression} {
 		b.Run(name, func(b *testing.B) {
 			for range b.N {
-				took, bytes := startWithList(b, 3, 100, 3000, from)
+				took, bytes := startWithList(b, 3, 100, 3000, threshold)
 				b.ReportMetric(took.Seconds(), "s-until-all-know")
 				b.ReportMetric(float64(bytes)/1e6, "MB-sent")
 			}
--- a/site/usage.go
+++ b/site/usage.go
@@ -73,34 +73,34 @@
 	if p.lease == nil {
 		return
 	}
-	seen, _, _ := p.lease.Known()
-	to := seen.Object.Holder
-	address := p.leaseHolderLink(to)
+	leaseSeen, _, _ := p.lease.Known()
+	holder := leaseSeen.Object.Holder
+	address := p.leaseHolderLink(holder)
 	p.mu.Lock()
 	self := p.table.Self()
 	p.mu.Unlock()
-	if address == "" || to == lifeOf(self) {
+	if address == "" || holder == lifeOf(self) {
 		return
 	}
-	g := UsageReport{From: lifeOf(self), DataCentre: self.DataCentre, ShuttingDown: p.shuttingDown.Load()}
-	var mark uint64
-	g.Parts, mark = p.usageFor(to)
-	g.Work = p.localAndLeafWork()
+	usageReport := UsageReport{From: lifeOf(self), DataCentre: self.DataCentre, ShuttingDown: p.shuttingDown.Load()}
+	var sequence uint64
+	usageReport.Parts, sequence = p.usageFor(holder)
+	usageReport.Work = p.localAndLeafWork()
 	ctx, cancel := context.WithTimeout(ctx, remoteTimeout)
 	defer cancel()
-	if _, err := link.Call[UsageReport, struct{}](ctx, p.endpoint, address, link.KindUsage, g); err != nil {
+	if _, err := link.Call[UsageReport, struct{}](ctx, p.endpoint, address, link.KindUsage, usageReport); err != nil {
 		p.logSilentPeer(err) // the next report includes it
 		return
 	}
-	p.acknowledgeUsage(to, mark)
+	p.acknowledgeUsage(holder, sequence)
 }
 
 // handleUsageReport records the usage and work that another hub has reported.
-func (p *Peers) handleUsageReport(_ context.Context, _ string, g UsageReport) (struct{}, error) {
-	p.recordWork(p.hubWork, g.From, g.Work)
+func (p *Peers) handleUsageReport(_ context.Context, _ string, r UsageReport) (struct{}, error) {
+	p.recordWork(p.hubWork, r.From, r.Work)
 	if p.usage != nil {
-		p.usage.Hear(g.Parts)
-		p.usage.Gathered(g.From, g.DataCentre, g.ShuttingDown)
+		p.usage.Hear(r.Parts)
+		p.usage.Gathered(r.From, r.DataCentre, r.ShuttingDown)
 	}
 	return struct{}{}, nil
 }
--- a/site/view.go
+++ b/site/view.go
@@ -12,8 +12,8 @@
 // view is an immutable snapshot of the known VMs.
 type view struct {
 	takenAt time.Time
-	// live is the number of live VMs. total is the largest number of VMs that the
-	// deployment may have.
+	// live is the number of live VMs. total is an upper estimate of the number of VMs in
+	// the deployment.
 	live, total int
 	// ranked holds the live VMs of this data centre, including this one, in the order in
 	// which they would watch the store. VMs that do not reply to this one are left out.
--- a/site/view_bench_test.go
+++ b/site/view_bench_test.go
@@ -21,8 +21,8 @@
 	return p
 }
 
-// BenchmarkBuildView measures building the view of the 200 VMs of a data centre, which
-// happens up to four times a second.
+// BenchmarkBuildView measures building the view of the 200 VMs of a data centre, as
+// happens every quarter of a second.
 func BenchmarkBuildView(b *testing.B) {
 	p := peersKnowing(200)
 	b.ReportAllocs()
