--- a/site/follow.go
+++ b/site/follow.go
@@ -74,7 +74,9 @@
 
 	// failedCalls is the number of consecutive failed calls. Only run uses it.
 	failedCalls int
-	relist      bool
+	// relist is set when the store no longer has the change history, so that all objects
+	// must be listed again. Only run and the functions that it calls use it.
+	relist bool
 
 	// mu guards the fields below. It is held while changes are applied, so that changes
 	// from the store and from peers take effect one after the other.
--- a/site/peers.go
+++ b/site/peers.go
@@ -185,7 +185,7 @@
 	for _, s := range opts.Seeds {
 		p.recordIP(s)
 	}
-	p.endpoint.Far = func(address string) bool { _, far := p.remoteAddresses.Load(address); return far }
+	p.endpoint.Far = func(address string) bool { _, remote := p.remoteAddresses.Load(address); return remote }
 	link.Handle(p.endpoint, link.KindWord, p.handleGossip)
 	link.Handle(p.endpoint, link.KindChanges, p.handleChangesRequest)
 	link.Handle(p.endpoint, link.KindReads, p.handleReport)
@@ -202,11 +202,11 @@
 	OrderAges() []relay.OrderAge
 	HearAges(ages []relay.OrderAge)
 	Suspects() []quarantine.Told
-	HearSuspects(told []quarantine.Told, from contract.VMID) (urgent bool)
+	HearSuspects(suspects []quarantine.Told, from contract.VMID) (urgent bool)
 	HearSent(sent []relay.Sent)
 	HearOpinions(opinions []relay.Opinion)
 	HearRests(rests []relay.Rest)
-	HearLimits(known []upstream.LimitKnown, fresh bool, from contract.VMID)
+	HearLimits(limits []upstream.LimitKnown, fresh bool, from contract.VMID)
 	Limits() []upstream.LimitKnown
 	LimitsDigest() uint64
 	Work() map[contract.ServiceID]scaling.Work
--- a/site/source.go
+++ b/site/source.go
@@ -21,9 +21,9 @@
 var (
 	ErrConflict    = errors.New("object has another revision")
 	ErrNotFound    = errors.New("no such object")
-	ErrHistoryGone = errors.New("history of changes is gone")
+	ErrHistoryGone = errors.New("change history is no longer available")
 	ErrTooMany     = errors.New("store's rate limit reached")
-	ErrEnough      = errors.New("rest of the list is not wanted")
+	ErrEnough      = errors.New("list stopped before its end")
 )
 
 // Raw is an undecoded object as the store holds it, in the form in which VMs send it to
