--- a/site/view.go
+++ b/site/view.go
@@ -19,8 +19,8 @@
 	// which they would watch the store. VMs that do not reply to this one are left out.
 	// hubs holds the first of them.
 	ranked, hubs []vm.Member
-	// localPeers holds the other live VMs of this data centre, sorted by name. digest
-	// shows two VMs whether they know the same VMs of their data centre.
+	// localPeers holds the other live VMs of this data centre, sorted by name. digest lets
+	// two VMs check whether they know the same VMs of their data centre.
 	localPeers []vm.Member
 	digest     uint64
 	// remote holds the representatives of each other data centre. Those that do not reply
