--- a/internal/layers/fields_test.go
+++ b/internal/layers/fields_test.go
@@ -19,7 +19,7 @@
 	"woaddoor/route":      {"Route", "Service", "Workspace", "Limits"},
 	"woaddoor/rollout":    {"Order"},
 	"woaddoor/scaling":    {"Limits", "Work"},
-	"woaddoor/site":       {"Evacuation", "Word", "Reads", "LeaseWord", "Gathered"},
+	"woaddoor/site":       {"Evacuation", "GossipMessage", "UpstreamReport", "LeaseStatus", "UsageReport"},
 	"woaddoor/contract":   {"Load", "Life"},
 	"woaddoor/quarantine": {"Held", "Told", "ToldEnd"},
 }
