--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -8,9 +8,10 @@
 	"woaddoor/contract"
 )
 
-// BenchmarkRequest is what a request costs while a thousand contents are held: its print,
-// by the length of its body, and the look whether it is one of them.
-func BenchmarkRequest(b *testing.B) {
+// BenchmarkCheckRequest measures the per-request cost of the quarantine check while 1,000
+// request contents are held: hashing the content, by body size, and looking up its
+// fingerprint.
+func BenchmarkCheckRequest(b *testing.B) {
 	table, now := NewTable(), time.Unix(1000, 0)
 	for n := range 1000 {
 		table.Listed(Held{Print: Print{byte(n), byte(n >> 8)}, Revision: contract.Revision(n + 1)}, now)
@@ -21,16 +22,16 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if table.Bars(PrintOf("workspace", "host.example", "/path/of/a/request", body), now) {
-					b.Fatal("held")
+					b.Fatal("unexpectedly held")
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkTold is what a word costs at a VM that remembers 4,000 contents under which one
-// upstream has ended, some time ago.
-func BenchmarkTold(b *testing.B) {
+// BenchmarkUpdatesWithoutChanges measures building a gossip message on a VM that tracks
+// 4,000 request contents, each with one old crash, so that there is nothing left to send.
+func BenchmarkUpdatesWithoutChanges(b *testing.B) {
 	table, now := NewTable(), time.Unix(1000, 0)
 	for n := range 4000 {
 		table.End(Print{byte(n), byte(n >> 8)}, About{}, End{contract.Life{Upstream: "u", Born: 1}, now, now}, now)
@@ -39,7 +40,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if len(table.Told(now)) > 0 {
-			b.Fatal("told")
+			b.Fatal("unexpected gossip updates")
 		}
 	}
 }
--- /dev/null
+++ b/quarantine/fingerprint.go
@@ -0,0 +1,56 @@
+// Package quarantine detects requests that crash the upstreams that run them ("queries of
+// death") and blocks further sends of them. It does no I/O and reads no clock: its callers
+// pass in the events, the current time and the gossip from other VMs.
+//
+// A response never identifies such a request. The caller sends it again with another
+// request id, possibly through another VM, and each VM sees only one broken connection.
+// Requests are therefore identified by a fingerprint of their content, upstream crashes are
+// derived from broken connections, and VMs share their observations by gossip.
+package quarantine
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"fmt"
+
+	"woaddoor/contract"
+)
+
+// fingerprintBytes is the length of a Print. With 128 bits of SHA-256, a caller needs about
+// 2^64 attempts to find two of its own requests with the same fingerprint, and 2^128 to
+// match the fingerprint of another caller's request.
+const fingerprintBytes = 16
+
+// Print is the fingerprint of a request's content: workspace, host, path and body. The
+// request id, the headers and the transfer encoding do not affect it.
+type Print [fingerprintBytes]byte
+
+// PrintOf returns the fingerprint of a request.
+func PrintOf(w contract.WorkspaceID, host, uri string, body []byte) Print {
+	h := sha256.New()
+	for _, part := range []string{string(w), host, uri} {
+		var size [8]byte
+		binary.BigEndian.PutUint64(size[:], uint64(len(part)))
+		_, _ = h.Write(size[:]) // hash.Hash.Write never returns an error
+		_, _ = h.Write([]byte(part))
+	}
+	_, _ = h.Write(body)
+	return Print(h.Sum(nil)[:fingerprintBytes])
+}
+
+// String returns the fingerprint in hexadecimal.
+func (p Print) String() string { return hex.EncodeToString(p[:]) }
+
+// ParsePrint parses a fingerprint in the format of Print.String.
+func ParsePrint(text string) (Print, error) {
+	var p Print
+	if len(text) != hex.EncodedLen(fingerprintBytes) {
+		return p, fmt.Errorf("fingerprint %q: has %d digits, want %d", text, len(text), hex.EncodedLen(fingerprintBytes))
+	}
+	raw, err := hex.DecodeString(text)
+	if err != nil {
+		return p, fmt.Errorf("fingerprint %q: %w", text, err)
+	}
+	return Print(raw), nil
+}
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -8,196 +8,208 @@
 	"woaddoor/contract"
 )
 
-// Limit is how many upstreams a content ends, one after the other, before it is held.
+// Limit is the number of successive upstream crashes after which a request content is held.
 const Limit = 3
 
-// What other VMs tell of an end seems later by its way here, some tens of milliseconds, so
-// a request that was sent shortly after it seems to have been sent before.
+// Crash times received by gossip appear some tens of milliseconds late. A request that was
+// sent shortly after a crash can therefore appear to have been sent before it.
 const (
-	// together is how far apart the ends are at least that count as two in spite of that:
-	// upstreams that end at once, as all of a data centre, end of one cause.
-	together = 100 * time.Millisecond
-	// sentBefore is how much before an end a request may seem to have been sent.
-	sentBefore = 300 * time.Millisecond
-	// mostEnds bounds the ends that are remembered of a content, the newest ones.
-	mostEnds = 8
+	// minCrashSpacing is the minimum distance between two crashes that count separately
+	// although the second request appears to have been sent before the first crash.
+	// Upstreams that crash at the same time, such as all of a data centre, share one cause.
+	minCrashSpacing = 100 * time.Millisecond
+	// maxSendSkew is how long before the previous crash a request may appear to have been
+	// sent and still count as sent after it.
+	maxSendSkew = 300 * time.Millisecond
+	// maxCrashesKept bounds the crashes remembered per content; the newest are kept.
+	maxCrashesKept = 8
 )
 
-// Bounds of a table.
+// Limits of a Table.
 const (
-	// mostCases bounds the contents that are remembered: one that is evicted has to end
-	// as many upstreams as a new one before it is held.
-	mostCases = 4096
-	// keepFor is how long a content is suspected that does not come again.
-	keepFor = 10 * time.Minute
-	// tellFor is how long a change is told with each word: some rounds of words, so that
-	// one that was lost costs nothing. tellOnceFor is the same of a content under which
-	// one upstream has ended: mostly others that ran there, a dozen for each end.
-	tellFor     = 10 * time.Second
-	tellOnceFor = 3 * time.Second
-	// mostTold bounds the contents that one word tells, some 150 bytes each, and mostOnce
-	// those of them under which one upstream has ended.
-	mostTold = 24
-	mostOnce = 8
+	// maxRecords bounds the request contents that are tracked. An evicted content starts
+	// over and must crash as many upstreams as a new one before it is held.
+	maxRecords = 4096
+	// suspicionTTL is how long a content that does not appear again stays under suspicion.
+	suspicionTTL = 10 * time.Minute
+	// gossipTTL is how long a change is repeated in every gossip message. It spans several
+	// rounds, so a lost message does no harm. singleCrashGossipTTL applies to contents with
+	// a single crash: most of them merely ran on the crashed upstream, about a dozen per
+	// crash.
+	gossipTTL            = 10 * time.Second
+	singleCrashGossipTTL = 3 * time.Second
+	// maxUpdates bounds the contents in one gossip message, at about 150 bytes each;
+	// maxSingleCrashUpdates bounds those among them with a single crash.
+	maxUpdates            = 24
+	maxSingleCrashUpdates = 8
 )
 
-// About says whose a content is, for operators.
+// About identifies the source of a request content for operators.
 type About struct {
 	Service   contract.ServiceID   `cbor:"1,keyasint"`
 	Workspace contract.WorkspaceID `cbor:"2,keyasint,omitempty"`
 	Route     string               `cbor:"3,keyasint"`
-	// By is the VM that saw the first end.
+	// By is the VM that observed the first crash.
 	By contract.VMID `cbor:"4,keyasint"`
 }
 
-// End is the end of an upstream under a request, by the clock of this VM.
+// End is the crash of an upstream while it ran a request, in the clock of this VM.
 type End struct {
 	contract.Life
 	Sent, Broke time.Time
 }
 
-// Case is what is known of one content.
+// Case is the suspicion record of one request content.
 type Case struct {
 	Print Print
 	About
-	// Epoch counts how often the content was cleared: what was told before counts no
-	// more.
+	// Epoch counts how often the content was cleared. Gossip from earlier epochs is
+	// ignored.
 	Epoch uint32
-	// Ends are the newest of the upstreams that ended under it, oldest first.
+	// Ends holds the newest upstream crashes under this content, oldest first.
 	Ends []End
-	// Held tells that it is sent to no upstream.
+	// Held reports whether the content is blocked from all upstreams.
 	Held bool
 
-	changed time.Time
-	// stored is the revision of the store's object, and listed tells that it is there.
-	stored contract.Revision
-	listed bool
-	trials trials
+	changedAt time.Time
+	// storeRevision is the revision of the content's object in the store; inStore reports
+	// whether that object exists.
+	storeRevision contract.Revision
+	inStore       bool
+	trials        trials
 }
 
-// Table is what one VM knows of contents that end upstreams. Its owner locks it.
+// Table holds one VM's suspicion records. It is not safe for concurrent use; the caller
+// holds a lock.
 type Table struct {
-	cases map[Print]*Case
-	// telling are those of them that words may tell: a word is made for each leaf of a hub
-	// twice a second, and the table may hold thousands.
-	telling map[Print]*Case
-	// held is how many of them are held, and listed how many the store holds.
-	held, listed int
+	records map[Print]*Case
+	// gossiping is the subset of records that may appear in gossip. It is kept separately
+	// because a hub builds a message for each of its leaf VMs twice a second, while records
+	// may hold thousands of entries.
+	gossiping map[Print]*Case
+	// heldCount and storedCount count the records that are held and those that are in the
+	// store.
+	heldCount, storedCount int
 }
 
-// NewTable returns a table that knows nothing.
-func NewTable() *Table { return &Table{cases: make(map[Print]*Case), telling: make(map[Print]*Case)} }
+// NewTable returns an empty table.
+func NewTable() *Table {
+	return &Table{records: make(map[Print]*Case), gossiping: make(map[Print]*Case)}
+}
 
-// Empty tells whether no content is suspected: then no print has to be made.
-func (t *Table) Empty() bool { return len(t.cases) == 0 }
+// Empty reports whether no content is under suspicion. In that case requests need no
+// fingerprint.
+func (t *Table) Empty() bool { return len(t.records) == 0 }
 
-// Held returns how many contents are held.
-func (t *Table) Held() int { return t.held }
+// Held returns the number of held contents.
+func (t *Table) Held() int { return t.heldCount }
 
-// Case returns what is known of a content, nil when that is nothing.
-func (t *Table) Case(p Print) *Case { return t.cases[p] }
+// Case returns the record of a content, or nil if there is none.
+func (t *Table) Case(p Print) *Case { return t.records[p] }
 
-// End takes in that an upstream ended under a content, and tells whether that is news.
+// End records that an upstream crashed while running a content and reports whether that
+// changed the record.
 //
-// Others ran there too, and each of them is suspected by one end. What parts the guilty
-// from them is that it ends the next one as well: an end counts only when the request was
-// sent there after the last one that counts. Upstreams that end together count as one, and
-// what is answered is cleared.
+// Every request that ran on the upstream becomes suspect. The one that caused the crash
+// also crashes the next upstream, so a crash counts only if the request was sent to that
+// upstream after the previous counted crash. Simultaneous crashes count as one, and a
+// complete answer clears the content.
 func (t *Table) End(p Print, a About, e End, now time.Time) bool {
-	return t.merge(Case{Print: p, About: a, Epoch: t.epoch(p), Ends: []End{e}}, now)
+	return t.merge(Case{Print: p, About: a, Epoch: t.epochOf(p), Ends: []End{e}}, now)
 }
 
-func (t *Table) epoch(p Print) uint32 {
-	if c := t.cases[p]; c != nil {
+func (t *Table) epochOf(p Print) uint32 {
+	if c := t.records[p]; c != nil {
 		return c.Epoch
 	}
 	return 0
 }
 
-// Answered takes in that an upstream has run a content to its end and lives. It tells
-// whether the content was suspected.
+// Answered records that an upstream completed a request with this content and survived. It
+// reports whether the content was under suspicion.
 func (t *Table) Answered(p Print, now time.Time) bool {
-	c := t.cases[p]
+	c := t.records[p]
 	if c == nil || len(c.Ends) == 0 && !c.Held {
 		return false
 	}
-	t.clear(c, c.Epoch+1, now)
+	t.resetTo(c, c.Epoch+1, now)
 	return true
 }
 
-// clear drops all that speaks against a content.
-func (t *Table) clear(c *Case, epoch uint32, now time.Time) {
+// resetTo clears a content and moves it to a new epoch.
+func (t *Table) resetTo(c *Case, epoch uint32, now time.Time) {
 	c.Epoch, c.Ends, c.trials = epoch, nil, trials{}
-	t.touch(c, now)
+	t.markChanged(c, now)
 	t.setHeld(c, false)
 }
 
 func (t *Table) setHeld(c *Case, held bool) {
 	switch {
 	case held && !c.Held:
-		t.held++
+		t.heldCount++
 	case !held && c.Held:
-		t.held--
+		t.heldCount--
 	}
 	c.Held = held
 }
 
-func (t *Table) setListed(c *Case, listed bool) {
+func (t *Table) setInStore(c *Case, inStore bool) {
 	switch {
-	case listed && !c.listed:
-		t.listed++
-	case !listed && c.listed:
-		t.listed--
+	case inStore && !c.inStore:
+		t.storedCount++
+	case !inStore && c.inStore:
+		t.storedCount--
 	}
-	c.listed = listed
+	c.inStore = inStore
 }
 
-// merge takes in what is known of a content elsewhere, and tells whether anything of it
-// is news. Words come late, twice and in any order: a later epoch takes the place of an
-// earlier one, within one the ends add up, and held stays held.
+// merge merges a record from another source and reports whether anything changed. Gossip
+// may arrive late, repeatedly and in any order: a later epoch replaces an earlier one,
+// crashes accumulate within an epoch, and a held content stays held.
 func (t *Table) merge(other Case, now time.Time) bool {
-	c := t.cases[other.Print]
+	c := t.records[other.Print]
 	if c == nil {
 		if len(other.Ends) == 0 && !other.Held && other.Epoch == 0 {
 			return false
 		}
 		t.makeRoom(now)
 		c = &Case{Print: other.Print, About: other.About, Epoch: other.Epoch}
-		t.cases[other.Print] = c
-		t.touch(c, now)
+		t.records[other.Print] = c
+		t.markChanged(c, now)
 	}
 	if other.Epoch < c.Epoch {
 		return false
 	}
-	news := other.Epoch > c.Epoch
-	if news {
-		t.clear(c, other.Epoch, now)
+	changed := other.Epoch > c.Epoch
+	if changed {
+		t.resetTo(c, other.Epoch, now)
 	}
-	if c.Held && !news {
-		return false // more ends change nothing
+	if c.Held && !changed {
+		return false // further crashes make no difference to a held content
 	}
-	ends := union(c.Ends, other.Ends)
-	held := c.Held || other.Held || successive(ends) >= Limit
-	// Only what grows is news: which of many ends are the newest differs between VMs, and
-	// they would tell each other without end.
-	news = news || len(ends) > len(c.Ends) || held != c.Held
-	c.Ends = ends
+	crashes := mergeCrashes(c.Ends, other.Ends)
+	held := c.Held || other.Held || countSuccessive(crashes) >= Limit
+	// Only a longer list counts as a change. Once the list is full, VMs keep different
+	// newest crashes and would otherwise exchange them forever.
+	changed = changed || len(crashes) > len(c.Ends) || held != c.Held
+	c.Ends = crashes
 	t.setHeld(c, held)
-	if news {
-		t.touch(c, now)
+	if changed {
+		t.markChanged(c, now)
 	}
-	return news
+	return changed
 }
 
-// touch notes that something has changed of a content, to be told.
-func (t *Table) touch(c *Case, now time.Time) {
-	c.changed = now
-	t.telling[c.Print] = c
+// markChanged marks a record as changed so that it is included in gossip.
+func (t *Table) markChanged(c *Case, now time.Time) {
+	c.changedAt = now
+	t.gossiping[c.Print] = c
 }
 
-// union returns the newest ends of two lists, oldest first. One life ends once: of what
-// several VMs tell of it the earliest is nearest to the truth, since words take time.
-func union(a, b []End) []End {
+// mergeCrashes returns the newest crashes of both lists, oldest first. An incarnation
+// crashes only once; of several reports the earliest is the most accurate, since gossip
+// arrives with a delay.
+func mergeCrashes(a, b []End) []End {
 	out := slices.Clone(a)
 	for _, e := range b {
 		i := slices.IndexFunc(out, func(o End) bool { return o.Life == e.Life })
@@ -205,75 +217,77 @@
 			out = append(out, e)
 			continue
 		}
-		out[i].Sent, out[i].Broke = earlier(out[i].Sent, e.Sent), earlier(out[i].Broke, e.Broke)
+		out[i].Sent, out[i].Broke = earliest(out[i].Sent, e.Sent), earliest(out[i].Broke, e.Broke)
 	}
 	slices.SortFunc(out, func(a, b End) int {
 		return cmp.Or(a.Broke.Compare(b.Broke), cmp.Compare(a.Upstream, b.Upstream), cmp.Compare(a.Born, b.Born))
 	})
-	return out[max(len(out)-mostEnds, 0):]
+	return out[max(len(out)-maxCrashesKept, 0):]
 }
 
-func earlier(a, b time.Time) time.Time {
+func earliest(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
 	}
 	return b
 }
 
-// successive returns how many ends follow one another.
-func successive(ends []End) int {
+// countSuccessive counts the crashes that happened one after the other. A crash counts if
+// the request was sent after the previous counted crash.
+func countSuccessive(crashes []End) int {
 	n := 0
-	var last time.Time
-	for _, e := range ends {
-		sentAfter := !e.Sent.Before(last)
-		apart := !e.Broke.Before(last.Add(together)) && !e.Sent.Before(last.Add(-sentBefore))
+	var lastBroke time.Time
+	for _, e := range crashes {
+		sentAfter := !e.Sent.Before(lastBroke)
+		apart := !e.Broke.Before(lastBroke.Add(minCrashSpacing)) && !e.Sent.Before(lastBroke.Add(-maxSendSkew))
 		if n == 0 || sentAfter || apart {
-			n, last = n+1, e.Broke
+			n, lastBroke = n+1, e.Broke
 		}
 	}
 	return n
 }
 
-// Ended returns how many upstreams ended under a content, one after the other.
+// Ended returns the number of successive upstream crashes under a content.
 func (t *Table) Ended(p Print) int {
-	if c := t.cases[p]; c != nil {
-		return successive(c.Ends)
+	if c := t.records[p]; c != nil {
+		return countSuccessive(c.Ends)
 	}
 	return 0
 }
 
-// makeRoom drops what is old, and when the table is full what has changed longest ago:
-// of what is not held, if there is any.
+// makeRoom removes expired records and, if the table is still full, the least recently
+// changed one. Records that are not held go first.
 func (t *Table) makeRoom(now time.Time) {
-	if len(t.cases) < mostCases {
+	if len(t.records) < maxRecords {
 		return
 	}
 	t.Expire(now)
 	var oldest *Case
-	for _, c := range t.cases {
-		if oldest == nil || !c.Held && oldest.Held || c.Held == oldest.Held && c.changed.Before(oldest.changed) {
+	for _, c := range t.records {
+		if oldest == nil || !c.Held && oldest.Held || c.Held == oldest.Held && c.changedAt.Before(oldest.changedAt) {
 			oldest = c
 		}
 	}
-	if len(t.cases) >= mostCases && oldest != nil {
-		t.drop(oldest)
+	if len(t.records) >= maxRecords && oldest != nil {
+		t.remove(oldest)
 	}
 }
 
-// Expire drops contents that were suspected long ago and are not held.
+// Expire removes records that changed longer than suspicionTTL ago, unless they are held or
+// in the store.
 func (t *Table) Expire(now time.Time) {
-	for _, c := range t.cases {
-		if !c.Held && !c.listed && now.Sub(c.changed) > keepFor {
-			t.drop(c)
+	for _, c := range t.records {
+		if !c.Held && !c.inStore && now.Sub(c.changedAt) > suspicionTTL {
+			t.remove(c)
 		}
 	}
 }
 
-func (t *Table) drop(c *Case) {
+func (t *Table) remove(c *Case) {
 	if c.Held {
-		t.held--
+		t.heldCount--
 	}
-	t.setListed(c, false)
-	delete(t.cases, c.Print)
-	delete(t.telling, c.Print)
+	t.setInStore(c, false)
+	delete(t.records, c.Print)
+	delete(t.gossiping, c.Print)
 }
--- a/quarantine/trials.go
+++ b/quarantine/trials.go
@@ -2,75 +2,77 @@
 
 import "time"
 
-// A content may be held though it ends nothing any more, or never did: its caller's
-// service got a release that bears it, or three upstreams ended under it by chance. So
-// it is let through again, rarely, by one VM that the store has granted it: an answer
-// clears it.
+// trialDelays are the waiting times before each trial of a held content. A held content may
+// have become harmless, for example after a new release of its upstream service, or may
+// have been held by chance after three unrelated crashes. The store therefore grants single
+// VMs a rare trial send, and an answer clears the content.
 //
-// A content that still ends what runs it may come to upstreams three times more in all,
-// at whatever VM and however long it comes: two of them are trials, and one is left for
-// a VM that has not heard yet.
-var trialAfter = [...]time.Duration{ComeBack, time.Hour}
+// A content that still crashes upstreams can reach at most three more in total, on any VM
+// and over any period: two by trials, and one by a VM that does not know yet that it is
+// held.
+var trialDelays = [...]time.Duration{ComeBack, time.Hour}
 
-// ComeBack is when the caller of a held content may come back at the soonest: after the
-// first trial.
+// ComeBack is the earliest time after which the caller of a held content may retry: the
+// first trial is due then.
 const ComeBack = 5 * time.Minute
 
-// grantFor is how long a VM that was granted a trial may let the content through.
-const grantFor = time.Minute
+// grantDuration is how long a granted trial stays valid on a VM.
+const grantDuration = time.Minute
 
-// trials is what is known of a content's trials.
+// trials is the trial state of one content.
 type trials struct {
-	// made is how many were granted, and at when this VM learnt of the last one, or that
-	// the content is held.
-	made int
-	at   time.Time
-	// wanted tells that it came while a trial was due, granted until when this VM may
-	// let it through.
-	wanted  bool
-	granted time.Time
+	// count is the number of granted trials. since is when this VM learned of the last one,
+	// or learned that the content is held.
+	count int
+	since time.Time
+	// requested reports whether the content arrived while a trial was due. Until
+	// grantedUntil, this VM may send it once.
+	requested    bool
+	grantedUntil time.Time
 }
 
-// listed takes in how many the store has granted.
-func (s *trials) listed(made int, now time.Time) { s.made, s.at, s.wanted = made, now, false }
+// setCount records the number of trials that the store has granted.
+func (s *trials) setCount(count int, now time.Time) {
+	s.count, s.since, s.requested = count, now, false
+}
 
-// due tells whether a trial may be asked for.
+// due reports whether a trial may be requested from the store.
 func (s *trials) due(now time.Time) bool {
-	return !s.at.IsZero() && s.made < len(trialAfter) && now.Sub(s.at) >= trialAfter[s.made]
+	return !s.since.IsZero() && s.count < len(trialDelays) && now.Sub(s.since) >= trialDelays[s.count]
 }
 
-// Bars tells whether a content may be sent to no upstream now. A trial that was granted
-// is used up by it; one that is due is noted as wanted.
+// Bars reports whether a content must not be sent to any upstream now. The call consumes a
+// granted trial, and requests a trial if one is due.
 func (t *Table) Bars(p Print, now time.Time) bool {
-	c := t.cases[p]
+	c := t.records[p]
 	if c == nil || !c.Held {
 		return false
 	}
-	if now.Before(c.trials.granted) {
-		c.trials.granted = time.Time{}
+	if now.Before(c.trials.grantedUntil) {
+		c.trials.grantedUntil = time.Time{}
 		return false
 	}
-	c.trials.wanted = c.trials.wanted || c.trials.due(now)
+	c.trials.requested = c.trials.requested || c.trials.due(now)
 	return true
 }
 
-// TrialsWanted returns the contents for which the store is to be asked for a trial.
+// TrialsWanted returns the contents for which a trial should be requested from the store.
 func (t *Table) TrialsWanted() []Held {
-	out := t.some(func(c *Case) bool { return c.Held && c.listed && c.trials.wanted })
+	out := t.recordsWhere(func(c *Case) bool { return c.Held && c.inStore && c.trials.requested })
 	for i := range out {
 		out[i].Trials++
 	}
 	return out
 }
 
-// Granted takes in that the store has granted this VM a trial, or has not.
+// Granted records the store's decision on a trial requested by this VM.
 func (t *Table) Granted(p Print, ok bool, now time.Time) {
-	c := t.cases[p]
+	c := t.records[p]
 	if c == nil {
 		return
 	}
-	c.trials.wanted = false
+	c.trials.requested = false
 	if ok {
-		c.trials.granted = now.Add(grantFor)
+		c.trials.grantedUntil = now.Add(grantDuration)
 	}
 }
