--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,8 +1,9 @@
-// Package retry decides whether a failed attempt is tried again. It is pure:
-// the time and the random source are given.
+// Package retry decides whether a failed attempt is retried, and limits the retries of a VM
+// and of the fleet. It reads no clock and creates no random numbers: its callers pass both
+// in.
 //
-// Retries of all requests of a VM share one budget, a small part of the
-// requests that come first, so retries cannot feed an overload.
+// All requests of a VM share one retry budget that is a small fraction of its first
+// attempts, so retries cannot amplify an overload.
 package retry
 
 import (
@@ -13,15 +14,16 @@
 	"woaddoor/contract"
 )
 
-// Options tune a Budget.
+// Options configures a Budget.
 type Options struct {
-	// Ratio is how many retries each first attempt pays for. Zero means 0.05.
+	// Ratio is the number of retries that each first attempt adds to the budget. Zero means
+	// 0.05.
 	Ratio float64
-	// Burst is how many retries can be saved up. Zero means 10.
+	// Burst is the maximum number of retries the budget can accumulate. Zero means 10.
 	Burst float64
 	// MaxAttempts bounds the attempts of one request. Zero means 3.
 	MaxAttempts int
-	// Backoff is the mean pause before the first retry; it doubles with each.
+	// Backoff is the mean pause before the first retry; it doubles with each further retry.
 	// Zero means 25 ms.
 	Backoff time.Duration
 }
@@ -34,10 +36,11 @@
 	defaultBackoff     = 25 * time.Millisecond
 )
 
-// Budget is the shared budget of a VM. Its owner locks it.
+// Budget is the retry budget of a VM, a token bucket filled by first attempts. It is not
+// safe for concurrent use; the caller holds a lock.
 type Budget struct {
-	opts  Options
-	saved float64
+	opts   Options
+	tokens float64
 }
 
 // NewBudget returns a full budget.
@@ -46,77 +49,78 @@
 	opts.Burst = cmp.Or(opts.Burst, defaultBurst)
 	opts.MaxAttempts = cmp.Or(opts.MaxAttempts, defaultMaxAttempts)
 	opts.Backoff = cmp.Or(opts.Backoff, defaultBackoff)
-	return &Budget{opts: opts, saved: opts.Burst}
+	return &Budget{opts: opts, tokens: opts.Burst}
 }
 
-// First notes a first attempt, which pays its part into the budget.
-func (b *Budget) First() { b.saved = min(b.saved+b.opts.Ratio, b.opts.Burst) }
+// First records a first attempt, which adds Options.Ratio to the budget.
+func (b *Budget) First() { b.tokens = min(b.tokens+b.opts.Ratio, b.opts.Burst) }
 
-// Attempt is an attempt that gave no answer.
+// Attempt describes an attempt that returned no answer.
 type Attempt struct {
 	// Number counts from 1.
 	Number int
-	// Outcome is what is known of it.
+	// Outcome is what is known about whether the attempt was executed.
 	Outcome contract.Outcome
-	// Repeatable tells whether the request may run more than once.
+	// Repeatable reports whether the request may be executed more than once.
 	Repeatable bool
-	// Deadline is when the answer is no longer wanted; Expected is how long
-	// another attempt is likely to take.
+	// Deadline is the time after which the caller no longer needs the answer. Expected is
+	// the expected duration of another attempt.
 	Deadline time.Time
 	Expected time.Duration
 }
 
-// Decision says whether to try again, and after what pause.
+// Decision says whether to retry, and after which pause.
 type Decision struct {
 	Again bool
 	Pause time.Duration
-	// Why says in a word why not.
+	// Why is the reason when there is no retry.
 	Why Reason
 }
 
-// Reason is why there is no retry.
+// Reason is why a request is not retried.
 type Reason string
 
-// The reasons.
+// Reasons against a retry. The texts appear in the error details that callers receive.
 const (
-	MayHaveRun Reason = "may have run"
-	Attempts   Reason = "attempts used up"
-	TooLate    Reason = "cannot end by the deadline"
-	OverBudget Reason = "retry budget used up"
-	NoOther    Reason = "no other upstream takes it"
+	MayHaveExecuted  Reason = "may have run"
+	Attempts         Reason = "attempts used up"
+	DeadlineTooClose Reason = "cannot end by the deadline"
+	OverBudget       Reason = "retry budget used up"
+	NoOther          Reason = "no other upstream takes it"
 )
 
-// pauseFactor makes the mean of the drawn pause the backoff.
-const pauseFactor = 2
+// jitterFactor scales a uniform random number from 0 to 1 so that the mean pause equals the
+// backoff.
+const jitterFactor = 2
 
-// Barred returns why there is no other attempt after this one, whatever the budget
-// has left, where most are allowed; "" when there may be one.
+// Barred returns why this attempt must not be followed by another one, regardless of the
+// budget, or "" if a retry is allowed. maxAttempts bounds the attempts of one request.
 //
-// A request that may not be repeated is tried again only when its attempt is
-// proved not to have run.
-func (a Attempt) Barred(most int, now time.Time) Reason {
+// A request that is not repeatable may only be retried if its attempt provably was not
+// executed.
+func (a Attempt) Barred(maxAttempts int, now time.Time) Reason {
 	switch {
 	case !a.Repeatable && a.Outcome != contract.NotRun:
-		return MayHaveRun
-	case a.Number >= most:
+		return MayHaveExecuted
+	case a.Number >= maxAttempts:
 		return Attempts
 	case now.Add(a.Expected).After(a.Deadline):
-		return TooLate
+		return DeadlineTooClose
 	}
 	return ""
 }
 
-// Decide takes one retry out of the budget, or says why there is none.
+// Decide spends one retry from the budget, or returns the reason why there is no retry.
 func (b *Budget) Decide(a Attempt, now time.Time, random *rand.Rand) Decision {
-	mean := b.opts.Backoff << max(a.Number-1, 0)
-	pause := time.Duration(random.Float64() * pauseFactor * float64(mean))
+	meanBackoff := b.opts.Backoff << max(a.Number-1, 0)
+	pause := time.Duration(random.Float64() * jitterFactor * float64(meanBackoff))
 	a.Expected += pause
 	if why := a.Barred(b.opts.MaxAttempts, now); why != "" {
 		return Decision{Why: why}
 	}
-	if b.saved < 1 {
+	if b.tokens < 1 {
 		return Decision{Why: OverBudget}
 	}
-	b.saved--
+	b.tokens--
 	return Decision{Again: true, Pause: pause}
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -11,20 +11,21 @@
 	"woaddoor/contract"
 )
 
-// TestDecide checks the three bounds over drawn attempts: what may have run is
-// not repeated unless it may be, nothing is tried that cannot end in time, and
-// retries stay within the burst and the ratio. The naive "three times" is over
-// that in the same draw.
-func TestDecide(t *testing.T) {
-	naiveOver := 0
+// TestRetryLimits is a property test over random attempts. It checks that a request that
+// may have been executed is only retried if it is repeatable, that no retry starts that
+// cannot finish before its deadline, and that the number of retries stays within the burst
+// plus the ratio. A fixed limit of three attempts per request must exceed that number in at
+// least one run.
+func TestRetryLimits(t *testing.T) {
+	baselineViolations := 0
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBudget(Options{})
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		now := time.Unix(0, 0)
-		firsts, retries, naive := 0, 0, 0
+		firstAttempts, retries, baseline := 0, 0, 0
 		for range rapid.IntRange(1, 200).Draw(t, "requests") {
 			b.First()
-			firsts++
+			firstAttempts++
 			for n := 1; ; n++ {
 				a := Attempt{
 					Number: n, Outcome: contract.Outcome(rapid.IntRange(0, 2).Draw(t, "outcome")),
@@ -33,7 +34,7 @@
 					Expected:   100 * time.Millisecond,
 				}
 				if n <= 3 {
-					naive++
+					baseline++
 				}
 				d := b.Decide(a, now, r)
 				if !d.Again {
@@ -41,20 +42,20 @@
 				}
 				retries++
 				if !a.Repeatable && a.Outcome != contract.NotRun {
-					t.Fatal("repeated what may have run")
+					t.Fatal("retried a request that may have been executed")
 				}
 				if now.Add(d.Pause + a.Expected).After(a.Deadline) {
-					t.Fatal("tried what cannot end in time")
+					t.Fatal("retried although the deadline is too close")
 				}
 			}
 		}
-		limit := defaultBurst + defaultRatio*float64(firsts)
+		limit := defaultBurst + defaultRatio*float64(firstAttempts)
 		if float64(retries) > limit {
-			t.Fatalf("%d retries for %d requests", retries, firsts)
+			t.Fatalf("%d retries for %d first attempts", retries, firstAttempts)
 		}
-		if float64(naive) > limit {
-			naiveOver++
+		if float64(baseline) > limit {
+			baselineViolations++
 		}
 	})
-	is.New(t).True(naiveOver > 0)
+	is.New(t).True(baselineViolations > 0)
 }
--- a/retry/window.go
+++ b/retry/window.go
@@ -5,115 +5,116 @@
 	"time"
 )
 
-// WindowOptions set up a Window.
+// WindowOptions configures a Window.
 type WindowOptions struct {
-	// Ratio is how many repeated sends each request pays for.
+	// Ratio is the number of resends that each request adds to the allowance.
 	Ratio float64
-	// Slack is how many more the whole fleet may make in a window.
+	// Slack is the number of additional resends that the whole fleet may make per window.
 	Slack float64
-	// Length is that of the sliding window. Zero means 10 s.
+	// Length is the length of the sliding window. Zero means 10 s.
 	Length time.Duration
-	// Margin is the part of the allowance that is left unused, since the
-	// windows of VMs and of whoever counts do not begin together. Zero means
-	// 0.15.
+	// Margin is the fraction of the allowance that stays unused, because the windows of
+	// different VMs, and of anyone who checks the limit, are not aligned. Zero means 0.15.
 	Margin float64
-	// Reserve is the part of the allowance that only retries may use, so that
-	// escalations to another model leave some for faults. Zero means 0.25.
+	// Reserve is the fraction of the allowance that only retries may use, so that
+	// escalations to a larger model leave some for failures. Zero means 0.25.
 	Reserve float64
 }
 
 // Defaults of WindowOptions.
 const (
-	defaultWindow  = 10 * time.Second
-	defaultMargin  = 0.15
-	defaultReserve = 0.25
-	windowSlots    = 20
-	// keptSlots are one more: the newest slot has only begun, so the oldest one
-	// is still partly in the window.
-	keptSlots = windowSlots + 1
+	defaultWindowLength = 10 * time.Second
+	defaultMargin       = 0.15
+	defaultReserve      = 0.25
+	windowSlots         = 20
+	// ringSlots is one more than windowSlots: the newest slot has only just begun, so the
+	// oldest one is still partly inside the window.
+	ringSlots = windowSlots + 1
 )
 
-// Window bounds the repeated sends of one VM to one service over a sliding
-// window. Each VM pays from its own requests and its part of the slack, so the
-// sum over all VMs keeps the bound of the fleet without a word between them.
-// Its owner locks it.
+// Window limits the resends (retries and escalations) of one VM to one service over a
+// sliding window. Each VM's allowance comes from its own requests and its share of the
+// slack, so the fleet stays within its limit without communication between VMs.
+//
+// Window is not safe for concurrent use; the caller holds a lock.
 type Window struct {
-	opts  WindowOptions
-	slots [keptSlots]slot
-	at    int64 // number of the newest slot
+	opts   WindowOptions
+	slots  [ringSlots]slot
+	newest int64 // number of the newest slot
 }
 
-type slot struct{ requests, repeats float64 }
+type slot struct{ requests, resends float64 }
 
 // NewWindow returns an empty window.
 func NewWindow(opts WindowOptions) *Window {
-	opts.Length = cmp.Or(opts.Length, defaultWindow)
+	opts.Length = cmp.Or(opts.Length, defaultWindowLength)
 	opts.Margin = cmp.Or(opts.Margin, defaultMargin)
 	opts.Reserve = cmp.Or(opts.Reserve, defaultReserve)
 	return &Window{opts: opts}
 }
 
-// slot returns the place of a slot by its number.
-func (w *Window) slot(at int64) *slot { return &w.slots[(at%keptSlots+keptSlots)%keptSlots] }
+// slot returns the ring entry for a slot number.
+func (w *Window) slot(number int64) *slot { return &w.slots[(number%ringSlots+ringSlots)%ringSlots] }
 
-func (w *Window) turn(now time.Time) *slot {
-	at := now.UnixNano() / int64(w.opts.Length/windowSlots)
-	for n := 0; w.at < at && n < keptSlots; n++ {
-		w.at++
-		*w.slot(w.at) = slot{}
+// advance clears the slots between the newest one and now, and returns the slot of now.
+func (w *Window) advance(now time.Time) *slot {
+	current := now.UnixNano() / int64(w.opts.Length/windowSlots)
+	for n := 0; w.newest < current && n < ringSlots; n++ {
+		w.newest++
+		*w.slot(w.newest) = slot{}
 	}
-	if w.at < at { // all slots are empty, whichever is the newest
-		w.at = at
+	if w.newest < current { // more than a window has passed and all slots are empty
+		w.newest = current
 	}
-	return w.slot(w.at)
+	return w.slot(w.newest)
 }
 
-// Request notes a request of a caller.
-func (w *Window) Request(now time.Time) { w.turn(now).requests++ }
+// Request records a request of a caller.
+func (w *Window) Request(now time.Time) { w.advance(now).requests++ }
 
-// Purpose says what a repeated send is for.
+// Purpose is the reason for a resend.
 type Purpose uint8
 
-// The purposes.
+// Purposes of a resend.
 const (
-	// ForRetry is a send after one that failed.
+	// ForRetry is a resend after a failed attempt.
 	ForRetry Purpose = iota
-	// ForEscalation is a send to a larger model after a whole answer.
+	// ForEscalation is a resend to a larger model after a complete answer.
 	ForEscalation
 )
 
-// Take takes one repeated send out of the allowance, which is shared by vms
-// VMs, or returns false.
+// Take spends one resend from the allowance of this VM, one of vms VMs that share the slack
+// equally. It returns false if the allowance is used up.
 func (w *Window) Take(p Purpose, vms int, now time.Time) bool {
-	newest := w.turn(now)
+	current := w.advance(now)
 	if w.used()+1 > w.allowanceFor(p, vms) {
 		return false
 	}
-	newest.repeats++
+	current.resends++
 	return true
 }
 
-// Left returns the part of the allowance that is unused, 0 to 1.
+// Left returns the unused fraction of the allowance, from 0 to 1.
 func (w *Window) Left(vms int, now time.Time) float64 {
-	w.turn(now)
-	allowed := w.allowance(vms)
-	if allowed <= 0 {
+	w.advance(now)
+	limit := w.allowance(vms)
+	if limit <= 0 {
 		return 0
 	}
-	return max(0, 1-w.used()/allowed)
+	return max(0, 1-w.used()/limit)
 }
 
-// Used returns the part of the allowance for a purpose that is used, 0 to 1.
+// Used returns the used fraction of the allowance for a purpose, from 0 to 1.
 func (w *Window) Used(p Purpose, vms int, now time.Time) float64 {
-	w.turn(now)
-	allowed := w.allowanceFor(p, vms)
-	if allowed <= 0 {
+	w.advance(now)
+	limit := w.allowanceFor(p, vms)
+	if limit <= 0 {
 		return 1
 	}
-	return min(w.used()/allowed, 1)
+	return min(w.used()/limit, 1)
 }
 
-// allowanceFor returns the part of the allowance that a purpose may use.
+// allowanceFor returns the part of the allowance that is available for a purpose.
 func (w *Window) allowanceFor(p Purpose, vms int) float64 {
 	if p == ForEscalation {
 		return (1 - w.opts.Reserve) * w.allowance(vms)
@@ -123,8 +124,8 @@
 
 func (w *Window) allowance(vms int) float64 {
 	requests := 0.0
-	for at := w.at; at > w.at-windowSlots; at-- { // those that are in the window whole
-		requests += w.slot(at).requests
+	for number := w.newest; number > w.newest-windowSlots; number-- { // slots that lie completely inside the window
+		requests += w.slot(number).requests
 	}
 	return (1 - w.opts.Margin) * (w.opts.Ratio*requests + w.opts.Slack/float64(max(vms, 1)))
 }
@@ -132,7 +133,7 @@
 func (w *Window) used() float64 {
 	used := 0.0
 	for _, s := range w.slots {
-		used += s.repeats
+		used += s.resends
 	}
 	return used
 }
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -8,12 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-// TestFleetKeepsBudget draws requests and repeated sends at uneven VMs that
-// cannot hear one another: over every window the fleet stays within its bound.
-// The naive way, the whole slack at each VM, does not.
-func TestFleetKeepsBudget(t *testing.T) {
+// TestFleetStaysWithinRetryBudget is a property test with random requests and resends on
+// VMs that do not communicate and have uneven load. The fleet must stay within its limit
+// over every window. Giving each VM the whole slack must exceed the limit in at least one
+// run.
+func TestFleetStaysWithinRetryBudget(t *testing.T) {
 	const length = 10 * time.Second
-	naiveOver := 0
+	baselineViolations := 0
 	rapid.Check(t, func(t *rapid.T) {
 		ratio := rapid.Float64Range(0, 1).Draw(t, "ratio")
 		slack := float64(rapid.IntRange(0, 60).Draw(t, "slack"))
@@ -22,10 +23,10 @@
 		for range vms {
 			windows = append(windows, NewWindow(WindowOptions{Ratio: ratio, Slack: slack, Length: length}))
 		}
-		naive := NewWindow(WindowOptions{Ratio: ratio, Slack: slack, Length: length})
+		baseline := NewWindow(WindowOptions{Ratio: ratio, Slack: slack, Length: length})
 		type event struct {
 			at     time.Time
-			repeat bool
+			resend bool
 		}
 		var events []event
 		now := time.Unix(1000, 0)
@@ -34,38 +35,40 @@
 			w := windows[rapid.IntRange(0, vms-1).Draw(t, "vm")]
 			if rapid.Bool().Draw(t, "request") {
 				w.Request(now)
-				naive.Request(now)
+				baseline.Request(now)
 				events = append(events, event{now, false})
 				continue
 			}
 			purpose := Purpose(rapid.IntRange(0, 1).Draw(t, "purpose"))
 			if w.Take(purpose, vms, now) {
 				events = append(events, event{now, true})
-			} else if naive.Take(ForRetry, 1, now) {
-				naiveOver++
+			} else if baseline.Take(ForRetry, 1, now) {
+				baselineViolations++
 			}
 		}
 		for i, last := range events {
-			requests, repeats := 0.0, 0.0
+			requests, resends := 0.0, 0.0
 			for _, e := range events[:i+1] {
-				// Requests count over the window and the one before it.
-				if last.at.Sub(e.at) < 2*length && !e.repeat {
+				// A resend may use the allowance of requests from the current and the
+				// previous window.
+				if last.at.Sub(e.at) < 2*length && !e.resend {
 					requests++
 				}
-				if last.at.Sub(e.at) < length && e.repeat {
-					repeats++
+				if last.at.Sub(e.at) < length && e.resend {
+					resends++
 				}
 			}
-			if repeats > ratio*requests+slack+1e-9 {
-				t.Fatalf("%v repeats for %v requests, ratio %v, slack %v", repeats, requests, ratio, slack)
+			if resends > ratio*requests+slack+1e-9 {
+				t.Fatalf("%v resends for %v requests, ratio %v, slack %v", resends, requests, ratio, slack)
 			}
 		}
 	})
-	is.New(t).True(naiveOver > 0)
+	is.New(t).True(baselineViolations > 0)
 }
 
-// TestRetriesFindBudget checks that escalations leave some for faults.
-func TestRetriesFindBudget(t *testing.T) {
+// TestEscalationsLeaveBudgetForRetries checks that escalations cannot use up the allowance
+// that is reserved for retries.
+func TestEscalationsLeaveBudgetForRetries(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	w := NewWindow(WindowOptions{Ratio: 0.5, Slack: 0})
@@ -81,9 +84,9 @@
 	is.True(retries >= 10)
 }
 
-// TestWindowEdge shows that repeats at the end of a slot count until the whole
-// window has passed since, and not only until their slot's beginning is that old.
-func TestWindowEdge(t *testing.T) {
+// TestResendsCountForFullWindow checks that a resend at the end of a slot counts for a full
+// window. Counting from the start of its slot would free its allowance too early.
+func TestResendsCountForFullWindow(t *testing.T) {
 	is := is.New(t)
 	w := NewWindow(WindowOptions{Slack: 10, Length: 10 * time.Second})
 	at := func(ms int64) time.Time { return time.UnixMilli(1_000_000 + ms) }
@@ -91,8 +94,8 @@
 	for w.Take(ForRetry, 1, at(490)) {
 		taken++
 	}
-	is.Equal(taken, 8) // the slack less the margin
+	is.Equal(taken, 8) // the slack minus the margin
 	is.True(!w.Take(ForRetry, 1, at(10_200)))
 	is.True(w.Take(ForRetry, 1, at(10_600)))
-	is.True(NewWindow(WindowOptions{Slack: 10}).Take(ForRetry, 1, time.Unix(0, 0))) // a clock that has just begun
+	is.True(NewWindow(WindowOptions{Slack: 10}).Take(ForRetry, 1, time.Unix(0, 0))) // works at Unix time zero
 }
