--- a/internal/mutants/main.go
+++ b/internal/mutants/main.go
@@ -134,7 +134,7 @@
 	{"what may not run again is sent once", "retry/retry.go", "case !a.Repeatable && a.Outcome != contract.NotRun:", "case false:", "./platform", "TestOnceIsSentOnce"},
 	{"what may not run again is not escalated", "relay/models.go", "return j.Route.Repeatable() && j.Route.MaxAttempts > 1 }", "return j.Route.MaxAttempts > 1 }", "./relay", "TestNoEscalationOfWhatMayNotRepeat"},
 	{"a larger answer after the deadline is none", "relay/models.go", "o.Never = begins.After(j.Deadline)", "o.Never = false", "./relay", "TestNoEscalationOfWhatMayNotRepeat"},
-	{"only own times are told", "reading/rates.go", "if !ok || x.seen < fewSeen {", "if !ok {", "./reading", "TestRatesDoNotEcho"},
+	{"only own prefill rates are passed on", "reading/rates.go", "if !ok || rate.samples < minOwnSamples {", "if !ok {", "./reading", "TestRemoteRatesAreNotPassedOn"},
 	{"an engine that is not heard of is not idle", "upstream/group.go", "	if t.heard(s, dc) {", "	if true {", "./upstream", "TestUnheardEngines"},
 	{"what no engine would read in time is refused", "relay/models.go", "return after, true", "return after, false", "./relay", "TestHopelessIsRefusedAtOnce"},
 	{"a delivered event is not passed on again", "stream/events.go", "if e.seen && id <= e.last {", "if false {", "./stream", "TestEventsWholeAndOnce"},
--- a/rating/rating.go
+++ b/rating/rating.go
@@ -1,4 +1,5 @@
-// Package rating meets the platform's rating service, which rates answers.
+// Package rating is a client for the platform's rating service, which rates the quality of
+// answers.
 package rating
 
 import (
@@ -12,13 +13,13 @@
 	"woaddoor/contract"
 )
 
-// Path of the service's one call.
+// Path is the URL path of the service's only endpoint.
 const Path = "/rate"
 
-// Good is the score from which an answer counts as good.
+// Good is the minimum score of a good answer.
 const Good = 0.5
 
-// Answer is what the service rates.
+// Answer is the request body: the answer to be rated.
 type Answer struct {
 	Request   contract.RequestID   `json:"request"`
 	Workspace contract.WorkspaceID `json:"workspace"`
@@ -26,43 +27,43 @@
 	Text      string               `json:"text"`
 }
 
-// Rating is the service's answer.
+// Rating is the response of the service.
 type Rating struct {
-	// Score is from 0, bad, to 1, good.
+	// Score ranges from 0 (bad) to 1 (good).
 	Score float64 `json:"score"`
 }
 
-// maxRating bounds the service's answer.
-const maxRating = 4 * contract.KiB
+// maxResponseBytes bounds the size of a response.
+const maxResponseBytes = 4 * contract.KiB
 
-// Client calls the service. A lost call or answer is one rating less.
+// Client calls the rating service. It does not retry: a failed call only costs one rating.
 type Client struct{ http *http.Client }
 
 // NewClient returns a client.
 func NewClient() *Client { return &Client{http: &http.Client{}} }
 
-// Rate asks the service at url for its rating.
+// Rate asks the service at url to rate an answer.
 func (c *Client) Rate(ctx context.Context, url string, a Answer) (Rating, error) {
-	var r Rating
+	var rating Rating
 	body, err := json.Marshal(a)
 	if err != nil {
-		return r, err
+		return rating, err
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url+Path, bytes.NewReader(body))
 	if err != nil {
-		return r, err
+		return rating, err
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return r, contract.Fail(contract.StepRate, url, err)
+		return rating, contract.Fail(contract.StepRate, url, err)
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, int64(maxRating)))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, int64(maxResponseBytes)))
 	if err != nil {
-		return r, contract.Fail(contract.StepRate, url, err)
+		return rating, contract.Fail(contract.StepRate, url, err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return r, contract.Fail(contract.StepRate, url, fmt.Errorf("status %d", resp.StatusCode))
+		return rating, contract.Fail(contract.StepRate, url, fmt.Errorf("status %d", resp.StatusCode))
 	}
-	return r, contract.Fail(contract.StepRate, url, json.Unmarshal(raw, &r))
+	return rating, contract.Fail(contract.StepRate, url, json.Unmarshal(raw, &rating))
 }
--- /dev/null
+++ b/reading/prefixcache.go
@@ -0,0 +1,104 @@
+package reading
+
+import (
+	"container/list"
+
+	"woaddoor/contract"
+)
+
+// Kept estimates the contents of one engine's prefix cache. All models share the engine's
+// memory, and the least recently used parts are evicted first. Kept is not safe for
+// concurrent use; the caller holds a lock.
+type Kept struct {
+	// capacity is the size of the engine's cache in tokens; zero means unlimited.
+	capacity     int
+	cachedTokens int
+	entries      map[cacheKey]*list.Element
+	// lru holds *cacheEntry values, the least recently used first.
+	lru list.List
+}
+
+// cacheKey identifies a prompt part as processed by a model.
+type cacheKey struct {
+	model   contract.ModelID
+	partKey uint64
+}
+
+// cacheEntry is an element of Kept.lru. Its key is the zero value for tokens that no other
+// request shares.
+type cacheEntry struct {
+	key    cacheKey
+	tokens int
+}
+
+// minPartTokens is the size of the smallest part that is tracked. Smaller parts save too
+// little prefill to be worth the memory of a VM.
+const minPartTokens = 48
+
+// NewKept returns the estimate for an engine with an empty cache.
+func NewKept(capacity int) *Kept {
+	return &Kept{capacity: capacity, entries: make(map[cacheKey]*list.Element)}
+}
+
+// Bound sets the size of the engine's cache in tokens; zero means unlimited.
+func (k *Kept) Bound(capacity int) { k.capacity = capacity }
+
+// Of returns the number of tokens of a prompt that need no prefill: the contiguous cached
+// parts at its start.
+func (k *Kept) Of(p Prompt) int {
+	n := 0
+	for _, part := range p.Parts {
+		if _, ok := k.entries[cacheKey{p.Model, part.Key}]; !ok && part.Tokens >= minPartTokens {
+			break
+		}
+		n += part.Tokens
+	}
+	return min(n, p.Tokens)
+}
+
+// Read records that the engine processes a prompt. The last part is unique to its request:
+// it occupies cache memory but is never found again.
+func (k *Kept) Read(p Prompt) {
+	shared := 0
+	for i, part := range p.Parts {
+		if i == len(p.Parts)-1 && i > 0 {
+			break
+		}
+		shared += part.Tokens
+		if part.Tokens >= minPartTokens {
+			k.use(cacheKey{p.Model, part.Key}, part.Tokens)
+		}
+	}
+	k.addUnshared(max(p.Tokens-shared, 0))
+	for k.capacity > 0 && k.cachedTokens > k.capacity {
+		k.evict()
+	}
+}
+
+// use marks a part as the most recently used and adds it if it is missing.
+func (k *Kept) use(key cacheKey, tokens int) {
+	if e, ok := k.entries[key]; ok {
+		k.lru.MoveToBack(e)
+		return
+	}
+	k.entries[key] = k.lru.PushBack(&cacheEntry{key, tokens})
+	k.cachedTokens += tokens
+}
+
+// addUnshared adds tokens that no other request shares. They only occupy cache memory.
+func (k *Kept) addUnshared(tokens int) {
+	k.cachedTokens += tokens
+	if last := k.lru.Back(); last != nil {
+		if e := last.Value.(*cacheEntry); e.key == (cacheKey{}) {
+			e.tokens += tokens
+			return
+		}
+	}
+	k.lru.PushBack(&cacheEntry{tokens: tokens})
+}
+
+func (k *Kept) evict() {
+	e := k.lru.Remove(k.lru.Front()).(*cacheEntry)
+	k.cachedTokens -= e.tokens
+	delete(k.entries, e.key)
+}
--- /dev/null
+++ b/reading/prompt.go
@@ -0,0 +1,40 @@
+// Package reading models the prefill phase of a model engine: what it does before the first
+// token of an answer. An engine processes the prompts that it has accepted one after the
+// other, in the order of arrival, and caches processed prefixes until its memory is full.
+// Prefill takes most of an engine's time, so the choice of an upstream and of a model
+// depends on it.
+//
+// The package performs no I/O and reads no clock. Its state is an estimate derived from
+// what this VM sends, from what other VMs report about their sends, and from the times at
+// which answers begin, which correct it.
+package reading
+
+import "woaddoor/contract"
+
+// Part is a section of a prompt that several requests may share. An engine that has cached
+// a part and all parts before it does not process it again.
+type Part struct {
+	Key    uint64 `cbor:"1,keyasint"`
+	Tokens int    `cbor:"2,keyasint"`
+}
+
+// Prompt is what a request asks an engine to process. The zero value is a call to a plain
+// service, which needs no prefill.
+type Prompt struct {
+	Model contract.ModelID
+	// Tokens is the length of the whole prompt; Parts may add up to less.
+	Tokens int
+	Parts  []Part
+}
+
+// Shared returns the number of tokens that other requests may share: all parts but the
+// last, which is unique to the request, or the only part.
+func (p Prompt) Shared() int {
+	n := 0
+	for i, part := range p.Parts {
+		if i == 0 || i < len(p.Parts)-1 {
+			n += part.Tokens
+		}
+	}
+	return n
+}
--- a/reading/queue.go
+++ b/reading/queue.go
@@ -5,127 +5,130 @@
 	"time"
 )
 
-// Queue is what one engine is believed to read, in the order in which it came.
-// Its owner locks it.
+// Queue estimates the prefill queue of one engine, in the order of arrival. It is not safe
+// for concurrent use; the caller holds a lock.
 type Queue struct {
-	reads []read
-	next  Ticket
-	// began is when the newest answer to an own read began.
-	began time.Time
+	prompts    []queuedPrompt
+	lastTicket Ticket
+	// lastBegan is when the newest answer to a prompt of this VM began.
+	lastBegan time.Time
 }
 
-// Ticket names one read in a Queue. The zero value names none.
+// Ticket identifies a prompt in a Queue. The zero value identifies none.
 type Ticket uint64
 
-// read is one prompt that is being read, or waits for its turn.
-type read struct {
-	ticket Ticket
-	takes  time.Duration
-	added  time.Time
-	// due is when it is expected to be read.
-	due time.Time
-	// own tells that this VM sent it, so that its end will be seen.
-	own bool
+// queuedPrompt is a prompt that is in prefill or waits for it.
+type queuedPrompt struct {
+	ticket   Ticket
+	duration time.Duration
+	addedAt  time.Time
+	// doneAt is the expected end of its prefill.
+	doneAt time.Time
+	// sentByThisVM reports whether this VM sent the prompt and will therefore see its
+	// answer begin.
+	sentByThisVM bool
 }
 
-// Add notes a prompt that was sent, and how long its reading takes.
-func (q *Queue) Add(takes time.Duration, own bool, now time.Time) Ticket {
+// Add records a prompt that was sent to the engine and the expected duration of its
+// prefill.
+func (q *Queue) Add(duration time.Duration, sentByThisVM bool, now time.Time) Ticket {
 	q.expire(now)
-	q.next++
-	q.reads = append(q.reads, read{ticket: q.next, takes: takes, added: now, due: q.free(now).Add(takes), own: own})
-	return q.next
+	q.lastTicket++
+	q.prompts = append(q.prompts, queuedPrompt{ticket: q.lastTicket, duration: duration, addedAt: now, doneAt: q.idleAt(now).Add(duration), sentByThisVM: sentByThisVM})
+	return q.lastTicket
 }
 
-// expire forgets reads of other VMs that are due: their ends are not seen. Those
-// behind an own one are kept until that has begun, which tells of them.
+// expire removes prompts of other VMs whose prefill should be done, since this VM does not
+// see their answers. Those behind a prompt of this VM stay until its answer begins, because
+// that answer shows how far the engine has got.
 func (q *Queue) expire(now time.Time) {
 	n := 0
-	for n < len(q.reads) && !q.reads[n].own && !q.reads[n].due.After(now) {
+	for n < len(q.prompts) && !q.prompts[n].sentByThisVM && !q.prompts[n].doneAt.After(now) {
 		n++
 	}
-	q.reads = slices.Delete(q.reads, 0, n)
+	q.prompts = slices.Delete(q.prompts, 0, n)
 }
 
-// free returns when all that is known will have been read.
-func (q *Queue) free(now time.Time) time.Time {
-	if n := len(q.reads); n > 0 && q.reads[n-1].due.After(now) {
-		return q.reads[n-1].due
+// idleAt returns when all known prompts will be processed.
+func (q *Queue) idleAt(now time.Time) time.Time {
+	if n := len(q.prompts); n > 0 && q.prompts[n-1].doneAt.After(now) {
+		return q.prompts[n-1].doneAt
 	}
 	return now
 }
 
-// Wait returns how long a prompt that came now would wait for its turn. A read
-// that is overdue shows that the engine has more to do than is known: as much
-// again is expected.
+// Wait returns how long a prompt that arrives now would wait for its prefill. A prompt of
+// this VM that is overdue shows that the engine has more work than is known; the wait then
+// grows by the time that it is overdue.
 func (q *Queue) Wait(now time.Time) time.Duration {
-	wait := q.free(now).Sub(now)
-	for _, r := range q.reads {
-		if !now.After(r.due) {
-			break // those behind it are due later
+	wait := q.idleAt(now).Sub(now)
+	for _, p := range q.prompts {
+		if !now.After(p.doneAt) {
+			break // prompts behind this one are due later
 		}
-		if r.own {
-			return wait + min(now.Sub(r.due), mostOverdue)
+		if p.sentByThisVM {
+			return wait + min(now.Sub(p.doneAt), maxOverdue)
 		}
 	}
 	return wait
 }
 
-// mostOverdue bounds what an overdue read adds to the wait: an engine that is
-// silent for longer is left to the judgement on silence.
-const mostOverdue = 2 * time.Second
+// maxOverdue bounds how much an overdue prompt adds to the wait. Engines that stay silent
+// for longer are handled by the detection of silent upstreams.
+const maxOverdue = 2 * time.Second
 
-// Span is a time in which an engine did nothing but read what is known of. The
-// zero value is none.
-type Span struct {
-	// Took is how long it took, Planned how long it was expected to take, and Own
-	// the part of that which the newest read was expected to take.
+// BusyInterval is a period in which an engine did nothing but process known prompts. The
+// zero value means that there is none.
+type BusyInterval struct {
+	// Took is its actual duration and Planned its expected one. Own is the part of Planned
+	// that belongs to the newest prompt.
 	Took, Planned, Own time.Duration
 }
 
-// Began notes that the answer to a read has begun: it has been read, and so has
-// all that came before it. Where it was sent before the answer before it began,
-// the engine has read all the time between them.
-func (q *Queue) Began(t Ticket, now time.Time) Span {
-	i := q.index(t)
+// Began records that the answer to a prompt has begun, so the prefill of that prompt and of
+// all before it is done. If the prompt was already queued when the previous answer began,
+// the engine was busy between the two answers, and Began returns that interval.
+func (q *Queue) Began(t Ticket, now time.Time) BusyInterval {
+	i := q.indexOf(t)
 	if i < 0 {
-		return Span{}
+		return BusyInterval{}
 	}
-	var span Span
-	if r := q.reads[i]; !q.began.IsZero() && !r.added.After(q.began) {
-		span = Span{Took: now.Sub(q.began), Own: r.takes}
-		for _, before := range q.reads[:i+1] {
-			span.Planned += before.takes
+	var interval BusyInterval
+	if p := q.prompts[i]; !q.lastBegan.IsZero() && !p.addedAt.After(q.lastBegan) {
+		interval = BusyInterval{Took: now.Sub(q.lastBegan), Own: p.duration}
+		for _, earlier := range q.prompts[:i+1] {
+			interval.Planned += earlier.duration
 		}
 	}
-	q.began = now
-	q.reads = slices.Delete(q.reads, 0, i+1)
-	q.chain(0, now)
-	return span
+	q.lastBegan = now
+	q.prompts = slices.Delete(q.prompts, 0, i+1)
+	q.reschedule(0, now)
+	return interval
 }
 
-// Drop notes that a read will not be finished: its request has ended.
+// Drop removes a prompt whose request ended before its answer began.
 func (q *Queue) Drop(t Ticket, now time.Time) {
-	i := q.index(t)
+	i := q.indexOf(t)
 	if i < 0 {
 		return
 	}
-	q.reads = slices.Delete(q.reads, i, i+1)
+	q.prompts = slices.Delete(q.prompts, i, i+1)
 	from := now
-	if i > 0 && q.reads[i-1].due.After(now) {
-		from = q.reads[i-1].due
+	if i > 0 && q.prompts[i-1].doneAt.After(now) {
+		from = q.prompts[i-1].doneAt
 	}
-	q.chain(i, from)
+	q.reschedule(i, from)
 }
 
-func (q *Queue) index(t Ticket) int {
-	return slices.IndexFunc(q.reads, func(r read) bool { return r.ticket == t })
+func (q *Queue) indexOf(t Ticket) int {
+	return slices.IndexFunc(q.prompts, func(p queuedPrompt) bool { return p.ticket == t })
 }
 
-// chain sets anew when the reads from one on are due, which follow each other
-// from a time on.
-func (q *Queue) chain(first int, from time.Time) {
-	for i := first; i < len(q.reads); i++ {
-		from = from.Add(q.reads[i].takes)
-		q.reads[i].due = from
+// reschedule recalculates the expected ends of the prompts from index first on; the first
+// of them starts at from.
+func (q *Queue) reschedule(first int, from time.Time) {
+	for i := first; i < len(q.prompts); i++ {
+		from = from.Add(q.prompts[i].duration)
+		q.prompts[i].doneAt = from
 	}
 }
--- a/reading/rates.go
+++ b/reading/rates.go
@@ -7,164 +7,167 @@
 	"woaddoor/contract"
 )
 
-// Rates are how long engines take to read, by model, learnt from the times at
-// which answers begin. Its owner locks it.
+// Rates estimates the prefill time per token of each model from the times at which answers
+// begin. It is not safe for concurrent use; the caller holds a lock.
 type Rates struct {
-	models map[contract.ModelID]*rate
-	// costs are the models' prices, which stand in for times that are not known.
+	models map[contract.ModelID]*modelRate
+	// costs holds the prices of the models, from which unknown rates are derived.
 	costs map[contract.ModelID]float64
 }
 
-// rate is how long a model takes to read, as the logarithm of seconds a token.
-type rate struct {
-	log float64
-	// seconds a token, kept beside its logarithm since it is read far more often.
-	seconds float64
-	seen    int
+// modelRate is the estimated prefill rate of a model, as the logarithm of seconds per
+// token.
+type modelRate struct {
+	logSecondsPerToken float64
+	// secondsPerToken caches the exponential of logSecondsPerToken, since it is read far
+	// more often than it changes.
+	secondsPerToken float64
+	samples         int
 }
 
-// set sets the time within bounds that no engine leaves.
-func (r *rate) set(log float64) {
-	r.log = min(max(log, math.Log(leastToken)), math.Log(mostToken))
-	r.seconds = math.Exp(r.log)
+// setLog sets the rate, clamped to plausible bounds.
+func (r *modelRate) setLog(logSecondsPerToken float64) {
+	r.logSecondsPerToken = min(max(logSecondsPerToken, math.Log(minSecondsPerToken)), math.Log(maxSecondsPerToken))
+	r.secondsPerToken = math.Exp(r.logSecondsPerToken)
 }
 
 // Parameters of Rates.
 const (
-	// priorRate is seconds a token of the dearest model before any was seen; the
-	// first answers correct it.
-	priorRate = 50e-6
-	// costPower is how times follow prices between models: a model that costs
-	// fifteen times as much was seen to read six to ten times as long.
-	costPower = 0.75
-	// leastRead is how long a prompt is at least that tells a rate, in tokens:
-	// below, the link and the first step take as long as the reading.
-	leastRead = 1000
-	// rateWeight is the weight of the newest time, once many were seen, and
-	// rateStep bounds, as a logarithm, what one time tells: a wait that was not
-	// known of, or a part that was kept, must not move it far.
-	rateWeight = 0.03
-	rateStep   = 0.4
-	// boundWeight is the weight of a bound: some come from parts that were kept
-	// without being known of.
-	boundWeight = 0.03
-	// firstSteps is the same bound for the first times, falling with their number:
-	// the prior may be several times off.
-	firstSteps = 1.5
-	// leastToken and mostToken bound seconds a token, ten times beyond the fastest
-	// and the slowest that were seen.
-	leastToken = 0.2e-6
-	mostToken  = 2e-3
-	// Base is what an answer takes beside the reading of its prompt: the links
-	// and the first step.
+	// priorSecondsPerToken is the initial rate of the most expensive model. The first
+	// answers correct it.
+	priorSecondsPerToken = 50e-6
+	// costExponent relates prefill times to prices: a model that costs fifteen times as
+	// much takes six to ten times as long.
+	costExponent = 0.75
+	// minObservedTokens is the shortest prefill from which a rate is learned. Below 1,000
+	// tokens, the network and the first engine step take as long as the prefill.
+	minObservedTokens = 1000
+	// minSampleWeight is the weight of a new sample after many samples. maxLogStep limits
+	// the effect of one sample on the logarithm of the rate, because an unknown queue or an
+	// unexpected cache hit distorts single samples.
+	minSampleWeight = 0.03
+	maxLogStep      = 0.4
+	// upperBoundWeight is the weight of a sample that only gives an upper bound. Some of
+	// these come from unexpected cache hits.
+	upperBoundWeight = 0.03
+	// initialLogStep replaces maxLogStep for the first samples and shrinks with their
+	// number, since the prior may be off by several times.
+	initialLogStep = 1.5
+	// minSecondsPerToken and maxSecondsPerToken bound the rate, at a tenth of the fastest
+	// and ten times the slowest observed one.
+	minSecondsPerToken = 0.2e-6
+	maxSecondsPerToken = 2e-3
+	// Base is the time to the first token apart from prefill: the network and the first
+	// decoding step.
 	Base = 20 * time.Millisecond
 )
 
-// NewRates returns rates that nothing was learnt of.
+// NewRates returns rates without any samples.
 func NewRates(costs map[contract.ModelID]float64) *Rates {
-	return &Rates{models: make(map[contract.ModelID]*rate), costs: costs}
+	return &Rates{models: make(map[contract.ModelID]*modelRate), costs: costs}
 }
 
-// SetCosts takes in the models' prices.
+// SetCosts sets the prices of the models.
 func (r *Rates) SetCosts(costs map[contract.ModelID]float64) { r.costs = costs }
 
-// Reading returns how long a model takes to read tokens.
-func (r *Rates) Reading(m contract.ModelID, tokens int) time.Duration {
-	return time.Duration(r.perToken(m) * float64(tokens) * float64(time.Second))
+// Reading returns the expected prefill time of a number of tokens.
+func (r *Rates) Reading(model contract.ModelID, tokens int) time.Duration {
+	return time.Duration(r.perToken(model) * float64(tokens) * float64(time.Second))
 }
 
-// perToken returns seconds a token.
+// perToken returns the expected prefill time per token in seconds.
 func (r *Rates) perToken(m contract.ModelID) float64 {
-	if x, ok := r.models[m]; ok {
-		return x.seconds
+	if rate, ok := r.models[m]; ok {
+		return rate.secondsPerToken
 	}
-	return r.prior(m)
+	return r.priorOf(m)
 }
 
-// prior returns seconds a token of a model that has not answered yet: by its
-// price against that of the model that was seen most, or of the dearest.
-func (r *Rates) prior(m contract.ModelID) float64 {
-	own := r.costs[m]
-	if own <= 0 {
-		return priorRate
+// priorOf returns the initial rate of a model without samples. It scales the rate of the
+// model with the most samples by the ratio of their prices, or priorSecondsPerToken
+// relative to the most expensive model if no model has samples.
+func (r *Rates) priorOf(m contract.ModelID) float64 {
+	cost := r.costs[m]
+	if cost <= 0 {
+		return priorSecondsPerToken
 	}
-	most, dearest := 0, 0.0
-	from, rate := 0.0, priorRate
-	for id, cost := range r.costs {
-		dearest = max(dearest, cost)
-		if x, ok := r.models[id]; ok && x.seen > most && cost > 0 {
-			most, from, rate = x.seen, cost, x.seconds
+	mostSamples, maxCost := 0, 0.0
+	refCost, refSecondsPerToken := 0.0, priorSecondsPerToken
+	for id, c := range r.costs {
+		maxCost = max(maxCost, c)
+		if other, ok := r.models[id]; ok && other.samples > mostSamples && c > 0 {
+			mostSamples, refCost, refSecondsPerToken = other.samples, c, other.secondsPerToken
 		}
 	}
-	if most == 0 {
-		from = dearest
+	if mostSamples == 0 {
+		refCost = maxCost
 	}
-	return rate * math.Pow(own/from, costPower)
+	return refSecondsPerToken * math.Pow(cost/refCost, costExponent)
 }
 
-// Observe takes in how long the answer to a prompt took to begin, and how many of
-// its tokens were expected to be read. One that was expected to be read at once
-// and whole tells a time. Any other tells at least a bound: reading takes no
-// longer than the answer took to begin.
-func (r *Rates) Observe(m contract.ModelID, unread int, took time.Duration, whole bool) {
-	if unread < leastRead || took <= Base {
+// Observe records the time from a send to the beginning of the answer, and the number of
+// prompt tokens that were expected not to be cached. exact means that neither a queue nor
+// cached parts were expected, so the time is a sample of the rate. Otherwise it is only an
+// upper bound: the prefill took no longer than the answer took to begin.
+func (r *Rates) Observe(m contract.ModelID, uncachedTokens int, elapsed time.Duration, exact bool) {
+	if uncachedTokens < minObservedTokens || elapsed <= Base {
 		return
 	}
-	seen := math.Log((took - Base).Seconds() / float64(unread))
-	x := r.known(m)
-	if !whole {
-		if seen < x.log {
-			x.set(x.log + boundWeight*max(seen-x.log, -rateStep))
+	observed := math.Log((elapsed - Base).Seconds() / float64(uncachedTokens))
+	rate := r.rateOf(m)
+	if !exact {
+		if observed < rate.logSecondsPerToken {
+			rate.setLog(rate.logSecondsPerToken + upperBoundWeight*max(observed-rate.logSecondsPerToken, -maxLogStep))
 		}
 		return
 	}
-	x.seen++
-	step := max(firstSteps/float64(x.seen), rateStep)
-	x.set(x.log + max(1/float64(x.seen+1), rateWeight)*min(max(seen-x.log, -step), step))
+	rate.samples++
+	step := max(initialLogStep/float64(rate.samples), maxLogStep)
+	rate.setLog(rate.logSecondsPerToken + max(1/float64(rate.samples+1), minSampleWeight)*min(max(observed-rate.logSecondsPerToken, -step), step))
 }
 
-// Scale takes in how long a reading took against what was expected of it, while
-// the engine had more to read all the time: the only times that are there when no
-// engine is ever idle.
+// Scale records the ratio of the actual to the expected duration of a busy interval. If no
+// engine is ever idle, these are the only available samples.
 func (r *Rates) Scale(m contract.ModelID, ratio float64) {
 	if ratio <= 0 {
 		return
 	}
-	x := r.known(m)
-	x.seen++
-	step := max(firstSteps/float64(x.seen), rateStep)
-	x.set(x.log + max(1/float64(x.seen+1), rateWeight)*min(max(math.Log(ratio), -step), step))
+	rate := r.rateOf(m)
+	rate.samples++
+	step := max(initialLogStep/float64(rate.samples), maxLogStep)
+	rate.setLog(rate.logSecondsPerToken + max(1/float64(rate.samples+1), minSampleWeight)*min(max(math.Log(ratio), -step), step))
 }
 
-// known returns what is known of a model, from its prior on.
-func (r *Rates) known(m contract.ModelID) *rate {
-	x, ok := r.models[m]
+// rateOf returns the rate of a model, initialized with its prior.
+func (r *Rates) rateOf(m contract.ModelID) *modelRate {
+	rate, ok := r.models[m]
 	if !ok {
-		x = &rate{}
-		x.set(math.Log(r.prior(m)))
-		r.models[m] = x
+		rate = &modelRate{}
+		rate.setLog(math.Log(r.priorOf(m)))
+		r.models[m] = rate
 	}
-	return x
+	return rate
 }
 
-// Known returns how long a model takes to read a token, if enough own times tell
-// it. What was told by others is not passed on, or VMs would believe each other's
-// echo.
+// Known returns the prefill time per token if this VM has enough samples of its own. Rates
+// received from other VMs are not passed on, since VMs would then confirm each other's
+// estimates.
 func (r *Rates) Known(m contract.ModelID) (time.Duration, bool) {
-	x, ok := r.models[m]
-	if !ok || x.seen < fewSeen {
+	rate, ok := r.models[m]
+	if !ok || rate.samples < minOwnSamples {
 		return 0, false
 	}
-	return time.Duration(x.seconds * float64(time.Second)), true
+	return time.Duration(rate.secondsPerToken * float64(time.Second)), true
 }
 
-// Told takes in how long a model takes to read a token by another VM's own times.
-// It stands in for own ones until there are some.
-func (r *Rates) Told(m contract.ModelID, token time.Duration) {
-	if x := r.known(m); x.seen < fewSeen && token > 0 {
-		x.set(math.Log(token.Seconds()))
+// Told records a prefill time per token that another VM measured. It is used until this VM
+// has enough samples of its own.
+func (r *Rates) Told(m contract.ModelID, perToken time.Duration) {
+	if rate := r.rateOf(m); rate.samples < minOwnSamples && perToken > 0 {
+		rate.setLog(math.Log(perToken.Seconds()))
 	}
 }
 
-// fewSeen is how many own times are more to be believed than another VM's word.
-const fewSeen = 5
+// minOwnSamples is the number of own samples from which on rates received from other VMs
+// are ignored.
+const minOwnSamples = 5
