--- a/cascade/price.go
+++ b/cascade/price.go
@@ -10,7 +10,7 @@
 	// DefaultRepeatPrice is the price of an escalation when the resend budget is almost
 	// used up, as a fraction of the value of a request. Sending a request to the largest
 	// model first costs 0.03 to 0.1 more than escalating after a poor answer, so this price
-	// makes the cheapest requests start there.
+	// makes the requests with the smallest difference start with the largest model.
 	DefaultRepeatPrice = 0.15
 )
 
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -18,22 +18,22 @@
 // fleetSim simulates a fleet of VMs on a simulated clock in milliseconds. Requests with one
 // crashing content arrive at VMs that exchange gossip, lose their connections and restart.
 type fleetSim struct {
-	t         *rapid.T
-	isolated  bool // VMs exchange no gossip: the baseline for comparison
-	now       int
-	vms       []*simVM
-	events    []simEvent
-	stored    bool
-	upstreams int
+	t             *rapid.T
+	isolated      bool // whether VMs exchange no gossip, as a baseline for comparison
+	now           int
+	vms           []*simVM
+	events        []simEvent
+	inStore       bool
+	upstreamCount int
 	// crashes holds the times of upstream crashes, sends the sends by all VMs.
 	crashes []int
 	sends   []simSend
 }
 
 type simVM struct {
-	table     *Table
-	startedAt int // simulated time in ms
-	cutUntil  int
+	table             *Table
+	startedAt         int // simulated time in ms
+	disconnectedUntil int
 }
 
 type simEvent struct {
@@ -41,6 +41,7 @@
 	do func()
 }
 
+// simSend is a send of the crashing content. All fields are in milliseconds.
 type simSend struct{ at, upFor, connectedFor int }
 
 var crashingContent = Print{1}
@@ -67,7 +68,7 @@
 // disconnected VM neither sends nor receives.
 func (s *fleetSim) broadcast(from *simVM) {
 	updates := from.table.Told(at(s.now))
-	if s.isolated || len(updates) == 0 || s.now < from.cutUntil {
+	if s.isolated || len(updates) == 0 || s.now < from.disconnectedUntil {
 		return
 	}
 	for _, to := range s.vms {
@@ -75,7 +76,7 @@
 			continue
 		}
 		s.after(rapid.IntRange(1, 150).Draw(s.t, "delay"), func() {
-			if s.now >= to.cutUntil && len(to.table.Hear(updates, at(s.now))) > 0 {
+			if s.now >= to.disconnectedUntil && len(to.table.Hear(updates, at(s.now))) > 0 {
 				s.broadcast(to)
 			}
 		})
@@ -87,11 +88,11 @@
 func (s *fleetSim) scheduleHeartbeat(v *simVM) {
 	s.after(rapid.IntRange(400, 600).Draw(s.t, "heartbeat"), func() {
 		s.broadcast(v)
-		if !s.isolated && s.now >= v.cutUntil {
+		if !s.isolated && s.now >= v.disconnectedUntil {
 			if len(v.table.ToStore()) > 0 {
-				s.stored = true
+				s.inStore = true
 			}
-			if s.stored {
+			if s.inStore {
 				v.table.Listed(Held{Print: crashingContent, Revision: 1}, at(s.now))
 			}
 		}
@@ -106,9 +107,9 @@
 		return
 	}
 	sent, table := s.now, v.table
-	s.sends = append(s.sends, simSend{s.now, s.now - v.startedAt, s.now - v.cutUntil})
-	s.upstreams++
-	life := contract.Life{Upstream: contract.UpstreamID(fmt.Sprint("u", s.upstreams)), Born: 1}
+	s.sends = append(s.sends, simSend{s.now, s.now - v.startedAt, s.now - v.disconnectedUntil})
+	s.upstreamCount++
+	life := contract.Life{Upstream: contract.UpstreamID(fmt.Sprint("u", s.upstreamCount)), Born: 1}
 	s.after(rapid.IntRange(20, 300).Draw(s.t, "ran"), func() {
 		s.crashes = append(s.crashes, s.now)
 		if v.table != table {
@@ -147,7 +148,7 @@
 		simulate := func(isolated bool) int {
 			s := &fleetSim{t: t, isolated: isolated}
 			for range rapid.IntRange(3, 9).Draw(t, "vms") {
-				v := &simVM{table: NewTable(), startedAt: -10_000, cutUntil: -10_000}
+				v := &simVM{table: NewTable(), startedAt: -10_000, disconnectedUntil: -10_000}
 				s.vms = append(s.vms, v)
 				s.scheduleHeartbeat(v)
 			}
@@ -186,6 +187,6 @@
 		}
 	case 2:
 		v := randomVM("cut")
-		v.cutUntil = s.now + rapid.IntRange(100, 6000).Draw(s.t, "cut_ms")
+		v.disconnectedUntil = s.now + rapid.IntRange(100, 6000).Draw(s.t, "cut_ms")
 	}
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -66,7 +66,7 @@
 	// Epoch counts how often the content was cleared. Gossip from earlier epochs is
 	// ignored.
 	Epoch uint32
-	// Ends holds the newest upstream crashes under this content, oldest first.
+	// Ends holds the newest crashes of upstreams that ran this content, oldest first.
 	Ends []End
 	// Held reports whether the content is blocked from all upstreams.
 	Held bool
@@ -143,6 +143,7 @@
 	t.setHeld(c, false)
 }
 
+// setHeld sets Held and keeps heldCount up to date.
 func (t *Table) setHeld(c *Case, held bool) {
 	switch {
 	case held && !c.Held:
@@ -153,6 +154,7 @@
 	c.Held = held
 }
 
+// setInStore sets inStore and keeps storedCount up to date.
 func (t *Table) setInStore(c *Case, inStore bool) {
 	switch {
 	case inStore && !c.inStore:
@@ -247,7 +249,7 @@
 	return n
 }
 
-// Ended returns the number of successive upstream crashes under a content.
+// Ended returns the number of successive crashes of upstreams that ran a content.
 func (t *Table) Ended(p Print) int {
 	if c := t.records[p]; c != nil {
 		return countSuccessive(c.Ends)
--- a/reading/rates.go
+++ b/reading/rates.go
@@ -58,7 +58,7 @@
 	minSecondsPerToken = 0.2e-6
 	maxSecondsPerToken = 2e-3
 	// Base is the time to the first token apart from prefill: the network and the first
-	// decoding step.
+	// engine step.
 	Base = 20 * time.Millisecond
 )
 
