--- a/rollout/canary.go
+++ b/rollout/canary.go
@@ -11,7 +11,7 @@
 	"woaddoor/contract"
 )
 
-// OrderState is how an order ended, or that it has not.
+// OrderState is the outcome of an order, or OrderOpen while it is in progress.
 type OrderState string
 
 // The states of an order.
@@ -21,132 +21,137 @@
 	OrderUndone    OrderState = "rolled back"
 )
 
-// Order asks that a service's requests be moved to a release, whose upstreams
-// run beside the others until the order has ended.
+// Order is an operator's order to move a service's requests to a new release. The
+// release's upstreams run alongside those of the other releases until the order ends.
 type Order struct {
 	Service contract.ServiceID
 	Release string
-	// Issued is when the order was given, as this VM knows it, Length how long
-	// it may take.
+	// Issued is when the order was given, on this VM's clock. Length is how long the
+	// order may take.
 	Issued time.Time
 	Length time.Duration
 	State  OrderState
-	// Name is that of the order in the store.
+	// Name is the name of the order's object in the store.
 	Name string
-	// Began is when a VM first saw the order, by the time of day, as it wrote it
-	// down for VMs that start later; zero before that.
+	// Began is the wall-clock time at which a VM first saw the order. That VM stores it
+	// for VMs that start later. It is zero until then.
 	Began time.Time
-	// Revision is that of the order's object.
+	// Revision is the revision of the order's object in the store.
 	Revision contract.Revision
 }
 
-// Stages of an order, as parts of its length. Sessions may move to the release
-// on trial only from half of the order on, and which sessions are under way at
-// other VMs is not known here, so nothing is on trial before that. A release
-// that is bad only later, or under a load that does not come, is not found out,
-// and may still get no more than its share of the requests of the whole order:
-// the trial by few, the steps and the end, when all go there, are as long as
-// the share allows.
+// Stages of an order, as fractions of its length. Sessions may move to the release
+// only in the second half of the order. A VM does not know which sessions are active
+// at other VMs, so it sends no request to the release before that. The trial may miss
+// a release that turns bad later or fails only under more load. Even such a release
+// must get no more than its allowed share of all requests of the order, so that share
+// limits the lengths of the trial, of the steps and of the final stage, in which all
+// sessions use the release.
 const (
-	trialFrom = 0.52
-	// used is the part of the share that is planned with: the rest is for VMs
-	// that see the order at other moments and for traffic that rises.
-	used = 0.93
-	// Parts of what is used: for the trial, the two steps, and all.
-	usedTrial, usedSteps, usedAll = 0.2, 0.1, 0.7
-	// maxTrial bounds the part of sessions on trial.
-	maxTrial = 0.10
-	// steps are the parts of sessions between the trial and all.
-	stepOne, stepTwo = 0.25, 0.5
-	// completeAfter is the part of the last stage after which the order is
-	// completed: before that, requests at the others end; after it, there is
-	// time to write it down.
-	completeAfter = 0.2
+	trialStart = 0.52
+	// plannedFraction is the fraction of the allowed share that the stages use. The
+	// rest covers VMs that see the order at different times, and rising traffic.
+	plannedFraction = 0.93
+	// Fractions of the planned share for the trial, for the two steps and for the
+	// final stage.
+	trialFraction, stepsFraction, finalFraction = 0.2, 0.1, 0.7
+	// maxTrialShare limits the fraction of sessions in the trial.
+	maxTrialShare = 0.10
+	// The fractions of sessions on the release in the two steps between the trial
+	// and the final stage.
+	firstStepShare, secondStepShare = 0.25, 0.5
+	// completionFraction is the fraction of the final stage after which the order is
+	// marked completed. Requests at the other releases end before that point, and the
+	// rest of the stage leaves time to store the outcome.
+	completionFraction = 0.2
 )
 
-// stage is when a part of sessions is on trial from.
-type stage struct{ from, share float64 }
-
-// planStages returns the stages of an order whose release may get a share of the
-// requests, and when it is completed.
-func planStages(share float64) (stages []stage, complete float64) {
-	all := usedAll * used * share
-	width := usedSteps * used * share / (stepOne + stepTwo)
-	full := 1 - all
-	first := full - 2*width
-	trial := min(usedTrial*used*share/(first-trialFrom), maxTrial)
-	return []stage{{trialFrom, trial}, {first, stepOne}, {full - width, stepTwo}, {full, 1}}, full + completeAfter*all
+// stage is a part of an order: from start on, share of the sessions use the release.
+type stage struct{ start, share float64 }
+
+// planStages returns the stages of an order whose release may get at most share of the
+// service's requests, and the fraction of the order's length at which it is completed.
+func planStages(share float64) (stages []stage, completion float64) {
+	finalLength := finalFraction * plannedFraction * share
+	stepLength := stepsFraction * plannedFraction * share / (firstStepShare + secondStepShare)
+	finalStart := 1 - finalLength
+	firstStepStart := finalStart - 2*stepLength
+	trialShare := min(trialFraction*plannedFraction*share/(firstStepStart-trialStart), maxTrialShare)
+	return []stage{{trialStart, trialShare}, {firstStepStart, firstStepShare}, {finalStart - stepLength, secondStepShare}, {finalStart, 1}}, finalStart + completionFraction*finalLength
 }
 
-// Canary decides which of a service's sessions go to a release on trial, and
-// whether it is good. Every VM computes the same from the order and a session's
-// key, so that a session meets the same release at each VM without a word
-// between them. It is a pure state machine; its owner locks it.
+// Canary decides which sessions of a service use a release on trial, and whether the
+// release is good. Every VM computes the assignment from the order and the session key,
+// so all VMs send a session to the same release without coordination. A Canary does no
+// I/O and is not safe for concurrent use.
 type Canary struct {
-	order Order
-	test  config.Rollout
-	alarm *Alarm
-	slow  *Slowness
-	// stages and complete are the plan of the order.
-	stages   []stage
-	complete float64
-	// firstHand tells whether this VM saw the order before anything was written
-	// of it, so that its age is known by its own clock.
-	firstHand bool
-	// joinedLate tells that this VM has seen no part of the trial's beginning, and
-	// told that one which had has told it of the order since.
-	joinedLate, told bool
-	// trial and old are what was seen of the two; old gives the rate of
-	// failures that the service has anyway.
-	trial, old Counts
-	// heard is what other VMs have counted.
-	heard Evidence
-	dc    contract.DataCentreID // of this VM, once it has heard another
-	bad   bool
+	order      Order
+	testParams config.Rollout
+	alarm      *CUSUMAlarm
+	slowness   *SlownessDetector
+	// stages and completeAt are the schedule of the order.
+	stages     []stage
+	completeAt float64
+	// ageKnown is true if the order's age was measured on a VM's running clock: this VM
+	// saw the order before its start was stored, or received the age from such a VM.
+	ageKnown bool
+	// joinedLate is true if this VM first saw the order after the trial had started.
+	// ageReceived is true once a VM that knows the order's age has sent it.
+	joinedLate, ageReceived bool
+	// trialCounts and baselineCounts are the responses that this VM has seen from the
+	// release on trial and from the other releases. The latter give the service's
+	// usual failure rate.
+	trialCounts, baselineCounts Counts
+	// received holds the counts of other VMs.
+	received   Evidence
+	dataCentre contract.DataCentreID // of this VM; empty until the first evidence is received
+	bad        bool
 }
 
-// Parameters of the verdict: a release is bad when its part of failures is
-// above that of the others by badOver; falseAlarm is for the whole order.
+// Parameters of the statistical test. A release is bad if its failure rate exceeds the
+// acceptable rate by badRateMargin. The acceptable rate is goodRateMargin above the
+// failure rate of the other releases. falseAlarmRate applies to the whole order.
 const (
-	badOver     = 0.25
-	goodOver    = 0.03
-	falseAlarm  = 0.001
-	missed      = 0.001
-	maxGoodRate = 0.6
+	badRateMargin  = 0.25
+	goodRateMargin = 0.03
+	falseAlarmRate = 0.001
+	missRate       = 0.001
+	maxGoodRate    = 0.6
 )
 
-// NewCanary returns the canary of an order that this VM sees for the first time
-// now; share is the largest part of the service's requests that a bad release may
-// get over the whole order.
+// NewCanary returns the canary of an order that this VM sees for the first time at now.
+// share is the largest fraction of the service's requests that a bad release may get
+// over the whole order.
 func NewCanary(order Order, share float64, now time.Time) *Canary {
-	c := &Canary{order: order, firstHand: order.Began.IsZero()}
-	c.stages, c.complete = planStages(share)
-	c.joinedLate = c.part(now) > trialFrom
-	c.test = config.Rollout{GoodRate: goodOver, BadRate: goodOver + badOver, FalseAlarm: falseAlarm, Miss: missed}
-	c.alarm = NewAlarm(&c.test, 1)
-	c.slow = NewSlowness()
+	c := &Canary{order: order, ageKnown: order.Began.IsZero()}
+	c.stages, c.completeAt = planStages(share)
+	c.joinedLate = c.elapsedFraction(now) > trialStart
+	c.testParams = config.Rollout{GoodRate: goodRateMargin, BadRate: goodRateMargin + badRateMargin, FalseAlarm: falseAlarmRate, Miss: missRate}
+	c.alarm = NewCUSUMAlarm(&c.testParams, 1)
+	c.slowness = NewSlownessDetector()
 	return c
 }
 
-// Order returns the order.
+// Order returns the order in its newest known state.
 func (c *Canary) Order() Order { return c.order }
 
-// Update takes in a newer state of the same order.
+// Update replaces the order by a newer state of the same order.
 func (c *Canary) Update(o Order) {
-	issued := c.order.Issued // this VM's own, on a clock that does not jump
+	issued := c.order.Issued // measured on this VM's clock, which does not jump
 	c.order = o
 	c.order.Issued = issued
 }
 
-// part returns how much of the order's length has passed, 0 to 1 and over.
-func (c *Canary) part(now time.Time) float64 {
+// elapsedFraction returns the elapsed time as a fraction of the order's length, from 0 at
+// the start to 1 at the end. It exceeds 1 once the order is overdue.
+func (c *Canary) elapsedFraction(now time.Time) float64 {
 	if c.order.Length <= 0 {
 		return 1
 	}
 	return float64(now.Sub(c.order.Issued)) / float64(c.order.Length)
 }
 
-// Share returns the part of sessions that are meant to be at the release.
+// Share returns the fraction of sessions that use the release at now.
 func (c *Canary) Share(now time.Time) float64 {
 	switch {
 	case c.order.State == OrderCompleted:
@@ -156,41 +161,43 @@
 	}
 	share := 0.0
 	for _, s := range c.stages {
-		if c.part(now) >= s.from {
+		if c.elapsedFraction(now) >= s.start {
 			share = s.share
 		}
 	}
-	if c.blind() {
+	if c.lacksTrialResults() {
 		return min(share, c.stages[0].share)
 	}
 	return share
 }
 
-// enoughSeen is how many answers of a release on trial tell a bad one from a good
-// one, where a third of a bad one's fail.
-const enoughSeen = 12
+// minTrialResponses is how many responses of a release on trial are enough to
+// distinguish a good release from one of which a third of the responses fail.
+const minTrialResponses = 12
 
-// blind tells whether this VM knows nothing of how the trial has gone.
-func (c *Canary) blind() bool {
-	if !c.joinedLate || c.told {
+// lacksTrialResults reports whether this VM joined late and has not yet learned how the
+// trial went.
+func (c *Canary) lacksTrialResults() bool {
+	if !c.joinedLate || c.ageReceived {
 		return false
 	}
-	seen := c.sum()
-	return seen.Good+seen.Bad < enoughSeen
+	totals := c.trialTotals()
+	return totals.Good+totals.Bad < minTrialResponses
 }
 
-// Choose tells whether a request goes to the release on trial.
+// Choose reports whether a request of a session goes to the release on trial.
 func (c *Canary) Choose(session uint64, now time.Time) bool {
 	share := c.Share(now)
-	return share > 0 && point(session, c.order) < share
+	return share > 0 && rampPosition(session, c.order) < share
 }
 
-// Moving tells whether sessions move to the release in numbers, so that it also
-// serves where no other can.
-func (c *Canary) Moving(now time.Time) bool { return c.Share(now) >= stepOne }
+// Moving reports whether the release has passed the trial stage and gets a large share
+// of sessions. From then on it also serves requests that no other release can take.
+func (c *Canary) Moving(now time.Time) bool { return c.Share(now) >= firstStepShare }
 
-// point places a session in the ramp, 0 to 1, the same at every VM.
-func point(session uint64, o Order) float64 {
+// rampPosition maps a session to a position from 0 to 1 that is the same at every VM.
+// Sessions with a lower position move to the release first.
+func rampPosition(session uint64, o Order) float64 {
 	var key [8]byte
 	binary.LittleEndian.PutUint64(key[:], session)
 	d := xxhash.New()
@@ -199,190 +206,198 @@
 	return float64(d.Sum64()>>11) / (1 << 53)
 }
 
-// Answer is an answer of a service with an order.
+// Answer is the outcome of a response of a service that has an open order.
 type Answer struct {
-	// OnTrial tells whether it is of the release on trial.
+	// OnTrial is true for a response of the release on trial.
 	OnTrial bool
-	// Failed tells whether the upstream answered with a failure of its own.
+	// Failed is true if the upstream itself failed the request.
 	Failed bool
 	Times  []Time
 }
 
-// Observe takes in an answer. One that failed, or was far slower than those of
-// the other releases, is bad. It returns whether the release has just been
-// found bad.
+// Observe records a response. A response counts as bad if it failed or took much longer
+// than those of the other releases. Observe returns true if this response makes the
+// release count as bad.
 func (c *Canary) Observe(a Answer, now time.Time) bool {
-	slow := c.slow.Observe(a.OnTrial, a.Times, now)
-	counts := &c.old
+	slow := c.slowness.Observe(a.OnTrial, a.Times, now)
+	tally := &c.baselineCounts
 	if a.OnTrial {
-		counts = &c.trial
+		tally = &c.trialCounts
 	}
 	if a.Failed || slow {
-		counts.Bad++
+		tally.Bad++
 	} else {
-		counts.Good++
+		tally.Good++
 	}
 	if !a.OnTrial || c.bad || c.order.State != OrderOpen {
 		return false
 	}
-	sum := c.sumIsBad()
-	c.alarm.test = NewTest(&c.test)
-	c.bad = c.alarm.Observe(a.Failed || slow) || sum
+	totalsBad := c.totalsAreBad()
+	c.alarm.test = NewSequentialTest(&c.testParams)
+	c.bad = c.alarm.Observe(a.Failed || slow) || totalsBad
 	return c.bad
 }
 
-// Age returns how long ago the order was given, and whether this VM knows that
-// by its own clock.
+// Age returns the time since the order was given, and whether it was measured on a VM's
+// running clock.
 func (c *Canary) Age(now time.Time) (time.Duration, bool) {
-	return now.Sub(c.order.Issued), c.firstHand
+	return now.Sub(c.order.Issued), c.ageKnown
 }
 
-// Told takes in the age that a VM knows by its own clock: the VM that saw the
-// order first is right, and so is any against what was read of the time of day.
+// Told sets the order's age to the one that another VM has measured on its clock. It
+// replaces an age that was derived from a stored time of day. Of two measured ages the
+// larger one is correct, since it comes from the VM that saw the order first.
 func (c *Canary) Told(age time.Duration, now time.Time) {
 	issued := now.Add(-age)
-	c.told = true
-	if !c.firstHand || issued.Before(c.order.Issued) {
-		c.order.Issued, c.firstHand = issued, true
+	c.ageReceived = true
+	if !c.ageKnown || issued.Before(c.order.Issued) {
+		c.order.Issued, c.ageKnown = issued, true
 	}
 }
 
-// Parts of the evidence of an order, in place of the steps of a ramp.
+// Values of ObservedCounts.Step in the evidence of an order, which has no numbered steps.
 const (
-	onTrialPart = 0
-	othersPart  = 1
+	trialStep    = 0
+	baselineStep = 1
 )
 
-// totalOf names what all VMs of a data centre have counted together.
-func totalOf(dc contract.DataCentreID) Observer {
+// totalObserver returns the observer under which the counts of all VMs of a data centre
+// are added up.
+func totalObserver(dc contract.DataCentreID) Observer {
 	return Observer{VM: contract.VMID("total of " + string(dc))}
 }
 
-// Hearer says who is told of an order.
+// Hearer is the kind of VM that evidence is sent to.
 type Hearer uint8
 
 const (
-	// HearsNear is a VM of the own data centre.
+	// HearsNear is a VM of the sender's data centre.
 	HearsNear Hearer = iota
-	// HearsHub is one of the own data centre that passes on what it hears.
+	// HearsHub is another hub of the sender's data centre, if the sender is a hub too.
+	// Hubs forward the evidence that they receive.
 	HearsHub
 	// HearsFar is a VM of another data centre.
 	HearsFar
 )
 
-// Evidence returns what this VM tells of the order; nothing once it has ended. All
-// hear totals of data centres, whose size does not grow with the VMs, but for a
-// hub's own data centre: two hubs know different parts of it, so they tell each
-// other of each VM.
+// Evidence returns the counts to send to another VM, or nil if there are none or the order
+// has ended. Recipients get one total for each data centre, so the size does not depend on
+// the number of VMs. Only hubs of the same data centre exchange the counts of each VM of it,
+// because each of them receives counts from a different subset of the VMs.
 func (c *Canary) Evidence(to Hearer, self Observer, dc contract.DataCentreID) Evidence {
-	totals := c.FarEvidence(self, dc)
+	totals := c.RemoteEvidence(self, dc)
 	if totals == nil || to == HearsFar {
 		return totals
 	}
-	others := c.heard.Of(func(o Observer) bool { return o.isTotal() && o != totalOf(dc) })
+	others := c.received.Of(func(o Observer) bool { return o.isDataCentreTotal() && o != totalObserver(dc) })
 	if to == HearsHub {
-		others = c.heard.Of(func(o Observer) bool { return o != self && o != totalOf(dc) })
+		others = c.received.Of(func(o Observer) bool { return o != self && o != totalObserver(dc) })
 	}
-	return append(append(c.own(self), totals...), others...)
+	return append(append(c.localEvidence(self), totals...), others...)
 }
 
-// FarEvidence returns what this VM tells one of another data centre: the total
-// of its own, whose size does not grow with the VMs.
-func (c *Canary) FarEvidence(self Observer, dc contract.DataCentreID) Evidence {
-	if c.order.State != OrderOpen || c.trial.Good+c.trial.Bad == 0 && len(c.heard) == 0 {
+// RemoteEvidence returns the counts to send to a VM of another data centre: only the
+// total of the sender's own data centre, so the size does not depend on the number of VMs.
+func (c *Canary) RemoteEvidence(self Observer, dc contract.DataCentreID) Evidence {
+	if c.order.State != OrderOpen || c.trialCounts.Good+c.trialCounts.Bad == 0 && len(c.received) == 0 {
 		return nil
 	}
-	near := c.heard.Of(func(o Observer) bool { return !o.isTotal() && o != self })
-	known := append(near, c.own(self)...).Total(totalOf(dc))
-	return Merge(known, c.heard.Of(func(o Observer) bool { return o == totalOf(dc) }))
+	local := c.received.Of(func(o Observer) bool { return !o.isDataCentreTotal() && o != self })
+	known := append(local, c.localEvidence(self)...).Total(totalObserver(dc))
+	return Merge(known, c.received.Of(func(o Observer) bool { return o == totalObserver(dc) }))
 }
 
-func (c *Canary) own(self Observer) Evidence {
-	return Evidence{{self, c.key(), onTrialPart, c.trial}, {self, c.key(), othersPart, c.old}}
+func (c *Canary) localEvidence(self Observer) Evidence {
+	return Evidence{{self, c.versionKey(), trialStep, c.trialCounts}, {self, c.versionKey(), baselineStep, c.baselineCounts}}
 }
 
-// isTotal tells whether a line of evidence is the total of a data centre.
-func (o Observer) isTotal() bool { return strings.HasPrefix(string(o.VM), "total of ") }
+// isDataCentreTotal reports whether the observer stands for all VMs of a data centre.
+func (o Observer) isDataCentreTotal() bool { return strings.HasPrefix(string(o.VM), "total of ") }
 
-// key names the order in evidence.
-func (c *Canary) key() contract.VersionID {
+// versionKey returns the identifier of the order in evidence.
+func (c *Canary) versionKey() contract.VersionID {
 	return contract.VersionID(string(c.order.Service) + "/" + c.order.Release)
 }
 
-// Hear takes in what other VMs have counted. Evidence may come late, twice and
-// in any order. It returns whether the release has just been found bad.
+// Hear merges the counts of other VMs. Evidence may arrive late, repeatedly and in any
+// order. Hear returns true if the evidence makes the release count as bad.
 func (c *Canary) Hear(e Evidence, self Observer, dc contract.DataCentreID) bool {
-	c.dc = dc
+	c.dataCentre = dc
 	for _, count := range e {
-		if count.Version == c.key() && count.Observer != self {
-			c.heard = Merge(c.heard, Evidence{count})
+		if count.Version == c.versionKey() && count.Observer != self {
+			c.received = Merge(c.received, Evidence{count})
 		}
 	}
 	if c.bad || c.order.State != OrderOpen {
 		return false
 	}
-	c.bad = c.sumIsBad()
+	c.bad = c.totalsAreBad()
 	return c.bad
 }
 
-// sumIsBad judges what all VMs have counted together.
-func (c *Canary) sumIsBad() bool { return NewTest(&c.test).Judge(c.sum()) == Bad }
+// totalsAreBad reports whether the counts of all VMs together fail the sequential test.
+func (c *Canary) totalsAreBad() bool {
+	return NewSequentialTest(&c.testParams).Evaluate(c.trialTotals()) == Bad
+}
 
-// sum returns what all VMs have counted of the release on trial, and sets what
-// counts as good.
-func (c *Canary) sum() Counts {
-	c.level(c.sumOf(othersPart, c.old))
-	return c.sumOf(onTrialPart, c.trial)
+// trialTotals returns the counts of all VMs for the release on trial. It first updates
+// the acceptable failure rate of the test.
+func (c *Canary) trialTotals() Counts {
+	c.updateGoodRate(c.totalCounts(baselineStep, c.baselineCounts))
+	return c.totalCounts(trialStep, c.trialCounts)
 }
 
-// sumOf adds up what is known of a part: of the own data centre the larger of
-// its total and of what its VMs have told one by one, of others their totals.
-func (c *Canary) sumOf(part int, own Counts) Counts {
-	near := c.heard.Of(func(o Observer) bool { return !o.isTotal() }).Sum(c.key(), part).plus(own)
-	total := c.heard.Of(func(o Observer) bool { return o == totalOf(c.dc) }).Sum(c.key(), part)
-	far := c.heard.Of(func(o Observer) bool { return o.isTotal() && o != totalOf(c.dc) }).Sum(c.key(), part)
-	return Counts{Good: max(near.Good, total.Good), Bad: max(near.Bad, total.Bad)}.plus(far)
+// totalCounts adds up the known counts for trialStep or baselineStep. For this VM's data
+// centre it takes the larger of the received total and the sum over individual VMs; for
+// other data centres it takes their totals.
+func (c *Canary) totalCounts(step int, local Counts) Counts {
+	individual := c.received.Of(func(o Observer) bool { return !o.isDataCentreTotal() }).Sum(c.versionKey(), step).add(local)
+	total := c.received.Of(func(o Observer) bool { return o == totalObserver(c.dataCentre) }).Sum(c.versionKey(), step)
+	remote := c.received.Of(func(o Observer) bool { return o.isDataCentreTotal() && o != totalObserver(c.dataCentre) }).Sum(c.versionKey(), step)
+	return Counts{Good: max(individual.Good, total.Good), Bad: max(individual.Bad, total.Bad)}.add(remote)
 }
 
-// Suspected tells whether a request that failed at the release is better tried
-// at another one.
+// Suspected reports whether the release is probably bad, so that a request that failed
+// there should be retried at another release.
 func (c *Canary) Suspected() bool {
-	return c.order.State == OrderOpen && (c.bad || NewTest(&c.test).Suspects(c.sum()))
+	return c.order.State == OrderOpen && (c.bad || NewSequentialTest(&c.testParams).Suspects(c.trialTotals()))
 }
 
-func (c Counts) plus(o Counts) Counts { return Counts{Good: c.Good + o.Good, Bad: c.Bad + o.Bad} }
+func (c Counts) add(o Counts) Counts { return Counts{Good: c.Good + o.Good, Bad: c.Bad + o.Bad} }
 
-// priorOld is how many good answers the rate of the others begins with.
-const priorOld = 20
+// baselinePriorGood is the number of assumed good responses with which the failure rate
+// of the other releases starts.
+const baselinePriorGood = 20
 
-// level sets what counts as good by the failures that the service has anyway.
-func (c *Canary) level(old Counts) {
-	rate := float64(old.Bad) / float64(old.Bad+old.Good+priorOld)
-	c.test.GoodRate = min(rate+goodOver, maxGoodRate)
-	c.test.BadRate = min(c.test.GoodRate+badOver, 0.95)
+// updateGoodRate sets the acceptable failure rate from the failure rate of the other
+// releases.
+func (c *Canary) updateGoodRate(baseline Counts) {
+	rate := float64(baseline.Bad) / float64(baseline.Bad+baseline.Good+baselinePriorGood)
+	c.testParams.GoodRate = min(rate+goodRateMargin, maxGoodRate)
+	c.testParams.BadRate = min(c.testParams.GoodRate+badRateMargin, 0.95)
 }
 
-// Counts returns what was seen of the release on trial and of the others.
-func (c *Canary) Counts() (trial, old Counts) { return c.trial, c.old }
+// Counts returns what this VM has seen of the release on trial and of the other releases.
+func (c *Canary) Counts() (trial, baseline Counts) { return c.trialCounts, c.baselineCounts }
 
-// Known returns what all VMs are known to have counted of the release on trial.
-func (c *Canary) Known() Counts { return c.sumOf(onTrialPart, c.trial) }
+// Known returns the known counts of all VMs for the release on trial.
+func (c *Canary) Known() Counts { return c.totalCounts(trialStep, c.trialCounts) }
 
-// Verdict returns what is to be written of the order, if anything is: that it is
-// under way, or how it ends.
+// Verdict returns the state to store for the order and whether it has to be stored now:
+// OrderOpen when the order has just started, or its final state.
 func (c *Canary) Verdict(now time.Time) (OrderState, bool) {
 	switch {
 	case c.order.State != OrderOpen:
 		return c.order.State, false
 	case c.bad:
 		return OrderUndone, true
-	case c.blind():
+	case c.lacksTrialResults():
 		return OrderOpen, false
-	case c.part(now) >= c.complete && c.Suspected():
-		// A service with few requests gives few answers before the end. After
-		// it there is no other release to go back to.
+	case c.elapsedFraction(now) >= c.completeAt && c.Suspected():
+		// A service with few requests gives too few responses to halt the release before
+		// this point. After it there is no other release to go back to.
 		return OrderUndone, true
-	case c.part(now) >= c.complete:
+	case c.elapsedFraction(now) >= c.completeAt:
 		return OrderCompleted, true
 	}
 	return OrderOpen, c.order.Began.IsZero()
--- a/rollout/canary_test.go
+++ b/rollout/canary_test.go
@@ -16,87 +16,87 @@
 	return Order{Service: "s", Release: "v2", Issued: time.Unix(1000, 0), Length: 24 * time.Second}
 }
 
-// TestSessionsMoveOneWay checks that VMs that see an order at different times,
-// each by its own clock, put a session on the release only in the second half,
-// never move it back, and agree but for the difference of their clocks. The
-// naive way, a draw a request, moves sessions back and forth.
-func TestSessionsMoveOneWay(t *testing.T) {
-	naiveBack := 0
+// TestSessionsNeverMoveBack checks that VMs that see an order at different times move a session
+// to the release only in the second half of the order, never move it back, and differ from each
+// other only by the difference of their clocks. A random draw for each request, as a naive
+// implementation would do, moves sessions back and forth.
+func TestSessionsNeverMoveBack(t *testing.T) {
+	naiveMovesBack := 0
 	rapid.Check(t, func(t *rapid.T) {
 		o := testOrder()
 		skew := time.Duration(rapid.IntRange(0, 200).Draw(t, "skew ms")) * time.Millisecond
 		late := o
 		late.Issued = o.Issued.Add(skew)
-		vms := []*Canary{NewCanary(o, 0.15, testOrder().Issued), NewCanary(late, 0.15, testOrder().Issued)}
+		canaries := []*Canary{NewCanary(o, 0.15, testOrder().Issued), NewCanary(late, 0.15, testOrder().Issued)}
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		session := rapid.Uint64().Draw(t, "session")
-		moved := time.Time{}
-		naive := false
+		movedAt := time.Time{}
+		naiveOnTrial := false
 		for now := o.Issued; now.Before(o.Issued.Add(o.Length)); now = now.Add(time.Duration(1+r.IntN(800)) * time.Millisecond) {
-			vm := vms[r.IntN(2)]
-			on := vm.Choose(session, now)
-			if on && now.Sub(o.Issued) < o.Length/2 {
-				t.Fatalf("on trial in the first half, at %v", now.Sub(o.Issued))
+			canary := canaries[r.IntN(2)]
+			onTrial := canary.Choose(session, now)
+			if onTrial && now.Sub(o.Issued) < o.Length/2 {
+				t.Fatalf("session on trial in the first half of the order, at %v", now.Sub(o.Issued))
 			}
-			if on && moved.IsZero() {
-				moved = now
+			if onTrial && movedAt.IsZero() {
+				movedAt = now
 			}
-			if !on && !moved.IsZero() && now.Sub(moved) > skew {
-				t.Fatalf("moved back at %v", now.Sub(o.Issued))
+			if !onTrial && !movedAt.IsZero() && now.Sub(movedAt) > skew {
+				t.Fatalf("session moved back at %v", now.Sub(o.Issued))
 			}
-			drawn := r.Float64() < vm.Share(now)
-			if naive && !drawn {
-				naiveBack++
+			naiveDraw := r.Float64() < canary.Share(now)
+			if naiveOnTrial && !naiveDraw {
+				naiveMovesBack++
 			}
-			naive = drawn
+			naiveOnTrial = naiveDraw
 		}
 	})
-	is.New(t).True(naiveBack > 0)
+	is.New(t).True(naiveMovesBack > 0)
 }
 
-// TestExposure plays a release that is bad from the start, late, or only under
-// load, at one of several VMs that do not hear one another, and checks that the
-// part of requests it gets over its order, and the bad answers until it is
-// halted, stay far below what deployments allow.
-func TestExposure(t *testing.T) {
-	const perSecond, vms, runs = 100, 6, 40
-	for name, failing := range map[string]func(part, share float64) float64{
-		"from the start": func(_, _ float64) float64 { return 0.41 },
-		"late":           func(part, _ float64) float64 { return 0.41 * math.Floor(min(part/0.6, 1)) },
-		"under load":     func(_, share float64) float64 { return 0.41 * math.Floor(min(share/0.4, 1)) },
+// TestBadReleaseExposureIsBounded simulates a release that is bad from the start, later, or only
+// under load, on several VMs that exchange no evidence. The share of requests that it gets over
+// its order, and the number of bad responses until it is halted, must stay far below the limits of
+// deployments.
+func TestBadReleaseExposureIsBounded(t *testing.T) {
+	const requestsPerSecond, vms, runs = 100, 6, 40
+	for name, failureRate := range map[string]func(part, share float64) float64{
+		"bad from the start": func(_, _ float64) float64 { return 0.41 },
+		"bad later":          func(elapsed, _ float64) float64 { return 0.41 * math.Floor(min(elapsed/0.6, 1)) },
+		"bad under load":     func(_, share float64) float64 { return 0.41 * math.Floor(min(share/0.4, 1)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := rand.New(rand.NewPCG(7, 7))
 			worstBad, worstShare := 0, 0.0
 			for range runs {
-				exposed, bad := play(r, perSecond, vms, failing)
+				exposed, bad := simulateOrder(r, requestsPerSecond, vms, failureRate)
 				worstBad = max(worstBad, bad)
 				worstShare = max(worstShare, exposed)
 			}
 			if worstBad > 60 || worstShare > 0.1 {
-				t.Fatalf("%d bad answers, a share of %.3f", worstBad, worstShare)
+				t.Fatalf("%d bad responses, share of requests %.3f", worstBad, worstShare)
 			}
 		})
 	}
 }
 
-// play returns the share of all requests of an order that went to its release,
-// and how many bad answers these were, when no VM hears another.
-func play(r *rand.Rand, perSecond, vms int, failing func(part, share float64) float64) (exposed float64, bad int) {
+// simulateOrder returns the share of all requests of an order that went to its release, and the
+// number of bad responses among them, when VMs exchange no evidence.
+func simulateOrder(r *rand.Rand, requestsPerSecond, vms int, failureRate func(part, share float64) float64) (exposed float64, bad int) {
 	o := testOrder()
 	var canaries []*Canary
 	for range vms {
 		canaries = append(canaries, NewCanary(o, 0.15, testOrder().Issued))
 	}
-	total := perSecond * int(o.Length/time.Second)
+	total := requestsPerSecond * int(o.Length/time.Second)
 	sent := 0
 	for i := range total {
 		now := o.Issued.Add(time.Duration(i) * o.Length / time.Duration(total))
 		c := canaries[r.IntN(vms)]
-		on := c.Choose(r.Uint64(), now)
-		failed := on && r.Float64() < failing(c.part(now), c.Share(now))
-		c.Observe(Answer{OnTrial: on, Failed: failed}, now)
-		if on {
+		onTrial := c.Choose(r.Uint64(), now)
+		failed := onTrial && r.Float64() < failureRate(c.elapsedFraction(now), c.Share(now))
+		c.Observe(Answer{OnTrial: onTrial, Failed: failed}, now)
+		if onTrial {
 			sent++
 		}
 		if failed {
@@ -106,9 +106,9 @@
 	return float64(sent) / float64(total), bad
 }
 
-// TestFalseAlarms checks the part of good releases that are found bad, for a
-// service that fails one in seven requests anyway.
-func TestFalseAlarms(t *testing.T) {
+// TestGoodReleaseIsRarelyRejected checks how often a good release is rejected, for a service
+// that fails one in seven requests anyway.
+func TestGoodReleaseIsRarelyRejected(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(3, 3))
 	const runs = 400
@@ -124,114 +124,114 @@
 	is.True(halted <= runs/50)
 }
 
-// TestSlowRelease checks that a release of which half of the answers take eight
-// times as long is found, and that one which is half as slow again throughout,
-// as one that has read no prompts yet, is not.
-func TestSlowRelease(t *testing.T) {
+// TestSlowReleaseIsRejected checks that a release is rejected if half of its responses take eight
+// times as long, but not if all its responses take 1.5 times as long, as those of a release
+// with an empty prompt cache do.
+func TestSlowReleaseIsRejected(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(5, 5))
-	found := func(times, share, spread float64) (at int) {
+	rejectedAt := func(factor, share, logStdDev float64) (at int) {
 		c := NewCanary(testOrder(), 0.15, testOrder().Issued)
 		now := time.Unix(0, 0)
-		took := func(times float64) []Time {
-			return []Time{{"first", 0.08 * times * math.Exp(spread*r.NormFloat64())}}
+		latencies := func(factor float64) []Time {
+			return []Time{{"first", 0.08 * factor * math.Exp(logStdDev*r.NormFloat64())}}
 		}
 		for i := range 900 {
 			now = now.Add(20 * time.Millisecond)
-			x := 1.0
+			responseFactor := 1.0
 			if r.Float64() < share {
-				x = times
+				responseFactor = factor
 			}
 			if i%3 > 0 {
-				c.Observe(Answer{Times: took(1)}, now)
-			} else if c.Observe(Answer{OnTrial: true, Times: took(x)}, now) {
+				c.Observe(Answer{Times: latencies(1)}, now)
+			} else if c.Observe(Answer{OnTrial: true, Times: latencies(responseFactor)}, now) {
 				return i / 3
 			}
 		}
 		return 0
 	}
-	alarms := 0
+	rejected := 0
 	for range 50 {
-		if found(1.5, 1, 0.5) > 0 {
-			alarms++
+		if rejectedAt(1.5, 1, 0.5) > 0 {
+			rejected++
 		}
-		at := found(8, 0.5, 0.5)
+		at := rejectedAt(8, 0.5, 0.5)
 		is.True(at > 0 && at < 100)
 	}
-	is.True(alarms <= 2)
+	is.True(rejected <= 2)
 }
 
-// TestShareOfAnOrder checks that a release which is never found out gets no more
-// than its share of the requests of its order, whatever the share, and that it
-// is completed in time.
-func TestShareOfAnOrder(t *testing.T) {
+// TestUndetectedReleaseStaysWithinShare checks that a release that is never rejected gets no more
+// than its allowed share of the requests of its order, for different shares, and that the order is
+// completed in time.
+func TestUndetectedReleaseStaysWithinShare(t *testing.T) {
 	is := is.New(t)
 	for _, share := range []float64{0.03, 0.05, 0.1, 0.15, 0.3} {
 		o := testOrder()
 		c := NewCanary(o, share, testOrder().Issued)
 		sent := 0.0
-		const parts = 10000
+		const steps = 10000
 		completed := 0.0
-		for i := range parts {
-			now := o.Issued.Add(time.Duration(i) * o.Length / parts)
+		for i := range steps {
+			now := o.Issued.Add(time.Duration(i) * o.Length / steps)
 			if state, due := c.Verdict(now); due && state == OrderCompleted && completed == 0 {
-				completed = float64(i) / parts
+				completed = float64(i) / steps
 			}
-			sent += c.Share(now) / parts
+			sent += c.Share(now) / steps
 		}
 		is.True(sent <= 0.95*share)
 		is.True(completed > 0.5 && completed < 1-0.4*share)
 	}
 }
 
-// TestAgeOfAnOrder checks that VMs agree on the age of an order, whoever saw it
-// first and whatever the times of day of those that started later.
-func TestAgeOfAnOrder(t *testing.T) {
+// TestVMsAgreeOnOrderAge checks that VMs agree on the age of an order, whichever VM saw it first
+// and however wrong the wall clocks of VMs that started later are.
+func TestVMsAgreeOnOrderAge(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(2000, 0)
 	first, second, late := testOrder(), testOrder(), testOrder()
 	first.Issued = now.Add(-8 * time.Second)
 	second.Issued = now.Add(-7 * time.Second)
-	late.Issued, late.Began = now.Add(-11*time.Second), now.Add(-11*time.Second) // a clock that is off
-	vms := []*Canary{NewCanary(first, 0.15, testOrder().Issued), NewCanary(second, 0.15, testOrder().Issued), NewCanary(late, 0.15, testOrder().Issued)}
+	late.Issued, late.Began = now.Add(-11*time.Second), now.Add(-11*time.Second) // as derived by a VM whose wall clock is wrong
+	canaries := []*Canary{NewCanary(first, 0.15, testOrder().Issued), NewCanary(second, 0.15, testOrder().Issued), NewCanary(late, 0.15, testOrder().Issued)}
 	for range 2 {
-		for _, from := range vms {
-			age, own := from.Age(now)
-			for _, to := range vms {
-				if own && to != from {
+		for _, from := range canaries {
+			age, known := from.Age(now)
+			for _, to := range canaries {
+				if known && to != from {
 					to.Told(age, now)
 				}
 			}
 		}
 	}
-	for _, c := range vms {
+	for _, c := range canaries {
 		age, _ := c.Age(now)
 		is.Equal(age, 8*time.Second)
 	}
 }
 
-// TestEvidenceOfAllVMs shows that VMs which see few answers each find a bad
-// release by what they tell one another, where each alone takes many times as
-// long, and that words which come late or twice change nothing.
-func TestEvidenceOfAllVMs(t *testing.T) {
+// TestSharedEvidenceDetectsBadReleaseSooner checks that VMs that see few responses each reject a
+// bad release much sooner if they exchange evidence, and that evidence that arrives late or twice
+// changes nothing.
+func TestSharedEvidenceDetectsBadReleaseSooner(t *testing.T) {
 	is := is.New(t)
 	const vms = 7
 	r := rand.New(rand.NewPCG(9, 9))
-	answers := func(tell bool) int {
+	responsesUntilRejected := func(share bool) int {
 		var canaries []*Canary
 		for range vms {
 			canaries = append(canaries, NewCanary(testOrder(), 0.15, testOrder().Issued))
 		}
 		var late Evidence
 		for n := 1; ; n++ {
-			at := n % vms
-			self := Observer{VM: contract.VMID(rune('a' + at))}
-			if canaries[at].Observe(Answer{OnTrial: true, Failed: r.Float64() < 0.34}, time.Unix(0, 0)) {
+			sender := n % vms
+			self := Observer{VM: contract.VMID(rune('a' + sender))}
+			if canaries[sender].Observe(Answer{OnTrial: true, Failed: r.Float64() < 0.34}, time.Unix(0, 0)) {
 				return n
 			}
-			if tell {
-				e := canaries[at].Evidence(HearsNear, self, "d")
-				to := r.IntN(vms) // words go to VMs drawn at random
+			if share {
+				e := canaries[sender].Evidence(HearsNear, self, "d")
+				to := r.IntN(vms) // evidence goes to a random VM
 				if canaries[to].Hear(append(e, late...), Observer{VM: contract.VMID(rune('a' + to))}, "d") {
 					return n
 				}
@@ -239,17 +239,17 @@
 			}
 		}
 	}
-	alone, told := 0, 0
+	alone, together := 0, 0
 	for range 50 {
-		alone += answers(false)
-		told += answers(true)
+		alone += responsesUntilRejected(false)
+		together += responsesUntilRejected(true)
 	}
-	is.True(told*2 < alone)
+	is.True(together*2 < alone)
 }
 
-// TestEvidenceOfDataCentres shows that what VMs tell does not grow with their
-// number, that each knows what all have counted, and no more than that.
-func TestEvidenceOfDataCentres(t *testing.T) {
+// TestEvidenceSizeDoesNotGrowWithVMs checks that the evidence that a VM sends does not grow with
+// the number of VMs, and that every VM knows the exact counts of all VMs.
+func TestEvidenceSizeDoesNotGrowWithVMs(t *testing.T) {
 	is := is.New(t)
 	type member struct {
 		canary *Canary
@@ -267,37 +267,36 @@
 			m.canary.Observe(Answer{OnTrial: true}, time.Unix(0, 0))
 		}
 	}
-	longest := 0
-	for range 3 { // words among all, some of them twice
+	mostEntries := 0
+	for range 3 { // every VM sends evidence to every VM, repeatedly
 		for _, from := range vms {
 			for _, to := range vms {
-				e := from.canary.FarEvidence(from.self, from.dc)
+				e := from.canary.RemoteEvidence(from.self, from.dc)
 				if from.dc == to.dc {
 					e = from.canary.Evidence(HearsNear, from.self, from.dc)
 				}
-				longest = max(longest, len(e))
+				mostEntries = max(mostEntries, len(e))
 				to.canary.Hear(e, to.self, to.dc)
 			}
 		}
 	}
 	for _, m := range vms {
-		is.Equal(m.canary.sum(), Counts{Good: int64(5 * len(vms))})
+		is.Equal(m.canary.trialTotals(), Counts{Good: int64(5 * len(vms))})
 	}
-	is.True(longest <= 2+2*3)
+	is.True(mostEntries <= 2+2*3)
 }
 
-// TestEvidenceThroughHubs passes evidence from leaves to their hubs, between hubs, to
-// another data centre and down to its leaves, late and twice: all know what all have
-// counted, and no more. Two hubs that told each other totals would each hold the larger
-// of two parts for the whole.
-func TestEvidenceThroughHubs(t *testing.T) {
+// TestHubsForwardAllEvidence passes evidence from VMs to their hubs, between hubs, to another data
+// centre and down to its VMs, late and twice. Every VM must know the exact counts of all VMs. If two
+// hubs sent each other only totals, each would take the larger of two partial sums for the whole.
+func TestHubsForwardAllEvidence(t *testing.T) {
 	is := is.New(t)
 	type member struct {
 		canary *Canary
 		self   Observer
 		dc     contract.DataCentreID
 	}
-	join := func(dc contract.DataCentreID, n int) []member {
+	newMembers := func(dc contract.DataCentreID, n int) []member {
 		var out []member
 		for i := range n {
 			m := member{NewCanary(testOrder(), 0.15, testOrder().Issued), Observer{VM: contract.VMID(string(dc) + string(rune('a'+i))), Incarnation: 1}, dc}
@@ -308,33 +307,33 @@
 		}
 		return out
 	}
-	near, far := join("d", 10), join("e", 10)
-	tell := func(from, to member, hears Hearer) {
-		to.canary.Hear(from.canary.Evidence(hears, from.self, from.dc), to.self, to.dc)
+	local, remote := newMembers("d", 10), newMembers("e", 10)
+	send := func(from, to member, recipient Hearer) {
+		to.canary.Hear(from.canary.Evidence(recipient, from.self, from.dc), to.self, to.dc)
 	}
 	for range 3 {
-		for _, all := range [][]member{near, far} {
+		for _, all := range [][]member{local, remote} {
 			hubs, leaves := all[:2], all[2:]
 			for i, l := range leaves {
-				tell(l, hubs[i%2], HearsNear)
-				tell(hubs[i%2], l, HearsNear)
+				send(l, hubs[i%2], HearsNear)
+				send(hubs[i%2], l, HearsNear)
 			}
-			tell(hubs[0], hubs[1], HearsHub)
-			tell(hubs[1], hubs[0], HearsHub)
+			send(hubs[0], hubs[1], HearsHub)
+			send(hubs[1], hubs[0], HearsHub)
 		}
-		tell(near[0], far[0], HearsFar)
-		tell(far[1], near[1], HearsFar)
+		send(local[0], remote[0], HearsFar)
+		send(remote[1], local[1], HearsFar)
 	}
-	for _, m := range append(near, far...) {
-		is.Equal(m.canary.sum(), Counts{Good: 100})
+	for _, m := range append(local, remote...) {
+		is.Equal(m.canary.trialTotals(), Counts{Good: 100})
 	}
 }
 
-// TestDoubtAtTheEnd shows that a release whose few answers speak against it is
-// not completed, though they are too few to halt it before.
-func TestDoubtAtTheEnd(t *testing.T) {
+// TestSuspectReleaseIsNotCompleted checks that an order is rolled back at its end if the few
+// responses of its release indicate a bad release, though they are too few to halt it earlier.
+func TestSuspectReleaseIsNotCompleted(t *testing.T) {
 	is := is.New(t)
-	end := func(bad int) OrderState {
+	finalState := func(bad int) OrderState {
 		o := testOrder()
 		c := NewCanary(o, 0.15, testOrder().Issued)
 		for i := range 60 {
@@ -348,45 +347,45 @@
 		is.True(due)
 		return state
 	}
-	is.Equal(end(10), OrderUndone)   // five of thirteen
-	is.Equal(end(2), OrderCompleted) // one of thirteen, as the others
+	is.Equal(finalState(10), OrderUndone)   // five of thirteen responses fail
+	is.Equal(finalState(2), OrderCompleted) // one of thirteen fails, as at the other releases
 }
 
-// TestJoinsLate shows that a VM which starts when an order is nearly over, and
-// knows nothing of its trial, neither completes it nor sends more there than a
-// trial, until it has heard of one that saw the order from the start, or has seen
-// answers enough. The naive way completed a bad release at once.
-func TestJoinsLate(t *testing.T) {
+// TestLateVMNeedsEvidenceToComplete checks a VM that starts when an order is nearly over and knows
+// nothing of its trial. It must not complete the order, nor send the release more than the trial
+// share, until it hears from a VM that saw the order from the start or has seen enough responses
+// itself. Without this rule such a VM completes a bad release at once.
+func TestLateVMNeedsEvidenceToComplete(t *testing.T) {
 	is := is.New(t)
 	o := testOrder()
-	o.Began = o.Issued // written down by another VM
+	o.Began = o.Issued // stored by another VM
 	now := o.Issued.Add(o.Length - 50*time.Millisecond)
-	joined := func() *Canary { return NewCanary(o, 0.15, now) }
+	lateCanary := func() *Canary { return NewCanary(o, 0.15, now) }
 
-	c := joined()
+	c := lateCanary()
 	_, due := c.Verdict(now)
 	is.True(!due)
 	is.True(c.Share(now) < 0.1)
 
 	other := Observer{VM: "other", Incarnation: 1}
 	self := Observer{VM: "self", Incarnation: 1}
-	seen := NewCanary(o, 0.15, o.Issued)
+	observer := NewCanary(o, 0.15, o.Issued)
 	for range 6 {
-		seen.Observe(Answer{OnTrial: true, Failed: true}, now)
+		observer.Observe(Answer{OnTrial: true, Failed: true}, now)
 	}
-	c.Hear(seen.Evidence(HearsNear, other, "d"), self, "d")
+	c.Hear(observer.Evidence(HearsNear, other, "d"), self, "d")
 	state, due := c.Verdict(now)
 	is.True(due)
 	is.Equal(state, OrderUndone)
 
-	c = joined()
-	c.Told(now.Sub(o.Issued), now) // by one that saw it from the start, and nothing bad
+	c = lateCanary()
+	c.Told(now.Sub(o.Issued), now) // from a VM that saw the order from the start and found nothing bad
 	state, due = c.Verdict(now)
 	is.True(due)
 	is.Equal(state, OrderCompleted)
 
-	c = joined()
-	for range enoughSeen {
+	c = lateCanary()
+	for range minTrialResponses {
 		c.Observe(Answer{OnTrial: true}, now)
 	}
 	state, due = c.Verdict(now)
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -5,24 +5,23 @@
 	"woaddoor/contract"
 )
 
-// Observer is one life of the process that counted.
+// Observer is one incarnation of a VM's process, which counts responses.
 type Observer struct {
 	VM          contract.VMID        `cbor:"1,keyasint"`
 	Incarnation contract.Incarnation `cbor:"2,keyasint"`
 }
 
-// Count is what one observer has counted of a version at a step.
-type Count struct {
+// ObservedCounts is what one observer has counted for a version at a step.
+type ObservedCounts struct {
 	Observer Observer           `cbor:"1,keyasint"`
 	Version  contract.VersionID `cbor:"2,keyasint"`
 	Step     int                `cbor:"3,keyasint"`
 	Counts   Counts             `cbor:"4,keyasint"`
 }
 
-// Evidence is what is known to have been counted, a line an observer, version
-// and step. Merging takes the larger counts, so it does not matter how often
-// and in which order evidence arrives.
-type Evidence []Count
+// Evidence is a set of counts with one entry for each observer, version and step. Merging
+// keeps the larger counts, so evidence may arrive repeatedly and in any order.
+type Evidence []ObservedCounts
 
 type countKey struct {
 	observer Observer
@@ -30,16 +29,16 @@
 	step     int
 }
 
-func (c Count) key() countKey { return countKey{c.Observer, c.Version, c.Step} }
+func (c ObservedCounts) key() countKey { return countKey{c.Observer, c.Version, c.Step} }
 
-// Merge returns what is known from both.
+// Merge returns the union of two sets of evidence, with the larger counts of each entry.
 func Merge(a, b Evidence) Evidence {
 	merged := make(Evidence, 0, len(a)+len(b))
-	at := make(map[countKey]int, len(a)+len(b))
+	index := make(map[countKey]int, len(a)+len(b))
 	for _, c := range append(append(Evidence{}, a...), b...) {
-		i, had := at[c.key()]
-		if !had {
-			at[c.key()] = len(merged)
+		i, found := index[c.key()]
+		if !found {
+			index[c.key()] = len(merged)
 			merged = append(merged, c)
 			continue
 		}
@@ -49,7 +48,7 @@
 	return merged
 }
 
-// Sum returns all counts of a version at a step.
+// Sum returns the total counts of all observers for a version at a step.
 func (e Evidence) Sum(v contract.VersionID, step int) Counts {
 	var sum Counts
 	for _, c := range e {
@@ -61,27 +60,27 @@
 	return sum
 }
 
-// Of returns the counts of the observers that own tells of.
-func (e Evidence) Of(own func(Observer) bool) Evidence {
+// Of returns the counts of the observers for which include returns true.
+func (e Evidence) Of(include func(Observer) bool) Evidence {
 	var kept Evidence
 	for _, c := range e {
-		if own(c.Observer) {
+		if include(c.Observer) {
 			kept = append(kept, c)
 		}
 	}
 	return kept
 }
 
-// Total returns the sum over all observers as the counts of one. Two VMs that
-// know different parts of the same observers may make totals under the same
-// name: merging takes the larger, which is never more than there was.
+// Total adds up the counts of all observers and attributes the sums to the observer as.
+// Two VMs that know different subsets of the observers may compute different totals for
+// the same observer. Merging keeps the larger one, which never exceeds the true total.
 func (e Evidence) Total(as Observer) Evidence {
 	sums := make(map[countKey]Counts)
 	var order []countKey
 	for _, c := range e {
 		k := countKey{as, c.Version, c.Step}
-		sum, had := sums[k]
-		if !had {
+		sum, found := sums[k]
+		if !found {
 			order = append(order, k)
 		}
 		sum.Good += c.Counts.Good
@@ -90,12 +89,12 @@
 	}
 	total := make(Evidence, 0, len(order))
 	for _, k := range order {
-		total = append(total, Count{as, k.version, k.step, sums[k]})
+		total = append(total, ObservedCounts{as, k.version, k.step, sums[k]})
 	}
 	return total
 }
 
-// Prune keeps the evidence of the roll-outs that are under way.
+// Prune returns the evidence for the current steps of the roll-outs in progress.
 func (e Evidence) Prune(progress map[contract.ModelID]*config.Progress) Evidence {
 	var kept Evidence
 	for _, c := range e {
@@ -107,31 +106,31 @@
 	return kept
 }
 
-// Monitor counts the answers of versions in roll-out on one VM, and halts a
-// bad one there at once. It is a pure state machine; its owner locks it.
+// Monitor counts the responses of versions in roll-out on one VM and halts a bad version
+// there immediately. It does no I/O and is not safe for concurrent use.
 type Monitor struct {
 	self   Observer
 	counts map[countKey]Counts
-	alarms map[alarmKey]*Alarm
+	alarms map[alarmKey]*CUSUMAlarm
 	halted map[contract.VersionID]bool
 }
 
 type alarmKey struct {
 	version   contract.VersionID
-	workspace contract.WorkspaceID // "" for the alarm over all
+	workspace contract.WorkspaceID // empty for the alarm over all workspaces
 }
 
-// NewMonitor returns the monitor of one life of an entry process.
+// NewMonitor returns a monitor for one incarnation of an entry process.
 func NewMonitor(self Observer) *Monitor {
 	return &Monitor{
-		self: self, counts: make(map[countKey]Counts), alarms: make(map[alarmKey]*Alarm),
+		self: self, counts: make(map[countKey]Counts), alarms: make(map[alarmKey]*CUSUMAlarm),
 		halted: make(map[contract.VersionID]bool),
 	}
 }
 
-// Observe takes in an answer of a version in roll-out: whether it was bad by
-// its rating, by failing or by being too slow. It returns whether the version
-// is halted here from now on.
+// Observe records a response of a version in roll-out. A response is bad if it got a bad
+// rating, failed or was too slow. workspaces is the number of workspaces that share the
+// false-alarm rate. Observe returns whether the version is halted on this VM.
 func (m *Monitor) Observe(ro *config.Rollout, step int, workspaces int, w contract.WorkspaceID, bad bool) bool {
 	k := countKey{m.self, ro.To, step}
 	c := m.counts[k]
@@ -141,28 +140,28 @@
 		c.Good++
 	}
 	m.counts[k] = c
-	overall := m.alarm(ro, workspaces, "").Observe(bad)
-	own := m.alarm(ro, workspaces, w).Observe(bad)
-	if overall || own || NewTest(ro).Judge(c) == Bad {
+	overallAlarm := m.alarmFor(ro, workspaces, "").Observe(bad)
+	workspaceAlarm := m.alarmFor(ro, workspaces, w).Observe(bad)
+	if overallAlarm || workspaceAlarm || NewSequentialTest(ro).Evaluate(c) == Bad {
 		m.halted[ro.To] = true
 	}
 	return m.halted[ro.To]
 }
 
-func (m *Monitor) alarm(ro *config.Rollout, workspaces int, w contract.WorkspaceID) *Alarm {
+func (m *Monitor) alarmFor(ro *config.Rollout, workspaces int, w contract.WorkspaceID) *CUSUMAlarm {
 	k := alarmKey{ro.To, w}
 	a, ok := m.alarms[k]
 	if !ok {
-		a = NewAlarm(ro, workspaces+1)
+		a = NewCUSUMAlarm(ro, workspaces+1)
 		m.alarms[k] = a
 	}
 	return a
 }
 
-// Halt takes in a halt that arose elsewhere.
+// Halt marks a version as halted by another VM.
 func (m *Monitor) Halt(v contract.VersionID) { m.halted[v] = true }
 
-// Halted returns the versions halted here, a copy.
+// Halted returns a copy of the set of versions halted on this VM.
 func (m *Monitor) Halted() map[contract.VersionID]bool {
 	out := make(map[contract.VersionID]bool, len(m.halted))
 	for v := range m.halted {
@@ -171,17 +170,17 @@
 	return out
 }
 
-// Evidence returns what this monitor has counted.
+// Evidence returns the counts of this monitor.
 func (m *Monitor) Evidence() Evidence {
 	var e Evidence
 	for k, c := range m.counts {
-		e = append(e, Count{Observer: k.observer, Version: k.version, Step: k.step, Counts: c})
+		e = append(e, ObservedCounts{Observer: k.observer, Version: k.version, Step: k.step, Counts: c})
 	}
 	return e
 }
 
-// Forget drops what concerns roll-outs that are no longer under way. Halts are
-// kept: they are for good.
+// Forget drops the counts of steps that are no longer in progress. It keeps halts, which
+// are permanent.
 func (m *Monitor) Forget(progress map[contract.ModelID]*config.Progress) {
 	for k := range m.counts {
 		p, ok := progress[k.version.Model()]
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -13,16 +13,16 @@
 	"woaddoor/contract"
 )
 
-func plan() *config.Rollout {
+func testRollout() *config.Rollout {
 	return &config.Rollout{
 		Model: "m", From: "m@1", To: "m@2", Steps: []float64{1, 10, 50, 100},
 		GoodRate: 0.02, BadRate: 0.1, FalseAlarm: 0.01, Miss: 0.01, RatingsWithin: time.Minute,
 	}
 }
 
-// run feeds the sequential test answers with a share of bad ones, and returns
-// its verdict and how many answers it took.
-func run(ro *config.Rollout, rate float64, r *rand.Rand) (Verdict, int) {
+// runSequentialTest feeds the test random responses, bad at the given rate, and returns the verdict
+// and the number of responses it took.
+func runSequentialTest(ro *config.Rollout, rate float64, r *rand.Rand) (Verdict, int) {
 	var c Counts
 	for n := 1; ; n++ {
 		if r.Float64() < rate {
@@ -30,35 +30,35 @@
 		} else {
 			c.Good++
 		}
-		if v := NewTest(ro).Judge(c); v != Undecided {
+		if v := NewSequentialTest(ro).Evaluate(c); v != Undecided {
 			return v, n
 		}
 	}
 }
 
-// TestStatedRates checks the false-alarm rate and the power by seeded runs.
-func TestStatedRates(t *testing.T) {
+// TestErrorRatesStayWithinBounds checks the rates of false alarms and misses by seeded simulation.
+func TestErrorRatesStayWithinBounds(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(1, 1))
 	const runs = 4000
 	halted, passed := 0, 0
 	for range runs {
-		if v, _ := run(plan(), 0.02, r); v == Bad {
+		if v, _ := runSequentialTest(testRollout(), 0.02, r); v == Bad {
 			halted++
 		}
-		if v, _ := run(plan(), 0.10, r); v == Passed {
+		if v, _ := runSequentialTest(testRollout(), 0.10, r); v == Passed {
 			passed++
 		}
 	}
-	is.True(halted <= runs*15/1000) // 1% and Wald's slack
+	is.True(halted <= runs*15/1000) // 1% and the tolerance of Wald's bounds
 	is.True(passed <= runs*15/1000)
 }
 
-// TestEvidenceMerges checks that evidence may come twice and in any order.
-func TestEvidenceMerges(t *testing.T) {
+// TestMergeToleratesDuplicatesAndReordering checks that evidence may arrive twice and in any order.
+func TestMergeToleratesDuplicatesAndReordering(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Evidence
-		truth := make(map[Observer]Counts)
+		latest := make(map[Observer]Counts)
 		for i := range rapid.IntRange(1, 4).Draw(t, "observers") {
 			o := Observer{VM: contract.VMID(fmt.Sprint(i)), Incarnation: 1}
 			var c Counts
@@ -67,47 +67,47 @@
 				c.Bad += rapid.Int64Range(0, 3).Draw(t, "bad")
 				all = append(all, Evidence{{Observer: o, Version: "m@2", Counts: c}})
 			}
-			truth[o] = c
+			latest[o] = c
 		}
 		var merged Evidence
 		for _, e := range rapid.Permutation(append(all, all...)).Draw(t, "order") {
 			merged = Merge(merged, e)
 		}
 		var want Counts
-		for _, c := range truth {
+		for _, c := range latest {
 			want.Good += c.Good
 			want.Bad += c.Bad
 		}
 		if got := merged.Sum("m@2", 0); got != want {
-			t.Fatalf("merged to %+v, counted %+v", got, want)
+			t.Fatalf("merged counts are %+v, want %+v", got, want)
 		}
 	})
 }
 
-// TestTakenOver interrupts a roll-out at every step: several VMs decide on what
-// they last read and write under the condition that the progress is unchanged.
-// No step is skipped or repeated, and nothing follows a halt. The naive stepper,
-// which adds one in its own memory and writes, does skip.
-func TestTakenOver(t *testing.T) {
+// TestConcurrentStepsAreNeitherSkippedNorRepeated lets several VMs decide steps from the progress
+// they last read and write them on condition that the progress is unchanged. No step may be skipped
+// or repeated, and none may follow a halt. A naive implementation that increments a step counter in
+// memory skips steps.
+func TestConcurrentStepsAreNeitherSkippedNorRepeated(t *testing.T) {
 	naiveSkips := 0
 	rapid.Check(t, func(t *rapid.T) {
-		ro := plan()
+		ro := testRollout()
 		var stored *config.Progress
-		naive := 0
-		reads := make([]*config.Progress, 3) // what each VM last read
+		naiveStep := 0
+		lastRead := make([]*config.Progress, 3) // the progress that each VM last read
 		now := time.Unix(0, 0)
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			i := rapid.IntRange(0, 2).Draw(t, "vm")
 			if rapid.Bool().Draw(t, "reads") {
-				reads[i] = stored
+				lastRead[i] = stored
 				continue
 			}
 			step := 0
-			if reads[i] != nil {
-				step = reads[i].Step
+			if lastRead[i] != nil {
+				step = lastRead[i].Step
 			}
 			s := Situation{
-				Rollout: ro, Progress: reads[i], Loaded: true, StepSince: now,
+				Rollout: ro, Progress: lastRead[i], Loaded: true, StepSince: now,
 				Evidence: Evidence{{Version: "m@2", Step: step, Counts: Counts{Good: 1000}}},
 				Halted:   rapid.IntRange(0, 30).Draw(t, "halted") == 0,
 			}
@@ -115,18 +115,18 @@
 			if next == nil {
 				continue
 			}
-			naive++
-			if naive > step+1 {
+			naiveStep++
+			if naiveStep > step+1 {
 				naiveSkips++
 			}
-			if reads[i] != stored { // the conditional write fails
+			if lastRead[i] != stored { // the conditional write fails
 				continue
 			}
 			if stored != nil && (stored.State != config.Ramping || next.Step > stored.Step+1 || next.Step < stored.Step) {
-				t.Fatalf("from %+v to %+v", *stored, *next)
+				t.Fatalf("invalid step from %+v to %+v", *stored, *next)
 			}
 			if stored == nil && next.Step != 0 {
-				t.Fatalf("began at %+v", *next)
+				t.Fatalf("roll-out started at %+v", *next)
 			}
 			stored = next
 		}
@@ -134,30 +134,30 @@
 	is.New(t).True(naiveSkips > 0)
 }
 
-// TestHoldsAndHalts checks each situation in which there is no step forward.
-func TestHoldsAndHalts(t *testing.T) {
+// TestNextDecision checks the decision and the reason of Next for each kind of input.
+func TestNextDecision(t *testing.T) {
 	now := time.Unix(1000, 0)
 	good := Evidence{{Version: "m@2", Counts: Counts{Good: 1000}}}
 	ramping := &config.Progress{Model: "m", To: "m@2", State: config.Ramping}
 	for name, c := range map[string]struct {
-		s     Situation
-		state config.RampState // "" for no change
-		why   Reason
+		input  Situation
+		state  config.RampState // empty for no change
+		reason Reason
 	}{
-		"cut off":      {Situation{Progress: ramping, Evidence: good, CutOff: true, StepSince: now}, "", ReasonCutOff},
-		"bad":          {Situation{Progress: ramping, Evidence: Evidence{{Version: "m@2", Counts: Counts{Bad: 50}}}, CutOff: true, StepSince: now}, config.Halted, ReasonBad},
-		"no ratings":   {Situation{Progress: ramping, StepSince: now.Add(-time.Hour)}, config.Halted, ReasonNoRatings},
-		"halted":       {Situation{Progress: ramping, Evidence: good, Halted: true, StepSince: now}, config.Halted, ReasonHalted},
-		"not loaded":   {Situation{}, "", ReasonNotLoaded},
-		"undecided":    {Situation{Progress: ramping, StepSince: now}, "", ReasonWaiting},
-		"passed":       {Situation{Progress: ramping, Evidence: good, StepSince: now}, config.Ramping, ReasonPassed},
-		"after a halt": {Situation{Progress: &config.Progress{To: "m@2", State: config.Halted}, Evidence: good}, "", ReasonFinal},
+		"data centre unreachable": {Situation{Progress: ramping, Evidence: good, CutOff: true, StepSince: now}, "", ReasonDataCentreUnreachable},
+		"bad":                     {Situation{Progress: ramping, Evidence: Evidence{{Version: "m@2", Counts: Counts{Bad: 50}}}, CutOff: true, StepSince: now}, config.Halted, ReasonBad},
+		"no ratings":              {Situation{Progress: ramping, StepSince: now.Add(-time.Hour)}, config.Halted, ReasonRatingsTimeout},
+		"halted":                  {Situation{Progress: ramping, Evidence: good, Halted: true, StepSince: now}, config.Halted, ReasonHalted},
+		"not loaded":              {Situation{}, "", ReasonNotLoaded},
+		"undecided":               {Situation{Progress: ramping, StepSince: now}, "", ReasonAwaitingRatings},
+		"passed":                  {Situation{Progress: ramping, Evidence: good, StepSince: now}, config.Ramping, ReasonPassed},
+		"already halted":          {Situation{Progress: &config.Progress{To: "m@2", State: config.Halted}, Evidence: good}, "", ReasonEnded},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			c.s.Rollout = plan()
-			next, why := Next(c.s, now)
-			is.Equal(why, c.why)
+			c.input.Rollout = testRollout()
+			next, reason := Next(c.input, now)
+			is.Equal(reason, c.reason)
 			if c.state == "" {
 				is.True(next == nil)
 				return
@@ -167,14 +167,14 @@
 	}
 }
 
-// TestTurnsBad compares a version that turns bad after a good past: the alarm
-// halts within a few dozen answers, the plain sum of the sequential test, with
-// its good past, does not.
-func TestTurnsBad(t *testing.T) {
+// TestAlarmDetectsLateRegression checks a version that turns bad after many good responses. The alarm
+// halts it within a few dozen responses. The sequential test alone takes more than twice as many,
+// because the earlier good responses still count.
+func TestAlarmDetectsLateRegression(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(3, 3))
 	m := NewMonitor(Observer{VM: "a"})
-	ro := plan()
+	ro := testRollout()
 	var sum Counts
 	for range 2000 {
 		bad := r.Float64() < ro.GoodRate
@@ -185,8 +185,8 @@
 			sum.Good++
 		}
 	}
-	alarmAt, naiveAt := 0, 0
-	for n := 1; n <= 3000 && (alarmAt == 0 || naiveAt == 0); n++ {
+	alarmAt, sequentialAt := 0, 0
+	for n := 1; n <= 3000 && (alarmAt == 0 || sequentialAt == 0); n++ {
 		bad := r.Float64() < 0.3
 		if m.Observe(ro, 3, 10, "w", bad) && alarmAt == 0 {
 			alarmAt = n
@@ -196,21 +196,21 @@
 		} else {
 			sum.Good++
 		}
-		if naiveAt == 0 && NewTest(ro).Judge(sum) == Bad {
-			naiveAt = n
+		if sequentialAt == 0 && NewSequentialTest(ro).Evaluate(sum) == Bad {
+			sequentialAt = n
 		}
 	}
 	is.True(alarmAt > 0 && alarmAt < 100)
-	is.True(naiveAt > 2*alarmAt)
+	is.True(sequentialAt > 2*alarmAt)
 }
 
-// TestChooseKeepsPoint checks that a ramp only moves work from the old version
-// to the new one, and that a halt sends all new work back at once.
-func TestChooseKeepsPoint(t *testing.T) {
+// TestChooseMovesWorkOneWay checks that a ramp moves work only from the old version to the new
+// one, and that a halt sends all new work back at once.
+func TestChooseMovesWorkOneWay(t *testing.T) {
 	is := is.New(t)
 	c := &config.Config{
 		Models:   map[contract.ModelID]*config.Model{"m": {ID: "m", Serve: "m@1"}},
-		Rollouts: map[contract.ModelID]*config.Rollout{"m": plan()},
+		Rollouts: map[contract.ModelID]*config.Rollout{"m": testRollout()},
 		Progress: map[contract.ModelID]*config.Progress{"m": {Model: "m", To: "m@2", State: config.Ramping, Step: 1}},
 	}
 	is.Equal(Choose(c, "m", nil, 0.05), contract.VersionID("m@2"))
--- a/rollout/slowness.go
+++ b/rollout/slowness.go
@@ -5,77 +5,81 @@
 	"time"
 )
 
-// Time is how long an answer took in one respect, such as the time to its first
-// piece on one route with one model. Only times of one kind are compared.
+// Time is one duration measured for a response, such as the time to its first chunk. Kind
+// identifies what was measured, on which route and with which model. Only times of the
+// same kind are compared.
 type Time struct {
 	Kind    string
 	Seconds float64
 }
 
-// Slowness tells which times of a release are far above those of the other
-// releases of a service. Times differ by orders of magnitude, so it compares
-// logarithms. It is pure.
-type Slowness struct {
-	kinds map[string]*spread
-	// compared is when a time of another release was last seen: what they took
-	// before the load changed says nothing.
-	compared time.Time
+// SlownessDetector detects responses of a release that are much slower than those of the
+// service's other releases. Durations differ by orders of magnitude, so it compares their
+// logarithms. It does no I/O and is not safe for concurrent use.
+type SlownessDetector struct {
+	statsByKind map[string]*logStats
+	// lastBaseline is when a response of another release was last observed. Older
+	// baselines are not used, because the load may have changed since.
+	lastBaseline time.Time
 }
 
-// spread is the mean and the variance of the logarithm of one kind of time.
-type spread struct{ n, mean, m2 float64 }
+// logStats holds the running mean and variance of the logarithms of one kind of duration.
+type logStats struct{ n, mean, m2 float64 }
 
-// Parameters of Slowness.
-var slowBy = math.Log(3) // between as long, and the several times of a bad release
+// minSlowLogRatio is the smallest log ratio to the mean that counts as slow. A factor of 3
+// lies between the equal times of a good release and the several-fold ones of a bad one.
+var minSlowLogRatio = math.Log(3)
 
 const (
-	// slowDeviations is how many deviations above the mean a time has to be: one
-	// in forty of any release is.
-	slowDeviations = 2.0
-	// slowKnown is how many times of a kind are needed before one is compared.
-	slowKnown = 20
-	// slowMemory bounds how many times a mean rests on.
-	slowMemory = 500
-	// slowWithin is how recent a time of the others has to be.
-	slowWithin = 3 * time.Second
+	// minSlowStdDevs is how many standard deviations above the mean a slow time lies. About
+	// one in forty times of any release lies that far above.
+	minSlowStdDevs = 2.0
+	// minBaselineSamples is how many times of a kind are needed before any is compared.
+	minBaselineSamples = 20
+	// maxBaselineSamples limits the number of samples behind a mean, so that it follows changes.
+	maxBaselineSamples = 500
+	// maxBaselineAge is how recent the last time of another release has to be.
+	maxBaselineAge = 3 * time.Second
 )
 
-// NewSlowness returns a comparison that has seen nothing.
-func NewSlowness() *Slowness { return &Slowness{kinds: make(map[string]*spread)} }
+// NewSlownessDetector returns a detector without samples.
+func NewSlownessDetector() *SlownessDetector {
+	return &SlownessDetector{statsByKind: make(map[string]*logStats)}
+}
 
-// Observe takes in the times of an answer of the release on trial, or of
-// another one, and tells whether one of them is slow.
-func (s *Slowness) Observe(onTrial bool, times []Time, now time.Time) bool {
+// Observe compares the times of a response with the baseline and reports whether any of
+// them is slow. Times of responses that are not on trial are added to the baseline.
+func (s *SlownessDetector) Observe(onTrial bool, times []Time, now time.Time) bool {
 	slow := false
 	for _, t := range times {
-		slow = s.observe(onTrial, t, now) || slow
+		slow = s.observeTime(onTrial, t, now) || slow
 	}
 	return slow
 }
 
-func (s *Slowness) observe(onTrial bool, t Time, now time.Time) bool {
-	x := math.Log(max(t.Seconds, 1e-4))
-	k, ok := s.kinds[t.Kind]
+func (s *SlownessDetector) observeTime(onTrial bool, t Time, now time.Time) bool {
+	logSeconds := math.Log(max(t.Seconds, 1e-4))
+	stats, ok := s.statsByKind[t.Kind]
 	if !ok {
-		k = &spread{}
-		s.kinds[t.Kind] = k
+		stats = &logStats{}
+		s.statsByKind[t.Kind] = stats
 	}
-	slow := k.n >= slowKnown && x > k.mean+max(slowBy, slowDeviations*math.Sqrt(k.m2/k.n))
+	slow := stats.n >= minBaselineSamples && logSeconds > stats.mean+max(minSlowLogRatio, minSlowStdDevs*math.Sqrt(stats.m2/stats.n))
 	if !onTrial {
-		k.add(x)
-		s.compared = now
+		stats.add(logSeconds)
+		s.lastBaseline = now
 		return slow
 	}
-	return slow && now.Sub(s.compared) < slowWithin
+	return slow && now.Sub(s.lastBaseline) < maxBaselineAge
 }
 
-func (k *spread) add(x float64) {
-	if k.n >= slowMemory {
-		k.m2 *= 1 - 1/k.n
-		k.n--
+func (s *logStats) add(logSeconds float64) {
+	if s.n >= maxBaselineSamples {
+		s.m2 *= 1 - 1/s.n
+		s.n--
 	}
-	k.n++
-	off := x - k.mean
-	k.mean += off / k.n
-	k.m2 += off * (x - k.mean)
+	s.n++
+	deviation := logSeconds - s.mean
+	s.mean += deviation / s.n
+	s.m2 += deviation * (logSeconds - s.mean)
 }
--- /dev/null
+++ b/rollout/sprt.go
@@ -0,0 +1,116 @@
+// Package rollout moves a model to a new version step by step and halts a bad version. It
+// also puts new releases of a service on trial. It does no I/O: evidence and the current
+// time are parameters.
+//
+// Every VM counts responses, and counts are merged by taking the larger one, so evidence
+// may arrive late, repeatedly and in any order. A halt only removes a version from use, so
+// it takes effect immediately where it is decided and spreads without agreement. A step
+// forward is a conditional write of the configuration, so two VMs that advance a roll-out
+// at the same time make only one step.
+package rollout
+
+import (
+	"math"
+
+	"woaddoor/config"
+)
+
+// SequentialTest is Wald's sequential probability ratio test between a good and a bad rate
+// of bad responses (A. Wald, Sequential Tests of Statistical Hypotheses, 1945). FalseAlarm
+// and Miss of config.Rollout apply to the whole roll-out: the tests of the steps share one
+// half of FalseAlarm, the CUSUM alarms the other half. The chance of passing a version with a
+// rate of BadRate is at most Miss at each step. Both hold up to the factors 1/(1-Miss) and
+// 1/(1-FalseAlarm) of Wald's bounds.
+type SequentialTest struct {
+	badIncrement, goodIncrement float64 // added to the log-likelihood ratio for each response
+	haltBound, passBound        float64 // of the log-likelihood ratio
+}
+
+// checkKinds is the number of kinds of checks that share the false-alarm rate: the
+// sequential tests of the steps, and the CUSUM alarms.
+const checkKinds = 2
+
+// NewSequentialTest returns the test with the parameters of a roll-out.
+func NewSequentialTest(ro *config.Rollout) SequentialTest {
+	falseAlarm := ro.FalseAlarm / checkKinds / float64(max(len(ro.Steps), 1))
+	return SequentialTest{
+		badIncrement:  math.Log(ro.BadRate / ro.GoodRate),
+		goodIncrement: math.Log((1 - ro.BadRate) / (1 - ro.GoodRate)),
+		haltBound:     math.Log((1 - ro.Miss) / falseAlarm),
+		passBound:     math.Log(ro.Miss / (1 - falseAlarm)),
+	}
+}
+
+// Verdict is the result of a sequential test.
+type Verdict uint8
+
+// The verdicts.
+const (
+	// Undecided means that more responses are needed.
+	Undecided Verdict = iota
+	// Passed means that the version is good, within the test's error bounds.
+	Passed
+	// Bad means that the version has to be halted.
+	Bad
+)
+
+// Counts are the numbers of good and bad responses of a version.
+type Counts struct {
+	Good int64 `cbor:"1,keyasint"`
+	Bad  int64 `cbor:"2,keyasint"`
+}
+
+// suspectFraction is the fraction of the halt bound from which a version is suspected.
+const suspectFraction = 0.4
+
+// Suspects reports whether the counts indicate a bad version, possibly without reaching the
+// bound for halting it.
+func (t SequentialTest) Suspects(c Counts) bool {
+	return t.logLikelihoodRatio(c) >= suspectFraction*t.haltBound
+}
+
+func (t SequentialTest) logLikelihoodRatio(c Counts) float64 {
+	return float64(c.Bad)*t.badIncrement + float64(c.Good)*t.goodIncrement
+}
+
+// Evaluate returns the verdict for the counts.
+func (t SequentialTest) Evaluate(c Counts) Verdict {
+	ratio := t.logLikelihoodRatio(c)
+	switch {
+	case ratio >= t.haltBound:
+		return Bad
+	case ratio <= t.passBound:
+		return Passed
+	}
+	return Undecided
+}
+
+// alarmHorizon is the number of responses over which CUSUMAlarm keeps its false-alarm rate.
+const alarmHorizon = 10_000
+
+// CUSUMAlarm is Page's cumulative sum test (E. S. Page, Continuous Inspection Schemes, 1954).
+// It detects a good version that turns bad, which the sequential test finds only slowly
+// because the earlier good responses still count. Over alarmHorizon responses its false-alarm
+// rate is at most that of the roll-out, because the chance that the sum exceeds a height h
+// after any one start is at most exp(-h).
+type CUSUMAlarm struct {
+	test      SequentialTest
+	threshold float64
+	sum       float64
+}
+
+// NewCUSUMAlarm returns an alarm. alarms is the number of alarms that share the roll-out's
+// false-alarm rate: one for each workspace, and one over all workspaces.
+func NewCUSUMAlarm(ro *config.Rollout, alarms int) *CUSUMAlarm {
+	return &CUSUMAlarm{test: NewSequentialTest(ro), threshold: math.Log(alarmHorizon * checkKinds * float64(alarms) / ro.FalseAlarm)}
+}
+
+// Observe records a response and reports whether to halt the version.
+func (a *CUSUMAlarm) Observe(bad bool) bool {
+	increment := a.test.goodIncrement
+	if bad {
+		increment = a.test.badIncrement
+	}
+	a.sum = max(0, a.sum+increment)
+	return a.sum >= a.threshold
+}
--- a/rollout/stepper.go
+++ b/rollout/stepper.go
@@ -7,44 +7,44 @@
 	"woaddoor/contract"
 )
 
-// Situation is what is known of a roll-out when its next step is decided.
+// Situation is the input for deciding the next step of a roll-out.
 type Situation struct {
 	Rollout *config.Rollout
 	// Progress is nil before the first step.
 	Progress *config.Progress
 	Evidence Evidence
-	// Halted tells whether the version was halted anywhere.
+	// Halted is true if any VM has halted the version.
 	Halted bool
-	// StepSince is when this VM first saw the present step; LastRating when the
-	// evidence of the step last grew.
+	// StepSince is when this VM first saw the current step. LastRating is when the
+	// evidence for that step last grew.
 	StepSince, LastRating time.Time
-	// CutOff tells whether a data centre has not been heard of: its evidence,
-	// and its halts, would be missing.
+	// CutOff is true if a data centre cannot be reached, so that its evidence and its
+	// halts may be missing.
 	CutOff bool
-	// Loaded tells whether an engine of each data centre holds the version.
+	// Loaded is true if an engine in each data centre has loaded the version.
 	Loaded bool
 }
 
-// Reason says in a word why a step was decided.
+// Reason is a short explanation of a decision, for logs and the configuration history.
 type Reason string
 
 // The reasons.
 const (
-	ReasonStart     Reason = "starts"
-	ReasonPassed    Reason = "passed the test of its step"
-	ReasonBad       Reason = "failed the test of its step"
-	ReasonHalted    Reason = "halted by a VM"
-	ReasonNoRatings Reason = "no ratings came"
-	ReasonWaiting   Reason = "waits for ratings"
-	ReasonCutOff    Reason = "a data centre is cut off"
-	ReasonNotLoaded Reason = "not loaded everywhere"
-	ReasonFinal     Reason = "is over"
+	ReasonStart                 Reason = "starts"
+	ReasonPassed                Reason = "passed the test of its step"
+	ReasonBad                   Reason = "failed the test of its step"
+	ReasonHalted                Reason = "halted by a VM"
+	ReasonRatingsTimeout        Reason = "no ratings came"
+	ReasonAwaitingRatings       Reason = "waits for ratings"
+	ReasonDataCentreUnreachable Reason = "a data centre is cut off"
+	ReasonNotLoaded             Reason = "not loaded everywhere"
+	ReasonEnded                 Reason = "is over"
 )
 
-// Next returns the progress that follows, or nil when nothing changes, and
-// why. It is always one step from the given progress, so a decision that is
-// written under the condition that the progress is still the same neither
-// skips nor repeats a step, whoever makes it.
+// Next returns the next progress of a roll-out, or nil if nothing changes, and the reason.
+// The result is at most one step ahead of s.Progress. If it is written only on condition
+// that the stored progress is unchanged, no step is skipped or repeated, whichever VM
+// writes it.
 func Next(s Situation, now time.Time) (*config.Progress, Reason) {
 	ro := s.Rollout
 	if s.Progress == nil {
@@ -55,24 +55,24 @@
 	}
 	p := *s.Progress
 	if p.State != config.Ramping {
-		return nil, ReasonFinal
+		return nil, ReasonEnded
 	}
-	halt := func(why Reason) (*config.Progress, Reason) {
+	halt := func(reason Reason) (*config.Progress, Reason) {
 		p.State = config.Halted
-		return &p, why
+		return &p, reason
 	}
-	verdict := NewTest(ro).Judge(s.Evidence.Sum(ro.To, p.Step))
+	verdict := NewSequentialTest(ro).Evaluate(s.Evidence.Sum(ro.To, p.Step))
 	switch {
 	case s.Halted:
 		return halt(ReasonHalted)
 	case verdict == Bad:
 		return halt(ReasonBad)
 	case s.CutOff:
-		return nil, ReasonCutOff // no step forward on partial evidence
-	case now.Sub(later(s.StepSince, s.LastRating)) >= ro.RatingsWithin:
-		return halt(ReasonNoRatings)
+		return nil, ReasonDataCentreUnreachable // partial evidence must not advance the roll-out
+	case now.Sub(laterOf(s.StepSince, s.LastRating)) >= ro.RatingsWithin:
+		return halt(ReasonRatingsTimeout)
 	case verdict == Undecided:
-		return nil, ReasonWaiting
+		return nil, ReasonAwaitingRatings
 	}
 	if p.Step+1 >= len(ro.Steps) {
 		p.State = config.Done
@@ -82,16 +82,16 @@
 	return &p, ReasonPassed
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// Share returns the part of new work, 0 to 1, that a roll-out's new version
-// gets now.
-func Share(ro *config.Rollout, p *config.Progress) float64 {
+// NewVersionShare returns the fraction of new work, 0 to 1, that the new version of a
+// roll-out gets.
+func NewVersionShare(ro *config.Rollout, p *config.Progress) float64 {
 	switch {
 	case p == nil || p.To != ro.To || p.State == config.Halted:
 		return 0
@@ -103,9 +103,9 @@
 
 const percent = 100
 
-// Choose returns the version for new work of a model: the one that serves it,
-// or the new one of a roll-out. point, from 0 to 1, places the work in the
-// ramp; work with a lower point moves first.
+// Choose returns the version for new work of a model: the version that serves the model, or
+// one of the two versions of a roll-out. point, from 0 to 1, is the position of the work in
+// the ramp. Work with a lower point moves to the new version first.
 func Choose(c *config.Config, m contract.ModelID, halted map[contract.VersionID]bool, point float64) contract.VersionID {
 	model, ok := c.Models[m]
 	if !ok {
@@ -115,7 +115,7 @@
 	if !ok || halted[ro.To] {
 		return model.Serve
 	}
-	if point < Share(ro, c.Progress[m]) {
+	if point < NewVersionShare(ro, c.Progress[m]) {
 		return ro.To
 	}
 	return ro.From
