--- a/leader/book.go
+++ b/leader/book.go
@@ -8,78 +8,80 @@
 	"woaddoor/usage"
 )
 
-// BookOptions set up a Book.
+// BookOptions configure a Book.
 type BookOptions struct {
 	Self       contract.VMLife
 	DataCentre contract.DataCentreID
 	Terms      usage.Terms
-	// Now is the time of day, by which windows go.
+	// Now returns the wall-clock time, which determines the usage window.
 	Now func() time.Time
-	// Centres returns the data centres that have VMs. May be nil: the own one alone.
+	// Centres returns the data centres that have VMs. If nil, only the VM's own data
+	// centre is considered.
 	Centres func() []contract.DataCentreID
 }
 
-// Book is what one VM knows of usage: what it has counted, what others have told, and whom
-// it has told. It is safe for concurrent use.
+// Book stores the usage counts that one VM knows, its own and those received from other VMs,
+// and how much of them each recipient has acknowledged. It is safe for concurrent use.
 type Book struct {
 	opts *BookOptions
 
 	// mu guards the fields below.
 	mu   sync.Mutex
 	sums *usage.Sums
-	// told is the number of the newest change that a hearer is known to have.
-	told map[contract.VMLife]uint64
-	// tellers are the VMs that tell this one what they have gathered.
-	tellers map[contract.VMLife]teller
+	// acknowledged is the number of the newest change that each recipient has acknowledged.
+	acknowledged map[contract.VMLife]uint64
+	// collectors are the VMs that collect the counts of other VMs and send them to this one.
+	collectors map[contract.VMLife]collector
 }
 
-type teller struct {
+type collector struct {
 	dataCentre contract.DataCentreID
-	at         time.Time // when it last told all that it knew
+	reportedAt time.Time // when it last sent all counts that it knew
 }
 
 // NewBook returns an empty book.
 func NewBook(opts *BookOptions) *Book {
-	return &Book{opts: opts, sums: usage.NewSums(), told: make(map[contract.VMLife]uint64), tellers: make(map[contract.VMLife]teller)}
+	return &Book{opts: opts, sums: usage.NewSums(), acknowledged: make(map[contract.VMLife]uint64), collectors: make(map[contract.VMLife]collector)}
 }
 
-// Ages and bounds of what a book keeps.
+// Limits of what a book keeps.
 const (
-	// keptWindows is how many windows are kept beyond those that can still be reported.
-	keptWindows = 2
-	// tellerFor is for how long a VM that has fallen silent is waited for.
-	tellerFor = 10 * time.Second
-	// mostHearers bounds the hearers that are remembered: one that is forgotten is told
-	// all there is once more.
-	mostHearers = 256
+	// extraWindows is how many windows are kept beyond those that can still be reported.
+	extraWindows = 2
+	// collectorTimeout is how long a collector may be silent before it is ignored.
+	collectorTimeout = 10 * time.Second
+	// maxRecipients limits the recipients whose acknowledgements are stored. A recipient
+	// whose acknowledgement is dropped is sent all counts once more.
+	maxRecipients = 256
 )
 
-// Began counts a request that began to run at a time of day.
+// Began counts a request that an upstream began to run at the wall-clock time at.
 func (b *Book) Began(w contract.WorkspaceID, at time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sums.Began(b.opts.Self, usage.WindowOf(at, b.opts.Terms.Window), w)
 }
 
-// For returns what a hearer is to be told, and the mark by which it has answered that.
-func (b *Book) For(hearer contract.VMLife) ([]usage.Part, uint64) {
+// For returns the counts to send to a recipient, and the number of the newest change among
+// them, to pass to Answered once the recipient has replied.
+func (b *Book) For(recipient contract.VMLife) ([]usage.Part, uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.forget()
-	return b.sums.Since(b.told[hearer])
+	b.pruneWindows()
+	return b.sums.Since(b.acknowledged[recipient])
 }
 
-// Answered notes that a hearer knows all up to a mark.
-func (b *Book) Answered(hearer contract.VMLife, mark uint64) {
+// Answered records that a recipient has all changes up to and including mark.
+func (b *Book) Answered(recipient contract.VMLife, mark uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.told) >= mostHearers {
-		clear(b.told)
+	if len(b.acknowledged) >= maxRecipients {
+		clear(b.acknowledged)
 	}
-	b.told[hearer] = max(b.told[hearer], mark)
+	b.acknowledged[recipient] = max(b.acknowledged[recipient], mark)
 }
 
-// Hear takes in parts that another VM has told.
+// Hear merges usage counts that another VM has sent.
 func (b *Book) Hear(parts []usage.Part) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -88,21 +90,21 @@
 	}
 }
 
-// Gathered takes in that a VM has told all that the VMs which tell it have counted, for the
-// last time if it ends.
-func (b *Book) Gathered(from contract.VMLife, dc contract.DataCentreID, ends bool) {
+// Gathered records that a collector has sent all counts that it knows. If final is true, the
+// collector is shutting down and will send no more.
+func (b *Book) Gathered(from contract.VMLife, dc contract.DataCentreID, final bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if ends {
-		delete(b.tellers, from)
+	if final {
+		delete(b.collectors, from)
 		return
 	}
-	b.tellers[from] = teller{dc, b.opts.Now()}
+	b.collectors[from] = collector{dc, b.opts.Now()}
 }
 
-// heard returns since when all that gather have told this VM; the zero time when a data
-// centre has not at all.
-func (b *Book) heard() time.Time {
+// completeUntil returns the earliest of the times at which the active collectors last sent
+// their counts, or the zero time if a data centre has no active collector.
+func (b *Book) completeUntil() time.Time {
 	var centres []contract.DataCentreID
 	if b.opts.Centres != nil {
 		centres = b.opts.Centres()
@@ -110,38 +112,39 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.opts.Now()
-	heard := now
-	told := map[contract.DataCentreID]bool{b.opts.DataCentre: true}
-	for life, t := range b.tellers {
-		if now.Sub(t.at) > tellerFor {
-			delete(b.tellers, life)
+	earliest := now
+	reported := map[contract.DataCentreID]bool{b.opts.DataCentre: true}
+	for life, t := range b.collectors {
+		if now.Sub(t.reportedAt) > collectorTimeout {
+			delete(b.collectors, life)
 			continue
 		}
-		told[t.dataCentre] = true
-		if t.at.Before(heard) {
-			heard = t.at
+		reported[t.dataCentre] = true
+		if t.reportedAt.Before(earliest) {
+			earliest = t.reportedAt
 		}
 	}
 	for _, dc := range centres {
-		if !told[dc] {
+		if !reported[dc] {
 			return time.Time{}
 		}
 	}
-	return heard
+	return earliest
 }
 
-// Close returns a record with the windows fixed that can be now; see Terms.Close.
-func (b *Book) Close(r usage.Record) (usage.Record, bool) {
-	heard := b.heard()
+// CloseWindows returns the record with the counts of all windows fixed that can be fixed
+// now, and whether it changed; see usage.Terms.Close.
+func (b *Book) CloseWindows(r usage.Record) (usage.Record, bool) {
+	completeUntil := b.completeUntil()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.forget()
-	return b.opts.Terms.Close(r, b.sums, heard, b.opts.Now())
+	b.pruneWindows()
+	return b.opts.Terms.Close(r, b.sums, completeUntil, b.opts.Now())
 }
 
-// forget drops what cannot be reported any more. The caller holds mu.
-func (b *Book) forget() {
+// pruneWindows drops the windows that cannot be reported any more. The caller holds mu.
+func (b *Book) pruneWindows() {
 	t := b.opts.Terms
 	oldest := b.opts.Now().Add(-t.Late)
-	b.sums.Forget(usage.WindowOf(oldest, t.Window) - keptWindows)
+	b.sums.Forget(usage.WindowOf(oldest, t.Window) - extraWindows)
 }
--- a/leader/keeper.go
+++ b/leader/keeper.go
@@ -12,93 +12,93 @@
 	"woaddoor/lease"
 )
 
-// Errors of a LeaseStore. Every other error means that a write may have taken effect, or may
-// yet while its condition holds.
+// Errors of a LeaseStore. After any other error a write may have taken effect, or may still
+// take effect while its condition holds.
 var (
-	// ErrTaken means that the object has another version.
-	ErrTaken = errors.New("another was first")
-	// ErrGone means that there is no object.
-	ErrGone = errors.New("no lease object")
+	// ErrTaken means that the stored object has another version than the write requires.
+	ErrTaken = errors.New("lease object has another version")
+	// ErrGone means that the store has no object.
+	ErrGone = errors.New("lease object does not exist")
 )
 
 // LeaseStore reads and writes the object of one lease.
 type LeaseStore interface {
 	// Read returns the object, or ErrGone.
 	Read(ctx context.Context) (lease.Seen, error)
-	// Write carries out a proposal and returns its version. With ErrTaken it may return
-	// the object as it is; a Version of zero means that it does not.
+	// Write makes the write of a proposal and returns the object with its new version. With
+	// ErrTaken it may return the stored object; version zero means that it does not.
 	Write(ctx context.Context, p lease.Proposal) (lease.Seen, error)
 }
 
-// KeeperOptions set up a Keeper.
+// KeeperOptions configure a Keeper.
 type KeeperOptions struct {
 	lease.Options
 	Store LeaseStore
 	Clock clock.Clock
-	// Timeout bounds each call to the store; it has to be under Margin.
+	// Timeout limits each call to the store. It must be less than Margin.
 	Timeout time.Duration
 }
 
-// Keeper holds one process's part in a lease before a store. It is safe for concurrent
-// use; Look, Step and Resign are called by one goroutine.
+// Keeper acquires, renews and resigns a lease in a store on behalf of one process. It is safe
+// for concurrent use, except that Look, Step and Resign must be called by one goroutine.
 type Keeper struct {
 	opts *KeeperOptions
 
-	// mu guards holder. It is not held across calls.
+	// mu guards handle. It is not held during calls to the store.
 	mu     sync.Mutex
-	holder *lease.Holder
+	handle *lease.Handle
 }
 
-// NewKeeper returns a keeper that holds nothing.
+// NewKeeper returns a keeper that does not hold the lease.
 func NewKeeper(opts *KeeperOptions) *Keeper {
-	return &Keeper{opts: opts, holder: lease.NewHolder(opts.Options)}
+	return &Keeper{opts: opts, handle: lease.NewHandle(opts.Options)}
 }
 
-func (k *Keeper) locked(f func(h *lease.Holder, now time.Time)) {
+func (k *Keeper) withHandle(f func(h *lease.Handle, now time.Time)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	f(k.holder, k.opts.Clock.Now())
+	f(k.handle, k.opts.Clock.Now())
 }
 
-// Look reads the object.
+// Look reads the lease object from the store.
 func (k *Keeper) Look(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, k.opts.Timeout)
 	defer cancel()
 	seen, err := k.opts.Store.Read(ctx)
 	switch {
 	case errors.Is(err, ErrGone):
-		k.locked(func(h *lease.Holder, now time.Time) { h.Gone(now) })
+		k.withHandle(func(h *lease.Handle, now time.Time) { h.ObserveMissing(now) })
 	case err != nil:
 		return err
 	default:
-		k.locked(func(h *lease.Holder, now time.Time) { h.Saw(seen, now) })
+		k.withHandle(func(h *lease.Handle, now time.Time) { h.ObserveRead(seen, now) })
 	}
 	return nil
 }
 
-// Step reads the object where that is needed and makes the write that is due, if any.
+// Step reads the lease object if necessary and makes the write that is due, if any.
 func (k *Keeper) Step(ctx context.Context) error {
-	unread := false
-	k.locked(func(h *lease.Holder, now time.Time) { unread = h.Unread(now) })
-	if unread {
+	needsRead := false
+	k.withHandle(func(h *lease.Handle, now time.Time) { needsRead = h.NeedsRead(now) })
+	if needsRead {
 		if err := k.Look(ctx); err != nil {
 			return err
 		}
 	}
-	return k.write(ctx, (*lease.Holder).Propose)
+	return k.write(ctx, (*lease.Handle).Propose)
 }
 
 // Resign gives the lease up if this process holds it.
-func (k *Keeper) Resign(ctx context.Context) error { return k.write(ctx, (*lease.Holder).Resign) }
+func (k *Keeper) Resign(ctx context.Context) error { return k.write(ctx, (*lease.Handle).Resign) }
 
-// write makes the write that a holder decides on, if any.
-func (k *Keeper) write(ctx context.Context, decide func(*lease.Holder, time.Time) (lease.Proposal, bool)) error {
+// write makes the write that decide returns, if any.
+func (k *Keeper) write(ctx context.Context, decide func(*lease.Handle, time.Time) (lease.Proposal, bool)) error {
 	var p lease.Proposal
-	var asked time.Time
+	var sentAt time.Time
 	due := false
-	k.locked(func(h *lease.Holder, now time.Time) {
+	k.withHandle(func(h *lease.Handle, now time.Time) {
 		p, due = decide(h, now)
-		asked = now
+		sentAt = now
 	})
 	if !due {
 		return nil
@@ -108,60 +108,60 @@
 	seen, err := k.opts.Store.Write(ctx, p)
 	switch {
 	case errors.Is(err, ErrGone):
-		k.locked(func(h *lease.Holder, now time.Time) { h.Gone(now) })
+		k.withHandle(func(h *lease.Handle, now time.Time) { h.ObserveMissing(now) })
 	case errors.Is(err, ErrTaken) && seen.Version == 0:
-		k.locked(func(h *lease.Holder, _ time.Time) { h.Doubt() })
+		k.withHandle(func(h *lease.Handle, _ time.Time) { h.Invalidate() })
 	case errors.Is(err, ErrTaken):
-		k.locked(func(h *lease.Holder, now time.Time) { h.Saw(seen, now) })
+		k.withHandle(func(h *lease.Handle, now time.Time) { h.ObserveRead(seen, now) })
 	case err != nil:
 		return err
 	default:
-		k.locked(func(h *lease.Holder, _ time.Time) { h.Wrote(p, seen.Version, asked) })
+		k.withHandle(func(h *lease.Handle, _ time.Time) { h.ConfirmWrite(p, seen.Version, sentAt) })
 	}
 	return nil
 }
 
-// Ready returns the fencing number under which an order may be given now; see
-// lease.Holder.Ready.
-func (k *Keeper) Ready(ignores bool) (n contract.FencingNumber, ok bool) {
-	k.locked(func(h *lease.Holder, now time.Time) { n, ok = h.Ready(now, ignores) })
+// Ready returns the fencing number under which a call may be made now; see
+// lease.Handle.ActiveFencing.
+func (k *Keeper) Ready(ignoresFencing bool) (n contract.FencingNumber, ok bool) {
+	k.withHandle(func(h *lease.Handle, now time.Time) { n, ok = h.ActiveFencing(now, ignoresFencing) })
 	return n, ok
 }
 
-// Change has the next write put a changed record into the object, due at once if that is
-// urgent. change is given what is to be written so far.
-func (k *Keeper) Change(change func(record json.RawMessage) (json.RawMessage, error), urgent bool) error {
+// UpdateRecord applies change to the record and stores the result with the next write,
+// immediately if urgent is true. change gets the pending record, or else the stored one.
+func (k *Keeper) UpdateRecord(change func(record json.RawMessage) (json.RawMessage, error), urgent bool) error {
 	var err error
-	k.locked(func(h *lease.Holder, _ time.Time) {
+	k.withHandle(func(h *lease.Handle, _ time.Time) {
 		var next json.RawMessage
-		if next, err = change(h.Pending()); err == nil {
-			h.Fix(next, urgent)
+		if next, err = change(h.LatestRecord()); err == nil {
+			h.SetRecord(next, urgent)
 		}
 	})
 	return err
 }
 
-// Known returns the newest object that is known and for how long it has stood, and
-// whether any is.
+// Known returns the newest known object and how long it has been unchanged. ok is false if no
+// object is known.
 func (k *Keeper) Known() (seen lease.Seen, age time.Duration, ok bool) {
-	k.locked(func(h *lease.Holder, now time.Time) { seen, age, ok = h.Seen(), h.Age(now), h.Seen().Version != 0 })
+	k.withHandle(func(h *lease.Handle, now time.Time) { seen, age, ok = h.Latest(), h.Age(now), h.Latest().Version != 0 })
 	return seen, age, ok
 }
 
-// Told takes in that another VM knows of a version that has stood for a while.
+// Told records a version that another VM knows and that has been unchanged for age.
 func (k *Keeper) Told(s lease.Seen, age time.Duration) {
-	k.locked(func(h *lease.Holder, now time.Time) { h.Told(s, now.Add(-max(age, 0))) })
+	k.withHandle(func(h *lease.Handle, now time.Time) { h.ObservePeer(s, now.Add(-max(age, 0))) })
 }
 
-// Mine tells whether the newest object that is known names this process.
+// Mine reports whether the newest known object names this process as the holder.
 func (k *Keeper) Mine() (mine bool) {
-	k.locked(func(h *lease.Holder, _ time.Time) { mine = h.Mine() })
+	k.withHandle(func(h *lease.Handle, _ time.Time) { mine = h.HeldBySelf() })
 	return mine
 }
 
-// FreeIn returns after how long this process may take the lease; zero or less when it may
-// now, or holds it.
-func (k *Keeper) FreeIn() (in time.Duration) {
-	k.locked(func(h *lease.Holder, now time.Time) { in = h.FreeAt().Sub(now) })
+// AvailableIn returns the time until this process may acquire the lease. It is zero or
+// negative if it may do so now or already holds it.
+func (k *Keeper) AvailableIn() (in time.Duration) {
+	k.withHandle(func(h *lease.Handle, now time.Time) { in = h.AvailableAt().Sub(now) })
 	return in
 }
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -1,9 +1,9 @@
-// Package leader has one VM act for all, under a lease in the platform's store.
+// Package leader lets one VM at a time act for all VMs, under a lease in the platform's store.
 //
-// The platform does not look at the number that a call carries, so a call is only made
-// while the lease has as long to run as a call may take, and a VM that takes the lease
-// over waits as long before its first one. Who may take it hears of each renewal from
-// other VMs: the store is asked by the holder alone while it lives.
+// The platform does not check the fencing number of a call. A call is therefore made only
+// while the lease lasts at least as long as the call may take, and a VM that takes the lease
+// over waits that long before its first call. VMs that may take the lease learn of renewals
+// from other VMs: while the holder is alive, it alone accesses the store.
 package leader
 
 import (
@@ -19,82 +19,84 @@
 	"woaddoor/logs"
 )
 
-// Act is something that one VM does for all. It is called often, and makes at most one
-// call to the platform each time, under the number given.
+// Act is a task that the lease holder runs for all VMs. It runs often and makes at most one
+// call to the platform each time, under the fencing number n.
 type Act interface {
-	Act(ctx context.Context, n contract.FencingNumber)
+	Run(ctx context.Context, n contract.FencingNumber)
 }
 
-// RefusedError is a call that the platform has turned down for good.
+// RefusedError is the error of a call that the platform has permanently refused.
 type RefusedError struct{ Err error }
 
-// Error returns the platform's words.
+// Error returns the message of the platform's error.
 func (e *RefusedError) Error() string { return "refused: " + e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the platform's error.
 func (e *RefusedError) Unwrap() error { return e.Err }
 
-// Options set up a Leader.
+// Options configure a Leader.
 type Options struct {
 	Keeper *Keeper
-	// Turn returns how long after the lease has become free this VM takes it, and
-	// whether it may at all: few VMs of each data centre do, one after the other.
+	// Turn returns how long this VM waits before it takes an available lease, and whether
+	// it may take the lease at all. Only a few VMs of each data centre may, each after
+	// a different delay.
 	Turn func() (time.Duration, bool)
-	// Changed is called, without waiting, when others are to hear of the lease at once.
+	// Changed is called when other VMs have to learn of a change of the lease at once. It
+	// must not block.
 	Changed func()
 	Acts    []Act
 	Log     *zap.Logger
-	// Registry counts what becomes of the lease.
+	// Registry counts changes of the lease and failed calls to its store.
 	Registry metrics.Registry
 }
 
-// Leader is one VM's part.
+// Leader takes and renews the lease for one VM, and runs the tasks while it holds the lease.
 type Leader struct {
 	opts *Options
 
-	// turn is held while the lease is looked at and acted under, so that it is given up
-	// with no call under way.
-	turn sync.Mutex
-	// The fields below are used while turn is held. holder and fencing are those that
-	// were logged last.
-	holder   contract.VMLife
-	fencing  contract.FencingNumber
-	resigned bool
-	// failed is how many calls have failed in a row, and pause until when none is made.
-	failed int
-	pause  time.Time
-	// allowedAt is when this VM was first allowed to take a lease of which it knows
+	// mu is held while the lease is read or written and while tasks run, so that the lease
+	// is resigned only when no call is in progress.
+	mu sync.Mutex
+	// mu guards the fields below. loggedHolder and loggedFencing are the values that were
+	// logged last.
+	loggedHolder  contract.VMLife
+	loggedFencing contract.FencingNumber
+	resigned      bool
+	// failedCalls counts consecutive failed calls. No call is made before retryAt.
+	failedCalls int
+	retryAt     time.Time
+	// eligibleSince is when this VM became allowed to take a lease of which it knows
 	// nothing.
-	allowedAt time.Time
+	eligibleSince time.Time
 }
 
-// New returns a leader that holds nothing.
+// New returns a leader that does not hold the lease.
 func New(opts *Options) *Leader { return &Leader{opts: opts} }
 
 // Timings of a leader.
 const (
-	// lookEvery is how often a VM looks whether something is to be done.
-	lookEvery = 100 * time.Millisecond
-	// pauseLeast and pauseMost bound the pause after failed calls, each of which is paid for.
-	// The holder loses the lease within seconds and makes its first holderTries with the
-	// least pause.
-	pauseLeast  = 200 * time.Millisecond
-	pauseMost   = 3200 * time.Millisecond
-	holderTries = 8
+	// tickInterval is the time between two checks for work that is due.
+	tickInterval = 100 * time.Millisecond
+	// minLeaseBackoff and maxLeaseBackoff limit the delay after a failed call, because every
+	// call costs money. The holder would lose the lease within seconds, so it makes its first
+	// holderFastRetries retries with the minimum delay.
+	minLeaseBackoff   = 200 * time.Millisecond
+	maxLeaseBackoff   = 3200 * time.Millisecond
+	holderFastRetries = 8
 )
 
-// Run takes, renews and acts until ctx ends.
+// Run takes and renews the lease and runs the tasks until ctx is done.
 func (l *Leader) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		l.look(ctx)
-		clock.Pause(ctx, lookEvery)
+		l.tick(ctx)
+		clock.Pause(ctx, tickInterval)
 	}
 }
 
-// Resign gives the lease up, if this VM holds it, and takes it no more.
+// Resign gives the lease up if this VM holds it. The VM does not take the lease again.
 func (l *Leader) Resign(ctx context.Context) {
-	l.turn.Lock()
-	defer l.turn.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	l.resigned = true
 	if !l.opts.Keeper.Mine() {
 		return
@@ -103,91 +105,93 @@
 		l.opts.Log.Warn("lease-not-resigned", logs.Failure(err)...)
 		return
 	}
-	l.note()
+	l.logChange()
 }
 
-// look makes the write that is due and acts.
-func (l *Leader) look(ctx context.Context) {
-	l.turn.Lock()
-	defer l.turn.Unlock()
+// tick reads or writes the lease if that is due, and runs the tasks if this VM may act.
+func (l *Leader) tick(ctx context.Context) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if l.resigned {
 		return
 	}
-	if l.mayStep() {
-		l.step(ctx)
+	if l.maySync() {
+		l.syncLease(ctx)
 	}
-	l.note()
+	l.logChange()
 	for _, act := range l.opts.Acts {
 		if n, ready := l.opts.Keeper.Ready(true); ready && ctx.Err() == nil {
-			act.Act(ctx, n)
+			act.Run(ctx, n)
 		}
 	}
 }
 
-// mayStep tells whether this VM reads or writes the lease now, if that is due.
-func (l *Leader) mayStep() bool {
+// maySync reports whether this VM may access the lease store now.
+func (l *Leader) maySync() bool {
 	now := time.Now()
-	if now.Before(l.pause) {
+	if now.Before(l.retryAt) {
 		return false
 	}
 	if l.opts.Keeper.Mine() {
 		return true
 	}
-	turn, may := l.opts.Turn()
-	if !may {
-		l.allowedAt = time.Time{}
+	delay, eligible := l.opts.Turn()
+	if !eligible {
+		l.eligibleSince = time.Time{}
 		return false
 	}
 	if _, _, known := l.opts.Keeper.Known(); known {
-		return l.opts.Keeper.FreeIn()+turn <= 0
+		return l.opts.Keeper.AvailableIn()+delay <= 0
 	}
-	if l.allowedAt.IsZero() {
-		l.allowedAt = now
+	if l.eligibleSince.IsZero() {
+		l.eligibleSince = now
 	}
-	return now.Sub(l.allowedAt) >= turn
+	return now.Sub(l.eligibleSince) >= delay
 }
 
-// step has the lease read or written.
-func (l *Leader) step(ctx context.Context) {
+// syncLease reads or writes the lease object if that is due.
+func (l *Leader) syncLease(ctx context.Context) {
 	err := l.opts.Keeper.Step(ctx)
 	if err == nil {
-		if l.failed > 0 {
-			l.opts.Log.Info("lease-store-regained", zap.Int("failed_calls", l.failed))
+		if l.failedCalls > 0 {
+			l.opts.Log.Info("lease-store-regained", zap.Int("failed_calls", l.failedCalls))
 		}
-		l.failed = 0
+		l.failedCalls = 0
 		return
 	}
-	failed := l.failed
+	failed := l.failedCalls
 	if l.opts.Keeper.Mine() {
-		failed = max(failed-holderTries, 0)
+		failed = max(failed-holderFastRetries, 0)
 	}
-	l.pause = time.Now().Add(pauseAfter(failed, pauseLeast, pauseMost))
-	if l.failed == 0 {
+	l.retryAt = time.Now().Add(backoff(failed, minLeaseBackoff, maxLeaseBackoff))
+	if l.failedCalls == 0 {
 		l.opts.Log.Warn("lease-store-lost", append(logs.Failure(err), zap.Bool("holds", l.opts.Keeper.Mine()))...)
 	}
-	l.failed++
-	l.count("lease_calls_failed_total")
+	l.failedCalls++
+	l.incrementCounter("lease_calls_failed_total")
 }
 
-// pauseAfter returns the pause after a call that failed behind a number of others: the least one,
-// twice as long each time, up to the most.
-func pauseAfter(failed int, least, most time.Duration) time.Duration {
-	const mostDoublings = 8 // keeps the shift from an overflow
-	return min(least<<min(failed, mostDoublings), most)
+// backoff returns the delay after a failed call that follows a number of earlier failures: the
+// minimum, doubled for each earlier failure, up to the maximum.
+func backoff(failures int, minimum, maximum time.Duration) time.Duration {
+	const maxDoublings = 8 // prevents an overflow of the shift
+	return min(minimum<<min(failures, maxDoublings), maximum)
 }
 
-// note logs and tells others when the lease has changed hands.
-func (l *Leader) note() {
+// logChange logs a change of the holder and notifies other VMs of it.
+func (l *Leader) logChange() {
 	seen, age, known := l.opts.Keeper.Known()
-	if !known || seen.Object.Holder == l.holder && seen.Object.Fencing == l.fencing {
+	if !known || seen.Object.Holder == l.loggedHolder && seen.Object.Fencing == l.loggedFencing {
 		return
 	}
 	l.opts.Log.Info("lease", zap.String("holder", string(seen.Object.Holder.VM)), zap.Uint64("fencing", uint64(seen.Object.Fencing)),
-		zap.String("before", string(l.holder.VM)), zap.Uint64("fencing_before", uint64(l.fencing)),
+		zap.String("before", string(l.loggedHolder.VM)), zap.Uint64("fencing_before", uint64(l.loggedFencing)),
 		zap.Uint64("version", uint64(seen.Version)), zap.Duration("age", age.Round(time.Millisecond)), zap.Bool("mine", l.opts.Keeper.Mine()))
-	l.holder, l.fencing = seen.Object.Holder, seen.Object.Fencing
-	l.count("lease_changes_total")
+	l.loggedHolder, l.loggedFencing = seen.Object.Holder, seen.Object.Fencing
+	l.incrementCounter("lease_changes_total")
 	l.opts.Changed()
 }
 
-func (l *Leader) count(name string) { metrics.GetOrRegisterCounter(name, l.opts.Registry).Inc(1) }
+func (l *Leader) incrementCounter(name string) {
+	metrics.GetOrRegisterCounter(name, l.opts.Registry).Inc(1)
+}
--- a/leader/record.go
+++ b/leader/record.go
@@ -7,14 +7,14 @@
 	"woaddoor/usage"
 )
 
-// Record is what the holders of the lease share, each part of one act.
+// Record is the record in the lease object. Each task of the holder has its own part of it.
 type Record struct {
 	Usage   usage.Record   `json:"usage"`
 	Scaling scaling.Record `json:"scaling"`
 }
 
-// recordOf reads a record; the zero value where there is none.
-func recordOf(raw json.RawMessage) (Record, error) {
+// decodeRecord decodes a record. It returns the zero value for an empty one.
+func decodeRecord(raw json.RawMessage) (Record, error) {
 	var r Record
 	if len(raw) == 0 {
 		return r, nil
@@ -23,17 +23,17 @@
 	return r, err
 }
 
-// inForce returns the record that the store has taken.
-func inForce(k *Keeper) (Record, error) {
+// storedRecord returns the record in the newest known lease object.
+func storedRecord(k *Keeper) (Record, error) {
 	seen, _, _ := k.Known()
-	return recordOf(seen.Object.Record)
+	return decodeRecord(seen.Object.Record)
 }
 
-// fix has a change of the record written with the next renewal, at once if it is urgent. One
-// that cannot be read is begun anew.
-func fix(k *Keeper, urgent bool, change func(*Record)) error {
-	return k.Change(func(raw json.RawMessage) (json.RawMessage, error) {
-		r, err := recordOf(raw)
+// updateRecord stores a change of the record with the next renewal, immediately if urgent is
+// true. It replaces a record that cannot be decoded by a new one.
+func updateRecord(k *Keeper, urgent bool, change func(*Record)) error {
+	return k.UpdateRecord(func(raw json.RawMessage) (json.RawMessage, error) {
+		r, err := decodeRecord(raw)
 		if err != nil {
 			r = Record{}
 		}
--- /dev/null
+++ b/lease/fleet_simulation_test.go
@@ -0,0 +1,386 @@
+package lease
+
+import (
+	"encoding/json"
+	"slices"
+	"strconv"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+	"pgregory.net/rapid"
+
+	"woaddoor/contract"
+)
+
+// Timings of the simulation: the length of a lease, and the longest duration of a call.
+const (
+	simulatedLease   = 3 * time.Second
+	maxSimulatedCall = simulatedLease/marginDivisor - time.Millisecond
+)
+
+// fleetSimulation is a store, a platform that accepts any fencing number, and VMs that hold the lease
+// in turn and call the platform. VMs are suspended, killed and restarted under the same name, send
+// each other the state of the lease, and resign. The store is unavailable at times, loses replies and
+// applies writes late.
+type fleetSimulation struct {
+	t             *rapid.T
+	now           time.Time
+	stored        Seen
+	vms           []*simulatedVM
+	delayedWrites []Proposal // writes without a reply that may still be applied
+	calls         []simulatedCall
+	// About the calls that have arrived: the last fencing number and VM, the VM that used each
+	// number, and the time of each VM's last call.
+	lastFencing contract.FencingNumber
+	lastVM      contract.VMID
+	vmByFencing map[contract.FencingNumber]contract.VMID
+	lastArrival map[contract.VMID]time.Time
+	// storedRecord is the last record in the store. callers are the VM incarnations that made calls.
+	storedRecord int
+	callers      map[contract.VMLife]bool
+}
+
+type simulatedVM struct {
+	name        contract.VMID
+	incarnation contract.Incarnation
+	handle      *Handle
+}
+
+type simulatedCall struct {
+	from      contract.VMID
+	fencing   contract.FencingNumber
+	arrivesAt time.Time
+}
+
+func newFleetSimulation(t *rapid.T, vms int) *fleetSimulation {
+	f := &fleetSimulation{
+		t: t, now: time.Unix(0, 0), vmByFencing: make(map[contract.FencingNumber]contract.VMID),
+		lastArrival: make(map[contract.VMID]time.Time), callers: make(map[contract.VMLife]bool),
+	}
+	for i := range vms {
+		f.vms = append(f.vms, &simulatedVM{name: contract.VMID("vm" + strconv.Itoa(i))})
+		f.start(f.vms[i])
+	}
+	return f
+}
+
+// start begins a new incarnation of a VM, which knows nothing about the lease.
+func (f *fleetSimulation) start(v *simulatedVM) {
+	v.incarnation++
+	v.handle = NewHandle(Options{Self: contract.VMLife{VM: v.name, Incarnation: v.incarnation}, Length: simulatedLease})
+}
+
+func (f *fleetSimulation) randomVM() *simulatedVM {
+	return f.vms[rapid.IntRange(0, len(f.vms)-1).Draw(f.t, "vm")]
+}
+
+// eventKinds are the possible events, repeated according to their frequency.
+var eventKinds = []string{
+	"step", "step", "step", "step", "step", "step", "step", "step", "call", "call", "call", "call", "call", "call", "tell peer", "tell peer",
+	"time passes", "time passes", "time passes", "step, reply lost", "step, reply lost", "apply delayed write", "step, store unavailable", "read", "read", "resign", "restart", "restart all", "long pause",
+}
+
+func (f *fleetSimulation) randomEvent() {
+	v := f.randomVM()
+	switch rapid.SampledFrom(eventKinds).Draw(f.t, "event") {
+	case "step":
+		f.step(v, true)
+	case "step, reply lost":
+		f.step(v, false)
+	case "apply delayed write":
+		f.applyDelayedWrite()
+	case "step, store unavailable": // the store receives nothing
+		v.handle.Propose(f.now)
+	case "call":
+		f.call(v)
+	case "tell peer":
+		f.tellPeer(v, f.randomVM())
+	case "read":
+		if f.stored.Version != 0 {
+			v.handle.ObserveRead(f.stored, f.now)
+		}
+	case "resign":
+		f.resign(v)
+	case "restart":
+		f.start(v)
+	case "restart all":
+		for _, v := range f.vms {
+			f.start(v)
+		}
+	case "time passes":
+		f.advance(time.Duration(rapid.IntRange(0, 800).Draw(f.t, "ms")) * time.Millisecond)
+	case "long pause":
+		f.advance(time.Duration(rapid.IntRange(1, 9).Draw(f.t, "s")) * time.Second)
+	}
+}
+
+// step reads the object if necessary and makes the write that is due. Time may pass between the
+// decision and the write, as for a process that is suspended there.
+func (f *fleetSimulation) step(v *simulatedVM, replyArrives bool) {
+	if v.handle.NeedsRead(f.now) {
+		if f.stored.Version == 0 {
+			v.handle.ObserveMissing(f.now)
+		} else {
+			v.handle.ObserveRead(f.stored, f.now)
+		}
+	}
+	if v.handle.HeldBySelf() && rapid.Bool().Draw(f.t, "sets record") {
+		v.handle.SetRecord(json.RawMessage(strconv.Itoa(f.storedRecord+1)), rapid.Bool().Draw(f.t, "urgent"))
+	}
+	p, ok := v.handle.Propose(f.now)
+	if !ok {
+		return
+	}
+	sentAt := f.now
+	if rapid.IntRange(0, 3).Draw(f.t, "suspended") == 0 {
+		f.advance(time.Duration(rapid.IntRange(0, 5000).Draw(f.t, "suspended ms")) * time.Millisecond)
+	}
+	if !replyArrives && rapid.Bool().Draw(f.t, "applied late") {
+		f.delayedWrites = append(f.delayedWrites, p)
+		return
+	}
+	accepted := f.write(p)
+	switch {
+	case !replyArrives:
+	case accepted:
+		v.handle.ConfirmWrite(p, f.stored.Version, sentAt)
+	default:
+		v.handle.ObserveRead(f.stored, f.now)
+	}
+}
+
+// write applies a write whose condition holds.
+func (f *fleetSimulation) write(p Proposal) bool {
+	if p.Version != f.stored.Version {
+		return false
+	}
+	if record, _ := strconv.Atoi(string(p.Object.Record)); record < f.storedRecord {
+		f.t.Fatalf("record %d was stored after record %d", record, f.storedRecord)
+	} else {
+		f.storedRecord = record
+	}
+	f.stored = Seen{p.Object, f.stored.Version + 1}
+	return true
+}
+
+func (f *fleetSimulation) applyDelayedWrite() {
+	if len(f.delayedWrites) > 0 {
+		p := f.delayedWrites[0]
+		f.delayedWrites = f.delayedWrites[1:]
+		f.write(p)
+	}
+}
+
+// call has a VM make a call if it may. The call arrives within its deadline.
+func (f *fleetSimulation) call(v *simulatedVM) {
+	n, ok := v.handle.ActiveFencing(f.now, true)
+	if !ok {
+		return
+	}
+	f.callers[contract.VMLife{VM: v.name, Incarnation: v.incarnation}] = true
+	delay := time.Duration(rapid.Int64Range(0, int64(maxSimulatedCall)).Draw(f.t, "delay"))
+	f.calls = append(f.calls, simulatedCall{v.name, n, f.now.Add(delay)})
+}
+
+// tellPeer sends the state of the lease, without its record, from one VM to another. Delivery takes
+// some time.
+func (f *fleetSimulation) tellPeer(from, to *simulatedVM) {
+	s := from.handle.Latest()
+	if s.Version == 0 || from == to {
+		return
+	}
+	s.Object.Record = nil
+	age := from.handle.Age(f.now)
+	f.advance(time.Duration(rapid.IntRange(0, 900).Draw(f.t, "delivery ms")) * time.Millisecond)
+	to.handle.ObservePeer(s, f.now.Add(-age))
+}
+
+// resign has a VM resign, unless it has a call in progress.
+func (f *fleetSimulation) resign(v *simulatedVM) {
+	if slices.ContainsFunc(f.calls, func(c simulatedCall) bool { return c.from == v.name }) {
+		return
+	}
+	p, ok := v.handle.Resign(f.now)
+	if ok && f.write(p) {
+		v.handle.ConfirmWrite(p, f.stored.Version, f.now)
+	}
+}
+
+// advance lets time pass and delivers the calls that arrive meanwhile.
+func (f *fleetSimulation) advance(d time.Duration) {
+	f.now = f.now.Add(d)
+	slices.SortStableFunc(f.calls, func(a, b simulatedCall) int { return a.arrivesAt.Compare(b.arrivesAt) })
+	for len(f.calls) > 0 && !f.calls[0].arrivesAt.After(f.now) {
+		f.deliver(f.calls[0])
+		f.calls = f.calls[1:]
+	}
+}
+
+func (f *fleetSimulation) deliver(c simulatedCall) {
+	if c.fencing < f.lastFencing {
+		f.t.Fatalf("fencing number %d of %s arrived after %d", c.fencing, c.from, f.lastFencing)
+	}
+	if otherVM, used := f.vmByFencing[c.fencing]; used && otherVM != c.from {
+		f.t.Fatalf("fencing number %d was used by %s and %s", c.fencing, otherVM, c.from)
+	}
+	if previous, acted := f.lastArrival[c.from]; acted && f.lastVM != c.from && c.arrivesAt.Sub(previous) < simulatedLease {
+		f.t.Fatalf("%s acted, then %s, then %s again within %v", c.from, f.lastVM, c.from, c.arrivesAt.Sub(previous))
+	}
+	f.lastFencing, f.lastVM = c.fencing, c.from
+	f.vmByFencing[c.fencing], f.lastArrival[c.from] = c.from, c.arrivesAt
+}
+
+// TestOnlyOneVMActsUnderFaults simulates fleets with all kinds of faults, before a platform that
+// accepts any fencing number. Fencing numbers must never decrease and never be shared by two VMs. No
+// VM may act, then another VM, then the first one again within the length of one lease. A stored
+// record must never be reverted.
+func TestOnlyOneVMActsUnderFaults(t *testing.T) {
+	mostCallers := 0
+	rapid.Check(t, func(t *rapid.T) {
+		f := newFleetSimulation(t, rapid.IntRange(2, 4).Draw(t, "vms"))
+		for range rapid.IntRange(100, 1000).Draw(t, "events") {
+			f.randomEvent()
+		}
+		f.advance(simulatedLease)
+		mostCallers = max(mostCallers, len(f.callers))
+	})
+	if mostCallers < 3 {
+		t.Errorf("at most %d VM incarnations acted in one run: the simulation has too few faults", mostCallers)
+	}
+}
+
+// acquire has a handle write its proposal, and returns what the store then holds.
+func acquire(t *testing.T, h *Handle, s Seen, now time.Time) Seen {
+	t.Helper()
+	is := is.New(t)
+	p, ok := h.Propose(now)
+	is.True(ok)
+	is.Equal(p.Version, s.Version)
+	h.ConfirmWrite(p, s.Version+1, now)
+	return Seen{p.Object, s.Version + 1}
+}
+
+// newHolder returns a handle that has acquired the lease, and what the store then holds.
+func newHolder(t *testing.T, now time.Time) (*Handle, Seen) {
+	t.Helper()
+	a := newHandle("a", 1)
+	a.ObserveMissing(now)
+	return a, acquire(t, a, Seen{}, now)
+}
+
+func newHandle(name contract.VMID, incarnation contract.Incarnation) *Handle {
+	return NewHandle(Options{Self: contract.VMLife{VM: name, Incarnation: incarnation}, Length: simulatedLease})
+}
+
+// TestResignedVMWaitsFullLease checks VMs that are stopped one after the other, each of which
+// resigns. Without the rule the first one, once restarted, would act again within a second of its
+// last call although another VM has acted since.
+func TestResignedVMWaitsFullLease(t *testing.T) {
+	is := is.New(t)
+	now := time.Unix(0, 0)
+	resign := func(h *Handle, s Seen) Seen {
+		p, ok := h.Resign(now)
+		is.True(ok)
+		h.ConfirmWrite(p, s.Version+1, now)
+		return Seen{p.Object, s.Version + 1}
+	}
+	a := newHandle("a", 1)
+	a.ObserveMissing(now)
+	s := resign(a, acquire(t, a, Seen{}, now))
+	b := newHandle("b", 1)
+	b.ObserveRead(s, now)
+	s = resign(b, acquire(t, b, s, now))
+
+	restarted := newHandle("a", 2)
+	restarted.ObserveRead(s, now)
+	_, ok := restarted.Propose(now)
+	is.True(!ok)
+	c := newHandle("c", 1)
+	c.ObserveRead(s, now)
+	_, ok = c.Propose(now)
+	is.True(ok) // c has not acted yet
+	_, ok = restarted.Propose(now.Add(simulatedLease))
+	is.True(ok)
+}
+
+// TestTakeoverKeepsRecord checks a VM that knows the lease only from other VMs, without its record.
+// Writing the object in that state would delete the former holder's record.
+func TestTakeoverKeepsRecord(t *testing.T) {
+	is := is.New(t)
+	now := time.Unix(0, 0)
+	a, s := newHolder(t, now)
+	a.SetRecord(json.RawMessage(`"stored"`), true)
+	s = acquire(t, a, s, now)
+	is.Equal(string(s.Object.Record), `"stored"`)
+
+	b := newHandle("b", 1)
+	withoutRecord := s
+	withoutRecord.Object.Record = nil
+	b.ObservePeer(withoutRecord, now)
+	now = now.Add(simulatedLease)
+	_, ok := b.Propose(now)
+	is.True(!ok)
+	is.True(b.NeedsRead(now))
+	b.ObserveRead(s, now)
+	is.Equal(string(acquire(t, b, s, now).Object.Record), `"stored"`)
+}
+
+// TestFencingContinuesAfterObjectIsLost checks a lease whose object is gone from the store. Fencing
+// numbers that started from the beginning would be lower than ones already used.
+func TestFencingContinuesAfterObjectIsLost(t *testing.T) {
+	is := is.New(t)
+	now := time.Unix(0, 0)
+	a, s := newHolder(t, now)
+	a.ObserveMissing(now)
+	is.True(acquire(t, a, Seen{}, now).Object.Fencing > s.Object.Fencing)
+}
+
+// TestLostReplyKeepsStoredRecord checks a renewal that is applied but whose reply is lost. Meanwhile
+// the holder prepares another record from the old object. Writing it over the stored record would
+// let two different records of the same thing be acted on.
+func TestLostReplyKeepsStoredRecord(t *testing.T) {
+	is := is.New(t)
+	now := time.Unix(0, 0)
+	a, s := newHolder(t, now)
+	a.SetRecord(json.RawMessage(`"first"`), true)
+	p, ok := a.Propose(now)
+	is.True(ok)
+	stored := Seen{p.Object, s.Version + 1}
+
+	a.SetRecord(json.RawMessage(`"second"`), true)
+	a.ObserveRead(stored, now) // the store reports a version conflict
+	is.True(a.HeldBySelf())
+	p, ok = a.Propose(now.Add(simulatedLease / marginDivisor))
+	is.True(ok)
+	is.Equal(string(p.Object.Record), `"first"`)
+}
+
+// TestPeerUpdateBlocksActingUntilRead checks a renewal that is applied but whose reply is lost, and
+// that the holder learns of from another VM, without the record. Until it reads the object, the holder
+// must not renew the lease, which would delete the stored record, nor make a call, which might
+// contradict that record.
+func TestPeerUpdateBlocksActingUntilRead(t *testing.T) {
+	is := is.New(t)
+	now := time.Unix(0, 0)
+	a, s := newHolder(t, now)
+	now = now.Add(simulatedLease / marginDivisor)
+	a.SetRecord(json.RawMessage(`"stored"`), true)
+	p, ok := a.Propose(now)
+	is.True(ok)
+	stored := Seen{p.Object, s.Version + 1}
+
+	withoutRecord := stored
+	withoutRecord.Object.Record = nil
+	a.ObservePeer(withoutRecord, now)
+	is.True(a.HeldBySelf())
+	_, ok = a.ActiveFencing(now, true)
+	is.True(!ok)
+	_, ok = a.Propose(now)
+	is.True(!ok)
+	is.True(a.NeedsRead(now))
+	a.ObserveRead(stored, now)
+	_, ok = a.ActiveFencing(now, true)
+	is.True(ok)
+	is.Equal(string(a.LatestRecord()), `"stored"`)
+}
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,19 +1,20 @@
-// Package lease decides which VM acts for all, under a fencing number. It is a
-// pure state machine over one object of the platform; the time is given, by a
-// clock that counts suspensions and is never set.
+// Package lease elects the one VM that acts for all VMs, under a fencing number. It is a
+// state machine over one object in the platform's store and does no I/O. The current time is
+// a parameter, taken from a clock that includes suspensions and is never set.
 //
-// A holder counts its lease on its own clock from before it asked, and stops
-// well before the end. A taker waits, on its own clock, until the object has
-// stood unchanged for the whole time. No clocks are compared, and a holder
-// that was paused finds its lease lapsed by the clock that saw the pause.
+// A holder measures its lease on its own clock, starting before it sent the request, and
+// stops well before the end. A VM that takes the lease over first waits, on its own clock,
+// until the object has been unchanged for the whole length of a lease. Clocks of different
+// VMs are never compared, and a holder that was suspended finds on its own clock that its
+// lease has expired.
 //
-// An order may still be under way when the lease ends: engines that know
-// fencing numbers refuse it then; for the others Ready waits out the longest
-// delay of an order, and what an engine holds is read back, never assumed.
+// A call made under a lease may still be in progress when the lease ends. An engine that
+// checks fencing numbers refuses it then. For engines that do not, ActiveFencing makes a new
+// holder wait for the longest delay of a call. The state of an engine is read back, never
+// assumed.
 //
-// What a holder is to do in the same way as those before it stands in the object
-// as its record: it is in force once the store has taken it, for whoever holds
-// the lease next.
+// The object also contains a record with decisions that later holders have to follow. A
+// record is in force once the store has accepted it, whichever VM holds the lease next.
 package lease
 
 import (
@@ -26,240 +27,248 @@
 	"woaddoor/contract"
 )
 
-// Object is the form of a lease in the platform's store.
+// Object is the stored form of a lease.
 type Object struct {
-	// Holder is the life of the VM that holds it; the zero value is nobody.
+	// Holder is the VM incarnation that holds the lease; the zero value means no holder.
 	Holder  contract.VMLife        `json:"holder" cbor:"1,keyasint"`
 	Fencing contract.FencingNumber `json:"fencing" cbor:"2,keyasint"`
-	// Renewals makes each renewal a change, so that takers see it.
+	// Renewals counts writes, so that other VMs see each renewal as a change of the object.
 	Renewals uint64 `json:"renewals" cbor:"3,keyasint"`
-	// Resigned are the VMs that have given the lease up, one after the other, since
-	// one last held it for its whole length.
+	// Resigned lists the VMs that have resigned in succession, since a VM last held the
+	// lease for its whole length.
 	Resigned []contract.VMID `json:"resigned,omitempty" cbor:"4,keyasint,omitempty"`
-	// Record is what holders have fixed for those after them.
+	// Record holds decisions that later holders have to follow.
 	Record json.RawMessage `json:"record,omitempty" cbor:"-"`
 }
 
-// Seen is an object as the store holds it. A Version of zero means that there is none.
+// Seen is a lease object and its version in the store. Version zero means that the store has
+// no object.
 type Seen struct {
 	Object  Object
 	Version contract.ObjectVersion
 }
 
-// Options set up a Holder.
+// Options configure a Handle.
 type Options struct {
 	Self contract.VMLife
 	// Length is how long a lease lasts. Zero means 15 s.
 	Length time.Duration
-	// Margin is how long before its end a holder stops giving orders; it has
-	// to be longer than an order's timeout. Zero means a third of Length.
+	// Margin is how long before the end of its lease a holder stops making calls. It must
+	// be longer than the timeout of a call. Zero means a third of Length.
 	Margin time.Duration
-	// Settle is how long a taker waits before its first order, for orders of
-	// the former holder that are under way. Zero means Margin.
-	Settle time.Duration
+	// TakeoverDelay is how long a new holder waits before its first call, because calls of
+	// the former holder may still be in progress. Zero means Margin.
+	TakeoverDelay time.Duration
 }
 
 // Defaults of Options.
 const (
-	defaultLength = 15 * time.Second
-	marginPart    = 3 // of Length, divided
+	defaultDuration = 15 * time.Second
+	marginDivisor   = 3 // Length / marginDivisor is the default Margin
 )
 
-// Holder is one process's part in a lease.
-type Holder struct {
-	opts Options
-	seen Seen
-	// seenAt is when the present version was first seen, and told tells that its record
-	// is not known: another VM has told of the version alone.
-	seenAt time.Time
-	told   bool
-	until  time.Time // end of the own lease
-	took   time.Time // when it was taken
-	// record is what the next write fixes; nil for what the object holds. urgent tells
-	// that the write is due at once.
-	record json.RawMessage
-	urgent bool
+// Handle is one process's view of a lease and its right to act under it.
+type Handle struct {
+	opts   Options
+	latest Seen
+	// unchangedSince is when the latest version was first seen. recordUnknown is true if
+	// the version was learned from another VM, which does not send the record.
+	unchangedSince time.Time
+	recordUnknown  bool
+	expiresAt      time.Time // end of this process's lease; zero if it has none
+	acquiredAt     time.Time // when this process acquired its lease
+	// pendingRecord is the record to store with the next write; nil keeps the stored one.
+	// urgent means that the write is due immediately.
+	pendingRecord json.RawMessage
+	urgent        bool
 }
 
-// NewHolder returns a holder that holds nothing.
-func NewHolder(opts Options) *Holder {
-	opts.Length = cmp.Or(opts.Length, defaultLength)
-	opts.Margin = cmp.Or(opts.Margin, opts.Length/marginPart)
-	opts.Settle = cmp.Or(opts.Settle, opts.Margin)
-	return &Holder{opts: opts}
+// NewHandle returns a handle that does not hold the lease.
+func NewHandle(opts Options) *Handle {
+	opts.Length = cmp.Or(opts.Length, defaultDuration)
+	opts.Margin = cmp.Or(opts.Margin, opts.Length/marginDivisor)
+	opts.TakeoverDelay = cmp.Or(opts.TakeoverDelay, opts.Margin)
+	return &Handle{opts: opts}
 }
 
-// Seen returns the newest object that is known.
-func (h *Holder) Seen() Seen { return h.seen }
+// Latest returns the newest known object.
+func (h *Handle) Latest() Seen { return h.latest }
 
-// Age returns for how long the newest object has been known to stand.
-func (h *Holder) Age(now time.Time) time.Duration { return now.Sub(h.seenAt) }
+// Age returns how long the newest known object has been unchanged, as far as is known.
+func (h *Handle) Age(now time.Time) time.Duration { return now.Sub(h.unchangedSince) }
 
-// Saw takes in the object as the store shows it. An older version than the one known is
-// a stale read.
-func (h *Holder) Saw(s Seen, now time.Time) {
-	if s.Version < h.seen.Version {
+// ObserveRead records the object as read from the store. It ignores an older version than
+// the known one, which is a stale read.
+func (h *Handle) ObserveRead(s Seen, now time.Time) {
+	if s.Version < h.latest.Version {
 		return
 	}
-	if s.Version != h.seen.Version || h.seenAt.IsZero() {
-		h.seenAt = now
-		h.record = nil // made without what the newer object holds
+	if s.Version != h.latest.Version || h.unchangedSince.IsZero() {
+		h.unchangedSince = now
+		h.pendingRecord = nil // derived from an older object
 	}
-	h.seen, h.told = s, false
+	h.latest, h.recordUnknown = s, false
 	if s.Object.Holder != h.opts.Self {
-		h.until = time.Time{}
+		h.expiresAt = time.Time{}
 	}
 }
 
-// Told takes in that another VM knows of a version, without its record, which stood at a
-// time. That has to be no earlier than when it was asked for.
-func (h *Holder) Told(s Seen, at time.Time) {
-	if s.Version <= h.seen.Version {
+// ObservePeer records a version, without its record, that another VM knows and that existed
+// at unchangedSince. That time must not be earlier than the sending of the write that created
+// the version, from which the holder measures its lease.
+func (h *Handle) ObservePeer(s Seen, unchangedSince time.Time) {
+	if s.Version <= h.latest.Version {
 		return
 	}
-	h.seen, h.seenAt, h.told = s, at, true
-	h.record = nil
+	h.latest, h.unchangedSince, h.recordUnknown = s, unchangedSince, true
+	h.pendingRecord = nil
 	if s.Object.Holder != h.opts.Self {
-		h.until = time.Time{}
+		h.expiresAt = time.Time{}
 	}
 }
 
-// Gone takes in that the store has no object. Numbers go on from the last that is known.
-func (h *Holder) Gone(now time.Time) {
-	h.seen.Version, h.seenAt, h.until, h.told = 0, now, time.Time{}, false
+// ObserveMissing records that the store has no object. Fencing numbers continue from the
+// last known one.
+func (h *Handle) ObserveMissing(now time.Time) {
+	h.latest.Version, h.unchangedSince, h.expiresAt, h.recordUnknown = 0, now, time.Time{}, false
 }
 
-// Doubt takes in that the object has changed and it is not known how.
-func (h *Holder) Doubt() { h.seenAt, h.record = time.Time{}, nil }
+// Invalidate records that the object has changed in an unknown way.
+func (h *Handle) Invalidate() { h.unchangedSince, h.pendingRecord = time.Time{}, nil }
 
-// Unread tells whether the object has to be read before anything can be written: it is not
-// known at all, or not its record while the lease seems to be free or this process's own.
-func (h *Holder) Unread(now time.Time) bool {
-	return h.seenAt.IsZero() || h.told && !now.Before(h.FreeAt())
+// NeedsRead reports whether the object has to be read before a write: the object is unknown,
+// or its record is unknown while the lease is available or held by this process.
+func (h *Handle) NeedsRead(now time.Time) bool {
+	return h.unchangedSince.IsZero() || h.recordUnknown && !now.Before(h.AvailableAt())
 }
 
-// Fix has the next write put a record into the object, due at once if that is urgent. It
-// has no effect unless this VM holds the lease then.
-func (h *Holder) Fix(record json.RawMessage, urgent bool) {
-	h.urgent = urgent || h.urgent && h.record != nil
-	h.record = record
+// SetRecord sets the record to store with the next write, immediately if urgent is true. It
+// has no effect unless this process holds the lease at that time.
+func (h *Handle) SetRecord(record json.RawMessage, urgent bool) {
+	h.urgent = urgent || h.urgent && h.pendingRecord != nil
+	h.pendingRecord = record
 }
 
-// Pending returns the record that the next write fixes, or the one that is in force.
-func (h *Holder) Pending() json.RawMessage {
-	if h.record != nil {
-		return h.record
+// LatestRecord returns the record to store with the next write, or else the stored one.
+func (h *Handle) LatestRecord() json.RawMessage {
+	if h.pendingRecord != nil {
+		return h.pendingRecord
 	}
-	return h.seen.Object.Record
+	return h.latest.Object.Record
 }
 
-// Proposal is the write that takes, renews or gives up a lease: conditional on Version,
-// or a creation when that is zero.
+// Proposal is a write that acquires, renews or resigns a lease. It is conditional on Version,
+// or creates the object if Version is zero.
 type Proposal struct {
 	Object  Object
 	Version contract.ObjectVersion
 }
 
-// Mine tells whether the newest object that is known names this process.
-func (h *Holder) Mine() bool { return h.seen.Version != 0 && h.seen.Object.Holder == h.opts.Self }
+// HeldBySelf reports whether the newest known object names this process as the holder. The
+// lease may have expired.
+func (h *Handle) HeldBySelf() bool {
+	return h.latest.Version != 0 && h.latest.Object.Holder == h.opts.Self
+}
 
-// Propose returns the write to make now, or false when another holds the lease
-// or the own one needs no renewal yet.
-func (h *Holder) Propose(now time.Time) (Proposal, bool) {
-	if h.told {
-		return Proposal{}, false // a write would undo its record
+// Propose returns the write to make now. It returns false if another process holds the lease
+// or if this process's lease does not have to be renewed yet.
+func (h *Handle) Propose(now time.Time) (Proposal, bool) {
+	if h.recordUnknown {
+		return Proposal{}, false // a write would overwrite the unknown record
 	}
-	if h.Mine() && now.Before(h.until) {
+	if h.HeldBySelf() && now.Before(h.expiresAt) {
 		return h.renew(now)
 	}
-	if now.Before(h.FreeAt()) {
+	if now.Before(h.AvailableAt()) {
 		return Proposal{}, false
 	}
-	// Also an own lease that lapsed is taken anew, with a new number: another
-	// may have had it in between, under a number that was not seen here.
-	next := h.seen.Object
+	// An expired lease of this process is also acquired anew, with a new fencing number:
+	// another process may have held it in between, under a number that was not seen here.
+	next := h.latest.Object
 	if next.Holder != (contract.VMLife{}) {
-		next.Resigned = nil // nobody gave it up: it stood for its whole length
+		next.Resigned = nil // the holder did not resign: the lease ran for its whole length
 	}
 	next.Holder = h.opts.Self
 	next.Fencing++
 	next.Renewals++
-	h.record = nil // made for a lease that is over
-	return Proposal{next, h.seen.Version}, true
+	h.pendingRecord = nil // made under a lease that has ended
+	return Proposal{next, h.latest.Version}, true
 }
 
-// renew returns the renewal of the own lease, if it is due.
-func (h *Holder) renew(now time.Time) (Proposal, bool) {
-	early := h.until.Sub(now) > h.opts.Length-h.opts.Margin
-	if early && !(h.urgent && h.record != nil) {
+// renew returns the renewal of this process's lease, if it is due.
+func (h *Handle) renew(now time.Time) (Proposal, bool) {
+	notDue := h.expiresAt.Sub(now) > h.opts.Length-h.opts.Margin
+	if notDue && !(h.urgent && h.pendingRecord != nil) {
 		return Proposal{}, false
 	}
-	next := h.seen.Object
-	if now.Sub(h.took) >= h.opts.Length {
+	next := h.latest.Object
+	if now.Sub(h.acquiredAt) >= h.opts.Length {
 		next.Resigned = nil
 	}
-	return h.proposal(next), true
+	return h.propose(next), true
 }
 
-// proposal returns the write of an object by its holder, with what is to be fixed.
-func (h *Holder) proposal(next Object) Proposal {
+// propose returns the write of an object, with the pending record if there is one.
+func (h *Handle) propose(next Object) Proposal {
 	next.Renewals++
-	if h.record != nil {
-		next.Record = h.record
+	if h.pendingRecord != nil {
+		next.Record = h.pendingRecord
 	}
-	return Proposal{next, h.seen.Version}
+	return Proposal{next, h.latest.Version}
 }
 
-// FreeAt returns from when on this VM may take the lease, unless the object changes
-// before. One that was given up is free at once but for the VMs that did: one of them would
-// else act, then another, then it again within one lease.
-func (h *Holder) FreeAt() time.Time {
-	o := h.seen.Object
-	nobodys := h.seen.Version == 0 || o.Holder == contract.VMLife{} && !slices.Contains(o.Resigned, h.opts.Self.VM)
-	if nobodys || h.Mine() {
+// AvailableAt returns the time from which this process may acquire the lease, provided that
+// the object does not change before. After a resignation the lease is available immediately,
+// except to the VMs in Resigned. Otherwise one of them could act, then another VM, and then
+// the first one again, all within the length of one lease.
+func (h *Handle) AvailableAt() time.Time {
+	o := h.latest.Object
+	available := h.latest.Version == 0 || o.Holder == contract.VMLife{} && !slices.Contains(o.Resigned, h.opts.Self.VM)
+	if available || h.HeldBySelf() {
 		return time.Time{}
 	}
-	return h.seenAt.Add(h.opts.Length)
+	return h.unchangedSince.Add(h.opts.Length)
 }
 
-// Resign returns the write that gives up the own lease, or false when it holds none. No
-// order may be given from here on, and none may be under way when it is written.
-func (h *Holder) Resign(now time.Time) (Proposal, bool) {
-	if h.told || !h.Mine() || !now.Before(h.until) {
+// Resign returns the write that gives up this process's lease, or false if it holds none.
+// After Resign no call may be made, and none may be in progress when the write is sent.
+func (h *Handle) Resign(now time.Time) (Proposal, bool) {
+	if h.recordUnknown || !h.HeldBySelf() || !now.Before(h.expiresAt) {
 		return Proposal{}, false
 	}
-	h.until = time.Time{}
-	next := h.seen.Object
+	h.expiresAt = time.Time{}
+	next := h.latest.Object
 	next.Holder = contract.VMLife{}
 	next.Resigned = append(slices.Clone(next.Resigned), h.opts.Self.VM)
-	return h.proposal(next), true
+	return h.propose(next), true
 }
 
-// Wrote takes in that a proposal asked for at askedAt was accepted as version
-// v. A reply that was lost is not told: the next read shows the object, and
-// the lease is taken anew.
-func (h *Holder) Wrote(p Proposal, v contract.ObjectVersion, askedAt time.Time) {
-	if p.Object.Fencing != h.seen.Object.Fencing || h.until.IsZero() {
-		h.took = askedAt
+// ConfirmWrite records that a proposal sent at sentAt was accepted as the given version. If
+// the reply is lost, ConfirmWrite is not called: the next read returns the new object, and
+// the lease is then acquired anew.
+func (h *Handle) ConfirmWrite(p Proposal, version contract.ObjectVersion, sentAt time.Time) {
+	if p.Object.Fencing != h.latest.Object.Fencing || h.expiresAt.IsZero() {
+		h.acquiredAt = sentAt
 	}
-	if bytes.Equal(p.Object.Record, h.record) {
-		h.record = nil
+	if bytes.Equal(p.Object.Record, h.pendingRecord) {
+		h.pendingRecord = nil
 	}
-	h.seen, h.seenAt, h.told = Seen{p.Object, v}, askedAt, false
-	h.until = time.Time{}
+	h.latest, h.unchangedSince, h.recordUnknown = Seen{p.Object, version}, sentAt, false
+	h.expiresAt = time.Time{}
 	if p.Object.Holder == h.opts.Self {
-		h.until = askedAt.Add(h.opts.Length)
+		h.expiresAt = sentAt.Add(h.opts.Length)
 	}
 }
 
-// Ready returns the fencing number under which an order may be given now: none while what is
-// fixed in the object is not known. ignores tells that the engine takes old numbers.
-func (h *Holder) Ready(now time.Time, ignores bool) (contract.FencingNumber, bool) {
-	if h.told || h.until.IsZero() || !now.Before(h.until.Add(-h.opts.Margin)) {
+// ActiveFencing returns the fencing number under which a call may be made now. It returns
+// false while the stored record is unknown. ignoresFencing means that the recipient of the
+// call accepts old fencing numbers.
+func (h *Handle) ActiveFencing(now time.Time, ignoresFencing bool) (contract.FencingNumber, bool) {
+	if h.recordUnknown || h.expiresAt.IsZero() || !now.Before(h.expiresAt.Add(-h.opts.Margin)) {
 		return 0, false
 	}
-	if ignores && now.Sub(h.took) < h.opts.Settle {
+	if ignoresFencing && now.Sub(h.acquiredAt) < h.opts.TakeoverDelay {
 		return 0, false
 	}
-	return h.seen.Object.Fencing, true
+	return h.latest.Object.Fencing, true
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -10,127 +10,127 @@
 	"woaddoor/contract"
 )
 
-// orderDelay is the longest an order is under way, as Options assumes.
-const orderDelay = defaultLength/marginPart - time.Millisecond
+// maxCallDelay is the longest time that a call takes to arrive, as Options assumes.
+const maxCallDelay = defaultDuration/marginDivisor - time.Millisecond
 
-// world is a store and processes that read and write it, are paused, and give
-// orders that arrive up to orderDelay later.
-type world struct {
+// engineSimulation is a store, an engine that ignores fencing numbers, and processes that read and
+// write the store, are suspended, and make calls that arrive up to maxCallDelay later.
+type engineSimulation struct {
 	t       *rapid.T
 	now     time.Time
 	object  Object
 	version contract.ObjectVersion
-	holders []*Holder
-	// orders under way, with the number they carry.
-	orders []order
-	// engine is what an engine that ignores numbers last obeyed.
-	engine contract.FencingNumber
+	handles []*Handle
+	// calls are in progress, each with its fencing number.
+	calls []call
+	// engineFencing is the fencing number of the last call that arrived at the engine.
+	engineFencing contract.FencingNumber
 }
 
-type order struct {
-	fencing contract.FencingNumber
-	arrives time.Time
+type call struct {
+	fencing   contract.FencingNumber
+	arrivesAt time.Time
 }
 
-func (w *world) act() {
-	h := w.holders[rapid.IntRange(0, len(w.holders)-1).Draw(w.t, "process")]
-	switch rapid.SampledFrom([]string{"read", "write", "write, reply lost", "order", "order", "time"}).Draw(w.t, "act") {
+func (s *engineSimulation) randomEvent() {
+	h := s.handles[rapid.IntRange(0, len(s.handles)-1).Draw(s.t, "process")]
+	switch rapid.SampledFrom([]string{"read", "write", "write, reply lost", "call", "call", "time passes"}).Draw(s.t, "event") {
 	case "read":
-		h.Saw(Seen{w.object, w.version}, w.now)
+		h.ObserveRead(Seen{s.object, s.version}, s.now)
 	case "write":
-		w.write(h, true)
+		s.write(h, true)
 	case "write, reply lost":
-		w.write(h, false)
-	case "order":
-		if n, ok := h.Ready(w.now, true); ok {
-			delay := time.Duration(rapid.Int64Range(0, int64(orderDelay)).Draw(w.t, "delay"))
-			w.orders = append(w.orders, order{n, w.now.Add(delay)})
+		s.write(h, false)
+	case "call":
+		if n, ok := h.ActiveFencing(s.now, true); ok {
+			delay := time.Duration(rapid.Int64Range(0, int64(maxCallDelay)).Draw(s.t, "delay"))
+			s.calls = append(s.calls, call{n, s.now.Add(delay)})
 		}
-	case "time":
-		w.now = w.now.Add(time.Duration(rapid.IntRange(0, 8000).Draw(w.t, "ms")) * time.Millisecond)
+	case "time passes":
+		s.now = s.now.Add(time.Duration(rapid.IntRange(0, 8000).Draw(s.t, "ms")) * time.Millisecond)
 	}
 }
 
-func (w *world) write(h *Holder, reply bool) {
-	asked := w.now
-	p, ok := h.Propose(w.now)
-	// The process may be paused between deciding and writing, or the reply
+func (s *engineSimulation) write(h *Handle, replyArrives bool) {
+	sentAt := s.now
+	p, ok := h.Propose(s.now)
+	// The process may be suspended between the decision and the write, or the reply
 	// may take long.
-	w.now = w.now.Add(time.Duration(rapid.IntRange(0, 20).Draw(w.t, "pause s")) * time.Second)
-	if !ok || p.Version != w.version {
+	s.now = s.now.Add(time.Duration(rapid.IntRange(0, 20).Draw(s.t, "suspended s")) * time.Second)
+	if !ok || p.Version != s.version {
 		return
 	}
-	w.version++
-	w.object = p.Object
-	if reply {
-		h.Wrote(p, w.version, asked)
+	s.version++
+	s.object = p.Object
+	if replyArrives {
+		h.ConfirmWrite(p, s.version, sentAt)
 	}
 }
 
-// arrive lets the orders that are due arrive, in the order of their arrival.
-func (w *world) arrive() {
+// deliverCalls delivers the calls that have arrived by now, in the order of their arrival.
+func (s *engineSimulation) deliverCalls() {
 	for {
-		first := -1
-		for i, o := range w.orders {
-			if !o.arrives.After(w.now) && (first < 0 || o.arrives.Before(w.orders[first].arrives)) {
-				first = i
+		earliest := -1
+		for i, c := range s.calls {
+			if !c.arrivesAt.After(s.now) && (earliest < 0 || c.arrivesAt.Before(s.calls[earliest].arrivesAt)) {
+				earliest = i
 			}
 		}
-		if first < 0 {
+		if earliest < 0 {
 			return
 		}
-		o := w.orders[first]
-		w.orders = append(w.orders[:first], w.orders[first+1:]...)
-		if o.fencing < w.engine {
-			w.t.Fatalf("an order under %d arrived after one under %d", o.fencing, w.engine)
+		c := s.calls[earliest]
+		s.calls = append(s.calls[:earliest], s.calls[earliest+1:]...)
+		if c.fencing < s.engineFencing {
+			s.t.Fatalf("a call under fencing number %d arrived after one under %d", c.fencing, s.engineFencing)
 		}
-		w.engine = o.fencing
+		s.engineFencing = c.fencing
 	}
 }
 
-// TestOldOrdersNeverLast draws pauses, lost replies and slow orders. Even at an
-// engine that ignores fencing numbers, no order of a former holder arrives
-// after one of a later holder.
-func TestOldOrdersNeverLast(t *testing.T) {
-	most := contract.FencingNumber(0)
+// TestFormerHolderCallsNeverArriveLast simulates suspensions, lost replies and slow calls. Even at
+// an engine that ignores fencing numbers, no call of a former holder may arrive after one of a later
+// holder.
+func TestFormerHolderCallsNeverArriveLast(t *testing.T) {
+	highestFencing := contract.FencingNumber(0)
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, now: time.Unix(0, 0)}
+		s := &engineSimulation{t: t, now: time.Unix(0, 0)}
 		for i := range 3 {
-			w.holders = append(w.holders, NewHolder(Options{Self: contract.VMLife{VM: contract.VMID(rune('a' + i)), Incarnation: 1}}))
+			s.handles = append(s.handles, NewHandle(Options{Self: contract.VMLife{VM: contract.VMID(rune('a' + i)), Incarnation: 1}}))
 		}
 		for range rapid.IntRange(10, 150).Draw(t, "events") {
-			w.act()
-			w.arrive()
+			s.randomEvent()
+			s.deliverCalls()
 		}
-		most = max(most, w.engine)
+		highestFencing = max(highestFencing, s.engineFencing)
 	})
-	if most < 2 {
-		t.Error("no schedule had two holders give orders: the schedules are too tame")
+	if highestFencing < 2 {
+		t.Error("no run had two holders make calls: the simulation has too few faults")
 	}
 }
 
-// TestPausedHolder shows the naive check, "I hold it since I last wrote it",
-// giving an order after a pause in which another took over.
-func TestPausedHolder(t *testing.T) {
+// TestPausedHolderMakesNoCalls checks that a holder makes no call after a suspension during which
+// another process took the lease over. A naive holder, which relies on its last write, would.
+func TestPausedHolderMakesNoCalls(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	a := NewHolder(Options{Self: contract.VMLife{VM: "a"}})
-	b := NewHolder(Options{Self: contract.VMLife{VM: "b"}})
+	a := NewHandle(Options{Self: contract.VMLife{VM: "a"}})
+	b := NewHandle(Options{Self: contract.VMLife{VM: "b"}})
 	p, ok := a.Propose(now)
 	is.True(ok)
-	a.Wrote(p, 1, now)
-	b.Saw(Seen{p.Object, 1}, now)
-	naive := a.seen.Object.Holder == a.opts.Self
-	now = now.Add(defaultLength) // a is paused
+	a.ConfirmWrite(p, 1, now)
+	b.ObserveRead(Seen{p.Object, 1}, now)
+	naiveHolds := a.latest.Object.Holder == a.opts.Self
+	now = now.Add(defaultDuration) // a is suspended
 	p, ok = b.Propose(now)
 	is.True(ok)
-	b.Wrote(p, 2, now)
-	is.True(naive) // would give an order now
-	_, ok = a.Ready(now, false)
+	b.ConfirmWrite(p, 2, now)
+	is.True(naiveHolds) // a naive holder would make a call now
+	_, ok = a.ActiveFencing(now, false)
 	is.True(!ok)
-	n, ok := b.Ready(now, false)
+	n, ok := b.ActiveFencing(now, false)
 	is.True(ok)
 	is.Equal(n, contract.FencingNumber(2))
-	_, ok = b.Ready(now, true)
-	is.True(!ok) // waits out what a may have under way
+	_, ok = b.ActiveFencing(now, true)
+	is.True(!ok) // waits for calls of a that may still be in progress
 }
