--- a/upstream/table.go
+++ b/upstream/table.go
@@ -1,10 +1,13 @@
-// Package upstream decides which upstream gets a request. It is a pure state
-// machine fed with configuration, load reports, the platform's list of leaving
-// VMs, and what this VM itself sends; the time and the random source are given.
+// Package upstream selects the upstream that serves a request. It is a deterministic state
+// machine: its inputs are the configuration, load reports, the platform's list of upstreams
+// and the requests that this VM sends; the caller passes in the time and the random source.
 //
-// Several VMs decide at once without a word between them, and reports lag, so
-// each choice goes by this VM's own requests first and lets the report of a
-// busy or idle upstream count less the older it is.
+// Several VMs select at the same time without coordination, and load reports lag. Each
+// selection therefore weighs this VM's own requests most, and averages reported load over
+// time, with less weight for older reports.
+//
+// An instance of an upstream is one run of its process (contract.Life). An upstream that
+// restarts under the same ID is a new instance.
 package upstream
 
 import (
@@ -21,126 +24,132 @@
 	"woaddoor/reading"
 )
 
-// Options tune the choice.
+// Options configure the selection.
 type Options struct {
-	// SilentAfter is how long an upstream may go without a report before it
-	// gets no new work. Zero means 3 s.
-	SilentAfter time.Duration
-	// HomeFull is the part of an upstream's places up to which it takes
-	// requests because their prefix is at home there. Zero means 0.9.
-	HomeFull float64
-	// Listed means that the platform's list tells which upstreams are there, so
-	// that none has to report before it gets work, and that load is told by
-	// answers. Zero means that each has to report.
+	// ReportTimeout is how long an upstream may go without a load report before it gets
+	// no new work. Zero means 3 s.
+	ReportTimeout time.Duration
+	// HomeLoadLimit is the fraction of an upstream's slots up to which the upstream takes
+	// requests for whose prompt prefix it is a home. Zero means 0.9.
+	HomeLoadLimit float64
+	// Listed means that upstreams come from the platform's list: an upstream needs no load
+	// report before it gets work, and its load is read from its answers. False means that
+	// each upstream has to send load reports.
 	Listed bool
-	// Policy says which mechanisms are left out.
+	// Policy contains the mechanisms that are disabled.
 	Policy Policy
 }
 
 // Defaults of Options.
 const (
-	defaultSilentAfter = 3 * time.Second
-	defaultHomeFull    = 0.9
+	defaultReportTimeout = 3 * time.Second
+	defaultHomeLoadLimit = 0.9
 )
 
 func (o Options) withDefaults() Options {
 	return Options{
-		Listed:      o.Listed,
-		Policy:      o.Policy,
-		SilentAfter: cmp.Or(o.SilentAfter, defaultSilentAfter),
-		HomeFull:    cmp.Or(o.HomeFull, defaultHomeFull),
+		Listed:        o.Listed,
+		Policy:        o.Policy,
+		ReportTimeout: cmp.Or(o.ReportTimeout, defaultReportTimeout),
+		HomeLoadLimit: cmp.Or(o.HomeLoadLimit, defaultHomeLoadLimit),
 	}
 }
 
-// Table is what one VM knows of the upstreams. Its owner locks it.
+// Table holds what one VM knows about the upstreams. It is not safe for concurrent use:
+// callers synchronize access.
 type Table struct {
 	opts   Options
 	states map[contract.UpstreamID]*state
-	// away are the data centres that look cut off, until when.
-	away map[contract.DataCentreID]time.Time
-	// doubted are those with an upstream that has fallen silent.
-	doubted map[contract.DataCentreID]bool
-	pools   map[contract.PoolID][]*state
-	// centres are the states of each data centre, in the order of ordered.
-	centres map[contract.DataCentreID][]*state
-	// ordered are all states by their ids, so that a choice depends on the random
-	// source alone and not on the order of a map.
-	ordered []*state
-	// rates are how long listed upstreams take to read, demand what comes to be
-	// read, and readers how many
-	// of them read now.
-	rates   *reading.Rates
-	demand  demand
-	readers int
-	// group says of which upstreams this VM hears, and meanWait is the mean wait
-	// there.
-	group    Group
-	meanWait time.Duration
-	// held is the mean time for which a listed upstream works on a prompt after
-	// its answer has begun.
-	held time.Duration
-	// listed tells that a list was taken in before, and owned who may send to cold
-	// upstreams; chilled are the changes that the owner of the table has not taken.
-	listed  bool
-	owned   owned
-	chilled []Chill
-	// said is what lives of upstreams have said in answers, and limited are the listed
-	// upstreams that have named a limit which holds, by their ids.
-	said    map[contract.Life]*heldTo
-	limited []*state
+	// unreachableUntil holds, for each data centre that appears to be cut off, the time
+	// until which it counts as unreachable.
+	unreachableUntil map[contract.DataCentreID]time.Time
+	// suspectedCentres holds the data centres with an upstream that stopped responding.
+	suspectedCentres map[contract.DataCentreID]bool
+	pools            map[contract.PoolID][]*state
+	// byDataCentre holds the states of each data centre, in the order of sortedStates.
+	byDataCentre map[contract.DataCentreID][]*state
+	// sortedStates holds all states sorted by upstream ID, so that a selection depends
+	// only on the random source and not on map iteration order.
+	sortedStates []*state
+	// prefillRates estimates how long engines take to prefill a prompt, demand estimates
+	// the arriving prompts, and activeEngines counts the engines that currently receive
+	// prompts.
+	prefillRates  *reading.Rates
+	demand        demand
+	activeEngines int
+	// gossipScope defines for which upstreams this VM learns of other VMs' requests;
+	// meanWait is the mean prefill queue wait at those upstreams.
+	gossipScope Group
+	meanWait    time.Duration
+	// meanDecodeTime is the mean time that a listed upstream works on a prompt after its
+	// answer has begun.
+	meanDecodeTime time.Duration
+	// listReceived is set once an upstream list has been applied. owners are the VMs that
+	// share the bounds of cold and rate-limited upstreams. coldTransitions holds the
+	// transitions to cold that the owner of the table has not fetched yet.
+	listReceived    bool
+	owners          ownership
+	coldTransitions []ColdTransition
+	// announcements holds what each instance stated about itself in its answers. limited holds
+	// the listed upstreams whose announced rate limit is in force, sorted by ID.
+	announcements map[contract.Life]*announcement
+	limited       []*state
 }
 
-// state is what is known of one upstream.
+// state holds what is known about one upstream.
 type state struct {
 	upstream config.Upstream
 	pool     *config.Pool
-	seed     uint64 // of its rank as a home of prefixes
+	hashSeed uint64 // hash of the upstream ID, for rendezvous hashing
 
 	incarnation contract.Incarnation
 	load        contract.Load
-	// heardAt is when the last report was asked for; zero means never.
-	heardAt time.Time
-	// leaving holds the incarnation that is known to leave. A later one under
-	// the same address is a new upstream.
-	leaving   contract.Incarnation
-	inFlight  int
-	sentAfter int     // requests sent since the last report was asked for
-	doneAfter int     // requests ended since then
-	others    float64 // requests of other VMs, as expected from reports
-	service   time.Duration
-	servedAt  time.Time // when service was last learnt
-	failures  int
-	openUntil time.Time
-	probing   bool
-	health    health // of a listed upstream
-	// queue and kept are what a listed upstream is believed to read and to keep.
-	queue reading.Queue
-	kept  *reading.Kept
-	// readAt is when a prompt was last known to be sent there.
-	readAt time.Time
-	// place is that of this VM among those of its data centre, as of the owners' version.
-	place, placed int
-	// born and slots are those of the entry, and cold what is believed of its warmth.
+	// reportedAt is when the last load report was requested; zero means never.
+	reportedAt time.Time
+	// leavingIncarnation is the incarnation that is known to be leaving. A later
+	// incarnation at the same address is a new instance.
+	leavingIncarnation contract.Incarnation
+	inFlight           int
+	sentSinceReport    int     // requests sent since the last report was requested
+	doneSinceReport    int     // requests completed since the last report was requested
+	othersInFlight     float64 // expected number of requests from other VMs, estimated from reports
+	serviceTime        time.Duration
+	serviceTimeAt      time.Time // when serviceTime was last updated
+	failures           int
+	breakerOpenUntil   time.Time
+	probing            bool
+	health             health // only used for listed upstreams
+	// queue and prefixCache are the estimated prefill queue and the estimated prompt cache
+	// of a listed upstream.
+	queue       reading.Queue
+	prefixCache *reading.Kept
+	// promptSentAt is when any VM was last known to send a prompt to the upstream.
+	promptSentAt time.Time
+	// cachedRank is this VM's rank among the owners of this upstream, computed for version
+	// cachedRankVersion of the owners.
+	cachedRank, cachedRankVersion int
+	// born and slots are copied from the list entry; cold is the estimated cold state.
 	born  int64
 	slots int
-	cold  coldness
-	// said is what the upstream has said in this life; nil for nothing. othersRest is when
-	// the last rest ends that it has asked other VMs for.
-	said       *heldTo
-	othersRest time.Time
+	cold  coldState
+	// announced is what the current instance stated about itself in answers; nil if
+	// nothing. othersRestUntil is when the last rest ends that the upstream requested from
+	// other VMs; a rest is a pause in which the upstream gets no new requests.
+	announced       *announcement
+	othersRestUntil time.Time
 }
 
 // NewTable returns an empty table.
 func NewTable(opts Options) *Table {
 	o := opts.withDefaults()
 	return &Table{
-		opts: o, away: make(map[contract.DataCentreID]time.Time), doubted: make(map[contract.DataCentreID]bool), states: make(map[contract.UpstreamID]*state), pools: make(map[contract.PoolID][]*state), centres: make(map[contract.DataCentreID][]*state),
-		rates: reading.NewRates(nil), said: make(map[contract.Life]*heldTo),
+		opts: o, unreachableUntil: make(map[contract.DataCentreID]time.Time), suspectedCentres: make(map[contract.DataCentreID]bool), states: make(map[contract.UpstreamID]*state), pools: make(map[contract.PoolID][]*state), byDataCentre: make(map[contract.DataCentreID][]*state),
+		prefillRates: reading.NewRates(nil), announcements: make(map[contract.Life]*announcement),
 	}
 }
 
-// Configure takes in the pools of a configuration. What is known of upstreams
-// that stay is kept.
+// Configure applies the pools of a configuration. The state of upstreams that remain
+// configured is kept.
 func (t *Table) Configure(pools map[contract.PoolID]*config.Pool) {
 	states := make(map[contract.UpstreamID]*state)
 	t.pools = make(map[contract.PoolID][]*state)
@@ -148,7 +157,7 @@
 		for _, u := range p.Upstreams {
 			s, had := t.states[u.ID]
 			if !had || s.upstream.URL != u.URL {
-				s = &state{seed: xxhash.Sum64String(string(u.ID)), kept: reading.NewKept(0)}
+				s = &state{hashSeed: xxhash.Sum64String(string(u.ID)), prefixCache: reading.NewKept(0)}
 			}
 			s.upstream, s.pool = u, p
 			states[u.ID] = s
@@ -157,120 +166,121 @@
 		slices.SortFunc(t.pools[p.ID], func(a, b *state) int { return cmp.Compare(a.upstream.ID, b.upstream.ID) })
 	}
 	t.states = states
-	t.ordered = slices.SortedFunc(maps.Values(states), func(a, b *state) int { return cmp.Compare(a.upstream.ID, b.upstream.ID) })
-	t.centres = make(map[contract.DataCentreID][]*state)
-	for _, s := range t.ordered {
-		t.centres[s.pool.DataCentre] = append(t.centres[s.pool.DataCentre], s)
+	t.sortedStates = slices.SortedFunc(maps.Values(states), func(a, b *state) int { return cmp.Compare(a.upstream.ID, b.upstream.ID) })
+	t.byDataCentre = make(map[contract.DataCentreID][]*state)
+	for _, s := range t.sortedStates {
+		t.byDataCentre[s.pool.DataCentre] = append(t.byDataCentre[s.pool.DataCentre], s)
 	}
 }
 
-// Reported takes in a load report that was asked for at askedAt. One that
-// comes after a later one is dropped, and one of an earlier incarnation too.
+// Reported applies a load report that was requested at askedAt. It ignores a report that is
+// older than the last one or that comes from an earlier incarnation.
 func (t *Table) Reported(id contract.UpstreamID, l contract.Load, askedAt time.Time) {
 	s, ok := t.states[id]
-	if !ok || askedAt.Before(s.heardAt) || l.Incarnation < s.incarnation {
+	if !ok || askedAt.Before(s.reportedAt) || l.Incarnation < s.incarnation {
 		return
 	}
 	if l.Incarnation > s.incarnation {
-		// Another life under the same address: nothing known of the former
-		// one holds, but for the requests still in flight.
-		s.incarnation, s.failures, s.openUntil, s.service, s.others = l.Incarnation, 0, time.Time{}, 0, 0
+		// A new incarnation at the same address: reset the state of the previous
+		// incarnation, except for the count of requests still in flight.
+		s.incarnation, s.failures, s.breakerOpenUntil, s.serviceTime, s.othersInFlight = l.Incarnation, 0, time.Time{}, 0, 0
 		s.born = int64(l.Incarnation)
-		s.said = t.said[contract.Life{Upstream: id, Born: s.born}]
+		s.announced = t.announcements[contract.Life{Upstream: id, Born: s.born}]
 	}
 	if l.Draining {
-		s.leaving = l.Incarnation
+		s.leavingIncarnation = l.Incarnation
 	}
-	s.average(l, askedAt.Sub(s.heardAt))
-	s.load, s.heardAt = l, askedAt
-	s.sentAfter, s.doneAfter = 0, 0
+	s.averageReport(l, askedAt.Sub(s.reportedAt))
+	s.load, s.reportedAt = l, askedAt
+	s.sentSinceReport, s.doneSinceReport = 0, 0
 }
 
-// Unlisted takes in the upstreams that the platform lists as leaving, or that
-// its list, which lags, no longer holds as live.
+// Unlisted applies the set of upstreams that the platform lists as leaving, or that its
+// list, which lags, no longer contains as live.
 func (t *Table) Unlisted(leaving map[contract.UpstreamID]bool) {
 	for id, s := range t.states {
 		if leaving[id] {
-			s.leaving = max(s.leaving, s.incarnation)
+			s.leavingIncarnation = max(s.leavingIncarnation, s.incarnation)
 		}
 	}
 }
 
-// Sent notes that a request goes to an upstream.
+// Sent records that a request was sent to an upstream.
 func (t *Table) Sent(id contract.UpstreamID) {
 	if s, ok := t.states[id]; ok {
 		s.inFlight++
-		s.sentAfter++
+		s.sentSinceReport++
 	}
 }
 
-// Running returns how many requests of this VM run at the upstreams of a data centre.
+// Running returns how many requests of this VM are in flight to the upstreams of a data centre.
 func (t *Table) Running(dc contract.DataCentreID) int {
 	n := 0
-	for _, s := range t.centres[dc] {
+	for _, s := range t.byDataCentre[dc] {
 		n += s.inFlight
 	}
 	return n
 }
 
-// Result says how a request ended at an upstream.
+// Result is the outcome of a request at an upstream.
 type Result uint8
 
-// The results of a request.
+// Possible values of Result.
 const (
-	// Good is a whole answer.
+	// Good means that a complete answer arrived.
 	Good Result = iota
-	// Failed is the upstream's failure: it counts towards its circuit breaker.
+	// Failed means that the upstream failed; it counts towards the circuit breaker.
 	Failed
-	// Abandoned is the caller's doing and says nothing of the upstream.
+	// Abandoned means that the caller cancelled; it reveals nothing about the upstream.
 	Abandoned
-	// Unreachable means that no connection came up: nothing was sent.
+	// Unreachable means that no connection could be established: nothing was sent.
 	Unreachable
-	// Down means that no connection came up since nothing listens there any more:
-	// nothing was sent, and its machine could be reached.
+	// Down means that the connection was refused because no process listens on the port:
+	// nothing was sent, and the upstream's machine is reachable.
 	Down
 	// Full means that no connection to the upstream is free: nothing was sent.
 	Full
-	// TurnedAway means that the upstream refused the request without running it.
+	// TurnedAway means that the upstream refused the request without executing it.
 	TurnedAway
-	// Broken means that the connection ended, or fell silent, before the answer was
-	// whole: the upstream may have ended with it.
+	// Broken means that the connection closed or stalled before the answer was complete.
+	// The upstream process may have ended.
 	Broken
 )
 
-// Circuit breaker of one upstream.
+// Parameters of the circuit breaker and the service time average of an upstream that sends
+// load reports.
 const (
-	breakAfter   = 3
-	breakBase    = 500 * time.Millisecond
-	breakMax     = 10 * time.Second
-	serviceSmall = 0.2 // weight of the newest service time
+	breakerThreshold   = 3
+	breakerBackoffBase = 500 * time.Millisecond
+	breakerBackoffMax  = 10 * time.Second
+	serviceTimeWeight  = 0.2 // weight of the newest sample
 )
 
-// Done notes that a request has ended, and how long it took.
+// Done records that a request ended with result r after the duration took.
 func (t *Table) Done(id contract.UpstreamID, r Result, took time.Duration, now time.Time) {
 	s, ok := t.states[id]
 	if !ok {
 		return
 	}
 	s.inFlight--
-	s.doneAfter++
+	s.doneSinceReport++
 	s.probing = false
 	if t.opts.Listed {
-		t.reachable(s, r, now)
-		t.feelCold(s, r, now)
-		s.ended(r, took, now)
+		t.recordReachability(s, r, now)
+		t.detectCold(s, r, now)
+		s.recordResult(r, took, now)
 		return
 	}
 	switch r {
 	case Good:
 		s.failures = 0
-		s.openUntil = time.Time{}
-		s.served(took, now)
+		s.breakerOpenUntil = time.Time{}
+		s.recordServiceTime(took, now)
 	case Failed, Broken:
 		s.failures++
-		if s.failures >= breakAfter {
-			backoff := min(breakBase<<min(s.failures-breakAfter, 8), breakMax)
-			s.openUntil = now.Add(backoff)
+		if s.failures >= breakerThreshold {
+			backoff := min(breakerBackoffBase<<min(s.failures-breakerThreshold, 8), breakerBackoffMax)
+			s.breakerOpenUntil = now.Add(backoff)
 		}
 	}
 }
@@ -278,7 +288,7 @@
 // ErrNone means that no upstream can take the request now.
 var ErrNone = errors.New("no upstream can take the request")
 
-// URL returns the address of an upstream.
+// URL returns the address of an upstream, or "" if it is unknown.
 func (t *Table) URL(id contract.UpstreamID) string {
 	if s, ok := t.states[id]; ok {
 		return s.upstream.URL
@@ -286,7 +296,7 @@
 	return ""
 }
 
-// Every returns all upstreams.
+// Every returns the configuration of all upstreams, in no particular order.
 func (t *Table) Every() []config.Upstream {
 	every := make([]config.Upstream, 0, len(t.states))
 	for _, s := range t.states {
@@ -295,54 +305,55 @@
 	return every
 }
 
-// Places returns how many requests the usable upstreams of a kind work on at
-// once: in a data centre, or in all when that has none.
+// Places returns the total number of slots (concurrent requests) of the usable upstreams of a
+// kind: those in the data centre dc or, if it has none, those in all data centres.
 func (t *Table) Places(kind config.PoolKind, dc contract.DataCentreID, now time.Time) int {
-	near, all := 0, 0
+	local, all := 0, 0
 	for _, s := range t.states {
 		if s.pool.Kind != kind || !t.usable(s, "", now) {
 			continue
 		}
 		all += s.pool.Slots
 		if s.pool.DataCentre == dc {
-			near += s.pool.Slots
+			local += s.pool.Slots
 		}
 	}
-	if near > 0 {
-		return near
+	if local > 0 {
+		return local
 	}
 	return all
 }
 
-// Heard tells whether any upstream has ever answered.
+// Heard reports whether any upstream has ever sent a load report or, if listed, its load
+// in an answer.
 func (t *Table) Heard() bool {
 	for _, s := range t.states {
-		if !s.heardAt.IsZero() {
+		if !s.reportedAt.IsZero() {
 			return true
 		}
 	}
 	return false
 }
 
-// usable tells whether an upstream may get new work.
+// usable reports whether an upstream may get new work.
 //
-// The platform's list may lag, and the platform may be out, so silence alone
-// takes an upstream out: it has to say, every few seconds, that it is there.
+// The platform's list may lag, and the platform may be unavailable. An upstream that sends
+// load reports therefore becomes unusable as soon as its reports stop for ReportTimeout.
 func (t *Table) usable(s *state, v contract.VersionID, now time.Time) bool {
-	if !s.takes(now) {
+	if !s.acceptsWork(now) {
 		return false
 	}
 	if t.opts.Listed {
-		return s.hasConnection() && s.health.open(now) && t.bears(s, now)
+		return s.hasFreeConnection() && s.health.available(now) && t.withinBounds(s, now)
 	}
-	if s.heardAt.IsZero() || now.Sub(s.heardAt) >= t.opts.SilentAfter {
+	if s.reportedAt.IsZero() || now.Sub(s.reportedAt) >= t.opts.ReportTimeout {
 		return false
 	}
-	if now.Before(s.openUntil) {
+	if now.Before(s.breakerOpenUntil) {
 		return false
 	}
-	if s.failures >= breakAfter && s.probing {
-		return false // one request at a time finds out whether it is back
+	if s.failures >= breakerThreshold && s.probing {
+		return false // only one probe at a time checks whether the upstream has recovered
 	}
 	return v == "" || slices.Contains(s.load.Versions, v)
 }
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -12,9 +12,9 @@
 	"woaddoor/contract"
 )
 
-const v1 = contract.VersionID("m@1")
+const testVersion = contract.VersionID("m@1")
 
-func table(ids ...string) *Table {
+func newReportingTable(ids ...string) *Table {
 	p := &config.Pool{ID: "p", Kind: config.EnginePool, DataCentre: "d", Slots: 4}
 	for _, id := range ids {
 		p.Upstreams = append(p.Upstreams, config.Upstream{ID: contract.UpstreamID(id), URL: "http://" + id})
@@ -24,119 +24,119 @@
 	return t
 }
 
-func report(inc contract.Incarnation) contract.Load {
-	return contract.Load{Incarnation: inc, Versions: []contract.VersionID{v1}}
+func loadReport(inc contract.Incarnation) contract.Load {
+	return contract.Load{Incarnation: inc, Versions: []contract.VersionID{testVersion}}
 }
 
-var query = Query{Kind: config.EnginePool, DataCentre: "d", Version: v1}
+var reportingQuery = Query{Kind: config.EnginePool, DataCentre: "d", Version: testVersion}
 
-func random() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
+func seededRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// TestLeaving shows that a leaving upstream gets no new work though the
-// platform's list lags or is out, and that a new life of it does.
-func TestLeaving(t *testing.T) {
+// TestLeavingUpstreamGetsNoWork checks that a leaving upstream gets no new work even if the
+// platform's list lags or is unavailable, and that a new instance of it does.
+func TestLeavingUpstreamGetsNoWork(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
-	tb := table("a")
-	_, err := tb.Pick(query, now, random())
-	is.Equal(err, ErrNone) // never heard of
+	tb := newReportingTable("a")
+	_, err := tb.Pick(reportingQuery, now, seededRandom())
+	is.Equal(err, ErrNone) // no load report yet
 
-	tb.Reported("a", report(1), now)
-	_, err = tb.Pick(query, now, random())
+	tb.Reported("a", loadReport(1), now)
+	_, err = tb.Pick(reportingQuery, now, seededRandom())
 	is.NoErr(err)
 
-	// Platform out and the upstream gone without a word: silence takes it out.
-	_, err = tb.Pick(query, now.Add(defaultSilentAfter), random())
+	// The platform is unavailable and the upstream stops without notice: its reports time out.
+	_, err = tb.Pick(reportingQuery, now.Add(defaultReportTimeout), seededRandom())
 	is.Equal(err, ErrNone)
 
-	// It says so itself, and the list, which lags, still has it live.
-	draining := report(1)
+	// The upstream reports that it is draining, while the lagging list still has it as live.
+	draining := loadReport(1)
 	draining.Draining = true
 	tb.Reported("a", draining, now.Add(time.Second))
 	tb.Unlisted(map[contract.UpstreamID]bool{})
-	tb.Reported("a", report(1), now.Add(2*time.Second)) // a stale page of the same life
-	_, err = tb.Pick(query, now.Add(2*time.Second), random())
+	tb.Reported("a", loadReport(1), now.Add(2*time.Second)) // a stale report of the same incarnation
+	_, err = tb.Pick(reportingQuery, now.Add(2*time.Second), seededRandom())
 	is.Equal(err, ErrNone)
 
-	// Another life under the same address; then a late report of the former.
-	tb.Reported("a", report(2), now.Add(3*time.Second))
+	// A new incarnation at the same address, followed by a late report of the previous one.
+	tb.Reported("a", loadReport(2), now.Add(3*time.Second))
 	tb.Reported("a", draining, now.Add(4*time.Second))
-	_, err = tb.Pick(query, now.Add(4*time.Second), random())
+	_, err = tb.Pick(reportingQuery, now.Add(4*time.Second), seededRandom())
 	is.NoErr(err)
 
 	tb.Unlisted(map[contract.UpstreamID]bool{"a": true})
-	_, err = tb.Pick(query, now.Add(4*time.Second), random())
+	_, err = tb.Pick(reportingQuery, now.Add(4*time.Second), seededRandom())
 	is.Equal(err, ErrNone)
 }
 
-// TestVersionHeld shows that routing goes by what an engine says it holds: a
-// late order that took a version away is seen with the next report.
-func TestVersionHeld(t *testing.T) {
+// TestPickRequiresLoadedVersion checks that requests go only to engines that report the requested
+// version: if a late order unloaded it, the next report shows that.
+func TestPickRequiresLoadedVersion(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
-	tb := table("a", "b")
-	tb.Reported("a", report(1), now)
-	other := report(1)
+	tb := newReportingTable("a", "b")
+	tb.Reported("a", loadReport(1), now)
+	other := loadReport(1)
 	other.Versions = []contract.VersionID{"m@2"}
 	tb.Reported("b", other, now)
 	for range 20 {
-		id, err := tb.Pick(query, now, random())
+		id, err := tb.Pick(reportingQuery, now, seededRandom())
 		is.NoErr(err)
 		is.Equal(id, contract.UpstreamID("a"))
 	}
 }
 
-// TestBreaker shows that an upstream that fails is left alone, probed by one
-// request at a time, and back after a good one.
-func TestBreaker(t *testing.T) {
+// TestCircuitBreaker checks that a failing upstream gets no requests, is probed by one request at a
+// time, and is used again after a good answer.
+func TestCircuitBreaker(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
-	tb := table("a")
-	tb.Reported("a", report(1), now)
-	for range breakAfter {
+	tb := newReportingTable("a")
+	tb.Reported("a", loadReport(1), now)
+	for range breakerThreshold {
 		tb.Sent("a")
 		tb.Done("a", Failed, 0, now)
 	}
-	_, err := tb.Pick(query, now, random())
+	_, err := tb.Pick(reportingQuery, now, seededRandom())
 	is.Equal(err, ErrNone)
-	now = now.Add(breakBase)
-	_, err = tb.Pick(query, now, random())
+	now = now.Add(breakerBackoffBase)
+	_, err = tb.Pick(reportingQuery, now, seededRandom())
 	is.NoErr(err) // the probe
 	tb.Sent("a")
-	_, err = tb.Pick(query, now, random())
-	is.Equal(err, ErrNone) // no second while it runs
+	_, err = tb.Pick(reportingQuery, now, seededRandom())
+	is.Equal(err, ErrNone) // no second probe while one is in flight
 	tb.Done("a", Good, time.Millisecond, now)
-	_, err = tb.Pick(query, now, random())
+	_, err = tb.Pick(reportingQuery, now, seededRandom())
 	is.NoErr(err)
 }
 
-// TestPickIsPermitted checks, over drawn states, that a picked upstream always
-// holds the version, was heard of in time, is not leaving and not excluded.
-func TestPickIsPermitted(t *testing.T) {
+// TestPickReturnsOnlyUsableUpstreams checks with random events that a selected upstream always has the
+// version, a recent report, is not leaving and is not excluded.
+func TestPickReturnsOnlyUsableUpstreams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tb := table("a", "b", "c")
+		tb := newReportingTable("a", "b", "c")
 		now := time.Unix(100, 0)
-		r := random()
+		r := seededRandom()
 		gone := make(map[contract.UpstreamID]bool)
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 			id := contract.UpstreamID(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id"))
 			switch rapid.SampledFrom([]string{"report", "drain", "pick"}).Draw(t, "event") {
 			case "report":
-				tb.Reported(id, report(1), now)
+				tb.Reported(id, loadReport(1), now)
 			case "drain":
-				l := report(1)
+				l := loadReport(1)
 				l.Draining = true
 				tb.Reported(id, l, now)
 				gone[id] = true
 			case "pick":
-				q := query
+				q := reportingQuery
 				q.Exclude = []contract.UpstreamID{id}
 				got, err := tb.Pick(q, now, r)
 				if err != nil {
 					continue
 				}
-				if got == id || gone[got] || now.Sub(tb.states[got].heardAt) >= defaultSilentAfter {
+				if got == id || gone[got] || now.Sub(tb.states[got].reportedAt) >= defaultReportTimeout {
 					t.Fatalf("picked %s", got)
 				}
 				tb.Sent(got)
