--- a/upstream/announcement.go
+++ b/upstream/announcement.go
@@ -10,7 +10,7 @@
 type Said struct {
 	// Leaving means that the upstream is about to stop.
 	Leaving bool
-	// Rest is how long this VM should send the upstream no further requests.
+	// Rest is a requested pause: how long this VM should send the upstream no requests.
 	Rest time.Duration
 	// Limit is how many requests the upstream takes from all VMs together.
 	Limit Limit
--- a/upstream/cold.go
+++ b/upstream/cold.go
@@ -7,7 +7,7 @@
 	"woaddoor/contract"
 )
 
-// An upstream is cold for a while after its start and fails if it gets much more load than
+// An upstream is cold (still warming up) for a while after its start, and fails if it gets much more load than
 // it can handle in that time. The bound applies to the requests of all VMs together, but no
 // VM knows what the others send at the same moment. Each cold upstream therefore has a few
 // owners among the VMs of its data centre. All VMs compute the same owners without
--- a/upstream/cost.go
+++ b/upstream/cost.go
@@ -28,8 +28,8 @@
 	// remotePromptCost is the cost of sending a prompt to another data centre: traffic
 	// between data centres costs 0.03 to 0.09 of a request's worth.
 	remotePromptCost = 0.06
-	// remotePlainCost is the same for a call to a plain service, whose answer takes about as
-	// long as the round trip to another data centre.
+	// remotePlainCost is the cost of sending a call to a plain service to another data
+	// centre: its answer takes about as long as the round trip there.
 	remotePlainCost = 0.13
 	// fullLoadCost is the cost of an upstream whose slots are all in use.
 	fullLoadCost = 0.2
@@ -132,7 +132,7 @@
 func (t *Table) cheapestOf(usable []*state, q Query, now time.Time, atHome bool, random *rand.Rand) (*state, float64) {
 	var first, second *state
 	if atHome {
-		first, second = homes(usable, q.Prefix)
+		first, second = prefixHomes(usable, q.Prefix)
 	}
 	return lowestCost(usable, func(s *state) float64 {
 		cost := t.cost(s, q, now)
@@ -182,9 +182,9 @@
 // minObjectiveSeconds replaces the objective of a route that has none.
 const minObjectiveSeconds = 0.1
 
-// homes returns the first and the second home of a prefix among upstreams, the same at every VM
+// prefixHomes returns the first and the second home of a prefix among upstreams, the same at every VM
 // (rendezvous hashing); nil without a prefix.
-func homes(usable []*state, prefix uint64) (first, second *state) {
+func prefixHomes(usable []*state, prefix uint64) (first, second *state) {
 	if prefix == 0 {
 		return nil, nil
 	}
--- a/upstream/limit.go
+++ b/upstream/limit.go
@@ -64,8 +64,8 @@
 const (
 	// retellInterval is how often an unchanged limit is announced within the data centre.
 	retellInterval = 2 * time.Second
-	// remoteRetellInterval is the same for other data centres, which send a probe only if
-	// no VM of this data centre does.
+	// remoteRetellInterval is how often an unchanged limit is announced to other data
+	// centres, which probe the upstream only if no VM of this data centre does.
 	remoteRetellInterval = 10 * time.Second
 	// minChangeInterval is the minimum time between two changes of the rate that are
 	// announced immediately: an upstream may state a different rate in each answer.
--- a/upstream/limit_table.go
+++ b/upstream/limit_table.go
@@ -100,8 +100,8 @@
 	// the data centre sends a probe: the owners may have no callers. Each next VM waits
 	// probeStagger longer.
 	localProbeDelay = 5 * time.Second
-	// remoteProbeDelay is the same for VMs of other data centres: the upstream's own data
-	// centre may have no VM left.
+	// remoteProbeDelay is the corresponding delay for VMs of other data centres: the
+	// upstream's own data centre may have no VM left.
 	remoteProbeDelay = 25 * time.Second
 	// probeStagger is the additional delay for each next VM or data centre.
 	probeStagger = 2 * time.Second
--- a/upstream/listed.go
+++ b/upstream/listed.go
@@ -24,7 +24,7 @@
 	Leaving bool
 	// Preemptible upstreams cost less, but the platform may remove them at any moment.
 	Preemptible bool
-	// Cold is how long the upstream stays cold, counted from when it wrote the entry.
+	// Cold is how long the upstream stays cold (still warming up), counted from when it wrote the entry.
 	Cold time.Duration
 	// Born distinguishes two instances with the same ID. It is the start time by the
 	// upstream's own clock, in milliseconds since 1970, or zero if the upstream does not
--- a/upstream/pick.go
+++ b/upstream/pick.go
@@ -98,7 +98,7 @@
 	if prefix == 0 {
 		return nil
 	}
-	first, second := homes(usable, prefix)
+	first, second := prefixHomes(usable, prefix)
 	mean := meanLoad(usable)
 	for _, s := range []*state{first, second} {
 		if s == nil || s.failures > 0 || isSlow(s, usable, now) {
