--- a/scaling/need.go
+++ b/scaling/need.go
@@ -2,82 +2,87 @@
 
 import "time"
 
-// Work is what the upstreams of a service have to do, as one VM or several see it.
+// Work is the measured load on the upstreams of a service, as seen by one VM or summed over
+// several.
 type Work struct {
-	// Reading is for how many seconds of each second engines read prompts, Prompts how many
-	// of them a second.
+	// Reading is how many seconds of each second the engines spend on prefill (reading
+	// prompts), summed over the upstreams. Prompts is the number of prompts per second.
 	Reading float64 `cbor:"1,keyasint,omitempty"`
 	Prompts float64 `cbor:"3,keyasint,omitempty"`
-	// Places are those that requests take.
+	// Places is the number of request slots in use.
 	Places float64 `cbor:"2,keyasint,omitempty"`
 }
 
-// Plus returns the work of both.
+// Plus returns the sum of both loads.
 func (w Work) Plus(other Work) Work {
 	return Work{Reading: w.Reading + other.Reading, Prompts: w.Prompts + other.Prompts, Places: w.Places + other.Places}
 }
 
-// Shares of an upstream that are to be busy at the most.
+// Highest planned utilization of an upstream.
 const (
-	// readingShare is that of its time where nothing is known of how long prompts may wait.
-	readingShare = 0.5
-	// placesShare is that of its places: each token takes longer the more run together.
-	placesShare = 0.5
-	// waitPart is the part of an objective that prompts wait for others in the mean, so that
-	// those which wait several times as long are in time.
-	waitPart = 8 // divided
+	// maxPrefillShare is the fraction of time for prefill if the latency objective or the
+	// prompt rate is unknown.
+	maxPrefillShare = 0.5
+	// maxSlotShare is the fraction of slots in use. Each token takes longer the more requests
+	// run together.
+	maxSlotShare = 0.5
+	// meanWaitDivisor divides the latency objective to get the mean time that a prompt may
+	// wait for others. Prompts that wait several times longer than the mean still meet the
+	// objective.
+	meanWaitDivisor = 8
 )
 
-// busyShare returns for which part of its time an upstream may read prompts, so that they
-// wait no longer than they may: the mean wait in a queue with one server grows with
-// share / (1 - share) of what one prompt takes.
-func (w Work) busyShare(objective time.Duration) float64 {
+// prefillShare returns the largest fraction of time that an upstream may spend on prefill
+// while the mean wait of prompts stays within its limit. In a queue with one server, the mean
+// wait grows with share / (1 - share) times the time that one prompt takes.
+func (w Work) prefillShare(objective time.Duration) float64 {
 	if w.Prompts <= 0 || objective <= 0 {
-		return readingShare
+		return maxPrefillShare
 	}
-	takes := w.Reading / w.Prompts
-	wait := objective.Seconds() / waitPart
-	return wait / (wait + takes)
+	prefillTime := w.Reading / w.Prompts
+	meanWait := objective.Seconds() / meanWaitDivisor
+	return meanWait / (meanWait + prefillTime)
 }
 
-// Need returns how many upstreams, each with some places, the work asks for where answers are
-// to begin within an objective.
+// Need returns how many upstreams, with the given number of slots each, the load requires so
+// that responses begin within the objective.
 func (w Work) Need(slots int, objective time.Duration) float64 {
 	need := 0.0
 	if w.Reading > 0 {
-		need = w.Reading / w.busyShare(objective)
+		need = w.Reading / w.prefillShare(objective)
 	}
 	if slots > 0 {
-		need = max(need, w.Places/(placesShare*float64(slots)))
+		need = max(need, w.Places/(maxSlotShare*float64(slots)))
 	}
 	return need
 }
 
-// peakFor is for how long a need counts after it has passed: load comes in waves, and what
-// was given away takes seconds to come back.
-const peakFor = time.Minute
+// peakWindow is how long a past peak counts. Load comes in waves, and it takes seconds to get
+// released upstreams back.
+const peakWindow = time.Minute
 
-// Peak is the largest need of late. The zero value is none.
+// Peak tracks the largest recent need. The zero value has recorded none.
 type Peak struct {
-	need float64
-	at   time.Time
-	// next is the largest need since, once half of the time has passed.
-	next   float64
-	nextAt time.Time
+	highest   float64
+	highestAt time.Time
+	// recent is the largest need recorded after half of peakWindow has passed since highestAt.
+	// It replaces highest when that one expires.
+	recent   float64
+	recentAt time.Time
 }
 
-// Note takes in a need and returns the largest of late.
+// Note records a need and returns the largest recent one.
 func (p *Peak) Note(need float64, now time.Time) float64 {
-	if need >= p.need {
-		p.need, p.at = need, now
-		p.next, p.nextAt = 0, now
+	if need >= p.highest {
+		p.highest, p.highestAt = need, now
+		p.recent, p.recentAt = 0, now
 	}
-	if now.Sub(p.at) > peakFor/2 && need >= p.next {
-		p.next, p.nextAt = need, now
+	if now.Sub(p.highestAt) > peakWindow/2 && need >= p.recent {
+		p.recent, p.recentAt = need, now
 	}
-	if now.Sub(p.at) > peakFor {
-		p.need, p.at = p.next, p.nextAt
-		p.next, p.nextAt = 0, now
+	if now.Sub(p.highestAt) > peakWindow {
+		p.highest, p.highestAt = p.recent, p.recentAt
+		p.recent, p.recentAt = 0, now
 	}
-	return p.need
+	return p.highest
 }
--- a/scaling/scaling.go
+++ b/scaling/scaling.go
@@ -1,12 +1,14 @@
-// Package scaling decides how many upstreams of a service stand in each data centre, where
-// the platform lets that be ordered and each second of one is paid for. It is pure: what
-// stands, what it has to do and the time are given.
+// Package scaling decides how many upstreams of a service run in each data centre, for
+// platforms that accept scaling orders and charge for every second that an upstream runs. It
+// is pure: the running upstreams, their load and the time are passed in.
 //
-// Preemptible upstreams cost a part of the others, and the platform may take away all of a
-// data centre at once. They take the place of the others as far as the work is still done
-// when those of the two data centres that have most of them are gone. Upstreams that work
-// are given away only once what takes their place serves; what is gone is replaced at once
-// only where the work needs it, since a new upstream holds no prompts and begins cold.
+// Preemptible upstreams cost a fraction of the price of standard ones, but the platform may
+// take away all those of a data centre at once. They replace standard upstreams as far as the
+// remaining capacity still handles the load when the two data centres with the most
+// preemptible upstreams lose them. Working upstreams are removed only once their replacements
+// serve requests. Lost preemptible upstreams are ordered again. Standard upstreams replace
+// them only if the load requires it, because a new upstream starts cold, without cached
+// prompts.
 package scaling
 
 import (
@@ -19,48 +21,51 @@
 	"woaddoor/contract"
 )
 
-// Subject is what one order is for: the upstreams of one kind in one data centre.
+// Subject identifies what an order applies to: the preemptible or the standard upstreams of
+// one service in one data centre.
 type Subject struct {
 	Service     contract.ServiceID    `json:"service"`
 	DataCentre  contract.DataCentreID `json:"data_centre"`
 	Preemptible bool                  `json:"preemptible,omitempty"`
 }
 
-// Order is how many upstreams of a subject are to stand.
+// Order sets how many upstreams of a subject should run.
 type Order struct {
 	Subject
 	Count int `json:"count"`
 }
 
-// Record is what all that order upstreams share: nothing can be read back.
+// Record is the state shared by all VMs that place orders. It is stored because the platform
+// offers no way to read orders back.
 type Record struct {
-	// Sized is how many upstreams stood when they were first counted.
+	// Sized is how many upstreams ran when they were first counted.
 	Sized map[contract.ServiceID]map[contract.DataCentreID]int `json:"sized,omitempty"`
-	// Ordered are the orders in force.
-	Ordered []Order `json:"ordered,omitempty"`
+	// Orders are the orders in force.
+	Orders []Order `json:"ordered,omitempty"`
 }
 
-// Order returns the record once an order was made.
+// Order returns the record with an order added, which replaces any earlier order for the same
+// subject.
 func (r Record) Order(o Order) Record {
-	r.Ordered = slices.DeleteFunc(slices.Clone(r.Ordered), func(had Order) bool { return had.Subject == o.Subject })
-	r.Ordered = append(r.Ordered, o)
+	r.Orders = slices.DeleteFunc(slices.Clone(r.Orders), func(existing Order) bool { return existing.Subject == o.Subject })
+	r.Orders = append(r.Orders, o)
 	return r
 }
 
-// Size returns the record once the upstreams of a service were counted.
-func (r Record) Size(s contract.ServiceID, counted map[contract.DataCentreID]int) Record {
+// Size returns the record with the first upstream counts of a service added.
+func (r Record) Size(s contract.ServiceID, byDataCentre map[contract.DataCentreID]int) Record {
 	r.Sized = maps.Clone(r.Sized)
 	if r.Sized == nil {
 		r.Sized = make(map[contract.ServiceID]map[contract.DataCentreID]int)
 	}
-	r.Sized[s] = counted
+	r.Sized[s] = byDataCentre
 	return r
 }
 
-// Of returns the orders of a service.
+// Of returns the ordered upstream counts of a service.
 func (r Record) Of(s contract.ServiceID) map[Subject]int {
 	out := make(map[Subject]int)
-	for _, o := range r.Ordered {
+	for _, o := range r.Orders {
 		if o.Service == s {
 			out[o.Subject] = o.Count
 		}
@@ -68,167 +73,176 @@
 	return out
 }
 
-// Limits are what may be ordered of a service.
+// Limits bound what may be ordered for a service.
 type Limits struct {
-	// Min and Max bound how many stand in each data centre, of both kinds together.
+	// Min and Max bound the number of upstreams in each data centre, standard and preemptible
+	// ones together.
 	Min, Max int
-	// Boot is how long a new one takes to serve.
+	// Boot is how long a new upstream takes until it serves requests.
 	Boot time.Duration
-	// PreemptiblePrice is what a preemptible one costs, in parts of the price of the others;
-	// zero where there are none to be had.
+	// PreemptiblePrice is the price of a preemptible upstream as a fraction of the price of a
+	// standard one. Zero means that there are no preemptible upstreams.
 	PreemptiblePrice float64
 }
 
-// Stand is what of a service is in a data centre and does not leave.
+// Stand counts the upstreams of a service in one data centre, except those that are leaving.
 type Stand struct {
-	// Standard and Preemptible are how many there are of each kind, cold ones among them.
+	// Standard and Preemptible count the upstreams of each kind, including cold ones.
 	Standard, Preemptible int
-	// Cold is how many of all do not bear their full work yet, ColdPreemptible how many of
-	// the preemptible ones.
+	// Cold counts the upstreams of both kinds that cannot take their full load yet,
+	// ColdPreemptible only the preemptible ones among them.
 	Cold, ColdPreemptible int
 }
 
-func (s Stand) of(preemptible bool) int {
+// countOf returns the number of preemptible or of standard upstreams.
+func (s Stand) countOf(preemptible bool) int {
 	if preemptible {
 		return s.Preemptible
 	}
 	return s.Standard
 }
 
-// Situation is what is known of a service.
+// Situation is the input to the scaling decision for one service.
 type Situation struct {
 	Service contract.ServiceID
 	Limits  Limits
-	// Sized is how many stood in each data centre when they were first counted: the
-	// operator's own measure of what the service needs.
+	// Sized is how many upstreams ran in each data centre when they were first counted. It is
+	// the operator's own estimate of what the service needs.
 	Sized map[contract.DataCentreID]int
-	// Stands are what is there now.
+	// Stands counts the upstreams that run now.
 	Stands map[contract.DataCentreID]Stand
-	// Ordered are the orders that may still be on their way. What was ordered before that
-	// and is not there is not coming.
+	// Ordered holds the orders that may still be in progress. Upstreams of older orders that
+	// have not appeared are no longer expected.
 	Ordered map[Subject]int
-	// Need is how many upstreams the work of late asks for.
+	// Need is how many upstreams the recent load requires.
 	Need float64
-	// Releasing tells that a release is being brought in: its upstreams stand beside the
-	// others, and an order would take some of them away. Released tells that one has been:
-	// upstreams that are ordered come with the software from before it.
+	// Releasing is true during a release: its upstreams run beside the old ones, and an order
+	// would remove some of them. Released is true after a release: newly ordered upstreams
+	// would start with the software from before it.
 	Releasing, Released bool
 }
 
-// Parameters of what stands beyond the need.
+// Parameters for capacity beyond the need.
 const (
-	// lostCentres is how many data centres may lose their preemptible upstreams together.
-	lostCentres = 2
-	// crowding is how much of the need has to be there while they are gone: upstreams are
-	// busier then than they are to be at other times, and keep up.
-	crowding = 0.65
+	// toleratedDataCentreLosses is how many data centres may lose their preemptible upstreams
+	// at the same time.
+	toleratedDataCentreLosses = 2
+	// minCapacityRatio is the fraction of the need that must remain during such a loss.
+	// Upstreams are then busier than normally planned, but keep up.
+	minCapacityRatio = 0.65
 )
 
-// Next returns the orders to make, those that add upstreams first.
+// Next returns the orders to place, those that add upstreams first.
 func Next(s Situation) []Order {
-	if s.Released || s.Releasing && !s.short() {
+	if s.Released || s.Releasing && !s.lacksCapacity() {
 		return nil
 	}
 	var out []Order
 	for _, dc := range slices.Sorted(maps.Keys(s.Sized)) {
-		for _, o := range []Order{s.order(dc, true, s.preemptible(dc)), s.order(dc, false, s.standard(dc))} {
-			if o.Count != s.there(o.Subject) {
+		for _, o := range []Order{s.newOrder(dc, true, s.targetPreemptible(dc)), s.newOrder(dc, false, s.targetStandard(dc))} {
+			if o.Count != s.provisioned(o.Subject) {
 				out = append(out, o)
 			}
 		}
 	}
-	slices.SortStableFunc(out, func(a, b Order) int { return cmp.Compare(s.removes(a), s.removes(b)) })
+	slices.SortStableFunc(out, func(a, b Order) int { return cmp.Compare(s.removalRank(a), s.removalRank(b)) })
 	return out
 }
 
-func (s Situation) order(dc contract.DataCentreID, preemptible bool, n int) Order {
+func (s Situation) newOrder(dc contract.DataCentreID, preemptible bool, n int) Order {
 	return Order{Subject{s.Service, dc, preemptible}, n}
 }
 
-// removes returns 1 for an order that takes upstreams away, else 0.
-func (s Situation) removes(o Order) int {
-	if o.Count < s.there(o.Subject) {
+// removalRank returns 1 for an order that removes upstreams, otherwise 0.
+func (s Situation) removalRank(o Order) int {
+	if o.Count < s.provisioned(o.Subject) {
 		return 1
 	}
 	return 0
 }
 
-// there returns how many of a subject are there or on their way.
-func (s Situation) there(x Subject) int {
-	if n, ok := s.Ordered[x]; ok {
+// provisioned returns how many upstreams of a subject are running or ordered. An order in
+// progress takes precedence over the running count.
+func (s Situation) provisioned(subject Subject) int {
+	if n, ok := s.Ordered[subject]; ok {
 		return n
 	}
-	return s.Stands[x.DataCentre].of(x.Preemptible)
+	return s.Stands[subject.DataCentre].countOf(subject.Preemptible)
 }
 
-// cheap tells whether preemptible upstreams cost less than others.
-func (s Situation) cheap() bool {
+// preemptibleIsCheaper reports whether preemptible upstreams are available and cost less than
+// standard ones.
+func (s Situation) preemptibleIsCheaper() bool {
 	return s.Limits.PreemptiblePrice > 0 && s.Limits.PreemptiblePrice < 1
 }
 
-// sizedInAll returns for how many upstreams the service was sized.
-func (s Situation) sizedInAll() int {
-	sized := 0
+// baselineTotal returns how many upstreams ran in all data centres when they were first
+// counted.
+func (s Situation) baselineTotal() int {
+	total := 0
 	for _, n := range s.Sized {
-		sized += n
+		total += n
 	}
-	return sized
+	return total
 }
 
-// total returns how many upstreams are to stand in all: as many as the service was sized
-// for, or its work needs; where they are preemptible, as many more as the loss of some data
-// centres' asks for.
-func (s Situation) total() float64 {
-	total := max(float64(s.sizedInAll()), s.Need)
-	if left := len(s.Sized) - lostCentres; s.cheap() && left > 0 {
-		total = max(total, crowding*s.Need*float64(len(s.Sized))/float64(left))
+// targetTotal returns how many upstreams should run in all data centres: the number first
+// counted or the need, whichever is larger. If preemptible upstreams are used, it includes
+// spare ones for the tolerated loss of data centres.
+func (s Situation) targetTotal() float64 {
+	total := max(float64(s.baselineTotal()), s.Need)
+	if remaining := len(s.Sized) - toleratedDataCentreLosses; s.preemptibleIsCheaper() && remaining > 0 {
+		total = max(total, minCapacityRatio*s.Need*float64(len(s.Sized))/float64(remaining))
 	}
 	return total
 }
 
-// wanted returns how many are to stand in a data centre.
-func (s Situation) wanted(dc contract.DataCentreID) int {
-	sized := s.sizedInAll()
-	if sized == 0 {
+// target returns how many upstreams should run in a data centre.
+func (s Situation) target(dc contract.DataCentreID) int {
+	baseline := s.baselineTotal()
+	if baseline == 0 {
 		return s.Limits.Min
 	}
-	n := math.Ceil(float64(s.Sized[dc]) * s.total() / float64(sized))
+	n := math.Ceil(float64(s.Sized[dc]) * s.targetTotal() / float64(baseline))
 	return min(max(int(n), s.Limits.Min), s.Limits.Max)
 }
 
-// kept is how many standard upstreams stay in each data centre beside preemptible ones.
-func (s Situation) kept() int { return max(s.Limits.Min, 1) }
+// minStandard returns how many standard upstreams each data centre keeps beside preemptible
+// ones.
+func (s Situation) minStandard() int { return max(s.Limits.Min, 1) }
 
-// preemptible returns how many preemptible upstreams are to be in a data centre: all that are
-// wanted but for those that are kept, as far as both may stand together.
-func (s Situation) preemptible(dc contract.DataCentreID) int {
-	if !s.cheap() {
-		return s.there(Subject{s.Service, dc, true})
+// targetPreemptible returns how many preemptible upstreams should run in a data centre: the
+// target without the standard upstreams that stay, within the limit for both kinds together.
+func (s Situation) targetPreemptible(dc contract.DataCentreID) int {
+	if !s.preemptibleIsCheaper() {
+		return s.provisioned(Subject{s.Service, dc, true})
 	}
-	room := s.Limits.Max - s.there(Subject{s.Service, dc, false})
-	return max(min(s.wanted(dc)-s.kept(), room), 0)
+	headroom := s.Limits.Max - s.provisioned(Subject{s.Service, dc, false})
+	return max(min(s.target(dc)-s.minStandard(), headroom), 0)
 }
 
-// standard returns how many standard upstreams are to be in a data centre: fewer as
-// preemptible ones serve, and more again only where all that serves does too little.
-func (s Situation) standard(dc contract.DataCentreID) int {
-	if !s.cheap() {
-		return s.wanted(dc)
+// targetStandard returns how many standard upstreams should run in a data centre. It falls as
+// preemptible upstreams start to serve, and rises again only if the total capacity is too low
+// for the load.
+func (s Situation) targetStandard(dc contract.DataCentreID) int {
+	if !s.preemptibleIsCheaper() {
+		return s.target(dc)
 	}
-	now := s.there(Subject{s.Service, dc, false})
-	st := s.Stands[dc]
-	replaced := s.wanted(dc) - (st.Preemptible - st.ColdPreemptible)
-	if s.short() {
-		return min(max(now, replaced), max(s.Limits.Max-st.Preemptible, 0))
+	current := s.provisioned(Subject{s.Service, dc, false})
+	counts := s.Stands[dc]
+	required := s.target(dc) - (counts.Preemptible - counts.ColdPreemptible)
+	if s.lacksCapacity() {
+		return min(max(current, required), max(s.Limits.Max-counts.Preemptible, 0))
 	}
-	return max(s.kept(), min(now, replaced))
+	return max(s.minStandard(), min(current, required))
 }
 
-// short tells whether what serves, or will once it is warm, does too little for the work.
-func (s Situation) short() bool {
-	there := 0
+// lacksCapacity reports whether all upstreams together, including those that are still cold,
+// are too few for the load.
+func (s Situation) lacksCapacity() bool {
+	total := 0
 	for _, n := range s.Stands {
-		there += n.Standard + n.Preemptible
+		total += n.Standard + n.Preemptible
 	}
-	return float64(there) < crowding*s.Need
+	return float64(total) < minCapacityRatio*s.Need
 }
--- a/scaling/scaling_test.go
+++ b/scaling/scaling_test.go
@@ -12,166 +12,168 @@
 
 const service = contract.ServiceID("s")
 
-// testLimits are those of a deployment: cheap upstreams at a seventh of the price.
+// testLimits offer preemptible upstreams at about a seventh of the standard price.
 var testLimits = Limits{Min: 1, Max: 46, Boot: 4 * time.Second, PreemptiblePrice: 0.15}
 
-var centres = []contract.DataCentreID{"a", "b", "c", "d"}
+var dataCentres = []contract.DataCentreID{"a", "b", "c", "d"}
 
-// cloud gives what is ordered: preemptible upstreams after a while, standard ones too, and it
-// takes all preemptible ones of a data centre away when it likes.
-type cloud struct {
+// fakeCloud simulates the platform. Ordered upstreams of both kinds serve after the boot time;
+// removals take effect at once. Tests change situation to take preemptible upstreams away.
+type fakeCloud struct {
 	situation Situation
-	// coming are upstreams that have been ordered, by when they serve.
-	coming map[Subject][]time.Time
-	now    time.Time
-	orders int
-	price  float64 // of all seconds so far, in those of a standard upstream
+	// booting holds the times at which ordered upstreams start to serve.
+	booting map[Subject][]time.Time
+	now     time.Time
+	orders  int
+	cost    float64 // accumulated, in seconds of one standard upstream
 }
 
-func newCloud(each int, limits Limits) *cloud {
-	c := &cloud{coming: make(map[Subject][]time.Time), now: time.Unix(0, 0)}
+func newFakeCloud(perDataCentre int, limits Limits) *fakeCloud {
+	c := &fakeCloud{booting: make(map[Subject][]time.Time), now: time.Unix(0, 0)}
 	c.situation = Situation{
 		Service: service, Limits: limits, Sized: make(map[contract.DataCentreID]int),
 		Stands: make(map[contract.DataCentreID]Stand), Ordered: make(map[Subject]int),
 	}
-	for _, dc := range centres {
-		c.situation.Sized[dc] = each
-		c.situation.Stands[dc] = Stand{Standard: each}
+	for _, dc := range dataCentres {
+		c.situation.Sized[dc] = perDataCentre
+		c.situation.Stands[dc] = Stand{Standard: perDataCentre}
 	}
 	return c
 }
 
-// step lets half a second pass and carries out what is decided.
-func (c *cloud) step() {
-	const span = 500 * time.Millisecond
-	c.now = c.now.Add(span)
-	for _, dc := range centres {
+// advance moves the time forward by half a second and applies the orders that Next returns.
+func (c *fakeCloud) advance() {
+	const interval = 500 * time.Millisecond
+	c.now = c.now.Add(interval)
+	for _, dc := range dataCentres {
 		for _, preemptible := range []bool{false, true} {
-			c.arrive(Subject{service, dc, preemptible})
+			c.finishBooting(Subject{service, dc, preemptible})
 		}
-		st := c.situation.Stands[dc]
-		c.price += span.Seconds() * (float64(st.Standard) + c.situation.Limits.PreemptiblePrice*float64(st.Preemptible))
+		counts := c.situation.Stands[dc]
+		c.cost += interval.Seconds() * (float64(counts.Standard) + c.situation.Limits.PreemptiblePrice*float64(counts.Preemptible))
 	}
 	for _, o := range Next(c.situation) {
 		c.orders++
-		c.carryOut(o)
+		c.apply(o)
 	}
 }
 
-// arrive lets the upstreams serve that have booted. The order is not under way any more then.
-func (c *cloud) arrive(x Subject) {
-	due := c.coming[x]
-	for len(due) > 0 && !due[0].After(c.now) {
-		c.change(x, 1)
-		due = due[1:]
+// finishBooting makes booted upstreams serve. The order is complete once none are left.
+func (c *fakeCloud) finishBooting(subject Subject) {
+	readyTimes := c.booting[subject]
+	for len(readyTimes) > 0 && !readyTimes[0].After(c.now) {
+		c.adjust(subject, 1)
+		readyTimes = readyTimes[1:]
 	}
-	c.coming[x] = due
-	if len(due) == 0 {
-		delete(c.situation.Ordered, x)
+	c.booting[subject] = readyTimes
+	if len(readyTimes) == 0 {
+		delete(c.situation.Ordered, subject)
 	}
 }
 
-func (c *cloud) change(x Subject, n int) {
-	st := c.situation.Stands[x.DataCentre]
-	if x.Preemptible {
-		st.Preemptible += n
+func (c *fakeCloud) adjust(subject Subject, n int) {
+	counts := c.situation.Stands[subject.DataCentre]
+	if subject.Preemptible {
+		counts.Preemptible += n
 	} else {
-		st.Standard += n
+		counts.Standard += n
 	}
-	c.situation.Stands[x.DataCentre] = st
+	c.situation.Stands[subject.DataCentre] = counts
 }
 
-func (c *cloud) carryOut(o Order) {
-	there := c.situation.Stands[o.DataCentre].of(o.Preemptible)
-	if o.Count < there {
-		c.coming[o.Subject] = nil
-		c.change(o.Subject, o.Count-there)
+func (c *fakeCloud) apply(o Order) {
+	current := c.situation.Stands[o.DataCentre].countOf(o.Preemptible)
+	if o.Count < current {
+		c.booting[o.Subject] = nil
+		c.adjust(o.Subject, o.Count-current)
 		return
 	}
-	for range o.Count - there - len(c.coming[o.Subject]) {
-		c.coming[o.Subject] = append(c.coming[o.Subject], c.now.Add(c.situation.Limits.Boot))
+	for range o.Count - current - len(c.booting[o.Subject]) {
+		c.booting[o.Subject] = append(c.booting[o.Subject], c.now.Add(c.situation.Limits.Boot))
 	}
 	c.situation.Ordered[o.Subject] = o.Count
 }
 
-// serving returns how many upstreams serve.
-func (c *cloud) serving() int {
+// serving returns how many upstreams serve requests.
+func (c *fakeCloud) serving() int {
 	n := 0
-	for _, st := range c.situation.Stands {
-		n += st.Standard + st.Preemptible
+	for _, counts := range c.situation.Stands {
+		n += counts.Standard + counts.Preemptible
 	}
 	return n
 }
 
-func (c *cloud) run(d time.Duration) (least int) {
-	least = c.serving()
+func (c *fakeCloud) runFor(d time.Duration) (fewest int) {
+	fewest = c.serving()
 	for end := c.now.Add(d); c.now.Before(end); {
-		c.step()
-		least = min(least, c.serving())
+		c.advance()
+		fewest = min(fewest, c.serving())
 	}
-	return least
+	return fewest
 }
 
-// TestCheapOnesTakeThePlaceOfOthers starts with upstreams that all cost the full price. Cheap
-// ones take their place, at no moment do fewer serve than before, and nothing is ordered once
-// they stand.
-func TestCheapOnesTakeThePlaceOfOthers(t *testing.T) {
+// TestPreemptibleReplacesStandard starts with standard upstreams only. Preemptible ones must
+// replace them without the number of serving upstreams ever falling, and no orders may follow
+// once they run.
+func TestPreemptibleReplacesStandard(t *testing.T) {
 	is := is.New(t)
-	c := newCloud(22, testLimits)
-	is.Equal(c.run(20*time.Second), 88)
-	for _, dc := range centres {
+	c := newFakeCloud(22, testLimits)
+	is.Equal(c.runFor(20*time.Second), 88)
+	for _, dc := range dataCentres {
 		is.Equal(c.situation.Stands[dc], Stand{Standard: 1, Preemptible: 21})
 	}
-	before, orders := c.price, c.orders
-	c.run(time.Minute)
+	before, orders := c.cost, c.orders
+	c.runFor(time.Minute)
 	is.Equal(c.orders, orders) // no flapping
-	is.True(c.price-before < 0.25*88*60)
+	is.True(c.cost-before < 0.25*88*60)
 }
 
-// TestLossOfDataCentres takes the cheap upstreams of two data centres away at once, under work
-// that was known before: what is left keeps up, and what is gone is ordered again.
-func TestLossOfDataCentres(t *testing.T) {
+// TestPreemptibleLossInTwoDataCentres takes away the preemptible upstreams of two data centres
+// at once, under a load that was known before. The remaining upstreams must keep up, and the
+// lost ones must be ordered again.
+func TestPreemptibleLossInTwoDataCentres(t *testing.T) {
 	is := is.New(t)
-	c := newCloud(22, testLimits)
+	c := newFakeCloud(22, testLimits)
 	c.situation.Need = 80
-	c.run(30 * time.Second)
-	for _, dc := range centres[:lostCentres] {
-		st := c.situation.Stands[dc]
-		st.Preemptible = 0
-		c.situation.Stands[dc] = st
+	c.runFor(30 * time.Second)
+	for _, dc := range dataCentres[:toleratedDataCentreLosses] {
+		counts := c.situation.Stands[dc]
+		counts.Preemptible = 0
+		c.situation.Stands[dc] = counts
 	}
-	is.True(float64(c.serving()) >= crowding*c.situation.Need)
-	is.True(!c.situation.short())
+	is.True(float64(c.serving()) >= minCapacityRatio*c.situation.Need)
+	is.True(!c.situation.lacksCapacity())
 	standard := 0
-	c.run(20 * time.Second)
-	for _, st := range c.situation.Stands {
-		standard += st.Standard
+	c.runFor(20 * time.Second)
+	for _, counts := range c.situation.Stands {
+		standard += counts.Standard
 	}
-	is.Equal(standard, len(centres)) // none at the full price, since the work is done
+	is.Equal(standard, len(dataCentres)) // no extra standard upstreams, because the capacity suffices
 	is.True(float64(c.serving()) >= c.situation.Need)
 }
 
-// TestMoreWork has the work grow beyond what stands: more are ordered, cheap ones where there
-// are any.
-func TestMoreWork(t *testing.T) {
+// TestScaleOut raises the load above the running capacity. More upstreams must be ordered,
+// within the limits, with and without preemptible ones.
+func TestScaleOut(t *testing.T) {
 	is := is.New(t)
 	for _, limits := range []Limits{testLimits, {Min: 1, Max: 46, Boot: 4 * time.Second}} {
-		c := newCloud(10, limits)
-		c.run(20 * time.Second)
+		c := newFakeCloud(10, limits)
+		c.runFor(20 * time.Second)
 		c.situation.Need = 100
-		c.run(20 * time.Second)
+		c.runFor(20 * time.Second)
 		is.True(c.serving() >= 100)
 		c.situation.Need = 10_000
-		c.run(20 * time.Second)
-		is.True(c.serving() <= len(centres)*limits.Max)
+		c.runFor(20 * time.Second)
+		is.True(c.serving() <= len(dataCentres)*limits.Max)
 	}
 }
 
-// TestNoneDuringARelease has a release stand beside what serves: an order would take away
-// upstreams that it needs. One that the work needs is made all the same.
-func TestNoneDuringARelease(t *testing.T) {
+// TestNoOrdersDuringRelease checks that no order is placed while the upstreams of a release
+// run beside the old ones, because it would remove some of them. An order is still placed if
+// the load requires it, but none after the release.
+func TestNoOrdersDuringRelease(t *testing.T) {
 	is := is.New(t)
-	c := newCloud(22, testLimits)
+	c := newFakeCloud(22, testLimits)
 	c.situation.Releasing = true
 	is.Equal(len(Next(c.situation)), 0)
 	c.situation.Need = 1000
@@ -180,16 +182,16 @@
 	is.Equal(len(Next(c.situation)), 0)
 }
 
-// TestBounds draws situations: orders stay within the bounds of both kinds together, and none
-// repeats what is there.
-func TestBounds(t *testing.T) {
+// TestOrdersStayWithinLimits draws situations and checks that orders stay within the limits
+// for both kinds together, and that each changes the number of upstreams.
+func TestOrdersStayWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Situation{
 			Service: service, Sized: make(map[contract.DataCentreID]int), Stands: make(map[contract.DataCentreID]Stand), Ordered: make(map[Subject]int),
 			Need: rapid.Float64Range(0, 300).Draw(t, "need"), Releasing: rapid.Bool().Draw(t, "releasing"),
 		}
 		s.Limits = Limits{Min: rapid.IntRange(0, 3).Draw(t, "min"), Max: rapid.IntRange(3, 40).Draw(t, "max"), PreemptiblePrice: rapid.Float64Range(0, 1.5).Draw(t, "price")}
-		for _, dc := range centres[:rapid.IntRange(1, 4).Draw(t, "centres")] {
+		for _, dc := range dataCentres[:rapid.IntRange(1, 4).Draw(t, "centres")] {
 			s.Sized[dc] = rapid.IntRange(0, 40).Draw(t, "sized")
 			s.Stands[dc] = Stand{Standard: rapid.IntRange(0, 20).Draw(t, "standard"), Preemptible: rapid.IntRange(0, 20).Draw(t, "preemptible")}
 			if rapid.Bool().Draw(t, "ordered") {
@@ -198,33 +200,33 @@
 		}
 		for _, o := range Next(s) {
 			if o.Count < 0 || o.Count > s.Limits.Max {
-				t.Fatalf("%+v is beyond 0 to %d", o, s.Limits.Max)
+				t.Fatalf("order %+v is outside 0 to %d", o, s.Limits.Max)
 			}
-			if o.Count == s.there(o.Subject) {
-				t.Fatalf("%+v is there already", o)
+			if o.Count == s.provisioned(o.Subject) {
+				t.Fatalf("order %+v changes nothing", o)
 			}
-			if o.Preemptible && o.Count > s.there(o.Subject) && o.Count+s.there(Subject{service, o.DataCentre, false}) > s.Limits.Max {
-				t.Fatalf("%+v is too many beside %d", o, s.there(Subject{service, o.DataCentre, false}))
+			if o.Preemptible && o.Count > s.provisioned(o.Subject) && o.Count+s.provisioned(Subject{service, o.DataCentre, false}) > s.Limits.Max {
+				t.Fatalf("order %+v exceeds the limit together with %d standard upstreams", o, s.provisioned(Subject{service, o.DataCentre, false}))
 			}
 		}
 	})
 }
 
-// TestNeed replays the work of a minute: prompts that take 0.2 s to read, 50 a second, for
-// which answers may begin within 4 s. Ten upstreams would read all the time; at 14, prompts
-// wait for as long as they may.
+// TestNeed uses prompts that take 0.2 s of prefill, at 50 per second, with responses due to
+// begin within 4 s. Ten upstreams would be busy all the time; with 14, prompts wait as long as
+// the objective permits.
 func TestNeed(t *testing.T) {
 	is := is.New(t)
 	w := Work{Reading: 5, Prompts: 25}.Plus(Work{Reading: 5, Prompts: 25})
 	is.Equal(w.Need(64, 4*time.Second), 10/(0.5/0.7))
 	is.Equal(w.Need(64, 0), 20.0)
-	is.True(w.Need(64, time.Second) > 20) // hardly any wait is allowed
+	is.True(w.Need(64, time.Second) > 20) // a shorter objective requires more upstreams
 	w.Places = 640
 	is.Equal(w.Need(64, 4*time.Second), 20.0)
 }
 
-// TestPeak shows that a need counts for a minute after it has passed, and the largest since
-// after that.
+// TestPeak checks that a peak counts for a minute and is then replaced by the largest recent
+// need.
 func TestPeak(t *testing.T) {
 	is := is.New(t)
 	var p Peak
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -1,12 +1,14 @@
-// Package usage counts the requests that upstreams have begun to run, by workspace
-// and window of the wall clock, over all VMs, and decides what is reported of a
-// window. It is pure: the time and what VMs tell are given.
+// Package usage counts the requests that upstreams have started, by workspace and by
+// window of wall-clock time, over all VMs, and decides which counts are reported for
+// a window. It is a pure state machine: its callers pass in the time and the counts
+// of other VMs.
 //
-// Each VM counts what runs for its own callers. A Part is what one life of a VM has
-// counted in one window; it only grows, so parts may be told late, twice, in any
-// order and over any number of VMs, and the sum over lives is the same. One VM at
-// a time reports, under a lease: what it reports of a window it first fixes in the
-// lease's record, so that no two reports of one window differ, whoever sends them.
+// Each VM counts the requests of its own callers. A Part holds the counts of one VM
+// incarnation in one window. These counts only grow, so parts may arrive late, twice,
+// in any order and through any number of VMs without changing the sum over all
+// incarnations. One VM at a time sends reports, under a lease. It stores the final
+// counts of a window in the record of the lease before it reports them, so that all
+// reports of a window are equal, whichever VM sends them.
 package usage
 
 import (
@@ -18,37 +20,38 @@
 	"woaddoor/contract"
 )
 
-// Window is the number of a span of the wall clock: window k starts k lengths after
-// the start of 1970.
+// Window is the number of a span of wall-clock time: window k starts k window lengths
+// after the start of 1970 (UTC).
 type Window int64
 
-// WindowOf returns the window of a length that a time falls into.
+// WindowOf returns the window of the given length that contains t.
 func WindowOf(t time.Time, length time.Duration) Window {
 	return Window(t.UnixNano() / int64(length))
 }
 
-// End returns the end of a window.
+// End returns the end of a window of the given length.
 func (w Window) End(length time.Duration) time.Time {
 	return time.Unix(0, (int64(w)+1)*int64(length))
 }
 
-// Counts are how many requests of each workspace began to run.
+// Counts holds the number of started requests of each workspace.
 type Counts map[contract.WorkspaceID]int64
 
-// grow raises counts to those of a part of the same life that was told earlier or later,
-// and tells whether any rose.
-func (c Counts) grow(other Counts) bool {
-	grown := false
+// mergeMax raises each count to that of other if it is larger, and reports whether
+// any count has changed. Both must be counts of the same VM incarnation and window;
+// either may be newer.
+func (c Counts) mergeMax(other Counts) bool {
+	raised := false
 	for w, n := range other {
 		if n > c[w] {
 			c[w] = n
-			grown = true
+			raised = true
 		}
 	}
-	return grown
+	return raised
 }
 
-// Part is what one life of a VM has counted in one window so far.
+// Part holds the counts of one VM incarnation in one window so far.
 type Part struct {
 	Life   contract.VMLife `cbor:"1,keyasint"`
 	Window Window          `cbor:"2,keyasint"`
@@ -57,71 +60,72 @@
 
 type partKey struct {
 	window Window
-	life   contract.VMLife
+	source contract.VMLife
 }
 
-// part is a Part and the number of the change that last grew it.
-type part struct {
-	counts  Counts
-	changed uint64
+// trackedPart holds the counts of a Part and the number of the change that last
+// raised them.
+type trackedPart struct {
+	counts     Counts
+	lastChange uint64
 }
 
-// Sums are the parts that a VM knows. Its owner locks it.
+// Sums holds the parts that a VM knows. It is not safe for concurrent use.
 type Sums struct {
-	parts map[partKey]*part
-	// changes numbers what grows parts here.
-	changes uint64
+	parts map[partKey]*trackedPart
+	// newestChange is the number of the last change to any part.
+	newestChange uint64
 }
 
-// NewSums returns sums of nothing.
-func NewSums() *Sums { return &Sums{parts: make(map[partKey]*part)} }
+// NewSums returns an empty Sums.
+func NewSums() *Sums { return &Sums{parts: make(map[partKey]*trackedPart)} }
 
-// Began counts a request that began to run under a life of this VM.
-func (s *Sums) Began(of contract.VMLife, at Window, w contract.WorkspaceID) {
-	p := s.part(of, at)
+// Began counts one started request for an incarnation of this VM.
+func (s *Sums) Began(source contract.VMLife, window Window, w contract.WorkspaceID) {
+	p := s.getOrCreate(source, window)
 	p.counts[w]++
-	s.changed(p)
+	s.markChanged(p)
 }
 
-// Told takes in a part of another VM.
-func (s *Sums) Told(told Part) {
-	p := s.part(told.Life, told.Window)
-	if p.counts.grow(told.Counts) {
-		s.changed(p)
+// Told merges a part that another VM has sent.
+func (s *Sums) Told(received Part) {
+	p := s.getOrCreate(received.Life, received.Window)
+	if p.counts.mergeMax(received.Counts) {
+		s.markChanged(p)
 	}
 }
 
-func (s *Sums) part(of contract.VMLife, at Window) *part {
-	key := partKey{at, of}
+func (s *Sums) getOrCreate(source contract.VMLife, window Window) *trackedPart {
+	key := partKey{window, source}
 	p, ok := s.parts[key]
 	if !ok {
-		p = &part{counts: make(Counts)}
+		p = &trackedPart{counts: make(Counts)}
 		s.parts[key] = p
 	}
 	return p
 }
 
-func (s *Sums) changed(p *part) {
-	s.changes++
-	p.changed = s.changes
+func (s *Sums) markChanged(p *trackedPart) {
+	s.newestChange++
+	p.lastChange = s.newestChange
 }
 
-// Since returns the parts that have grown since a change, and the number of the newest
-// one. Change 0 comes before all.
+// Since returns the parts that were raised after the given change number, and the
+// number of the newest change. Change number 0 selects all parts.
 func (s *Sums) Since(change uint64) ([]Part, uint64) {
 	var out []Part
 	for key, p := range s.parts {
-		if p.changed > change {
-			out = append(out, Part{key.life, key.window, maps.Clone(p.counts)})
+		if p.lastChange > change {
+			out = append(out, Part{key.source, key.window, maps.Clone(p.counts)})
 		}
 	}
 	slices.SortFunc(out, func(a, b Part) int {
 		return cmp.Or(cmp.Compare(a.Window, b.Window), cmp.Compare(a.Life.VM, b.Life.VM), cmp.Compare(a.Life.Incarnation, b.Life.Incarnation))
 	})
-	return out, s.changes
+	return out, s.newestChange
 }
 
-// Total returns the sum over all lives in a window.
+// Total returns the counts of a window, summed over all VM incarnations.
 func (s *Sums) Total(w Window) Counts {
 	total := make(Counts)
 	for key, p := range s.parts {
@@ -135,7 +139,7 @@
 	return total
 }
 
-// Windows returns the windows of which anything is known, in order.
+// Windows returns the windows that have counts, in ascending order.
 func (s *Sums) Windows() []Window {
 	seen := make(map[Window]bool)
 	for key := range s.parts {
@@ -144,7 +148,7 @@
 	return slices.Sorted(maps.Keys(seen))
 }
 
-// Forget drops the parts of all windows before one.
+// Forget drops the parts of all windows before the given one.
 func (s *Sums) Forget(before Window) {
-	maps.DeleteFunc(s.parts, func(key partKey, _ *part) bool { return key.window < before })
+	maps.DeleteFunc(s.parts, func(key partKey, _ *trackedPart) bool { return key.window < before })
 }
