--- a/vm/hubs.go
+++ b/vm/hubs.go
@@ -10,70 +10,70 @@
 	"woaddoor/contract"
 )
 
-// The hubs of a data centre are its first VMs in the order in which they would
-// watch the platform. Each of the others, a leaf, speaks with one of them, and hubs
-// speak with each other, so that what one VM knows reaches all in three steps, over
+// The hubs of a data centre are its first VMs in watcher order (see Ranked). Every
+// other VM is a leaf and exchanges messages with one hub; hubs exchange messages
+// with each other. Information from one VM reaches all others in three hops, over
 // as many links as there are VMs.
 const (
-	// hubLeaves is how many leaves a hub has, so that one with a fifth of a core
-	// spends a few percent of it on words.
-	hubLeaves = 24
-	// leastHubs is how many hubs there are where there are as many VMs: one may
-	// be gone.
-	leastHubs = 2
+	// leavesPerHub limits the work of a hub: one with a fifth of a core spends a
+	// few percent of it on messages.
+	leavesPerHub = 24
+	// minHubs is the minimum number of hubs if there are that many VMs, so that one
+	// may fail.
+	minHubs = 2
 )
 
 // HubCount returns how many hubs a data centre of n VMs has.
-func HubCount(n int) int { return max((n+hubLeaves-1)/hubLeaves, min(n, leastHubs)) }
+func HubCount(n int) int { return max((n+leavesPerHub-1)/leavesPerHub, min(n, minHubs)) }
 
-// Hubs returns the first VMs of members in rank that are its hubs. ranked holds all
-// live VMs of a data centre in the order of Ranked.
+// Hubs returns the hubs of a data centre. ranked holds all its live VMs in the
+// order of Ranked.
 func Hubs(ranked []Member) []Member { return ranked[:HubCount(len(ranked))] }
 
-// Ranked returns the VMs of a data centre in the order in which they would watch
-// the platform.
+// Ranked returns the VMs of a data centre in watcher order: the first ones watch
+// the platform, and each of the others takes over when VMs before it fail.
 func Ranked(members []Member, dc contract.DataCentreID) []Member { return Rank(members, dc, watchKey) }
 
-// HubsFor returns hubs in the order in which a leaf asks them: by rendezvous
-// hashing, so that a hub that goes moves only its own leaves.
+// HubsFor returns the hubs in the order in which a leaf tries them. Rendezvous
+// hashing ensures that the loss of a hub moves only its own leaves.
 func HubsFor(leaf contract.VMID, hubs []Member) []Member {
 	ordered := slices.Clone(hubs)
 	slices.SortFunc(ordered, func(a, b Member) int {
-		return cmp.Compare(rank(string(leaf), a.VM), rank(string(leaf), b.VM))
+		return cmp.Compare(rendezvousHash(string(leaf), a.VM), rendezvousHash(string(leaf), b.VM))
 	})
 	return ordered
 }
 
-// Agreed takes in that a hub knows of the same live VMs of this data centre as this
-// one.
+// Agreed marks the live VMs of this data centre as heard from now. It is called
+// when a hub confirms that it knows the same live VMs as this one.
 func (t *Table) Agreed(now time.Time) {
 	for id, s := range t.members {
-		if s.member.DataCentre == t.self.DataCentre && now.Sub(s.at) <= DeadAfter {
-			s.at = now
+		if s.member.DataCentre == t.self.DataCentre && now.Sub(s.lastHeard) <= DeadAfter {
+			s.lastHeard = now
 			t.members[id] = s
 		}
 	}
 }
 
-// Told takes in what a hub knows of the VMs of this data centre. Its ages hold also
-// where this VM had counted on a shorter one by agreement.
+// Told merges what a hub knows about the VMs of this data centre. The ages from the
+// hub apply even where a call of Agreed has set a shorter one.
 func (t *Table) Told(members []Member, now time.Time) {
 	for _, m := range members {
 		t.Heard(m, now)
 		s, ok := t.members[m.VM]
 		if ok && s.member.Incarnation == m.Incarnation {
-			s.at = now.Add(-max(m.Age, 0))
+			s.lastHeard = now.Add(-max(m.Age, 0))
 			t.members[m.VM] = s
 		}
 	}
 }
 
-// Silent returns the VMs that count as gone and were heard of within an age, the
-// one that was heard of last first.
+// Silent returns the VMs that are considered dead but were heard from within the
+// given time, the most recently heard first.
 func (t *Table) Silent(within time.Duration, now time.Time) []Member {
 	var out []Member
 	for _, s := range t.members {
-		if age := now.Sub(s.at); age > t.deadAfter(s.member) && age <= within {
+		if age := now.Sub(s.lastHeard); age > t.deadAfter(s.member) && age <= within {
 			m := s.member
 			m.Age = age
 			out = append(out, m)
@@ -83,12 +83,13 @@
 	return out
 }
 
-// DigestOf tells two VMs whether they know of the same lives of VMs.
+// DigestOf returns a digest of the VMs and their incarnations. Two VMs compare
+// digests to find out whether they know the same ones.
 func DigestOf(members []Member) uint64 {
 	sum := uint64(len(members)) // one that tells of nothing differs from none
 	for _, m := range members {
 		h := xxhash.New()
-		_, _ = h.WriteString(string(m.VM)) // never fails
+		_, _ = h.WriteString(string(m.VM)) // the hash never returns an error
 		sum += h.Sum64() * (uint64(m.Incarnation) | 1)
 	}
 	return sum
--- a/vm/vm.go
+++ b/vm/vm.go
@@ -1,6 +1,7 @@
-// Package vm knows the VMs of the system: who lives, in which incarnation, and
-// which of them watch the platform. It is a pure state machine fed with
-// heartbeats, with the platform's lagging list and with the time.
+// Package vm tracks the VMs of the system: which ones are alive, in which
+// incarnation, and which of them watch the platform. It is a pure state machine:
+// its callers pass in heartbeats, the platform's VM list (which lags behind) and
+// the time.
 package vm
 
 import (
@@ -14,108 +15,112 @@
 	"woaddoor/contract"
 )
 
-// Member is one VM of the system, as it tells of itself.
+// Member describes a VM of the system. A VM reports its own description.
 type Member struct {
 	VM          contract.VMID         `cbor:"1,keyasint"`
 	DataCentre  contract.DataCentreID `cbor:"2,keyasint"`
 	Incarnation contract.Incarnation  `cbor:"3,keyasint"`
 	EntryLink   string                `cbor:"4,keyasint,omitempty"`
 	ControlLink string                `cbor:"5,keyasint"`
-	// EntryIncarnation is that of the entry process; zero while there is none.
+	// EntryIncarnation is the incarnation of the entry process. Zero means that
+	// there is none.
 	EntryIncarnation contract.Incarnation `cbor:"6,keyasint,omitempty"`
-	// Revision is the configuration that its entry process has in force.
+	// Revision is the revision of the configuration that the entry process uses.
 	Revision contract.Revision `cbor:"7,keyasint,omitempty"`
 	Leaving  bool              `cbor:"8,keyasint,omitempty"`
-	// Age is how long ago the sender last heard from it.
+	// Age is the time since the sender of this description last heard from the VM.
 	Age time.Duration `cbor:"9,keyasint,omitempty"`
-	// Strength ranks VMs of unlike sizes: stronger ones watch and speak for
-	// their data centre first. Any unit will do that all VMs share.
+	// Strength ranks VMs of different sizes: the strongest are the first to watch
+	// the platform and to represent their data centre. Any unit works if all VMs
+	// use it.
 	Strength int `cbor:"10,keyasint,omitempty"`
 }
 
-// How long a VM may be silent before it counts as gone. Those of other data
-// centres are heard of through a few, so they are given longer.
+// How long a VM may be silent before it is considered dead. Heartbeats from other
+// data centres arrive through only a few VMs, so the limit for them is longer.
 const (
-	DeadAfter    = 6 * time.Second
-	FarDeadAfter = 45 * time.Second
+	DeadAfter       = 6 * time.Second
+	RemoteDeadAfter = 45 * time.Second
 )
 
-// forgetAfter is how long a silent VM is remembered, so that a late word of an
-// earlier life is told from a new VM.
+// forgetAfter is how long a silent VM is remembered, so that a late heartbeat from
+// an earlier incarnation is not mistaken for a new VM.
 const forgetAfter = 10 * time.Minute
 
-// Table is what one VM knows of all. Its owner locks it.
+// Table holds what one VM knows about all VMs. It is not safe for concurrent use.
 type Table struct {
-	self    Member
-	members map[contract.VMID]seen
-	listed  map[contract.VMID]contract.VMState
+	self           Member
+	members        map[contract.VMID]observation
+	platformStates map[contract.VMID]contract.VMState
 }
 
-type seen struct {
-	member Member
-	at     time.Time
+// observation is the latest description of a VM and the time when the VM was last
+// heard from.
+type observation struct {
+	member    Member
+	lastHeard time.Time
 }
 
 // NewTable returns the table of the VM self.
 func NewTable(self Member) *Table {
-	return &Table{self: self, members: make(map[contract.VMID]seen), listed: make(map[contract.VMID]contract.VMState)}
+	return &Table{self: self, members: make(map[contract.VMID]observation), platformStates: make(map[contract.VMID]contract.VMState)}
 }
 
-// SetSelf replaces what this VM tells of itself.
+// SetSelf replaces the description of this VM.
 func (t *Table) SetSelf(self Member) { t.self = self }
 
-// Self returns what this VM tells of itself.
+// Self returns the description of this VM.
 func (t *Table) Self() Member { return t.self }
 
-// Heard takes in what a VM told of itself, or what a peer passed on of it;
-// Member.Age says how old the word is. Word of an earlier life, or older than
-// what is known, is dropped: heartbeats may come late and in any order.
+// Heard applies a heartbeat, received from the VM itself or through a peer.
+// Member.Age is the age of the heartbeat. Heartbeats of an earlier incarnation, or
+// older than the known state, are ignored: they may arrive late and in any order.
 func (t *Table) Heard(m Member, now time.Time) {
 	if m.VM == t.self.VM {
 		return
 	}
-	at := now.Add(-max(m.Age, 0))
-	old, had := t.members[m.VM]
-	if had && (m.Incarnation < old.member.Incarnation) {
+	heardAt := now.Add(-max(m.Age, 0))
+	previous, known := t.members[m.VM]
+	if known && (m.Incarnation < previous.member.Incarnation) {
 		return
 	}
-	if had && m.Incarnation == old.member.Incarnation {
-		if !at.After(old.at) {
+	if known && m.Incarnation == previous.member.Incarnation {
+		if !heardAt.After(previous.lastHeard) {
 			return
 		}
-		m.Leaving = m.Leaving || old.member.Leaving // leaving is for good
-		m.Revision = max(m.Revision, old.member.Revision)
-		m.EntryIncarnation = max(m.EntryIncarnation, old.member.EntryIncarnation)
+		m.Leaving = m.Leaving || previous.member.Leaving // leaving cannot be undone within an incarnation
+		m.Revision = max(m.Revision, previous.member.Revision)
+		m.EntryIncarnation = max(m.EntryIncarnation, previous.member.EntryIncarnation)
 	}
-	t.members[m.VM] = seen{m, at}
+	t.members[m.VM] = observation{m, heardAt}
 }
 
-// Listed takes in the platform's list. It lags, so it adds to what heartbeats
-// tell and never makes a silent VM live.
+// Listed applies the platform's VM list. The list lags behind, so it only adds to
+// the heartbeats and never makes a silent VM live.
 func (t *Table) Listed(entries []contract.VMEntry) {
-	clear(t.listed)
+	clear(t.platformStates)
 	for _, e := range entries {
 		if !e.Upstream {
-			t.listed[e.ID] = e.State
+			t.platformStates[e.ID] = e.State
 		}
 	}
 }
 
-// Live returns the VMs heard of within DeadAfter, this one among them, sorted
-// by name.
+// Live returns the VMs that are not considered dead, sorted by name. It includes
+// this VM.
 func (t *Table) Live(now time.Time) []Member {
 	live := []Member{t.self}
 	for id, s := range t.members {
-		if now.Sub(s.at) > forgetAfter {
+		if now.Sub(s.lastHeard) > forgetAfter {
 			delete(t.members, id)
 			continue
 		}
-		if now.Sub(s.at) > t.deadAfter(s.member) {
+		if now.Sub(s.lastHeard) > t.deadAfter(s.member) {
 			continue
 		}
 		m := s.member
-		m.Age = now.Sub(s.at)
-		m.Leaving = m.Leaving || t.listed[m.VM] == contract.VMLeaving
+		m.Age = now.Sub(s.lastHeard)
+		m.Leaving = m.Leaving || t.platformStates[m.VM] == contract.VMLeaving
 		live = append(live, m)
 	}
 	slices.SortFunc(live, func(a, b Member) int { return cmp.Compare(a.VM, b.VM) })
@@ -126,11 +131,11 @@
 	if m.DataCentre == t.self.DataCentre {
 		return DeadAfter
 	}
-	return FarDeadAfter
+	return RemoteDeadAfter
 }
 
-// Delegates returns the n VMs that stand for this data centre towards others:
-// its watchers and the next in rank, as far as they are known.
+// Delegates returns the n VMs that represent this data centre to the others: the
+// first ones in watcher order, fewer than n if there are not as many.
 func (t *Table) Delegates(n int, now time.Time) []Member {
 	ranked := Rank(t.Live(now), t.self.DataCentre, watchKey)
 	return ranked[:min(n, len(ranked))]
@@ -138,22 +143,23 @@
 
 // Near returns the other live VMs of this data centre.
 func (t *Table) Near(now time.Time) []Member {
-	var near []Member
+	var peers []Member
 	for _, m := range t.Live(now) {
 		if m.DataCentre == t.self.DataCentre && m.VM != t.self.VM {
-			near = append(near, m)
+			peers = append(peers, m)
 		}
 	}
-	return near
+	return peers
 }
 
-// Knows tells whether this life of a VM has been heard of.
+// Knows reports whether the latest known incarnation of a VM is that of m.
 func (t *Table) Knows(m Member) bool {
 	s, ok := t.members[m.VM]
 	return ok && s.member.Incarnation == m.Incarnation
 }
 
-// Digest tells two VMs of a data centre whether they know of the same VMs there.
+// Digest returns a digest of the live VMs of this data centre. Two VMs compare
+// digests to find out whether they know the same ones.
 func (t *Table) Digest(now time.Time) uint64 {
 	d := xxhash.New()
 	for _, m := range t.Live(now) {
@@ -164,46 +170,47 @@
 	return d.Sum64()
 }
 
-// Far returns up to n live VMs of each other data centre, in the order of
-// their rank.
+// Far returns up to n live VMs of each other data centre, in watcher order.
 func (t *Table) Far(n int, now time.Time) []Member {
-	var far []Member
+	var remote []Member
 	live := t.Live(now)
 	for _, dc := range dataCentres(live) {
 		if dc == t.self.DataCentre {
 			continue
 		}
 		ranked := Rank(live, dc, watchKey)
-		far = append(far, ranked[:min(n, len(ranked))]...)
+		remote = append(remote, ranked[:min(n, len(ranked))]...)
 	}
-	return far
+	return remote
 }
 
-// Gone tells whether a life of a VM is known to have ended: a later life was
-// heard of. Silence alone proves nothing.
-func (t *Table) Gone(id contract.VMID, inc contract.Incarnation) bool {
+// Superseded reports whether an incarnation of a VM is known to have ended, because
+// a later one was heard from. Silence alone proves nothing.
+func (t *Table) Superseded(id contract.VMID, inc contract.Incarnation) bool {
 	s, ok := t.members[id]
 	return ok && s.member.Incarnation > inc
 }
 
-// rank orders VMs by the hash of a key and their name (rendezvous hashing), so
-// that a VM that goes moves only its own part to others.
-func rank(key string, id contract.VMID) uint64 { return xxhash.Sum64String(key + "\x00" + string(id)) }
+// rendezvousHash returns the score of a VM for a key. Because each VM is scored on
+// its own, a VM that fails moves only its own part to others.
+func rendezvousHash(key string, id contract.VMID) uint64 {
+	return xxhash.Sum64String(key + "\x00" + string(id))
+}
 
-// Rank returns the members of a data centre in the order of their rank for a
-// key, stronger ones first and leaving ones last.
+// Rank returns the members of a data centre ordered by their hash for a key, with
+// stronger VMs first and leaving VMs last.
 func Rank(members []Member, dc contract.DataCentreID, key string) []Member {
-	type placed struct {
+	type candidate struct {
 		member *Member
 		rank   uint64
 	}
-	var places []placed
+	var candidates []candidate
 	for i := range members {
 		if members[i].DataCentre == dc {
-			places = append(places, placed{&members[i], rank(key, members[i].VM)})
+			candidates = append(candidates, candidate{&members[i], rendezvousHash(key, members[i].VM)})
 		}
 	}
-	slices.SortStableFunc(places, func(a, b placed) int {
+	slices.SortStableFunc(candidates, func(a, b candidate) int {
 		if a.member.Leaving != b.member.Leaving {
 			if b.member.Leaving {
 				return -1
@@ -212,30 +219,30 @@
 		}
 		return cmp.Or(cmp.Compare(b.member.Strength, a.member.Strength), cmp.Compare(a.rank, b.rank))
 	})
-	ranked := make([]Member, 0, len(places))
-	for _, p := range places {
+	ranked := make([]Member, 0, len(candidates))
+	for _, p := range candidates {
 		ranked = append(ranked, *p.member)
 	}
 	return ranked
 }
 
-// watchKey ranks the VMs of a data centre for watching the platform.
+// watchKey is the hash key of the watcher order.
 const watchKey = "watch"
 
-// Watches tells whether this VM is one of the n of its data centre that watch
-// the platform for all.
-func (t *Table) Watches(n int, now time.Time) bool { return t.Place(now) < n }
+// Watches reports whether this VM is one of the n VMs of its data centre that watch
+// the platform for all VMs.
+func (t *Table) Watches(n int, now time.Time) bool { return t.WatcherRank(now) < n }
 
-// Place returns the place of this VM, from 0, among those of its data centre in
-// the order in which they watch the platform.
-func (t *Table) Place(now time.Time) int {
+// WatcherRank returns the position of this VM, counted from 0, in the watcher order
+// of its data centre.
+func (t *Table) WatcherRank(now time.Time) int {
 	ranked := Rank(t.Live(now), t.self.DataCentre, watchKey)
 	return slices.IndexFunc(ranked, func(m Member) bool { return m.VM == t.self.VM })
 }
 
-// Sources returns the peers to ask for the newest configuration, best first:
-// the watchers of the own data centre, then its other VMs, then the watchers
-// of each other data centre.
+// Sources returns the peers to ask for the newest configuration, best first: the
+// VMs of this data centre, then those of each other data centre, with the watchers
+// first in each.
 func (t *Table) Sources(now time.Time) []Member {
 	live := t.Live(now)
 	var sources []Member
--- a/vm/vm_test.go
+++ b/vm/vm_test.go
@@ -15,22 +15,25 @@
 	return Member{VM: contract.VMID(id), DataCentre: "d", Incarnation: inc}
 }
 
-func TestLateWordOfEarlierLife(t *testing.T) {
+// TestIgnoresHeartbeatOfEarlierIncarnation checks that a late heartbeat of an
+// earlier incarnation is ignored, and that only a later incarnation proves that one
+// has ended.
+func TestIgnoresHeartbeatOfEarlierIncarnation(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	table := NewTable(member("a", 1))
 	table.Heard(member("b", 2), now)
-	table.Heard(member("b", 1), now.Add(time.Second)) // late, of the life before
+	table.Heard(member("b", 1), now.Add(time.Second)) // late, from the earlier incarnation
 	is.Equal(table.Live(now)[1].Incarnation, contract.Incarnation(2))
-	is.True(table.Gone("b", 1))
-	is.True(!table.Gone("b", 2))
+	is.True(table.Superseded("b", 1))
+	is.True(!table.Superseded("b", 2))
 	is.Equal(len(table.Live(now.Add(DeadAfter+time.Second))), 1)
-	is.True(!table.Gone("b", 2)) // silence is no proof
+	is.True(!table.Superseded("b", 2)) // silence does not prove an end
 }
 
-// TestLeavingIsForGood shows that a leaving VM does not become live again by a
-// list that lags or a heartbeat that comes late.
-func TestLeavingIsForGood(t *testing.T) {
+// TestLeavingIsPermanent checks that neither a lagging list nor a late heartbeat
+// clears the leaving state of a VM.
+func TestLeavingIsPermanent(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	table := NewTable(member("a", 1))
@@ -40,12 +43,12 @@
 	table.Heard(member("b", 1), now.Add(time.Second))
 	table.Listed([]contract.VMEntry{{ID: "b", State: contract.VMLive}})
 	is.True(table.Live(now.Add(time.Second))[1].Leaving)
-	table.Heard(member("b", 2), now.Add(2*time.Second)) // a new life
+	table.Heard(member("b", 2), now.Add(2*time.Second)) // a new incarnation
 	is.True(!table.Live(now.Add(2 * time.Second))[1].Leaving)
 }
 
-// TestWatchersAgree checks that VMs which know of the same VMs agree on who
-// watches: exactly n of a data centre, or all when there are fewer.
+// TestWatchersAgree checks that VMs that know the same VMs agree on the watchers:
+// exactly n in a data centre, or all VMs if there are fewer.
 func TestWatchersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "vms")
@@ -61,7 +64,7 @@
 			}
 		}
 		if watching != min(2, n) {
-			t.Fatalf("%d of %d watch", watching, n)
+			t.Fatalf("%d of %d VMs watch the platform", watching, n)
 		}
 	})
 }
--- a/workspace/queue.go
+++ b/workspace/queue.go
@@ -1,11 +1,11 @@
-// Package workspace shares a VM's capacity among workspaces: who runs now, who
-// waits, and who is refused at once. It is a pure state machine; the time and
-// the random source are given.
+// Package workspace divides the capacity of a VM among workspaces. It decides which
+// requests run now, which wait, and which are rejected at once. It is a pure state
+// machine: the time and the random source are passed in.
 //
-// Capacity is shared by weight (start-time fair queueing). What nobody else
-// needs may be used by anyone, but for a small reserve that only workspaces
-// below their own share may take, so that a large neighbour's long requests do
-// not make a quiet workspace wait for one of them to end.
+// Capacity is divided by weight (start-time fair queueing). Any workspace may use
+// capacity that no other needs, except for a reserve that only workspaces below
+// their own share may use. Without the reserve, the long requests of a busy
+// workspace would make a quiet one wait until one of them ends.
 package workspace
 
 import (
@@ -16,192 +16,199 @@
 	"woaddoor/contract"
 )
 
-// Class orders the requests of one workspace.
+// Class orders the requests within a workspace.
 type Class uint8
 
-// The classes.
+// Request classes.
 const (
-	// Interactive requests have someone waiting.
+	// Interactive requests have a user who waits for the response.
 	Interactive Class = iota
-	// Bulk requests run when no interactive one of the workspace waits.
+	// Bulk requests start only when no interactive request of the workspace waits.
 	Bulk
 )
 
-const classes = 2
+const classCount = 2
 
-// Options tune a Queue.
+// Options configure a Queue.
 type Options struct {
-	// Capacity is how many requests run at once. Zero means 64.
+	// Capacity is how many requests may run at once. Zero means 64.
 	Capacity int
-	// MaxQueue bounds the requests that wait. Zero means 1024.
+	// MaxQueue is how many requests may wait. Zero means 1024.
 	MaxQueue int
-	// Reserve is the part of the capacity that is kept for workspaces below
-	// their share. Zero means 0.5.
-	Reserve float64
+	// ReserveFraction is the fraction of the capacity that only workspaces below
+	// their share may use. Zero means 0.5.
+	ReserveFraction float64
 	// TotalShare is the sum of the weights of all workspaces. Zero means 10.
 	TotalShare int
 }
 
-// Defaults of Options.
+// Default values of Options.
 const (
-	defaultCapacity = 64
-	defaultMaxQueue = 1024
-	defaultReserve  = 0.5
-	defaultTotal    = 10
+	defaultCapacity        = 64
+	defaultMaxQueue        = 1024
+	defaultReserveFraction = 0.5
+	defaultTotalWeight     = 10
 )
 
-// ID names a request in the queue.
+// ID identifies a request in the queue.
 type ID uint64
 
-// Item is a request that asks to run.
+// Item is a request that is offered to the queue.
 type Item struct {
 	ID        ID
 	Workspace contract.WorkspaceID
-	// Share is the workspace's weight. Zero means 1.
+	// Share is the weight of the workspace. Zero means 1.
 	Share int
 	Class Class
-	// Deadline is when its answer is no longer wanted.
+	// Deadline is when the response is no longer needed.
 	Deadline time.Time
 }
 
-// Verdict is the answer to an offered request.
+// Verdict is the decision on an offered request.
 type Verdict uint8
 
-// The verdicts.
+// Decisions on an offered request.
 const (
-	// Run means that the request runs now.
+	// Run means that the request starts now.
 	Run Verdict = iota
-	// Wait means that it waits, and that Done or Expire will name it.
+	// Wait means that the request is queued until Done or Expire returns it.
 	Wait
-	// Refuse means that it does not run; the caller is told at once.
+	// Refuse means that the request is rejected at once and will not run.
 	Refuse
 )
 
-// Queue is the state. Its owner locks it.
+// Queue holds the waiting requests and counts the running ones. It is not safe for
+// concurrent use.
 type Queue struct {
-	opts    Options
-	flows   map[contract.WorkspaceID]*flow
-	running int
-	waiting int
-	virtual float64
-	service time.Duration // mean time that a request holds its place
-	// refused is the part of late offers that was refused, 0 to 1.
-	refused float64
+	opts            Options
+	flows           map[contract.WorkspaceID]*flow
+	running         int
+	waiting         int
+	virtualTime     float64
+	meanServiceTime time.Duration // mean time that a request occupies a slot
+	// rejectionRate is the moving average of the fraction of offers that were
+	// rejected, 0 to 1.
+	rejectionRate float64
 }
 
-// flow is one workspace's part of the queue.
+// flow holds the state of one workspace in the queue.
 type flow struct {
-	id      contract.WorkspaceID
-	share   float64
-	running int
-	waiting [classes][]Item
-	finish  float64 // virtual time at which its last admitted request ends
+	id            contract.WorkspaceID
+	weight        float64
+	running       int
+	waiting       [classCount][]Item
+	virtualFinish float64 // virtual finish time of the request started last
 }
 
 // NewQueue returns an empty queue.
 func NewQueue(opts Options) *Queue {
 	opts.Capacity = cmp.Or(opts.Capacity, defaultCapacity)
 	opts.MaxQueue = cmp.Or(opts.MaxQueue, defaultMaxQueue)
-	opts.Reserve = cmp.Or(opts.Reserve, defaultReserve)
-	opts.TotalShare = cmp.Or(opts.TotalShare, defaultTotal)
-	return &Queue{opts: opts, flows: make(map[contract.WorkspaceID]*flow), service: initialService}
+	opts.ReserveFraction = cmp.Or(opts.ReserveFraction, defaultReserveFraction)
+	opts.TotalShare = cmp.Or(opts.TotalShare, defaultTotalWeight)
+	return &Queue{opts: opts, flows: make(map[contract.WorkspaceID]*flow), meanServiceTime: initialServiceTime}
 }
 
-// initialService stands in for a mean that was never seen.
-const initialService = 100 * time.Millisecond
+// initialServiceTime is used until the first request has ended.
+const initialServiceTime = 100 * time.Millisecond
 
-// SetCapacity changes how many requests run at once, at least one.
+// SetCapacity sets how many requests may run at once, at least one.
 func (q *Queue) SetCapacity(n int) { q.opts.Capacity = max(n, 1) }
 
-// SetTotalShare changes the sum of the weights of all workspaces.
+// SetTotalShare sets the sum of the weights of all workspaces, at least 1.
 func (q *Queue) SetTotalShare(n int) { q.opts.TotalShare = max(n, 1) }
 
-// Running returns how many requests run.
+// Running returns the number of running requests.
 func (q *Queue) Running() int { return q.running }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of waiting requests.
 func (q *Queue) Waiting() int { return q.waiting }
 
-// Offer asks for a request to run. A refusal comes with the time after which
-// another try makes sense, spread at random so that not all return at once.
+// Offer asks to start a request. A rejected request gets the time after which to
+// retry, randomized so that rejected callers do not all return at once.
 func (q *Queue) Offer(item Item, now time.Time, random *rand.Rand) (Verdict, time.Duration) {
-	f := q.flow(item)
-	if q.waitingAhead(f, item.Class) == 0 && q.fits(f) {
+	f := q.flowFor(item)
+	if q.queuedAhead(f, item.Class) == 0 && q.canStart(f) {
 		q.start(f)
-		q.pressure(false)
+		q.recordOffer(false)
 		return Run, 0
 	}
 	wait := q.expectedWait(f, item.Class)
-	if q.waiting >= q.opts.MaxQueue || now.Add(q.latest(wait)).After(item.Deadline) || q.overQueueShare(f) {
-		q.pressure(true)
+	if q.waiting >= q.opts.MaxQueue || now.Add(q.timeToFinish(wait)).After(item.Deadline) || q.overQueueShare(f) {
+		q.recordOffer(true)
 		return Refuse, q.retryAfter(wait, random)
 	}
-	q.pressure(false)
+	q.recordOffer(false)
 	f.waiting[item.Class] = append(f.waiting[item.Class], item)
 	q.waiting++
 	return Wait, 0
 }
 
-func (q *Queue) flow(item Item) *flow {
+// flowFor returns the flow of the item's workspace with its weight updated, and
+// creates it if necessary.
+func (q *Queue) flowFor(item Item) *flow {
 	f, ok := q.flows[item.Workspace]
 	if !ok {
 		f = &flow{id: item.Workspace}
 		q.flows[item.Workspace] = f
 	}
-	f.share = float64(max(item.Share, 1))
+	f.weight = float64(max(item.Share, 1))
 	return f
 }
 
-// shareOf returns how many places a flow's weight gives it among the flows
-// that run or wait now.
-func (q *Queue) shareOf(f *flow) float64 {
+// fairShare returns how many slots a flow is entitled to by its weight among the
+// flows that have running or waiting requests.
+func (q *Queue) fairShare(f *flow) float64 {
 	total := 0.0
 	for _, other := range q.flows {
 		if other == f || other.running > 0 || other.queued() > 0 {
-			total += other.share
+			total += other.weight
 		}
 	}
-	return float64(q.opts.Capacity) * f.share / total
+	return float64(q.opts.Capacity) * f.weight / total
 }
 
+// queued returns how many requests of the flow wait.
 func (f *flow) queued() int { return len(f.waiting[Interactive]) + len(f.waiting[Bulk]) }
 
-// fits tells whether a flow may start one more request now. The reserve is
-// open only to a flow that runs less than its part among all workspaces, those
-// that are quiet now included.
-func (q *Queue) fits(f *flow) bool {
-	if q.running < q.opts.Capacity-q.reserve() {
+// canStart reports whether a flow may start one more request now. Reserved slots
+// are open only to a flow that stays within its guaranteed slots, which take idle
+// workspaces into account.
+func (q *Queue) canStart(f *flow) bool {
+	if q.running < q.opts.Capacity-q.reservedSlots() {
 		return true
 	}
-	return q.running < q.opts.Capacity && float64(f.running+1) <= q.floor(f)
+	return q.running < q.opts.Capacity && float64(f.running+1) <= q.guaranteedSlots(f)
 }
 
-// floor returns a flow's part of the capacity among all workspaces, at least
-// one place.
-func (q *Queue) floor(f *flow) float64 {
-	return max(float64(q.opts.Capacity)*f.share/float64(q.opts.TotalShare), 1)
+// guaranteedSlots returns the slots that a flow is entitled to by its weight among
+// all workspaces, at least 1.
+func (q *Queue) guaranteedSlots(f *flow) float64 {
+	return max(float64(q.opts.Capacity)*f.weight/float64(q.opts.TotalShare), 1)
 }
 
-// Within tells whether a workspace runs no more than its part among all
-// workspaces. Engines are asked to prefer the requests of those that do: their
-// own queues would otherwise make everyone wait behind a large neighbour.
+// Within reports whether a workspace runs no more requests than its guaranteed
+// slots. Engines are asked to prefer requests of such workspaces: otherwise their
+// own queues would make everyone wait behind a busy workspace.
 func (q *Queue) Within(w contract.WorkspaceID) bool {
 	f, ok := q.flows[w]
-	return !ok || float64(f.running) <= q.floor(f)
+	return !ok || float64(f.running) <= q.guaranteedSlots(f)
 }
 
-func (q *Queue) reserve() int { return int(q.opts.Reserve * float64(q.opts.Capacity)) }
+// reservedSlots returns the number of slots that are open only to flows within
+// their guaranteed slots.
+func (q *Queue) reservedSlots() int { return int(q.opts.ReserveFraction * float64(q.opts.Capacity)) }
 
-// overQueueShare tells whether a flow holds its part of the waiting places, so
-// that one workspace cannot fill the queue against the others.
+// overQueueShare reports whether the queue is at least half full and a flow has
+// used up its part of it. It keeps one workspace from filling the queue.
 func (q *Queue) overQueueShare(f *flow) bool {
-	part := float64(q.opts.MaxQueue) * q.shareOf(f) / float64(q.opts.Capacity)
-	return q.waiting >= q.opts.MaxQueue/2 && float64(f.queued()) >= part
+	limit := float64(q.opts.MaxQueue) * q.fairShare(f) / float64(q.opts.Capacity)
+	return q.waiting >= q.opts.MaxQueue/2 && float64(f.queued()) >= limit
 }
 
-// waitingAhead returns how many of the flow's own requests go before one of
-// this class.
-func (q *Queue) waitingAhead(f *flow, c Class) int {
+// queuedAhead returns how many waiting requests of the flow start before a new one
+// of this class.
+func (q *Queue) queuedAhead(f *flow, c Class) int {
 	n := len(f.waiting[Interactive])
 	if c == Bulk {
 		n += len(f.waiting[Bulk])
@@ -209,59 +216,65 @@
 	return n
 }
 
-// expectedWait returns how long a request of the flow would wait: its own line
-// at the rate that its share gives it.
+// expectedWait estimates how long a new request of the flow would wait: its
+// position among the waiting requests of the flow, divided by the rate at which the
+// flow starts requests with its fair share.
 func (q *Queue) expectedWait(f *flow, c Class) time.Duration {
-	places := max(q.shareOf(f), 1)
-	line := float64(q.waitingAhead(f, c) + 1)
-	return time.Duration(line / places * float64(q.service))
+	slots := max(q.fairShare(f), 1)
+	position := float64(q.queuedAhead(f, c) + 1)
+	return time.Duration(position / slots * float64(q.meanServiceTime))
 }
 
-// serviceMargin is how many mean times a request is given to run in: one that
-// starts with less left is likely to be work for nothing.
-const serviceMargin = 2
+// serviceTimeMargin is how many mean service times must remain until the deadline.
+// A request that starts later probably ends too late to be of use.
+const serviceTimeMargin = 2
 
-// latest returns by when, from now, a request that waits for wait has ended.
-func (q *Queue) latest(wait time.Duration) time.Duration { return wait + serviceMargin*q.service }
+// timeToFinish returns how long a request that first waits for the given time takes
+// to end, with a margin.
+func (q *Queue) timeToFinish(wait time.Duration) time.Duration {
+	return wait + serviceTimeMargin*q.meanServiceTime
+}
 
-// Bounds of Retry-After, and how quickly the part refused is followed.
+// Bounds of Retry-After, and the weight of the newest offer in the rejection rate.
 const (
-	minRetryAfter  = time.Second
-	maxRetryAfter  = time.Minute
-	pressureWeight = 0.02
+	minRetryAfter       = time.Second
+	maxRetryAfter       = time.Minute
+	rejectionRateWeight = 0.02
 )
 
-// pressure takes an offer into the part refused of late.
-func (q *Queue) pressure(refused bool) {
-	target := 0.0
-	if refused {
-		target = 1
+// recordOffer adds the result of an offer to the rejection rate.
+func (q *Queue) recordOffer(rejected bool) {
+	sample := 0.0
+	if rejected {
+		sample = 1
 	}
-	q.refused += pressureWeight * (target - q.refused)
+	q.rejectionRate += rejectionRateWeight * (sample - q.rejectionRate)
 }
 
-// retryAfter returns when a refused caller may come back: the longer, the
-// larger the part refused, since that many have to share what is free. It is
-// spread over a factor of three, so that they do not come back together.
+// retryAfter returns how long a rejected caller should wait before a retry. The
+// time grows with the rejection rate, since more callers compete for the free
+// slots. It is spread over a factor of three, so that callers do not return
+// together.
 func (q *Queue) retryAfter(wait time.Duration, random *rand.Rand) time.Duration {
-	mean := float64(max(wait, minRetryAfter)) / max(1-q.refused, float64(minRetryAfter)/float64(maxRetryAfter))
+	mean := float64(max(wait, minRetryAfter)) / max(1-q.rejectionRate, float64(minRetryAfter)/float64(maxRetryAfter))
 	after := time.Duration(mean * (1 + 2*random.Float64()))
 	return min(after, maxRetryAfter)
 }
 
-// start notes that a request of the flow runs.
+// start records that a request of the flow has started. It advances the virtual
+// time of the queue.
 func (q *Queue) start(f *flow) {
 	q.running++
 	f.running++
-	f.finish = max(q.virtual, f.finish) + 1/f.share
-	q.virtual = max(q.virtual, f.finish-1/f.share)
+	f.virtualFinish = max(q.virtualTime, f.virtualFinish) + 1/f.weight
+	q.virtualTime = max(q.virtualTime, f.virtualFinish-1/f.weight)
 }
 
-// serviceWeight is the weight of the newest sample in the mean.
-const serviceWeight = 0.05
+// serviceTimeWeight is the weight of the newest sample in the mean service time.
+const serviceTimeWeight = 0.05
 
-// Done notes that a request has ended after took, and returns those that run
-// in its place.
+// Done records that a request of the workspace has ended after took, and returns
+// the waiting requests that start in its place.
 func (q *Queue) Done(w contract.WorkspaceID, took time.Duration) []Item {
 	f, ok := q.flows[w]
 	if !ok || f.running == 0 {
@@ -269,19 +282,19 @@
 	}
 	q.running--
 	f.running--
-	q.service += time.Duration(serviceWeight * float64(took-q.service))
-	started := q.Next()
-	if f.running == 0 && f.queued() == 0 && f.finish <= q.virtual {
+	q.meanServiceTime += time.Duration(serviceTimeWeight * float64(took-q.meanServiceTime))
+	started := q.StartWaiting()
+	if f.running == 0 && f.queued() == 0 && f.virtualFinish <= q.virtualTime {
 		delete(q.flows, w)
 	}
 	return started
 }
 
-// Next starts as many waiting requests as now fit, and returns them.
-func (q *Queue) Next() []Item {
+// StartWaiting starts as many waiting requests as possible now and returns them.
+func (q *Queue) StartWaiting() []Item {
 	var started []Item
 	for {
-		f := q.first()
+		f := q.nextFlow()
 		if f == nil {
 			return started
 		}
@@ -297,40 +310,42 @@
 	}
 }
 
-// first returns the waiting flow that is next by virtual time and fits.
-func (q *Queue) first() *flow {
+// nextFlow returns the flow with the lowest virtual finish time among those that
+// have waiting requests and may start one. It returns nil if there is none.
+func (q *Queue) nextFlow() *flow {
 	var best *flow
 	for _, f := range q.flows {
-		if f.queued() == 0 || !q.fits(f) {
+		if f.queued() == 0 || !q.canStart(f) {
 			continue
 		}
-		if best == nil || f.finish < best.finish || f.finish == best.finish && f.id < best.id {
+		if best == nil || f.virtualFinish < best.virtualFinish || f.virtualFinish == best.virtualFinish && f.id < best.id {
 			best = f
 		}
 	}
 	return best
 }
 
-// Expire takes out the requests that can no longer end by their deadline, and
-// returns them: they get their final answer now and not at the deadline.
+// Expire removes and returns the waiting requests that can no longer end by their
+// deadline, so that their callers get a final response before the deadline.
 func (q *Queue) Expire(now time.Time) []Item {
-	latest := now.Add(q.latest(0))
-	return q.remove(func(i Item) bool { return latest.After(i.Deadline) })
+	earliestFinish := now.Add(q.timeToFinish(0))
+	return q.remove(func(i Item) bool { return earliestFinish.After(i.Deadline) })
 }
 
-// Abandon takes out a waiting request whose caller is gone. It returns false
-// when the request does not wait, and so runs or is done.
+// Abandon removes a waiting request whose caller has disconnected. It returns false
+// if the request does not wait, because it is running or has ended.
 func (q *Queue) Abandon(id ID) bool {
 	return len(q.remove(func(i Item) bool { return i.ID == id })) > 0
 }
 
-func (q *Queue) remove(out func(Item) bool) []Item {
+// remove takes all matching requests out of the queue and returns them.
+func (q *Queue) remove(matches func(Item) bool) []Item {
 	var removed []Item
 	for _, f := range q.flows {
 		for c := range f.waiting {
 			kept := f.waiting[c][:0]
 			for _, i := range f.waiting[c] {
-				if out(i) {
+				if matches(i) {
 					removed = append(removed, i)
 					continue
 				}
--- a/workspace/queue_test.go
+++ b/workspace/queue_test.go
@@ -11,23 +11,22 @@
 	"woaddoor/contract"
 )
 
-func random() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
+func newRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// TestNoLostPlace draws arrivals, ends, expiries and abandonments, and checks
-// that places are neither lost nor given twice, and that every request ends in
-// exactly one way.
-func TestNoLostPlace(t *testing.T) {
+// TestSlotAccounting draws offers, completions, expiries and cancellations. No slot
+// may be lost or used twice, and every request must end in exactly one way.
+func TestSlotAccounting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(1, 6).Draw(t, "capacity")
 		q := NewQueue(Options{Capacity: capacity, MaxQueue: 5})
-		r := random()
+		r := newRandom()
 		now := time.Unix(0, 0)
 		waiting := make(map[ID]bool)
 		var running []contract.WorkspaceID
-		started := func(items []Item) {
+		markStarted := func(items []Item) {
 			for _, i := range items {
 				if !waiting[i.ID] {
-					t.Fatalf("started %d, which does not wait", i.ID)
+					t.Fatalf("started request %d, which was not waiting", i.ID)
 				}
 				delete(waiting, i.ID)
 				running = append(running, i.Workspace)
@@ -49,14 +48,14 @@
 					waiting[item.ID] = true
 				case Refuse:
 					if after < minRetryAfter {
-						t.Fatalf("refused with retry after %v", after)
+						t.Fatalf("rejected with retry after %v", after)
 					}
 				}
 			case "done":
 				if len(running) > 0 {
 					w := running[0]
 					running = running[1:]
-					started(q.Done(w, time.Second))
+					markStarted(q.Done(w, time.Second))
 				}
 			case "expire":
 				for _, i := range q.Expire(now) {
@@ -65,59 +64,60 @@
 			case "abandon":
 				id := ID(rapid.IntRange(0, n).Draw(t, "id"))
 				if q.Abandon(id) != waiting[id] {
-					t.Fatalf("abandon %d: waiting was %v", id, waiting[id])
+					t.Fatalf("abandoning request %d: waiting was %v", id, waiting[id])
 				}
 				delete(waiting, id)
 			}
 			if q.Running() != len(running) || q.Waiting() != len(waiting) || len(running) > capacity {
-				t.Fatalf("running %d of %d, waiting %d of %d", q.Running(), len(running), q.Waiting(), len(waiting))
+				t.Fatalf("running: got %d, want %d; waiting: got %d, want %d", q.Running(), len(running), q.Waiting(), len(waiting))
 			}
 		}
 	})
 }
 
-// TestQuietWorkspaceIsNotHeldUp shows a neighbour that fills a first-come
-// queue, behind which a quiet workspace waits, and that Queue lets it run.
-func TestQuietWorkspaceIsNotHeldUp(t *testing.T) {
+// TestReserveAdmitsQuietWorkspace fills the capacity from one workspace. A
+// first-come, first-served queue would make another workspace wait; Queue must
+// start its request at once.
+func TestReserveAdmitsQuietWorkspace(t *testing.T) {
 	is := is.New(t)
 	const capacity = 10
 	now := time.Unix(0, 0)
-	naiveFree := capacity
+	fifoFree := capacity
 	q := NewQueue(Options{Capacity: capacity})
-	for i := range 100 { // ten times its share
-		if naiveFree > 0 {
-			naiveFree--
+	for i := range 100 { // ten times the capacity
+		if fifoFree > 0 {
+			fifoFree--
 		}
-		q.Offer(Item{ID: ID(i), Workspace: "loud", Deadline: now.Add(time.Hour)}, now, random())
+		q.Offer(Item{ID: ID(i), Workspace: "loud", Deadline: now.Add(time.Hour)}, now, newRandom())
 	}
-	is.Equal(naiveFree, 0) // first come, first served: the quiet one waits
-	v, _ := q.Offer(Item{ID: 1000, Workspace: "quiet", Deadline: now.Add(time.Second)}, now, random())
+	is.Equal(fifoFree, 0) // first come, first served: no slot is left
+	v, _ := q.Offer(Item{ID: 1000, Workspace: "quiet", Deadline: now.Add(time.Second)}, now, newRandom())
 	is.Equal(v, Run)
 }
 
-// TestRefusedAtOnce shows that a request that would wait past its deadline is
-// refused when it comes, and that the returns are spread.
-func TestRefusedAtOnce(t *testing.T) {
+// TestRejectsRequestThatWouldMissDeadline checks that a request that would wait
+// past its deadline is rejected when it arrives, and that retry times are spread.
+func TestRejectsRequestThatWouldMissDeadline(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	q := NewQueue(Options{Capacity: 1})
-	r := random()
+	r := newRandom()
 	far := now.Add(time.Hour)
 	for i := range 50 {
 		q.Offer(Item{ID: ID(i), Workspace: "a", Deadline: far}, now, r)
 	}
-	seen := make(map[time.Duration]bool)
+	retryAfters := make(map[time.Duration]bool)
 	for i := range 20 {
 		v, after := q.Offer(Item{ID: ID(100 + i), Workspace: "a", Deadline: now.Add(time.Second)}, now, r)
 		is.Equal(v, Refuse)
-		seen[after] = true
+		retryAfters[after] = true
 	}
-	is.Equal(len(seen), 20)
+	is.Equal(len(retryAfters), 20)
 }
 
-// TestSharesByWeight checks that two workspaces with work waiting all the time
-// get places in the ratio of their weights.
-func TestSharesByWeight(t *testing.T) {
+// TestSlotsProportionalToWeight checks that two workspaces with a constant backlog
+// get slots in the ratio of their weights.
+func TestSlotsProportionalToWeight(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	q := NewQueue(Options{Capacity: 8, MaxQueue: 100_000})
@@ -128,7 +128,7 @@
 		if i%2 == 0 {
 			w, share = "three", 3
 		}
-		if v, _ := q.Offer(Item{ID: ID(i), Workspace: w, Share: share, Deadline: now.Add(time.Hour)}, now, random()); v == Run {
+		if v, _ := q.Offer(Item{ID: ID(i), Workspace: w, Share: share, Deadline: now.Add(time.Hour)}, now, newRandom()); v == Run {
 			running = append(running, w)
 		}
 	}
