--- a/session/session_test.go
+++ b/session/session_test.go
@@ -14,8 +14,9 @@
 
 var secret = []byte("0123456789abcdef0123456789abcdef")
 
-// naiveVersion sends a session by the hash of its id against today's share.
-func naiveVersion(id string, share float64) contract.VersionID {
+// versionByHash chooses the version of a session from the hash of its id and the
+// current rollout percentage.
+func versionByHash(id string, share float64) contract.VersionID {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id))
 	if float64(h.Sum32()%100) < share {
@@ -24,20 +25,20 @@
 	return "m@1"
 }
 
-// TestVersionKeptThroughRamp shows that the hash of a session id moves sessions
-// at a ramp step, and that a token does not, though every VM is replaced at
-// each step (the keeper that opens it has no memory of the one that made it).
-func TestVersionKeptThroughRamp(t *testing.T) {
+// TestVersionStableDuringRamp checks that a token keeps a session on its version
+// while the rollout percentage grows, whereas hashing the session id moves some
+// sessions. A new Keeper opens each token, as if every VM had been replaced.
+func TestVersionStableDuringRamp(t *testing.T) {
 	is := is.New(t)
 	moved, kept := 0, 0
 	steps := []float64{1, 5, 25, 100}
 	for i := range 500 {
 		id := string(rune('a'+i%26)) + time.Unix(int64(i), 0).String()
-		first := naiveVersion(id, steps[0])
+		first := versionByHash(id, steps[0])
 		text, err := NewKeeper(secret).Issue(Token{Session: id, Workspace: "w", Version: first}, time.Unix(0, 0))
 		is.NoErr(err)
 		for _, share := range steps[1:] {
-			if naiveVersion(id, share) != first {
+			if versionByHash(id, share) != first {
 				moved++
 				break
 			}
@@ -48,35 +49,37 @@
 			kept++
 		}
 	}
-	is.True(moved > 0)  // the naive way switches versions midway
-	is.Equal(kept, 500) // the token never does
+	is.True(moved > 0)  // hashing moves sessions to another version
+	is.Equal(kept, 500) // tokens move none
 }
 
-// TestForged checks that no altered token opens, and none of another workspace.
-func TestForged(t *testing.T) {
+// TestRejectsForgedToken checks that altered tokens and tokens of another workspace
+// are rejected, and that a session token is no valid ticket.
+func TestRejectsForgedToken(t *testing.T) {
 	is := is.New(t)
 	k := NewKeeper(secret)
 	text, err := k.Issue(Token{Session: "s", Workspace: "w", Version: "m@1"}, time.Unix(0, 0))
 	is.NoErr(err)
 	_, err = k.Open(text, "other")
 	is.Equal(err, ErrOtherWorkspace)
-	other := sign.NewKey(secret, "ticket")
-	is.Equal(other.Open(text, &Token{}), sign.ErrForged) // of another purpose
+	ticketKey := sign.NewKey(secret, "ticket")
+	is.Equal(ticketKey.Open(text, &Token{}), sign.ErrForged) // signed for another purpose
 	rapid.Check(t, func(t *rapid.T) {
 		raw := []byte(text)
-		at := rapid.IntRange(0, len(raw)-1).Draw(t, "at")
-		to := rapid.SampledFrom([]byte("ABCxyz019-_.")).Draw(t, "to")
-		if raw[at] == to {
+		position := rapid.IntRange(0, len(raw)-1).Draw(t, "at")
+		replacement := rapid.SampledFrom([]byte("ABCxyz019-_.")).Draw(t, "to")
+		if raw[position] == replacement {
 			return
 		}
-		raw[at] = to
+		raw[position] = replacement
 		if got, err := k.Open(string(raw), "w"); err == nil && got.Version != "m@1" {
 			t.Fatalf("altered token opened as %+v", got)
 		}
 	})
 }
 
-// FuzzOpen checks that no text makes Open panic or pass without its key.
+// FuzzOpen checks that no input makes Open panic or return a token of another
+// workspace.
 func FuzzOpen(f *testing.F) {
 	k := NewKeeper(secret)
 	good, err := k.Issue(Token{Session: "s", Workspace: "w", Version: "m@1"}, time.Unix(0, 0))
--- a/stream/events.go
+++ b/stream/events.go
@@ -6,51 +6,52 @@
 	"strconv"
 )
 
-// maxEvent bounds one event of a stream, in bytes.
-const maxEvent = 1 << 20
+// maxEventBytes is the maximum size of one event.
+const maxEventBytes = 1 << 20
 
-// Errors of a series of events.
+// Errors of Events.
 var (
-	ErrEventTooLong = errors.New("event of a stream is longer than 1 MiB")
+	ErrEventTooLong = errors.New("server-sent event is longer than 1 MiB")
 )
 
-// Events cuts the bytes of a series of events, in the form of the standard of
-// server-sent events, into whole events. It copies bytes as they came and reads
-// only the ids. The zero value begins before the first event.
+// Events splits the bytes of a server-sent event stream into whole events. It
+// leaves the bytes unchanged and parses only the event ids. The zero value starts
+// before the first event.
 type Events struct {
-	buf  []byte
-	last int64
-	seen bool
+	buf    []byte
+	lastID int64
+	hasID  bool
 }
 
-// After makes the series go on after the event with an id: events up to it are
-// left out.
-func (e *Events) After(id int64) { e.last, e.seen = id, true }
+// After continues the series after the event with the given id: Feed drops all
+// events up to it.
+func (e *Events) After(id int64) { e.lastID, e.hasID = id, true }
 
-// Restart forgets a piece of an event, when another upstream goes on with the
+// Restart discards an incomplete event, because another upstream continues the
 // series.
 func (e *Events) Restart() { e.buf = e.buf[:0] }
 
-// Last returns the id of the newest whole event, if any had one.
-func (e *Events) Last() (int64, bool) { return e.last, e.seen }
+// Last returns the id of the newest whole event. It returns false if no event has
+// had an id.
+func (e *Events) Last() (int64, bool) { return e.lastID, e.hasID }
 
-// Partial tells whether a piece of an event has come without its end.
+// Partial reports whether an event has begun but not ended.
 func (e *Events) Partial() bool { return len(bytes.TrimSpace(e.buf)) > 0 }
 
-// Feed takes in bytes and returns those of the events that are now whole, and
-// how many these are. The bytes are valid until the next call.
+// Feed adds received bytes. It returns the bytes of the events that are now whole,
+// and their number. The bytes are valid until the next call.
 func (e *Events) Feed(p []byte) (whole []byte, n int, err error) {
 	e.buf = append(e.buf, p...)
 	end := 0
 	var out []byte
 	for {
-		at, size := blankLine(e.buf[end:])
+		at, size := findEventEnd(e.buf[end:])
 		if at < 0 {
 			break
 		}
 		event := e.buf[end : end+at+size]
 		end += at + size
-		keep, err := e.take(event)
+		keep, err := e.accept(event)
 		if err != nil {
 			return nil, 0, err
 		}
@@ -60,15 +61,15 @@
 		}
 	}
 	e.buf = e.buf[:copy(e.buf, e.buf[end:])]
-	if len(e.buf) > maxEvent {
+	if len(e.buf) > maxEventBytes {
 		return nil, 0, ErrEventTooLong
 	}
 	return out, n, nil
 }
 
-// blankLine returns where the first event of b ends and the size of its end, or
-// -1.
-func blankLine(b []byte) (at, size int) {
+// findEventEnd returns the offset and the length of the first blank line in b,
+// which ends an event. The offset is -1 if there is none.
+func findEventEnd(b []byte) (at, size int) {
 	lf := bytes.Index(b, []byte("\n\n"))
 	crlf := bytes.Index(b, []byte("\r\n\r\n"))
 	if crlf >= 0 && (lf < 0 || crlf < lf) {
@@ -77,21 +78,21 @@
 	return lf, len("\n\n")
 }
 
-// take notes the id of an event and tells whether it belongs to the series: an
-// event that was delivered already does not.
-func (e *Events) take(event []byte) (bool, error) {
+// accept records the id of an event and reports whether to pass the event on. An
+// event that was already delivered is dropped.
+func (e *Events) accept(event []byte) (bool, error) {
 	id, ok := eventID(event)
 	if !ok {
 		return true, nil
 	}
-	if e.seen && id <= e.last {
+	if e.hasID && id <= e.lastID {
 		return false, nil
 	}
-	e.last, e.seen = id, true
+	e.lastID, e.hasID = id, true
 	return true, nil
 }
 
-// eventID returns the id line of an event.
+// eventID returns the id of an event. It returns false if there is no valid one.
 func eventID(event []byte) (int64, bool) {
 	for line := range bytes.Lines(event) {
 		value, ok := bytes.CutPrefix(line, []byte("id:"))
--- a/stream/events_test.go
+++ b/stream/events_test.go
@@ -9,20 +9,20 @@
 	"pgregory.net/rapid"
 )
 
-// TestEventsWholeAndOnce cuts a series at any byte, breaks it off, and goes on
-// with another upstream that repeats some events: what is passed on is each
-// event once, in order. Copying bytes as they come, the naive way, repeats and
-// joins pieces.
-func TestEventsWholeAndOnce(t *testing.T) {
-	naiveWrong := 0
+// TestEventsDeliveredWholeAndOnce breaks a stream off at any byte and continues it
+// from another upstream that repeats some events. Each event must be passed on
+// whole, once and in order. Copying the bytes as they arrive would repeat some
+// events and merge fragments of others.
+func TestEventsDeliveredWholeAndOnce(t *testing.T) {
+	naiveFailures := 0
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "events")
 		event := func(i int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", i, i) }
-		var whole bytes.Buffer
+		var want bytes.Buffer
 		for i := range n {
-			whole.WriteString(event(i + 1))
+			want.WriteString(event(i + 1))
 		}
-		cut := rapid.IntRange(0, whole.Len()).Draw(t, "cut")
+		cut := rapid.IntRange(0, want.Len()).Draw(t, "cut")
 		var got, naive bytes.Buffer
 		var e Events
 		feed := func(b []byte) {
@@ -37,25 +37,25 @@
 				b = b[size:]
 			}
 		}
-		feed(whole.Bytes()[:cut])
+		feed(want.Bytes()[:cut])
 		e.Restart()
 		last, _ := e.Last()
 		from := max(int(last)-rapid.IntRange(0, 2).Draw(t, "repeated"), 0)
 		for i := from; i < n; i++ {
 			feed([]byte(event(i + 1)))
 		}
-		if got.String() != whole.String() {
-			t.Fatalf("got %q, want %q", got.String(), whole.String())
+		if got.String() != want.String() {
+			t.Fatalf("got %q, want %q", got.String(), want.String())
 		}
-		if naive.String() != whole.String() {
-			naiveWrong++
+		if naive.String() != want.String() {
+			naiveFailures++
 		}
 	})
-	is.New(t).True(naiveWrong > 0)
+	is.New(t).True(naiveFailures > 0)
 }
 
-// FuzzEvents checks that no bytes of an upstream make the reader panic, pass on
-// what is not whole, or pass on more than came.
+// FuzzEvents checks that no input makes Events panic, return partial events, or
+// return more bytes than it received.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n"))
 	f.Add([]byte("id: 9223372036854775808\n\n\n\n"))
@@ -69,12 +69,12 @@
 				return
 			}
 			if (n > 0) != (len(out) > 0) {
-				t.Fatalf("%d events of %d bytes", n, len(out))
+				t.Fatalf("got %d events in %d bytes", n, len(out))
 			}
 			total += len(out)
 		}
 		if total > len(raw) {
-			t.Fatal("passed on more than came")
+			t.Fatal("returned more bytes than received")
 		}
 	})
 }
--- a/stream/recover.go
+++ b/stream/recover.go
@@ -6,50 +6,53 @@
 	"woaddoor/contract"
 )
 
-// Action is how a broken stream goes on.
+// Action is how to recover a broken stream.
 type Action uint8
 
-// The actions.
+// Recovery actions.
 const (
 	// Resume asks the same engine for the rest of the same generation.
 	Resume Action = iota
-	// Restart sends the request anew, elsewhere. Only possible while the caller
-	// has received nothing.
+	// Restart sends the original request to another upstream. It is possible only
+	// while the caller has received nothing.
 	Restart
-	// Continue sends the request elsewhere, on the same version, with what the
-	// caller has already received as the start of the answer.
+	// Continue sends the request to another upstream, for the same version, with
+	// the text that the caller has already received as the start of the response.
 	Continue
-	// GiveUp ends the stream with what is known; it is never passed as whole.
+	// GiveUp ends the stream with the known outcome. An incomplete response is never
+	// presented as complete.
 	GiveUp
 )
 
-// Broken is what is known of a stream that broke.
+// Broken describes a stream that broke off.
 type Broken struct {
-	// Delivered is how many chunks the caller has received.
+	// Delivered is the number of chunks that the caller has received.
 	Delivered int
-	// Resumed is how often the engine was asked to resume without progress.
+	// Resumed is how often the engine was asked to resume since the last progress.
 	Resumed int
-	// Recovered is how often this stream was resumed or continued in all.
+	// Recovered is how often the stream was resumed or continued in total.
 	Recovered int
-	// Permitted tells whether the version may still be given new work.
+	// Permitted is true if the version may still receive new work.
 	Permitted bool
-	// Repeatable tells whether the request may run more than once.
+	// Repeatable is true if the request may run more than once.
 	Repeatable bool
-	// Plain tells whether the answer is one text, which alone can be continued.
+	// Plain is true if the response is a single text. Other responses cannot be
+	// continued.
 	Plain    bool
 	Deadline time.Time
 }
 
-// maxRecovered bounds how often one stream is taken up again.
-const maxRecovered = 4
+// maxRecoveries limits how often a stream is resumed or continued.
+const maxRecoveries = 4
 
-// Decide returns how a broken stream goes on.
+// Decide returns how to recover a broken stream.
 //
-// Resuming gives the engine no new work, so it comes first and is allowed even
-// for requests that may not be repeated. Continuing elsewhere is new work: the
-// version has to be permitted still, and the request repeatable.
+// Resuming gives the engine no new work, so it is tried first and is allowed even
+// for requests that must not be repeated. Restarting or continuing on another
+// upstream is new work: the version must still be permitted and the request
+// repeatable.
 func Decide(b Broken, now time.Time) Action {
-	if !now.Before(b.Deadline) || b.Recovered >= maxRecovered {
+	if !now.Before(b.Deadline) || b.Recovered >= maxRecoveries {
 		return GiveUp
 	}
 	if b.Resumed == 0 && b.Delivered > 0 {
@@ -67,7 +70,7 @@
 	return GiveUp
 }
 
-// Outcome returns what to say of a stream that was given up.
+// Outcome returns the outcome to report for a stream that was given up.
 func (b Broken) Outcome() contract.Outcome {
 	if b.Delivered > 0 {
 		return contract.Ran
--- a/stream/stall.go
+++ b/stream/stall.go
@@ -1,5 +1,6 @@
-// Package stream watches over streamed answers: whether one has stalled, and
-// how a broken one goes on. It is pure; the time is given.
+// Package stream handles streamed responses: it splits them into events, detects
+// stalls and decides how to recover a broken stream. It is pure: its callers pass in
+// the time.
 package stream
 
 import (
@@ -7,75 +8,79 @@
 	"time"
 )
 
-// PaceOptions tune the detection of stalls.
+// PaceOptions configure the detection of stalls.
 type PaceOptions struct {
-	// Longest is the gap after which a stream counts as stalled, whatever its
-	// own pace. Zero means 10 s.
+	// Longest is the gap between chunks after which every stream counts as stalled.
+	// Zero means 10 s.
 	Longest time.Duration
-	// Shortest is the gap below which none does. Zero means 400 ms.
+	// Shortest is the gap below which no stream counts as stalled.
+	// Zero means 400 ms.
 	Shortest time.Duration
-	// Deviations is how many mean deviations above the mean gap a gap has to
-	// be. Zero means 16.
+	// Deviations is how many mean deviations above the mean gap the threshold for a
+	// stall is. Zero means 16.
 	Deviations float64
-	// First is how long the first chunk may take. Zero means Longest.
+	// First is the time limit for the first chunk. Zero means Longest.
 	First time.Duration
 }
 
-// Defaults of PaceOptions.
+// Default values of PaceOptions, and parameters of the threshold.
 const (
 	defaultLongest    = 10 * time.Second
 	defaultShortest   = 400 * time.Millisecond
 	defaultDeviations = 16.0
-	minGaps           = 4
-	// meanFactor is how many times the mean gap a gap has to be at least.
-	meanFactor = 8
-	gapWeight  = 0.15
+	// minGaps is how many gaps are measured before the threshold adapts to them.
+	minGaps = 4
+	// minMeanMultiple is the lowest threshold, as a multiple of the mean gap.
+	minMeanMultiple = 8
+	// gapWeight is the weight of the newest gap in the mean gap and the deviation.
+	gapWeight = 0.15
 )
 
-// Pace learns the gaps between the chunks of one stream and tells by when the
-// next has to come. A stream that is slow all along is healthy; one that
-// becomes silent against its own pace is not.
+// Pace measures the gaps between the chunks of one stream and sets a deadline for
+// the next chunk. A stream that is slow throughout is healthy; a stream that pauses
+// for much longer than its usual gaps is stalled.
 type Pace struct {
 	opts      PaceOptions
-	last      time.Time
+	lastChunk time.Time
 	gaps      int
 	mean      float64 // seconds
 	deviation float64 // seconds, mean absolute
 }
 
-// NewPace returns the pace of a stream that starts now.
+// NewPace returns a Pace for a stream that starts now.
 func NewPace(opts PaceOptions, now time.Time) *Pace {
 	opts.Longest = cmp.Or(opts.Longest, defaultLongest)
 	opts.Shortest = cmp.Or(opts.Shortest, defaultShortest)
 	opts.Deviations = cmp.Or(opts.Deviations, defaultDeviations)
 	opts.First = cmp.Or(opts.First, opts.Longest)
-	return &Pace{opts: opts, last: now, gaps: -1}
+	return &Pace{opts: opts, lastChunk: now, gaps: -1}
 }
 
-// Chunk notes that a chunk has come.
+// Chunk records that a chunk has arrived.
 func (p *Pace) Chunk(now time.Time) {
-	gap := now.Sub(p.last).Seconds()
-	p.last = now
+	gap := now.Sub(p.lastChunk).Seconds()
+	p.lastChunk = now
 	p.gaps++
 	switch {
 	case p.gaps < 1: // the wait for the first chunk is not a gap
 	case p.gaps == 1:
 		p.mean, p.deviation = gap, gap/2
 	default:
-		off := gap - p.mean
-		p.mean += gapWeight * off
-		p.deviation += gapWeight * (max(off, -off) - p.deviation)
+		diff := gap - p.mean
+		p.mean += gapWeight * diff
+		p.deviation += gapWeight * (max(diff, -diff) - p.deviation)
 	}
 }
 
-// Due returns by when the next chunk has to come, else the stream is stalled.
+// Due returns the deadline for the next chunk. After it, the stream counts as
+// stalled.
 func (p *Pace) Due() time.Time {
 	if p.gaps < 0 {
-		return p.last.Add(p.opts.First)
+		return p.lastChunk.Add(p.opts.First)
 	}
 	if p.gaps < minGaps {
-		return p.last.Add(p.opts.Longest)
+		return p.lastChunk.Add(p.opts.Longest)
 	}
 	allowed := time.Duration((p.mean + p.opts.Deviations*p.deviation) * float64(time.Second))
-	return p.last.Add(min(max(allowed, time.Duration(meanFactor*p.mean*float64(time.Second)), p.opts.Shortest), p.opts.Longest))
+	return p.lastChunk.Add(min(max(allowed, time.Duration(minMeanMultiple*p.mean*float64(time.Second)), p.opts.Shortest), p.opts.Longest))
 }
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -9,29 +9,30 @@
 	"pgregory.net/rapid"
 )
 
-// TestStallAgainstOwnPace shows a fixed timeout that is either too long for a
-// quick stream or breaks a slow one, and a pace that is neither.
-func TestStallAgainstOwnPace(t *testing.T) {
+// TestStallThresholdAdaptsToStream checks that the threshold fits a fast and a slow
+// stream. A fixed timeout is either too long for the fast one or interrupts the
+// slow one.
+func TestStallThresholdAdaptsToStream(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(0, 0)
-	quick, slow := NewPace(PaceOptions{}, start), NewPace(PaceOptions{}, start)
+	fast, slow := NewPace(PaceOptions{}, start), NewPace(PaceOptions{}, start)
 	now := start
 	for range 50 {
 		now = now.Add(30 * time.Millisecond)
-		quick.Chunk(now)
+		fast.Chunk(now)
 	}
-	is.True(quick.Due().Sub(now) <= time.Second)
+	is.True(fast.Due().Sub(now) <= time.Second)
 	now = start
 	for range 50 {
 		now = now.Add(1500 * time.Millisecond)
 		slow.Chunk(now)
 	}
-	is.True(slow.Due().Sub(now) > 3*time.Second) // a fixed second would break it
+	is.True(slow.Due().Sub(now) > 3*time.Second) // a fixed timeout of one second would interrupt it
 }
 
-// TestNoFalseAlarm checks that slow but healthy streams, with gaps that vary
-// by half, are never taken for stalled.
-func TestNoFalseAlarm(t *testing.T) {
+// TestIrregularStreamIsNotStalled checks that slow but healthy streams, with gaps
+// that vary by half, never count as stalled.
+func TestIrregularStreamIsNotStalled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		gap := rapid.IntRange(5, 2000).Draw(t, "gap ms")
@@ -40,7 +41,7 @@
 		for i := range 300 {
 			next := now.Add(time.Duration(float64(gap)*(0.5+r.Float64())) * time.Millisecond)
 			if !next.Before(p.Due()) {
-				t.Fatalf("false alarm at chunk %d: gap %v, due after %v", i, next.Sub(now), p.Due().Sub(now))
+				t.Fatalf("chunk %d counts as stalled: gap %v, threshold %v", i, next.Sub(now), p.Due().Sub(now))
 			}
 			p.Chunk(next)
 			now = next
@@ -48,8 +49,9 @@
 	})
 }
 
-// TestDecide checks that no drawn state continues what may not be repeated or
-// is no longer permitted, and none restarts after something was delivered.
+// TestDecide draws states of a broken stream. A request that must not be repeated,
+// or whose version is no longer permitted, must not be sent again, and a stream
+// must not restart after a chunk was delivered.
 func TestDecide(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(100, 0)
@@ -62,15 +64,15 @@
 		switch a := Decide(b, now); a {
 		case Restart, Continue:
 			if !b.Permitted || !b.Repeatable || (a == Restart) != (b.Delivered == 0) {
-				t.Fatalf("%v for %+v", a, b)
+				t.Fatalf("action %v for %+v", a, b)
 			}
 		case Resume:
 			if b.Delivered == 0 {
-				t.Fatalf("resumed nothing: %+v", b)
+				t.Fatalf("resumed although no chunk was delivered: %+v", b)
 			}
 		}
 		if !now.Before(b.Deadline) && Decide(b, now) != GiveUp {
-			t.Fatal("went on past the deadline")
+			t.Fatal("did not give up at the deadline")
 		}
 	})
 }
--- a/ticket/claim.go
+++ b/ticket/claim.go
@@ -2,90 +2,91 @@
 
 import "woaddoor/contract"
 
-// State is where a claim stands.
-type State uint8
+// ClaimState is the state of a claim.
+type ClaimState uint8
 
-// The states of a claim.
+// States of a claim.
 const (
-	// Asking means that votes are missing.
-	Asking State = iota
+	// Pending means that votes are outstanding.
+	Pending ClaimState = iota
 	// Won means that the claimant may run the request, once.
 	Won
-	// Lost means that it may not; see Claim.Refusal for what is known.
+	// Lost means that the claimant may not run the request; see Claim.Outcome for
+	// what is known about it.
 	Lost
 )
 
-// Claim counts the votes for one claimant. It is a pure state machine: the
-// owner sends the questions and feeds in what comes back.
+// Claim counts the votes for one claimant. It is a pure state machine: the caller
+// sends the vote requests and passes in the replies.
 type Claim struct {
-	ticket   Ticket
-	claimant Claimant
-	answered map[contract.VMID]bool
-	votes    map[Claimant]int
-	missing  int
-	result   *Result
+	ticket      Ticket
+	claimant    Claimant
+	answered    map[contract.VMID]bool
+	votes       map[Claimant]int
+	outstanding int
+	result      *Result
 }
 
-// NewClaim returns the claim of c on t. With Nobody as claimant it asks for a
-// proof that t did not run.
+// NewClaim returns a claim of c on t. With Nobody as the claimant it tries to prove
+// that the request of t did not run.
 func NewClaim(t Ticket, c Claimant) *Claim {
 	return &Claim{
-		ticket: t, claimant: c, missing: len(t.Arbiters),
+		ticket: t, claimant: c, outstanding: len(t.Arbiters),
 		answered: make(map[contract.VMID]bool), votes: make(map[Claimant]int),
 	}
 }
 
-// Voted takes in an arbiter's vote. A second one of the same arbiter is the
-// same vote, come twice, and is not counted.
+// Voted records the vote of an arbiter. A second vote of the same arbiter is a
+// duplicate and is not counted.
 func (c *Claim) Voted(arbiter contract.VMID, v Vote) {
 	if c.answered[arbiter] {
 		return
 	}
 	c.answered[arbiter] = true
-	c.missing--
+	c.outstanding--
 	c.votes[v.For]++
 	if v.Result != nil {
 		c.result = v.Result
 	}
 }
 
-// Silent takes in that an arbiter will not answer. It may still have voted, so
-// it counts neither for nor against.
+// Silent records that an arbiter will not reply. It may have voted nevertheless, so
+// it counts neither for nor against the claim.
 func (c *Claim) Silent(arbiter contract.VMID) {
 	if c.answered[arbiter] {
 		return
 	}
 	c.answered[arbiter] = true
-	c.missing--
+	c.outstanding--
 }
 
-// State returns where the claim stands.
-func (c *Claim) State() State {
+// State returns the state of the claim.
+func (c *Claim) State() ClaimState {
 	if c.claimant != Nobody && c.votes[c.claimant] >= c.ticket.Quorum() {
 		return Won
 	}
-	if c.missing == 0 {
+	if c.outstanding == 0 {
 		return Lost
 	}
-	if c.claimant != Nobody && c.votes[c.claimant]+c.missing < c.ticket.Quorum() {
+	if c.claimant != Nobody && c.votes[c.claimant]+c.outstanding < c.ticket.Quorum() {
 		return Lost
 	}
-	return Asking
+	return Pending
 }
 
-// Result returns what the arbiters know of the request's end, or nil.
+// Result returns the result of the request if an arbiter knows it, or nil.
 func (c *Claim) Result() *Result { return c.result }
 
 // Outcome returns what a lost claim knows about whether the request ran.
 //
-// NotRun needs its proof: so many votes for nobody that no claimant can ever
-// have a majority. Everything else that is not settled is Unknown, be it only
-// that an arbiter is silent.
+// NotRun requires proof: so many votes for Nobody that no claimant can ever have a
+// majority. Without a result or this proof the outcome is Unknown, even if only one
+// arbiter did not reply.
 func (c *Claim) Outcome() contract.Outcome {
 	if c.result != nil {
 		return c.result.Outcome
 	}
-	if c.votes[Nobody] >= c.ticket.Blocking() {
+	if c.votes[Nobody] >= c.ticket.BlockingQuorum() {
 		return contract.NotRun
 	}
 	return contract.Unknown
--- a/ticket/register.go
+++ b/ticket/register.go
@@ -7,89 +7,96 @@
 	"woaddoor/contract"
 )
 
-// Claimant is who wants to run a ticket's request: one attempt of one process.
-// The zero Claimant is nobody; a vote for it is a vote that it shall not run.
+// Claimant identifies who wants to run the request of a ticket: one attempt of one
+// process. The zero Claimant is Nobody; a vote for it is a vote against running the
+// request.
 type Claimant struct {
 	VM          contract.VMID        `cbor:"1,keyasint"`
 	Incarnation contract.Incarnation `cbor:"2,keyasint"`
 	Attempt     contract.RequestID   `cbor:"3,keyasint"`
 }
 
-// Nobody is the claimant that never runs anything.
+// Nobody is the claimant that never runs a request.
 var Nobody = Claimant{}
 
-// Result is what became of a request, as its claimant told the arbiters.
+// Result is the result of a request, as its claimant reported it to the arbiters.
 type Result struct {
 	Outcome contract.Outcome `cbor:"1,keyasint"`
 	Status  int              `cbor:"2,keyasint"`
 	Type    string           `cbor:"3,keyasint"`
-	// Body is the whole answer, or empty when it was too large to keep.
+	// Body is the whole response body, or empty if it was too large to store.
 	Body []byte `cbor:"4,keyasint"`
-	// Whole is true when Body is the whole answer.
+	// Whole is true if Body is the whole response body.
 	Whole bool `cbor:"5,keyasint"`
 }
 
-// MaxKept is the largest answer that arbiters keep for a caller's retry.
+// MaxKept is the largest response body that arbiters store for a retry of the
+// caller.
 const MaxKept = 16 * contract.KiB
 
-// Vote is an arbiter's answer: whom it has voted for, and what it knows.
+// Vote is the reply of an arbiter: the claimant that has its vote, and the result
+// of the request if it is known.
 type Vote struct {
 	For    Claimant `cbor:"1,keyasint"`
 	Result *Result  `cbor:"2,keyasint"`
 }
 
-// ErrFull means that an arbiter remembers as many tickets as it may. It has
-// not voted.
-var ErrFull = errors.New("arbiter remembers as many tickets as it may")
+// ErrRegisterFull means that an arbiter already stores the maximum number of
+// tickets. It has not voted.
+var ErrRegisterFull = errors.New("arbiter already stores the maximum number of tickets")
 
 // ErrNotArbiter means that the ticket names another process, or an earlier
-// life of this one. It has not voted.
-var ErrNotArbiter = errors.New("ticket names another arbiter")
+// incarnation of this one. This process has not voted.
+var ErrNotArbiter = errors.New("ticket does not name this process as an arbiter")
 
-// Register is what one arbiter has voted. It is a pure state machine; its
-// owner locks it.
+// Register holds the votes of one arbiter. It is a pure state machine and not safe
+// for concurrent use.
 //
-// It forgets a ticket only after it has expired by the same clock by which it
-// refuses to vote on expired ones. A clock that differs from others' only ends
-// a ticket's life earlier or later here; it never lets it be voted on twice.
+// It drops a ticket only after the ticket has expired, and it uses the same clock
+// to refuse votes on expired tickets. If the clock deviates from others, a ticket
+// only ends earlier or later here; this arbiter never votes on it twice.
 type Register struct {
-	self    Arbiter
-	max     int
-	votes   map[string]*entry
-	expiry  []expiring // in order of insertion
-	kept    contract.Bytes
-	maxKept contract.Bytes
+	self           Arbiter
+	maxTickets     int
+	votes          map[string]*voteRecord
+	expiry         []expiryEntry // in order of insertion
+	storedBytes    contract.Bytes
+	maxStoredBytes contract.Bytes
 }
 
-type entry struct {
+// voteRecord is the vote on one ticket, with the result of its request if that is
+// known.
+type voteRecord struct {
 	vote   Claimant
 	result *Result
 }
 
-type expiring struct {
-	id string
-	at int64
+// expiryEntry is a stored ticket and when it expires, in Unix seconds.
+type expiryEntry struct {
+	id      string
+	expires int64
 }
 
-// defaultMaxKept bounds all answers kept for retries.
-const defaultMaxKept = 16 * contract.MiB
+// defaultMaxStoredBytes limits the total size of the response bodies stored for
+// retries.
+const defaultMaxStoredBytes = 16 * contract.MiB
 
-// NewRegister returns the register of the arbiter self, which remembers at
-// most max tickets.
-func NewRegister(self Arbiter, max int) *Register {
-	return &Register{self: self, max: max, votes: make(map[string]*entry), maxKept: defaultMaxKept}
+// NewRegister returns an empty register for the arbiter self, which stores at most
+// maxTickets tickets.
+func NewRegister(self Arbiter, maxTickets int) *Register {
+	return &Register{self: self, maxTickets: maxTickets, votes: make(map[string]*voteRecord), maxStoredBytes: defaultMaxStoredBytes}
 }
 
-// Len returns the number of tickets remembered.
+// Len returns the number of stored tickets.
 func (r *Register) Len() int { return len(r.votes) }
 
-// Vote returns the vote on t, which is for c when it is the first.
+// Vote returns the vote on t. The first claimant that asks gets the vote.
 //
-// A lost answer is harmless: asking again gives the same vote. A question that
-// arrives late finds the first vote, or an expired ticket.
+// A lost reply is harmless: another request returns the same vote. A request that
+// arrives late gets the first vote, or ErrExpired.
 func (r *Register) Vote(t Ticket, c Claimant, now time.Time) (Vote, error) {
-	r.forget(now)
-	if !r.named(t) {
+	r.dropExpired(now)
+	if !r.isArbiterOf(t) {
 		return Vote{}, ErrNotArbiter
 	}
 	if e, ok := r.votes[t.ID]; ok {
@@ -98,15 +105,17 @@
 	if now.Unix() >= t.Expires {
 		return Vote{}, ErrExpired
 	}
-	if len(r.votes) >= r.max {
-		return Vote{}, ErrFull
+	if len(r.votes) >= r.maxTickets {
+		return Vote{}, ErrRegisterFull
 	}
-	r.votes[t.ID] = &entry{vote: c}
-	r.expiry = append(r.expiry, expiring{t.ID, t.Expires})
+	r.votes[t.ID] = &voteRecord{vote: c}
+	r.expiry = append(r.expiry, expiryEntry{t.ID, t.Expires})
 	return Vote{For: c}, nil
 }
 
-func (r *Register) named(t Ticket) bool {
+// isArbiterOf reports whether t names this process, in its present incarnation, as
+// an arbiter.
+func (r *Register) isArbiterOf(t Ticket) bool {
 	for _, a := range t.Arbiters {
 		if a.VM == r.self.VM && a.Incarnation == r.self.Incarnation {
 			return true
@@ -115,29 +124,29 @@
 	return false
 }
 
-// Settle notes what became of a ticket. Only the claimant that holds the vote
-// is heard, and only the first result counts.
+// Settle stores the result of a ticket's request. It accepts only the first result,
+// and only from the claimant that has the vote.
 func (r *Register) Settle(id string, c Claimant, result Result) {
 	e, ok := r.votes[id]
 	if !ok || e.vote != c || e.result != nil {
 		return
 	}
 	size := contract.Bytes(len(result.Body))
-	if size > MaxKept || r.kept+size > r.maxKept {
+	if size > MaxKept || r.storedBytes+size > r.maxStoredBytes {
 		result.Body, result.Whole, size = nil, false, 0
 	}
-	r.kept += size
+	r.storedBytes += size
 	e.result = &result
 }
 
-// forget drops expired tickets. Tickets are inserted in about the order of
-// their expiry; one out of order is only remembered a little longer.
-func (r *Register) forget(now time.Time) {
+// dropExpired removes expired tickets. Tickets are stored in about the order in
+// which they expire; one that is out of order only stays a little longer.
+func (r *Register) dropExpired(now time.Time) {
 	n := 0
-	for n < len(r.expiry) && now.Unix() >= r.expiry[n].at+int64(graceSeconds) {
+	for n < len(r.expiry) && now.Unix() >= r.expiry[n].expires+int64(resultRetentionSeconds) {
 		id := r.expiry[n].id
 		if e := r.votes[id]; e != nil && e.result != nil {
-			r.kept -= contract.Bytes(len(e.result.Body))
+			r.storedBytes -= contract.Bytes(len(e.result.Body))
 		}
 		delete(r.votes, id)
 		n++
@@ -145,5 +154,6 @@
 	r.expiry = r.expiry[n:]
 }
 
-// graceSeconds is how long after a ticket's end its result can be asked for.
-const graceSeconds = 120
+// resultRetentionSeconds is how long after its expiry the result of a ticket can be
+// requested.
+const resultRetentionSeconds = 120
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -1,16 +1,16 @@
-// Package ticket lets a request that may not be repeated run at most once,
-// with no store of our own and no write to the platform.
+// Package ticket ensures that a request that must not be repeated runs at most
+// once, without a data store of its own and without writes to the platform.
 //
-// A caller first takes a ticket. It names, for ever, the few entry processes
-// (arbiters) of its home data centre that vote on it, each with its
-// incarnation. A VM runs the request only after a majority of these arbiters
-// has voted for it; an arbiter votes once. A process that was replaced has
-// another incarnation and no vote, so it cannot forget what it voted.
+// A caller first requests a ticket. The ticket permanently names a few entry
+// processes of its home data centre, the arbiters, each with its incarnation. A VM
+// runs the request only after a majority of these arbiters has voted for it, and an
+// arbiter votes only once. A process that replaces an arbiter has another
+// incarnation and no vote, so no vote is ever forgotten.
 //
-// Because a majority is needed to run, enough votes for "nobody" prove that a
-// request did not run and never will: that is what "not run" rests on.
+// Because a majority is needed to run, enough votes for Nobody prove that a request
+// did not run and never will. The outcome NotRun relies on this.
 //
-// Ways weighed and their costs are in docs/design/at-most-once.md.
+// The alternatives and their costs are in docs/design/at-most-once.md.
 package ticket
 
 import (
@@ -29,7 +29,7 @@
 	Link string `cbor:"3,keyasint"`
 }
 
-// Ticket is the right to run one request at most once.
+// Ticket permits one request to run at most once.
 type Ticket struct {
 	ID        string                `cbor:"1,keyasint"`
 	Workspace contract.WorkspaceID  `cbor:"2,keyasint"`
@@ -38,43 +38,45 @@
 	Expires   int64                 `cbor:"5,keyasint"` // Unix seconds
 }
 
-// Quorum returns how many votes a claim needs to run.
+// Quorum returns how many votes a claim needs to win.
 func (t Ticket) Quorum() int { return len(t.Arbiters)/2 + 1 }
 
-// Blocking returns how many votes for nobody prove that no claim can run.
-func (t Ticket) Blocking() int { return len(t.Arbiters) - t.Quorum() + 1 }
+// BlockingQuorum returns how many votes for Nobody prove that no other claimant can
+// win.
+func (t Ticket) BlockingQuorum() int { return len(t.Arbiters) - t.Quorum() + 1 }
 
 // Limits of tickets.
 const (
-	// MaxArbiters bounds the arbiters of a ticket.
+	// MaxArbiters is the maximum number of arbiters of a ticket.
 	MaxArbiters = 3
 	// Lifetime is how long a ticket can be claimed.
 	Lifetime = 10 * time.Minute
 )
 
-const purpose = "ticket"
+// keyPurpose makes the signature of a ticket invalid for a session token.
+const keyPurpose = "ticket"
 
-// ErrOtherWorkspace means that a ticket was made for another workspace.
-var ErrOtherWorkspace = errors.New("ticket is of another workspace")
+// ErrOtherWorkspace means that a ticket was issued for another workspace.
+var ErrOtherWorkspace = errors.New("ticket belongs to another workspace")
 
 // ErrExpired means that a ticket can no longer be claimed.
 var ErrExpired = errors.New("ticket has expired")
 
-// Office makes and opens tickets.
+// Office issues and verifies tickets.
 type Office struct{ key *sign.Key }
 
-// NewOffice returns an office with the fleet's signing key.
-func NewOffice(secret []byte) *Office { return &Office{key: sign.NewKey(secret, purpose)} }
+// NewOffice returns an Office that uses the fleet's signing key.
+func NewOffice(secret []byte) *Office { return &Office{key: sign.NewKey(secret, keyPurpose)} }
 
-// Issue signs a ticket that expires Lifetime from now.
+// Issue returns a signed ticket that expires Lifetime from now.
 func (o *Office) Issue(t Ticket, now time.Time) (string, error) {
 	t.Expires = now.Add(Lifetime).Unix()
 	return o.key.Sign(t)
 }
 
-// Open reads a ticket that workspace w has shown. It fails with
-// sign.ErrForged or ErrOtherWorkspace; an expired ticket still opens, since
-// what became of it can still be asked.
+// Open verifies and decodes a ticket presented by workspace w. It fails with
+// sign.ErrForged or ErrOtherWorkspace. An expired ticket still opens, because its
+// result can still be requested.
 func (o *Office) Open(text string, w contract.WorkspaceID) (Ticket, error) {
 	var t Ticket
 	if err := o.key.Open(text, &t); err != nil {
--- a/ticket/ticket_test.go
+++ b/ticket/ticket_test.go
@@ -22,116 +22,119 @@
 	return out
 }
 
-// world runs claims against arbiters that are killed, cut off and replaced,
-// with questions and answers that are lost or come late and twice.
-type world struct {
+// simulation runs claims against arbiters that die or are replaced, with vote
+// requests and replies that are lost, late or duplicated.
+type simulation struct {
 	t         *rapid.T
 	ticket    Ticket
-	registers []*Register // nil: dead or replaced, so it has no vote
+	registers []*Register // nil: dead or replaced, has no vote
 	claims    []*Claim
 	now       time.Time
 	ran       map[Claimant]bool
 	proofs    int
 }
 
-func newWorld(t *rapid.T) *world {
+func newSimulation(t *rapid.T) *simulation {
 	n := rapid.IntRange(1, MaxArbiters).Draw(t, "arbiters")
-	w := &world{t: t, now: start, ran: make(map[Claimant]bool)}
-	w.ticket = Ticket{ID: "t", Arbiters: arbiters(n), Expires: start.Add(Lifetime).Unix()}
-	for _, a := range w.ticket.Arbiters {
-		w.registers = append(w.registers, NewRegister(a, 10))
+	s := &simulation{t: t, now: start, ran: make(map[Claimant]bool)}
+	s.ticket = Ticket{ID: "t", Arbiters: arbiters(n), Expires: start.Add(Lifetime).Unix()}
+	for _, a := range s.ticket.Arbiters {
+		s.registers = append(s.registers, NewRegister(a, 10))
 	}
-	return w
+	return s
 }
 
-func (w *world) newClaim() {
-	c := Claimant{VM: "x", Incarnation: 1, Attempt: contract.RequestID(fmt.Sprint(len(w.claims)))}
-	if rapid.IntRange(0, 3).Draw(w.t, "nobody") == 0 {
+func (s *simulation) addClaim() {
+	c := Claimant{VM: "x", Incarnation: 1, Attempt: contract.RequestID(fmt.Sprint(len(s.claims)))}
+	if rapid.IntRange(0, 3).Draw(s.t, "nobody") == 0 {
 		c = Nobody
 	}
-	w.claims = append(w.claims, NewClaim(w.ticket, c))
+	s.claims = append(s.claims, NewClaim(s.ticket, c))
 }
 
-func (w *world) ask() {
-	if len(w.claims) == 0 {
+func (s *simulation) requestVote() {
+	if len(s.claims) == 0 {
 		return
 	}
-	c := w.claims[rapid.IntRange(0, len(w.claims)-1).Draw(w.t, "claim")]
-	i := rapid.IntRange(0, len(w.registers)-1).Draw(w.t, "arbiter")
-	vm := w.ticket.Arbiters[i].VM
-	if w.registers[i] == nil {
+	c := s.claims[rapid.IntRange(0, len(s.claims)-1).Draw(s.t, "claim")]
+	i := rapid.IntRange(0, len(s.registers)-1).Draw(s.t, "arbiter")
+	vm := s.ticket.Arbiters[i].VM
+	if s.registers[i] == nil {
 		c.Silent(vm)
 		return
 	}
-	vote, err := w.registers[i].Vote(w.ticket, c.claimant, w.now)
+	vote, err := s.registers[i].Vote(s.ticket, c.claimant, s.now)
 	if err != nil {
 		c.Silent(vm)
 		return
 	}
-	switch rapid.SampledFrom([]string{"answer", "lost", "twice"}).Draw(w.t, "reply") {
+	switch rapid.SampledFrom([]string{"answer", "lost", "twice"}).Draw(s.t, "reply") {
 	case "answer":
 		c.Voted(vm, vote)
 	case "twice":
 		c.Voted(vm, vote)
 		c.Voted(vm, vote)
 	case "lost":
-		c.Silent(vm) // the vote stands, though the claim never hears of it
+		c.Silent(vm) // the vote counts, but the claim never receives it
 	}
 }
 
-func (w *world) check() {
+// check verifies that at most one claimant ran, and none if a claim has proved
+// NotRun.
+func (s *simulation) check() {
 	proved := false
-	for _, c := range w.claims {
+	for _, c := range s.claims {
 		if c.State() == Won {
-			w.ran[c.claimant] = true
+			s.ran[c.claimant] = true
 		}
 		if c.State() == Lost && c.Outcome() == contract.NotRun {
 			proved = true
 		}
 	}
-	if len(w.ran) > 1 {
-		w.t.Fatalf("ran %d times", len(w.ran))
+	if len(s.ran) > 1 {
+		s.t.Fatalf("request ran %d times", len(s.ran))
 	}
-	if proved && len(w.ran) > 0 {
-		w.t.Fatalf("said not run of a request that ran")
+	if proved && len(s.ran) > 0 {
+		s.t.Fatalf("NotRun reported for a request that ran")
 	}
 	if proved {
-		w.proofs++
+		s.proofs++
 	}
 }
 
-// TestAtMostOnce draws schedules of racing claims, kills and lost replies. At
-// most one claim wins, and "not run" is never said of a request that runs,
-// then or later.
+// TestAtMostOnce draws schedules of competing claims, dead arbiters and lost
+// replies. At most one claim may win, and NotRun must never be reported for a
+// request that runs, then or later.
 func TestAtMostOnce(t *testing.T) {
 	ran, proofs := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		s := newSimulation(t)
 		for range rapid.IntRange(1, 100).Draw(t, "events") {
 			switch rapid.SampledFrom([]string{"claim", "ask", "ask", "ask", "ask", "kill", "wait"}).Draw(t, "event") {
 			case "claim":
-				w.newClaim()
+				s.addClaim()
 			case "ask":
-				w.ask()
+				s.requestVote()
 			case "kill":
-				w.registers[rapid.IntRange(0, len(w.registers)-1).Draw(t, "which")] = nil
+				s.registers[rapid.IntRange(0, len(s.registers)-1).Draw(t, "which")] = nil
 			case "wait":
-				w.now = w.now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "seconds")) * time.Second)
+				s.now = s.now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "seconds")) * time.Second)
 			}
-			w.check()
+			s.check()
 		}
-		ran += len(w.ran)
-		proofs += w.proofs
+		ran += len(s.ran)
+		proofs += s.proofs
 	})
 	if ran == 0 || proofs == 0 {
-		t.Errorf("schedules too tame: %d ran, %d proofs", ran, proofs)
+		t.Errorf("schedules do not cover both outcomes: %d runs, %d proofs of NotRun", ran, proofs)
 	}
 }
 
-// naiveOwner grants a key once, in the memory of whichever VM is its owner now.
-type naiveOwner struct{ granted map[string]bool }
+// singleOwner grants each key once, but only in the memory of the VM that owns the
+// keys at the time.
+type singleOwner struct{ granted map[string]bool }
 
-func (o *naiveOwner) claim(id string) bool {
+func (o *singleOwner) claim(id string) bool {
 	if o.granted[id] {
 		return false
 	}
@@ -139,35 +142,35 @@
 	return true
 }
 
-// TestOwnerReplaced shows the naive way running a request twice when its owner
-// is replaced between two tries, and the register refusing: the replaced
-// process has another incarnation and no vote.
-func TestOwnerReplaced(t *testing.T) {
+// TestReplacedArbiterCannotVote replaces a VM between two attempts. With a single
+// owner that keeps its grants in memory, the request runs twice. The register
+// refuses, because the replacement process has another incarnation and no vote.
+func TestReplacedArbiterCannotVote(t *testing.T) {
 	is := is.New(t)
 	runs := 0
-	for range 2 { // the second owner knows nothing of the first
-		if (&naiveOwner{granted: make(map[string]bool)}).claim("key") {
+	for range 2 { // the second owner has no memory of the first
+		if (&singleOwner{granted: make(map[string]bool)}).claim("key") {
 			runs++
 		}
 	}
-	is.Equal(runs, 2) // the naive way runs it twice
+	is.Equal(runs, 2) // a single owner runs it twice
 
 	tk := Ticket{ID: "t", Arbiters: arbiters(1), Expires: start.Add(Lifetime).Unix()}
 	first := NewRegister(tk.Arbiters[0], 10)
 	vote, err := first.Vote(tk, Claimant{VM: "a"}, start)
 	is.NoErr(err)
 	is.Equal(vote.For, Claimant{VM: "a"})
-	replaced := NewRegister(Arbiter{VM: tk.Arbiters[0].VM, Incarnation: 2}, 10)
-	_, err = replaced.Vote(tk, Claimant{VM: "b"}, start)
+	replacement := NewRegister(Arbiter{VM: tk.Arbiters[0].VM, Incarnation: 2}, 10)
+	_, err = replacement.Vote(tk, Claimant{VM: "b"}, start)
 	is.Equal(err, ErrNotArbiter)
 	c := NewClaim(tk, Claimant{VM: "b"})
 	c.Silent(tk.Arbiters[0].VM)
 	is.Equal(c.State(), Lost)
-	is.Equal(c.Outcome(), contract.Unknown) // and it does not claim to know
+	is.Equal(c.Outcome(), contract.Unknown) // the request may have run
 }
 
-// TestSurvivorProvesNotRun shows that with two arbiters one survivor can prove
-// that a request never ran, once the other is dead.
+// TestSurvivorProvesNotRun checks that the survivor of two arbiters can prove that
+// a request never ran after the other has died.
 func TestSurvivorProvesNotRun(t *testing.T) {
 	is := is.New(t)
 	tk := Ticket{ID: "t", Arbiters: arbiters(2), Expires: start.Add(Lifetime).Unix()}
@@ -180,77 +183,77 @@
 	is.Equal(c.Outcome(), contract.NotRun)
 	late, err := survivor.Vote(tk, Claimant{VM: "late"}, start)
 	is.NoErr(err)
-	is.Equal(late.For, Nobody) // a late claim is refused for ever
+	is.Equal(late.For, Nobody) // a later claim never gets this vote
 }
 
-// TestSplitVotesRunNothing shows that of two claims with a vote each neither
-// runs, and that an arbiter's second answer is its first vote.
-func TestSplitVotesRunNothing(t *testing.T) {
+// TestSplitVoteFailsBothClaims checks that neither of two claims with one vote each
+// wins, and that an arbiter always repeats its first vote.
+func TestSplitVoteFailsBothClaims(t *testing.T) {
 	is := is.New(t)
 	tk := Ticket{ID: "t", Arbiters: arbiters(2), Expires: start.Add(Lifetime).Unix()}
 	x, y := Claimant{VM: "x"}, Claimant{VM: "y"}
 	cx, cy := NewClaim(tk, x), NewClaim(tk, y)
 	registers := []*Register{NewRegister(tk.Arbiters[0], 10), NewRegister(tk.Arbiters[1], 10)}
-	ask := func(c *Claim, who Claimant, i int) Vote {
-		vote, err := registers[i].Vote(tk, who, start)
+	requestVote := func(c *Claim, claimant Claimant, i int) Vote {
+		vote, err := registers[i].Vote(tk, claimant, start)
 		is.NoErr(err)
 		c.Voted(tk.Arbiters[i].VM, vote)
 		return vote
 	}
-	is.Equal(ask(cx, x, 0).For, x)
-	is.Equal(ask(cy, y, 1).For, y)
-	is.Equal(ask(cx, x, 1).For, y)
-	is.Equal(ask(cy, y, 0).For, x)
+	is.Equal(requestVote(cx, x, 0).For, x)
+	is.Equal(requestVote(cy, y, 1).For, y)
+	is.Equal(requestVote(cx, x, 1).For, y)
+	is.Equal(requestVote(cy, y, 0).For, x)
 	is.Equal(cx.State(), Lost)
 	is.Equal(cy.State(), Lost)
 	is.Equal(cx.Outcome(), contract.Unknown)
 }
 
-// TestTicketOfOtherWorkspace shows that a ticket opens for its workspace alone,
-// and that no altered one opens.
-func TestTicketOfOtherWorkspace(t *testing.T) {
+// TestTicketIsBoundToWorkspace checks that a ticket opens only for its workspace,
+// and that an altered ticket or one with another signing key is rejected.
+func TestTicketIsBoundToWorkspace(t *testing.T) {
 	is := is.New(t)
-	office := NewOffice([]byte("0123456789abcdef0123456789abcdef"))
-	text, err := office.Issue(Ticket{ID: "t", Workspace: "w", Arbiters: arbiters(2)}, start)
+	signer := NewOffice([]byte("0123456789abcdef0123456789abcdef"))
+	text, err := signer.Issue(Ticket{ID: "t", Workspace: "w", Arbiters: arbiters(2)}, start)
 	is.NoErr(err)
-	got, err := office.Open(text, "w")
+	got, err := signer.Open(text, "w")
 	is.NoErr(err)
 	is.Equal(got.Expires, start.Add(Lifetime).Unix())
-	_, err = office.Open(text, "other")
+	_, err = signer.Open(text, "other")
 	is.Equal(err, ErrOtherWorkspace)
-	_, err = office.Open("x"+text, "w")
+	_, err = signer.Open("x"+text, "w")
 	is.Equal(err, sign.ErrForged)
 	_, err = NewOffice([]byte("another key of another fleet....")).Open(text, "w")
 	is.Equal(err, sign.ErrForged)
 }
 
-// TestNotRunNeedsItsProof shows that one vote for nobody of three proves
-// nothing: another attempt has the other two, and runs.
-func TestNotRunNeedsItsProof(t *testing.T) {
+// TestNotRunRequiresBlockingQuorum checks that one of three votes for Nobody proves
+// nothing: another attempt has the other two votes and runs.
+func TestNotRunRequiresBlockingQuorum(t *testing.T) {
 	is := is.New(t)
 	tk := Ticket{ID: "t", Arbiters: arbiters(3), Expires: start.Add(Lifetime).Unix()}
 	x := Claimant{VM: "x"}
-	runs, proof := NewClaim(tk, x), NewClaim(tk, Nobody)
+	majority, notRun := NewClaim(tk, x), NewClaim(tk, Nobody)
 	for i, a := range tk.Arbiters {
 		r := NewRegister(a, 10)
-		c, who := runs, x
+		c, claimant := majority, x
 		if i == 2 {
-			c, who = proof, Nobody
+			c, claimant = notRun, Nobody
 		}
-		vote, err := r.Vote(tk, who, start)
+		vote, err := r.Vote(tk, claimant, start)
 		is.NoErr(err)
 		c.Voted(a.VM, vote)
 	}
-	proof.Silent(tk.Arbiters[0].VM)
-	proof.Silent(tk.Arbiters[1].VM)
-	is.Equal(runs.State(), Won)
-	is.Equal(proof.State(), Lost)
-	is.Equal(proof.Outcome(), contract.Unknown)
+	notRun.Silent(tk.Arbiters[0].VM)
+	notRun.Silent(tk.Arbiters[1].VM)
+	is.Equal(majority.State(), Won)
+	is.Equal(notRun.State(), Lost)
+	is.Equal(notRun.Outcome(), contract.Unknown)
 }
 
-// TestBoundIsARefusal shows that a full register refuses and says so, and that
-// it forgets no ticket that could still be claimed.
-func TestBoundIsARefusal(t *testing.T) {
+// TestFullRegisterRefusesVotes checks that a full register returns ErrRegisterFull,
+// and that it drops no ticket that can still be claimed.
+func TestFullRegisterRefusesVotes(t *testing.T) {
 	is := is.New(t)
 	self := arbiters(1)
 	r := NewRegister(self[0], 2)
@@ -262,25 +265,26 @@
 	}
 	third := Ticket{ID: "third", Arbiters: self, Expires: start.Add(2 * Lifetime).Unix()}
 	_, err := r.Vote(third, Claimant{VM: "a"}, now)
-	is.Equal(err, ErrFull)
-	now = start.Add(Lifetime + graceSeconds*time.Second)
+	is.Equal(err, ErrRegisterFull)
+	now = start.Add(Lifetime + resultRetentionSeconds*time.Second)
 	_, err = r.Vote(third, Claimant{VM: "a"}, now)
 	is.NoErr(err)
 	_, err = r.Vote(Ticket{ID: "0", Arbiters: self, Expires: start.Add(Lifetime).Unix()}, Claimant{VM: "b"}, now)
-	is.Equal(err, ErrExpired) // forgotten, and no longer to be claimed
+	is.Equal(err, ErrExpired) // dropped, but too old to be claimed
 }
 
-// TestResultKept shows that a retry finds the whole answer of the first try.
-func TestResultKept(t *testing.T) {
+// TestResultStoredForRetry checks that a retry gets the whole response of the first
+// attempt.
+func TestResultStoredForRetry(t *testing.T) {
 	is := is.New(t)
 	tk := Ticket{ID: "t", Arbiters: arbiters(1), Expires: start.Add(Lifetime).Unix()}
 	r := NewRegister(tk.Arbiters[0], 10)
 	a := Claimant{VM: "a"}
 	_, err := r.Vote(tk, a, start)
 	is.NoErr(err)
-	r.Settle("t", Claimant{VM: "b"}, Result{Outcome: contract.NotRun}) // not its claimant
+	r.Settle("t", Claimant{VM: "b"}, Result{Outcome: contract.NotRun}) // not the claimant with the vote
 	r.Settle("t", a, Result{Outcome: contract.Ran, Body: []byte("done"), Whole: true})
-	r.Settle("t", a, Result{Outcome: contract.NotRun}) // late: the first counts
+	r.Settle("t", a, Result{Outcome: contract.NotRun}) // ignored: the first result counts
 	vote, err := r.Vote(tk, Claimant{VM: "b"}, start)
 	is.NoErr(err)
 	c := NewClaim(tk, Claimant{VM: "b"})
