--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -13,46 +13,48 @@
 	"woaddoor/peek"
 )
 
-// Sizes of the buffers of a connection: answers are read in small pieces, and
-// a VM holds several hundred connections.
+// readBuffer is the size of a connection's read buffer in bytes. It is small because
+// responses arrive in small pieces and a VM holds several hundred connections.
 const readBuffer = 4 << 10
 
-// connState is what is known of a connection.
+// connState is the state of a connection.
 type connState struct {
-	// wrote is set before the first byte of the present request is written.
-	wrote atomic.Bool
-	// sent gets the result of writing the present request.
-	sent    chan error
-	closing bool // the upstream closes it after this answer
-	reused  bool // it has answered an earlier request
-	keep    time.Duration
-	idleAt  time.Time
+	// writeStarted is set before the first byte of the current request is written.
+	writeStarted atomic.Bool
+	// writeResult receives the result of writing the current request.
+	writeResult chan error
+	closeAfter  bool // the upstream closes the connection after this response
+	reused      bool // an earlier request was answered on the connection
+	keepAlive   time.Duration
+	idleSince   time.Time
 }
 
-// Timings of connections.
+// Timeouts of connections.
 const (
-	// dialTimeout bounds the set-up of a connection: links within a site take
-	// milliseconds, and a lost opening packet is sent again only after a second,
-	// by when another upstream has answered.
+	// dialTimeout bounds setting up a connection. Within a site it takes milliseconds. A lost
+	// SYN packet is only sent again after a second, and by then another upstream has
+	// responded.
 	dialTimeout = 250 * time.Millisecond
-	// silence is how long written bytes may stay unacknowledged before the
-	// connection counts as broken: a dark upstream says nothing.
-	silence = 3 * time.Second
-	// keepShare is the part of the upstream's stated time that an idle
-	// connection is used again within, so that its end is not met half-way.
-	keepShare = 0.7
+	// ackTimeout is how long sent bytes may stay unacknowledged before the connection counts
+	// as broken. Otherwise an upstream that has lost power or network would only be noticed
+	// at the deadline of the caller.
+	ackTimeout = 3 * time.Second
+	// keepAliveShare is the share of the upstream's keep-alive timeout within which an idle
+	// connection is reused. It prevents a request from being sent while the upstream closes
+	// the connection.
+	keepAliveShare = 0.7
 )
 
-// tcpUserTimeout is the option of RFC 5482, in milliseconds.
-const tcpUserTimeout = 18
+// tcpUserTimeoutOption is the TCP_USER_TIMEOUT socket option of RFC 5482, in milliseconds.
+const tcpUserTimeoutOption = 18
 
-// NothingListens tells whether an address answered that no connection is taken
-// there: its machine could be reached.
+// NothingListens reports whether a connection error shows that the machine is reachable but
+// accepts no connections on this port.
 func NothingListens(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// Reach tells whether a connection to an address comes up.
+// Reach checks whether a connection to the address can be opened.
 func Reach(ctx context.Context, address string) error {
 	c, err := dial(ctx, address)
 	if err != nil {
@@ -64,19 +66,19 @@
 func dial(ctx context.Context, address string) (*conn, error) {
 	d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
-			// Without the option a dead connection is found by the caller's
-			// deadline, only later.
-			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(silence/time.Millisecond))
+			// The error is ignored: without the option a broken connection is still detected,
+			// but only at the caller's deadline.
+			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeoutOption, int(ackTimeout/time.Millisecond))
 		})
 	}}
 	nc, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: nc, reader: bufio.NewReaderSize(nc, readBuffer), connState: connState{idleAt: time.Now()}}, nil
+	return &conn{Conn: nc, reader: bufio.NewReaderSize(nc, readBuffer), connState: connState{idleSince: time.Now()}}, nil
 }
 
-// write writes a request. The head and a small body leave in one packet.
+// write writes a request. The headers and a small body fit into one packet.
 func (c *conn) write(r *Request) error {
 	b := make([]byte, 0, 1024+len(r.Body))
 	b = append(b, r.Method...)
@@ -100,18 +102,18 @@
 	}
 	b = append(b, "\r\n"...)
 	b = append(b, r.Body...)
-	c.wrote.Store(true)
+	c.writeStarted.Store(true)
 	_, err := c.Write(b)
 	return err
 }
 
-// cause returns why an answer could not be read: a failed write explains it
-// better than the end of the connection.
+// cause returns the reason why a response could not be read. A failed write explains it
+// better than the error of the read.
 func (c *conn) cause(err error) error {
 	select {
-	case werr := <-c.sent:
-		if werr != nil {
-			return werr
+	case writeErr := <-c.writeResult:
+		if writeErr != nil {
+			return writeErr
 		}
 	default:
 	}
@@ -121,21 +123,21 @@
 // abort makes reads and writes on the connection fail at once.
 func (c *conn) abort() { _ = c.Close() }
 
-// quiet tells whether a connection may take the next request: its request was
-// written whole and nothing came after the answer.
-func (c *conn) quiet() bool {
+// reusable reports whether the connection can take the next request: the current request was
+// written completely and no data followed the response.
+func (c *conn) reusable() bool {
 	select {
-	case err := <-c.sent:
+	case err := <-c.writeResult:
 		return err == nil && c.reader.Buffered() == 0
 	default:
 		return false
 	}
 }
 
-// healthy tells whether an idle connection is still open and silent. Bytes on
-// an idle connection belong to no request.
+// healthy reports whether an idle connection is still open and has received no data. Data on
+// an idle connection belongs to no request.
 func (c *conn) healthy(now time.Time) bool {
-	if c.keep > 0 && now.Sub(c.idleAt) > time.Duration(keepShare*float64(c.keep)) {
+	if c.keepAlive > 0 && now.Sub(c.idleSince) > time.Duration(keepAliveShare*float64(c.keepAlive)) {
 		return false
 	}
 	return peek.Look(c.Conn) == peek.Quiet
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -1,11 +1,10 @@
-// Package exchange sends HTTP/1.1 requests to upstreams over kept connections,
-// one request at a time on each, and tells what is known of a request that got
-// no answer.
+// Package exchange sends HTTP/1.1 requests to upstreams over persistent connections, one
+// request at a time on each connection. If there is no response, it reports whether the
+// request may have been sent.
 //
-// It does without http.Transport because that sends some requests a second
-// time by itself, does not say whether any byte was written, and cannot go on
-// to the next answer on a connection when one that belongs to another request
-// comes first.
+// It does not use http.Transport, which repeats some requests on its own, does not report
+// whether any byte was written, and cannot skip a response that belongs to another request
+// and read the next one on the same connection.
 package exchange
 
 import (
@@ -24,53 +23,53 @@
 	"woaddoor/contract"
 )
 
-// Request is a request as it is written.
+// Request is a request to an upstream.
 type Request struct {
 	Method string
-	// URI is the path and query as the caller sent them.
+	// URI is the path and query exactly as the caller sent them.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// MaxIdle bounds how long a kept connection may have been idle to be used
-	// for the request. Zero means any time.
+	// MaxIdle bounds how long a connection may have been idle to be used for the request.
+	// Zero means no bound.
 	MaxIdle time.Duration
-	// Barred is asked once a connection is there, right before the first byte is
-	// written: an error keeps the request from being sent. Nil bars nothing.
+	// Barred is called when a connection is available, just before the first byte is written.
+	// If it returns an error, the request is not sent. Nil means that the request is always
+	// sent.
 	Barred func() error
 }
 
-// Answer is an answer whose body is still to be read. It is closed by whoever
-// got it.
+// Answer is a response whose body has not been read yet. The caller of Do must close it.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Framed tells whether the end of the body is marked; otherwise it ends
-	// with its connection.
-	Framed bool
-
-	body io.ReadCloser
-	conn *conn
-	pool *Pool
-	stop func() bool
-	done bool // the body was read to its end
+	// Delimited reports whether the end of the body is marked. Otherwise the body ends when
+	// the connection is closed.
+	Delimited bool
+
+	body      io.ReadCloser
+	conn      *conn
+	pool      *Pool
+	stopAbort func() bool
+	bodyRead  bool // the body was read to its end
 }
 
-// Error is a request that got no answer.
+// Error is returned for a request without a response.
 type Error struct {
-	// Sent tells whether any byte of the request may have reached the
-	// upstream. Where it is false the request has not run.
+	// Sent reports whether any byte of the request may have reached the upstream. If it is
+	// false, the request has not run.
 	Sent bool
-	// Fresh tells that the connection came up for this request: the upstream was there
-	// when it was sent.
+	// Fresh reports whether the connection was opened for this request, which means that the
+	// upstream was reachable when the request was sent.
 	Fresh bool
 	Err   error
 }
 
-// Error returns what failed.
+// Error returns the error message.
 func (e *Error) Error() string {
 	if e.Sent {
-		return "no answer: " + e.Err.Error()
+		return "no response: " + e.Err.Error()
 	}
 	return "not sent: " + e.Err.Error()
 }
@@ -78,7 +77,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Outcome returns what is known of whether the request ran.
+// Outcome returns whether the request is known not to have run.
 func (e *Error) Outcome() contract.Outcome {
 	if e.Sent {
 		return contract.Unknown
@@ -86,35 +85,35 @@
 	return contract.NotRun
 }
 
-// Errors of exchanges.
+// Errors returned by Do.
 var (
-	// ErrBusy means that the pool's bound of connections is reached.
-	ErrBusy = errors.New("all connections to the upstream are taken")
-	// ErrCrossed means that only answers to other requests came.
-	ErrCrossed = errors.New("answer belongs to another request")
+	// ErrBusy means that all connections allowed by the pool's limit are in use.
+	ErrBusy = errors.New("all connections to the upstream are in use")
+	// ErrMismatchedResponse means that only responses to other requests were received.
+	ErrMismatchedResponse = errors.New("response belongs to another request")
 )
 
-// maxCrossed is how many answers of other requests are passed over on one
-// connection before it is given up.
-const maxCrossed = 2
+// maxMismatched is how many responses to other requests are skipped on a connection before it
+// is closed.
+const maxMismatched = 2
 
-// maxCrossedBody bounds the body of an answer that is passed over.
-const maxCrossedBody = 1 << 20
+// maxMismatchedBody bounds the body of a skipped response, in bytes.
+const maxMismatchedBody = 1 << 20
 
-// Match tells whether an answer belongs to the request.
-type Match func(header http.Header) bool
+// MatchFunc reports whether a response belongs to the request.
+type MatchFunc func(header http.Header) bool
 
-// Do sends a request and returns the head of its answer. While ctx lasts the
-// answer's body can be read; when ctx ends the connection is closed, which is
-// what tells an upstream that nobody waits.
-func (p *Pool) Do(ctx context.Context, r *Request, match Match) (*Answer, error) {
-	c, err := p.take(ctx, r.MaxIdle)
+// Do sends a request and returns the response with its headers. The body can be read until
+// ctx ends. Then the connection is closed, which tells the upstream that no one waits for the
+// response.
+func (p *Pool) Do(ctx context.Context, r *Request, match MatchFunc) (*Answer, error) {
+	c, err := p.acquire(ctx, r.MaxIdle)
 	if err != nil {
 		return nil, &Error{Err: err}
 	}
 	if r.Barred != nil {
 		if err := r.Barred(); err != nil {
-			p.put(c)
+			p.putIdle(c)
 			return nil, &Error{Err: err}
 		}
 	}
@@ -122,99 +121,100 @@
 	a, err := p.roundTrip(c, r, match)
 	if err != nil {
 		stop()
-		p.drop(c)
-		if c.reused && silent(ctx, err) {
-			p.distrust()
+		p.discard(c)
+		if c.reused && timedOut(ctx, err) {
+			p.discardIdle()
 		}
 		if ctx.Err() != nil {
 			err = fmt.Errorf("%w: %w", context.Cause(ctx), err)
 		}
-		return nil, &Error{Sent: c.wrote.Load(), Fresh: !c.reused, Err: err}
+		return nil, &Error{Sent: c.writeStarted.Load(), Fresh: !c.reused, Err: err}
 	}
-	a.stop = stop
+	a.stopAbort = stop
 	return a, nil
 }
 
-// silent tells whether a request ended because nothing came, and not because its
-// caller left or the connection was closed.
-func silent(ctx context.Context, err error) bool {
+// timedOut reports whether a request failed because the upstream did not respond in time, and
+// not because its caller left or the connection was closed.
+func timedOut(ctx context.Context, err error) bool {
 	if ctx.Err() != nil {
 		return !errors.Is(context.Cause(ctx), context.Canceled)
 	}
 	return errors.Is(err, syscall.ETIMEDOUT)
 }
 
-func (p *Pool) roundTrip(c *conn, r *Request, match Match) (*Answer, error) {
-	c.sent = make(chan error, 1)
-	go func() { c.sent <- c.write(r) }()
-	for range maxCrossed + 1 {
+func (p *Pool) roundTrip(c *conn, r *Request, match MatchFunc) (*Answer, error) {
+	c.writeResult = make(chan error, 1)
+	go func() { c.writeResult <- c.write(r) }()
+	for range maxMismatched + 1 {
 		resp, err := http.ReadResponse(c.reader, &http.Request{Method: r.Method})
 		if err != nil {
 			return nil, c.cause(err)
 		}
 		if resp.StatusCode < http.StatusOK {
-			continue // an interim answer
+			continue // an interim response (1xx)
 		}
 		if match(resp.Header) {
-			return p.answer(c, resp), nil
+			return p.newAnswer(c, resp), nil
 		}
-		// An answer that came late, in the place of this one.
-		if n, err := io.CopyN(io.Discard, resp.Body, maxCrossedBody); err == nil || !errors.Is(err, io.EOF) || resp.Close {
-			return nil, fmt.Errorf("%w (%d bytes)", ErrCrossed, n)
+		// A late response to an earlier request on this connection.
+		if n, err := io.CopyN(io.Discard, resp.Body, maxMismatchedBody); err == nil || !errors.Is(err, io.EOF) || resp.Close {
+			return nil, fmt.Errorf("%w (%d bytes)", ErrMismatchedResponse, n)
 		}
 	}
-	return nil, ErrCrossed
+	return nil, ErrMismatchedResponse
 }
 
-func (p *Pool) answer(c *conn, resp *http.Response) *Answer {
-	c.closing = resp.Close
-	c.keep = keepAlive(resp.Header)
-	framed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
-	return &Answer{Status: resp.StatusCode, Header: resp.Header, Framed: framed, body: resp.Body, conn: c, pool: p}
+func (p *Pool) newAnswer(c *conn, resp *http.Response) *Answer {
+	c.closeAfter = resp.Close
+	c.keepAlive = parseKeepAlive(resp.Header)
+	delimited := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
+	return &Answer{Status: resp.StatusCode, Header: resp.Header, Delimited: delimited, body: resp.Body, conn: c, pool: p}
 }
 
-// mostKept bounds for how long an upstream is believed to keep an idle connection.
-const mostKept = 24 * time.Hour
+// maxKeepAlive is the longest keep-alive timeout of an upstream that is accepted as valid.
+const maxKeepAlive = 24 * time.Hour
 
-// keepAlive returns how long the upstream keeps an idle connection; zero when it does not
-// say. Other parameters may stand beside the time, such as "timeout=5, max=100".
-func keepAlive(h http.Header) time.Duration {
+// parseKeepAlive returns how long the upstream keeps an idle connection open, or zero if it
+// does not announce it. The header may contain other parameters, such as in "timeout=5,
+// max=100".
+func parseKeepAlive(h http.Header) time.Duration {
 	for _, parameter := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
 		seconds, err := strconv.Atoi(value)
-		if strings.EqualFold(name, "timeout") && err == nil && seconds > 0 && seconds <= int(mostKept/time.Second) {
+		if strings.EqualFold(name, "timeout") && err == nil && seconds > 0 && seconds <= int(maxKeepAlive/time.Second) {
 			return time.Duration(seconds) * time.Second
 		}
 	}
 	return 0
 }
 
-// Read reads the body. io.EOF means that it is whole.
+// Read reads the body. It returns io.EOF when the body is complete.
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	if errors.Is(err, io.EOF) {
-		a.done = true
+		a.bodyRead = true
 	}
 	return n, err
 }
 
-// Abort makes the present and any further read of the body fail with
-// os.ErrDeadlineExceeded. It may be called by another goroutine than reads.
+// Abort makes current and further reads of the body fail with os.ErrDeadlineExceeded. It may
+// be called concurrently with Read.
 func (a *Answer) Abort() { _ = a.conn.SetReadDeadline(time.Unix(1, 0)) }
 
-// Close ends the exchange. A connection whose answer was read whole, with
-// nothing after it, is kept; any other is closed.
+// Close ends the exchange. The connection is kept for reuse only if the response was read
+// completely and no data followed it.
 func (a *Answer) Close() {
-	stopped := a.stop()
-	if !a.done || !stopped || a.conn.closing || !a.Framed || !a.conn.quiet() {
-		a.pool.drop(a.conn)
+	stopped := a.stopAbort()
+	if !a.bodyRead || !stopped || a.conn.closeAfter || !a.Delimited || !a.conn.reusable() {
+		a.pool.discard(a.conn)
 		return
 	}
 	_ = a.conn.SetReadDeadline(time.Time{})
-	a.pool.give(a.conn)
+	a.pool.release(a.conn)
 }
 
-// conn is one connection to an upstream.
+// conn is a connection to an upstream.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -14,22 +14,22 @@
 	"github.com/matryer/is"
 )
 
-// peer is an upstream that counts its connections and can stop answering on
-// those that are open, without closing them.
-type peer struct {
+// testUpstream is an upstream that counts its connections and can stop responding on the open
+// ones without closing them.
+type testUpstream struct {
 	listener net.Listener
 
-	mu     sync.Mutex
-	opened int
-	silent int // connections up to this number say nothing any more
-	hold   chan struct{}
+	mu             sync.Mutex
+	accepted       int
+	lastSilent     int // connections up to this number get no more responses
+	allowResponses chan struct{}
 }
 
-func newPeer(t *testing.T) *peer {
+func newTestUpstream(t *testing.T) *testUpstream {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
-	p := &peer{listener: l, hold: make(chan struct{})}
+	u := &testUpstream{listener: l, allowResponses: make(chan struct{})}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -37,17 +37,17 @@
 			if err != nil {
 				return
 			}
-			p.mu.Lock()
-			p.opened++
-			n := p.opened
-			p.mu.Unlock()
-			go p.serve(c, n)
+			u.mu.Lock()
+			u.accepted++
+			n := u.accepted
+			u.mu.Unlock()
+			go u.serve(c, n)
 		}
 	}()
-	return p
+	return u
 }
 
-func (p *peer) serve(c net.Conn, n int) {
+func (u *testUpstream) serve(c net.Conn, n int) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -56,10 +56,10 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, r.Body)
-		p.mu.Lock()
-		hold, silent := p.hold, n <= p.silent
-		p.mu.Unlock()
-		<-hold
+		u.mu.Lock()
+		allowResponses, silent := u.allowResponses, n <= u.lastSilent
+		u.mu.Unlock()
+		<-allowResponses
 		if silent {
 			continue
 		}
@@ -69,45 +69,46 @@
 	}
 }
 
-func (p *peer) connections() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.opened
+func (u *testUpstream) connectionCount() int {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.accepted
 }
 
-func (p *peer) silence() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.silent = p.opened
+func (u *testUpstream) goSilent() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.lastSilent = u.accepted
 }
 
-func anyAnswer(http.Header) bool { return true }
+func matchAny(http.Header) bool { return true }
 
-// hung is after how long a request counts as hung. A machine that stands still for
-// seconds must not end one: its connection would not be kept.
-const hung = 2 * time.Minute
+// hangTimeout is after how long a request counts as hung. It is long, because a test machine
+// may pause for seconds, and a timeout of a request would close its connection.
+const hangTimeout = 2 * time.Minute
 
-// ask sends a request and reads its answer, unless that hangs.
-func ask(ctx context.Context, pool *Pool, r *Request) error {
-	ctx, cancel := context.WithTimeout(ctx, hung)
+// send sends a request and reads the response. It fails if that takes longer than
+// hangTimeout.
+func send(ctx context.Context, pool *Pool, r *Request) error {
+	ctx, cancel := context.WithTimeout(ctx, hangTimeout)
 	defer cancel()
-	a, err := pool.Do(ctx, r, anyAnswer)
+	resp, err := pool.Do(ctx, r, matchAny)
 	if err != nil {
 		return err
 	}
-	defer a.Close()
-	_, err = io.ReadAll(a)
+	defer resp.Close()
+	_, err = io.ReadAll(resp)
 	return err
 }
 
-// idle makes a pool with n connections that have each answered once.
-func idle(t *testing.T, p *peer, n int) *Pool {
+// newIdlePool returns a pool with n idle connections on which one request each was answered.
+func newIdlePool(t *testing.T, u *testUpstream, n int) *Pool {
 	t.Helper()
 	is := is.New(t)
-	pool := NewPool(p.listener.Addr().String(), 10)
+	pool := NewPool(u.listener.Addr().String(), 10)
 	done := make(chan error, n)
 	for range n {
-		go func() { done <- ask(t.Context(), pool, &Request{Method: "GET", URI: "/", Host: "a"}) }()
+		go func() { done <- send(t.Context(), pool, &Request{Method: "GET", URI: "/", Host: "a"}) }()
 	}
 	for {
 		if open, _ := pool.Count(); open == n {
@@ -115,7 +116,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	close(p.hold)
+	close(u.allowResponses)
 	for range n {
 		is.NoErr(<-done)
 	}
@@ -125,49 +126,50 @@
 
 var errGivenUp = errors.New("given up")
 
-// TestSilentConnections shows that when one kept connection has gone silent, the
-// others that were idle beside it are not used either.
-func TestSilentConnections(t *testing.T) {
+// TestTimeoutDiscardsIdleConnections checks that when a request on a reused connection times
+// out, the other idle connections of the pool are not used again.
+func TestTimeoutDiscardsIdleConnections(t *testing.T) {
 	is := is.New(t)
-	p := newPeer(t)
-	pool := idle(t, p, 3)
-	p.silence()
+	u := newTestUpstream(t)
+	pool := newIdlePool(t, u, 3)
+	u.goSilent()
 	ctx, cancel := context.WithTimeoutCause(t.Context(), 50*time.Millisecond, errGivenUp)
 	defer cancel()
-	var x *Error
-	is.True(errors.As(ask(ctx, pool, &Request{Method: "GET", URI: "/", Host: "a"}), &x))
-	is.True(x.Sent)
-	is.NoErr(ask(t.Context(), pool, &Request{Method: "GET", URI: "/", Host: "a"}))
-	is.Equal(p.connections(), 4)
+	var exchangeErr *Error
+	is.True(errors.As(send(ctx, pool, &Request{Method: "GET", URI: "/", Host: "a"}), &exchangeErr))
+	is.True(exchangeErr.Sent)
+	is.NoErr(send(t.Context(), pool, &Request{Method: "GET", URI: "/", Host: "a"}))
+	is.Equal(u.connectionCount(), 4)
 }
 
-// TestCallerLeaves shows that a caller who leaves says nothing of the other
-// connections.
-func TestCallerLeaves(t *testing.T) {
+// TestCancelKeepsIdleConnections checks that a cancelled request does not affect the other
+// connections of the pool.
+func TestCancelKeepsIdleConnections(t *testing.T) {
 	is := is.New(t)
-	p := newPeer(t)
-	pool := idle(t, p, 3)
-	p.mu.Lock()
-	p.hold = make(chan struct{})
-	p.mu.Unlock()
+	u := newTestUpstream(t)
+	pool := newIdlePool(t, u, 3)
+	u.mu.Lock()
+	u.allowResponses = make(chan struct{})
+	u.mu.Unlock()
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(20*time.Millisecond, cancel)
-	is.True(ask(ctx, pool, &Request{Method: "GET", URI: "/", Host: "a"}) != nil)
-	close(p.hold)
-	is.NoErr(ask(t.Context(), pool, &Request{Method: "GET", URI: "/", Host: "a"}))
-	is.Equal(p.connections(), 3)
+	is.True(send(ctx, pool, &Request{Method: "GET", URI: "/", Host: "a"}) != nil)
+	close(u.allowResponses)
+	is.NoErr(send(t.Context(), pool, &Request{Method: "GET", URI: "/", Host: "a"}))
+	is.Equal(u.connectionCount(), 3)
 }
 
-// TestFreshConnection shows that a request which may not be sent twice does not
-// go over a connection that has been idle for long.
-func TestFreshConnection(t *testing.T) {
+// TestMaxIdle checks that a request with MaxIdle is not sent on a connection that has been
+// idle for longer. Requests that must not be sent twice set it, because an old connection may
+// turn out to be closed.
+func TestMaxIdle(t *testing.T) {
 	is := is.New(t)
-	p := newPeer(t)
-	pool := idle(t, p, 1)
+	u := newTestUpstream(t)
+	pool := newIdlePool(t, u, 1)
 	r := &Request{Method: "POST", URI: "/", Host: "a", MaxIdle: time.Hour}
-	is.NoErr(ask(t.Context(), pool, r))
-	is.Equal(p.connections(), 1)
+	is.NoErr(send(t.Context(), pool, r))
+	is.Equal(u.connectionCount(), 1)
 	r.MaxIdle = time.Nanosecond
-	is.NoErr(ask(t.Context(), pool, r))
-	is.Equal(p.connections(), 2)
+	is.NoErr(send(t.Context(), pool, r))
+	is.Equal(u.connectionCount(), 2)
 }
--- a/exchange/keepalive_test.go
+++ b/exchange/keepalive_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// TestKeepAlive reads how long an upstream keeps an idle connection, whatever else it says
-// beside it.
-func TestKeepAlive(t *testing.T) {
+// TestParseKeepAlive checks that the keep-alive timeout is found among other parameters and
+// that invalid values are ignored.
+func TestParseKeepAlive(t *testing.T) {
 	for value, want := range map[string]time.Duration{
 		"":                                0,
 		"timeout=5":                       5 * time.Second,
@@ -23,7 +23,7 @@
 		"timeout=soon":                    0,
 		"timeout=-5":                      0,
 		"timeout=99999999999999999999999": 0,
-		"timeout=9999999999999":           0, // overflows a time
+		"timeout=9999999999999":           0, // overflows time.Duration
 		"timeouts=5":                      0,
 		"timeout=5;max=3":                 0,
 		"timeout=soon, timeout=7":         7 * time.Second,
@@ -32,7 +32,7 @@
 		" timeout=5 ":                     5 * time.Second,
 	} {
 		t.Run(value, func(t *testing.T) {
-			is.New(t).Equal(keepAlive(http.Header{"Keep-Alive": {value}}), want)
+			is.New(t).Equal(parseKeepAlive(http.Header{"Keep-Alive": {value}}), want)
 		})
 	}
 }
--- a/exchange/pool.go
+++ b/exchange/pool.go
@@ -10,9 +10,9 @@
 type Pool struct {
 	address string
 
-	// mu guards the fields below. It is not held across I/O.
+	// mu guards the fields below. It is not held during I/O.
 	mu     sync.Mutex
-	idle   []*conn // the last one was used last
+	idle   []*conn // the most recently used connection is last
 	open   int
 	limit  int
 	closed bool
@@ -24,7 +24,7 @@
 	return &Pool{address: address, limit: max(limit, 1)}
 }
 
-// SetLimit changes the bound of connections. Those open stay.
+// SetLimit changes the maximum number of connections. Open connections stay open.
 func (p *Pool) SetLimit(n int) {
 	p.mu.Lock()
 	p.limit = max(n, 1)
@@ -38,9 +38,9 @@
 	return p.open, p.dialed
 }
 
-// take returns an idle connection that is healthy and, unless maxIdle is zero,
-// was used within it; or a new one.
-func (p *Pool) take(ctx context.Context, maxIdle time.Duration) (*conn, error) {
+// acquire returns a healthy idle connection, or opens a new one. Unless maxIdle is zero, the
+// idle connection must have been used within maxIdle.
+func (p *Pool) acquire(ctx context.Context, maxIdle time.Duration) (*conn, error) {
 	for {
 		c, busy := p.reserve()
 		if busy {
@@ -50,12 +50,12 @@
 			break
 		}
 		now := time.Now()
-		if c.healthy(now) && (maxIdle == 0 || now.Sub(c.idleAt) <= maxIdle) {
-			c.wrote.Store(false)
+		if c.healthy(now) && (maxIdle == 0 || now.Sub(c.idleSince) <= maxIdle) {
+			c.writeStarted.Store(false)
 			c.reused = true
 			return c, nil
 		}
-		p.drop(c)
+		p.discard(c)
 	}
 	c, err := dial(ctx, p.address)
 	if err != nil {
@@ -67,7 +67,8 @@
 	return c, nil
 }
 
-// reserve takes the idle connection that was used last, or counts a new one.
+// reserve takes the most recently used idle connection, or counts a new connection as open.
+// It reports busy if the limit is reached.
 func (p *Pool) reserve() (c *conn, busy bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,15 +85,14 @@
 	return nil, false
 }
 
-// give keeps a connection that was used for the next request.
-func (p *Pool) give(c *conn) {
-	c.idleAt = time.Now()
-	p.put(c)
+// release returns a connection to the pool after a request.
+func (p *Pool) release(c *conn) {
+	c.idleSince = time.Now()
+	p.putIdle(c)
 }
 
-// put keeps a connection that was not used for the next request: it has been idle for as
-// long as it was.
-func (p *Pool) put(c *conn) {
+// putIdle returns a connection to the pool without changing its idle time.
+func (p *Pool) putIdle(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || p.open > p.limit {
@@ -103,18 +103,18 @@
 	p.idle = append(p.idle, c)
 }
 
-// drop closes a connection.
-func (p *Pool) drop(c *conn) {
-	_ = c.Close() // it is given up whatever the reason
+// discard closes a connection and removes it from the pool.
+func (p *Pool) discard(c *conn) {
+	_ = c.Close() // the error does not matter, the connection is discarded
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// distrust closes the idle connections after one that was idle beside them has
-// gone silent: whatever took its packets has most likely taken theirs, and only
-// time shows it.
-func (p *Pool) distrust() {
+// discardIdle closes all idle connections. It is called after a request on a reused
+// connection has timed out: the other idle connections are most likely broken too, which
+// would only show by further timeouts.
+func (p *Pool) discardIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeIdle()
@@ -123,13 +123,13 @@
 // closeIdle closes the idle connections. The caller holds mu.
 func (p *Pool) closeIdle() {
 	for _, c := range p.idle {
-		_ = c.Close() // it is given up whatever the reason
+		_ = c.Close() // the error does not matter, the connection is discarded
 		p.open--
 	}
 	p.idle = nil
 }
 
-// Close closes the idle connections; those in use are closed when they end.
+// Close closes the idle connections. Those in use are closed when their requests end.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/exchange/retryafter.go
+++ b/exchange/retryafter.go
@@ -9,24 +9,25 @@
 	"time"
 )
 
-// HeaderRetryAfter says for how long whoever answers wants no further request (RFC 9110,
-// section 10.2.3): seconds, of which fractions are taken too, or a date.
+// HeaderRetryAfter is the header that asks to send no further request for some time (RFC
+// 9110, section 10.2.3). Its value is a date or a number of seconds; unlike the RFC, this
+// package accepts fractions of seconds.
 const HeaderRetryAfter = "Retry-After"
 
-// RetryAfterError is a Retry-After that says nothing.
+// RetryAfterError is a Retry-After header that cannot be parsed.
 type RetryAfterError struct{ Value string }
 
 func (e *RetryAfterError) Error() string {
-	return fmt.Sprintf("%s is %.40q: expected seconds from 0 on, or a date", HeaderRetryAfter, e.Value)
+	return fmt.Sprintf("%s is %.40q: expected a number of seconds from 0, or a date", HeaderRetryAfter, e.Value)
 }
 
-// RetryAfter returns for how long an answer asks for no further request; zero when it does
-// not. A date counts from the answer's own, so that clocks may differ. Of several values the
-// longest holds: none of them is broken by it. It fails with a *RetryAfterError, beside what
-// the other values say.
+// RetryAfter returns for how long a response asks to send no further request, or zero if it
+// does not ask. A date is compared with the Date header of the response, so that clocks may
+// differ. The longest of several values is used, because it satisfies all of them. An invalid
+// value causes a *RetryAfterError; the result still covers the valid values.
 func RetryAfter(h http.Header, now time.Time) (longest time.Duration, err error) {
 	for _, value := range h[HeaderRetryAfter] {
-		d, ok := retryAfter(value, dated(h, now))
+		d, ok := parseRetryAfter(value, responseDate(h, now))
 		if !ok {
 			err = &RetryAfterError{value}
 		}
@@ -35,19 +36,20 @@
 	return longest, err
 }
 
-// dated returns when an answer was made by the clock of whoever made it.
-func dated(h http.Header, now time.Time) time.Time {
+// responseDate returns when a response was created, by the clock of its sender.
+func responseDate(h http.Header, now time.Time) time.Time {
 	if at, err := http.ParseTime(h.Get("Date")); err == nil {
 		return at
 	}
 	return now
 }
 
-func retryAfter(value string, now time.Time) (time.Duration, bool) {
+func parseRetryAfter(value string, now time.Time) (time.Duration, bool) {
 	if at, err := http.ParseTime(value); err == nil {
 		return max(at.Sub(now), 0), true
 	}
-	// Digits and a point alone: ParseFloat takes signs, exponents, "inf" and "nan" too.
+	// Allow only digits and a decimal point: ParseFloat also accepts signs, exponents, "inf"
+	// and "nan".
 	if strings.Trim(value, "0123456789.") != "" {
 		return 0, false
 	}
