--- a/bill/bill.go
+++ b/bill/bill.go
@@ -1,9 +1,10 @@
-// Package bill makes sure that each request is billed once, to the right
-// workspace, by machines that keep nothing.
+// Package bill ensures that each request is billed exactly once and to the right
+// workspace, although VMs have no durable storage.
 //
-// A record is copied to a peer before the end of its answer goes out, and any
-// VM that holds it may file it, any number of times: what is billed is the
-// union of all filed records by their id. docs/design/billing.md weighs this.
+// A bill record is copied to a peer before the end of the answer is sent to the
+// client. Any VM that holds the record may file it, that is, write it to the
+// platform's store, any number of times. The bill is the union of all filed records
+// by workspace and ID. docs/design/billing.md explains the design.
 package bill
 
 import (
@@ -14,60 +15,61 @@
 	"woaddoor/contract"
 )
 
-// ID names what is billed once: a request of a workspace. A caller's retry
-// under the same idempotency key has the same id.
+// ID identifies a request of a workspace, which is billed once. A retry by the
+// client under the same idempotency key has the same ID.
 type ID string
 
 // Record is the bill of one request.
 type Record struct {
 	ID        ID                   `cbor:"1,keyasint" json:"id"`
 	Workspace contract.WorkspaceID `cbor:"2,keyasint" json:"workspace"`
-	// Version is the version that gave the answer delivered.
+	// Version is the model version that produced the delivered answer.
 	Version contract.VersionID `cbor:"3,keyasint" json:"version"`
 	Input   contract.Tokens    `cbor:"4,keyasint" json:"input_tokens"`
 	Output  contract.Tokens    `cbor:"5,keyasint" json:"output_tokens"`
 	Amount  contract.Money     `cbor:"6,keyasint" json:"amount"`
-	// Inside is what the answer cost us besides: cheaper tries of a cascade,
-	// retries. It is not billed.
+	// Inside is the internal cost of the answer that is not billed: attempts of
+	// a cascade with cheaper models, and retries.
 	Inside contract.Money `cbor:"7,keyasint" json:"inside,omitempty"`
 	At     time.Time      `cbor:"8,keyasint" json:"at"`
-	// Origin is the entry process that made the record.
+	// Origin is the entry process that created the record.
 	Origin Origin `cbor:"9,keyasint" json:"origin"`
 }
 
-// Origin is one life of an entry process.
+// Origin identifies one incarnation of the process that created a record or batch.
 type Origin struct {
 	VM          contract.VMID        `cbor:"1,keyasint" json:"vm"`
 	Incarnation contract.Incarnation `cbor:"2,keyasint" json:"incarnation"`
 }
 
-// Batch is a set of records that is filed as one object.
+// Batch is a set of bill records stored as one object in the platform's store.
 type Batch struct {
 	Records []Record `json:"records"`
 }
 
-// key is what the union is over. The workspace is part of it, so that two
-// workspaces that use the same idempotency key are billed each for its own.
-type key struct {
+// recordKey identifies a record in the union. It includes the workspace, so that two
+// workspaces that use the same idempotency key are each billed for their own
+// request.
+type recordKey struct {
 	workspace contract.WorkspaceID
 	id        ID
 }
 
-func (r Record) key() key { return key{r.Workspace, r.ID} }
+func (r Record) key() recordKey { return recordKey{r.Workspace, r.ID} }
 
-// Union returns each request's record once, in order of workspace and id. Of
-// two records of one request, the earlier counts: a retry under the same
-// idempotency key is not billed again.
+// Union returns one record for each request, sorted by workspace and ID. If a request
+// has several records, the earliest one counts: a retry under the same idempotency
+// key is not billed again.
 func Union(records []Record) []Record {
-	first := make(map[key]Record, len(records))
+	unique := make(map[recordKey]Record, len(records))
 	for _, r := range records {
-		old, had := first[r.key()]
-		if !had || before(r, old) {
-			first[r.key()] = r
+		old, exists := unique[r.key()]
+		if !exists || precedes(r, old) {
+			unique[r.key()] = r
 		}
 	}
-	out := make([]Record, 0, len(first))
-	for _, r := range first {
+	out := make([]Record, 0, len(unique))
+	for _, r := range unique {
 		out = append(out, r)
 	}
 	slices.SortFunc(out, func(a, b Record) int {
@@ -76,15 +78,15 @@
 	return out
 }
 
-// before orders the records of one request, by time, then by origin, so that
-// every reader picks the same.
-func before(a, b Record) bool {
+// precedes orders the records of one request by time, origin and amount, so that
+// every reader selects the same record.
+func precedes(a, b Record) bool {
 	order := cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Origin.VM, b.Origin.VM),
 		cmp.Compare(a.Origin.Incarnation, b.Origin.Incarnation), cmp.Compare(a.Amount, b.Amount))
 	return order < 0
 }
 
-// Sum is what one workspace owes.
+// Sum is the total bill of one workspace.
 type Sum struct {
 	Workspace contract.WorkspaceID `json:"workspace"`
 	Requests  int                  `json:"requests"`
@@ -94,22 +96,22 @@
 	Inside    contract.Money       `json:"inside"`
 }
 
-// Sums adds up the union of records by workspace.
+// Sums returns the total of each workspace over the union of the records.
 func Sums(records []Record) []Sum {
-	var sums []Sum
+	var totals []Sum
 	for _, r := range Union(records) {
-		if len(sums) == 0 || sums[len(sums)-1].Workspace != r.Workspace {
-			sums = append(sums, Sum{Workspace: r.Workspace})
+		if len(totals) == 0 || totals[len(totals)-1].Workspace != r.Workspace {
+			totals = append(totals, Sum{Workspace: r.Workspace})
 		}
-		s := &sums[len(sums)-1]
-		s.Requests++
-		s.Input += r.Input
-		s.Output += r.Output
-		s.Amount += r.Amount
-		s.Inside += r.Inside
+		total := &totals[len(totals)-1]
+		total.Requests++
+		total.Input += r.Input
+		total.Output += r.Output
+		total.Amount += r.Amount
+		total.Inside += r.Inside
 	}
-	return sums
+	return totals
 }
 
-// Prefix begins the names of the filed batches.
+// Prefix is the prefix of the object names of filed batches.
 const Prefix = "woaddoor/bill/"
--- a/bill/bill_test.go
+++ b/bill/bill_test.go
@@ -11,104 +11,112 @@
 	"woaddoor/contract"
 )
 
-// vm is an entry process in a drawn schedule.
-type vm struct {
+// entryProcess is a simulated entry process with the records that it holds.
+type entryProcess struct {
 	origin Origin
 	holder *Holder
 }
 
-// world is a fleet that answers requests, is killed at any step, and files
-// with lost replies to a platform that is sometimes out.
-type world struct {
-	t         *rapid.T
-	vms       []*vm
-	now       time.Time
-	filed     []Record
-	naive     int // sum of a reader that adds up every filed record
-	delivered map[key]bool
+// fleet simulates entry processes that answer requests, may be killed at any step,
+// and file their records. Replies of the platform may be lost, and the platform may
+// be unavailable.
+type fleet struct {
+	t          *rapid.T
+	processes  []*entryProcess
+	now        time.Time
+	filed      []Record
+	naiveTotal int // number of filed records, duplicates included
+	delivered  map[recordKey]bool
 }
 
-func (w *world) answer() {
-	i := rapid.IntRange(0, len(w.vms)-1).Draw(w.t, "vm")
-	self, peer := w.vms[i], w.vms[(i+1)%len(w.vms)]
-	id := ID(fmt.Sprint(rapid.IntRange(0, 9).Draw(w.t, "request")))
-	r := Record{ID: id, Workspace: contract.WorkspaceID(rapid.SampledFrom([]string{"a", "b"}).Draw(w.t, "workspace")), Amount: 1, At: w.now, Origin: self.origin}
-	if self.holder.Keep(r, w.now) != nil || w.dies(i, "after keep") {
+// answerRequest answers one request at a random process. The process keeps the record,
+// copies it to a peer and delivers the answer; it may be killed after each step.
+func (f *fleet) answerRequest() {
+	i := rapid.IntRange(0, len(f.processes)-1).Draw(f.t, "vm")
+	self, peer := f.processes[i], f.processes[(i+1)%len(f.processes)]
+	id := ID(fmt.Sprint(rapid.IntRange(0, 9).Draw(f.t, "request")))
+	r := Record{ID: id, Workspace: contract.WorkspaceID(rapid.SampledFrom([]string{"a", "b"}).Draw(f.t, "workspace")), Amount: 1, At: f.now, Origin: self.origin}
+	if self.holder.Keep(r, f.now) != nil || f.maybeKill(i, "after keep") {
 		return
 	}
-	if peer.holder.Keep(r, w.now) != nil {
+	if peer.holder.Keep(r, f.now) != nil {
 		return
 	}
 	self.holder.Copied(r)
-	if w.dies(i, "after copy") {
+	if f.maybeKill(i, "after copy") {
 		return
 	}
-	w.delivered[r.key()] = true
-	w.dies(i, "after answer")
+	f.delivered[r.key()] = true
+	f.maybeKill(i, "after answer")
 }
 
-// dies kills a VM, or not, and puts a new one in its place.
-func (w *world) dies(i int, step string) bool {
-	if rapid.IntRange(0, 5).Draw(w.t, step) != 0 {
+// maybeKill randomly replaces a process by its next incarnation, which holds no
+// records. It returns whether it did.
+func (f *fleet) maybeKill(i int, step string) bool {
+	if rapid.IntRange(0, 5).Draw(f.t, step) != 0 {
 		return false
 	}
-	o := Origin{VM: w.vms[i].origin.VM, Incarnation: w.vms[i].origin.Incarnation + 1}
-	w.vms[i] = &vm{o, NewHolder(o, 1000)}
+	o := Origin{VM: f.processes[i].origin.VM, Incarnation: f.processes[i].origin.Incarnation + 1}
+	f.processes[i] = &entryProcess{o, NewHolder(o, 1000)}
 	return true
 }
 
-func (w *world) file(outage bool) {
-	for _, v := range w.vms {
-		due := v.holder.Due(w.now, 100)
+// fileRecords files the due records of each process, unless there is an outage. The
+// reply of the platform is randomly lost.
+func (f *fleet) fileRecords(outage bool) {
+	for _, v := range f.processes {
+		due := v.holder.Due(f.now, 100)
 		if len(due) == 0 || outage {
 			continue
 		}
-		w.filed = append(w.filed, due...)
-		w.naive += len(due)
-		if rapid.Bool().Draw(w.t, "reply arrives") {
+		f.filed = append(f.filed, due...)
+		f.naiveTotal += len(due)
+		if rapid.Bool().Draw(f.t, "reply arrives") {
 			v.holder.Filed(due)
 		}
 	}
 }
 
-// TestBilledOnce draws schedules of kills at each step, outages and lost
-// replies, with one VM at a time dying between two filings. Every delivered
-// answer is billed exactly once, and to its workspace; adding up what was
-// filed, as the naive reader does, bills some twice.
-func TestBilledOnce(t *testing.T) {
-	naiveWrong := 0
+// TestDeliveredAnswerBilledOnce checks that every delivered answer is billed exactly
+// once and to its workspace, although processes are killed at any step, the platform
+// has outages, and its replies get lost. At most one VM dies between two filings. It
+// also checks that the schedules file some records twice, so that counting the filed
+// records without removing duplicates gives a wrong bill.
+func TestDeliveredAnswerBilledOnce(t *testing.T) {
+	naiveTotalsWrong := 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, now: time.Unix(0, 0), delivered: make(map[key]bool)}
+		f := &fleet{t: t, now: time.Unix(0, 0), delivered: make(map[recordKey]bool)}
 		for i := range 3 {
 			o := Origin{VM: contract.VMID(fmt.Sprint(i)), Incarnation: 1}
-			w.vms = append(w.vms, &vm{o, NewHolder(o, 1000)})
+			f.processes = append(f.processes, &entryProcess{o, NewHolder(o, 1000)})
 		}
 		for range rapid.IntRange(1, 15).Draw(t, "rounds") {
-			w.answer()
-			w.now = w.now.Add(copyGrace)
-			w.file(false)
-			w.file(rapid.Bool().Draw(t, "outage"))
+			f.answerRequest()
+			f.now = f.now.Add(peerFilingDelay)
+			f.fileRecords(false)
+			f.fileRecords(rapid.Bool().Draw(t, "outage"))
 		}
-		billed := make(map[key]int)
-		for _, r := range Union(w.filed) {
+		billed := make(map[recordKey]int)
+		for _, r := range Union(f.filed) {
 			billed[r.key()]++
 		}
-		for k := range w.delivered {
+		for k := range f.delivered {
 			if billed[k] != 1 {
 				t.Fatalf("answer %v was billed %d times", k, billed[k])
 			}
 		}
-		if w.naive != len(billed) {
-			naiveWrong++
+		if f.naiveTotal != len(billed) {
+			naiveTotalsWrong++
 		}
 	})
-	if naiveWrong == 0 {
-		t.Error("no schedule made the naive reader wrong: the schedules are too tame")
+	if naiveTotalsWrong == 0 {
+		t.Error("no schedule filed a record twice: the schedules do not test the removal of duplicates")
 	}
 }
 
-// TestSameKeyOfTwoWorkspaces shows that each is billed for its own.
-func TestSameKeyOfTwoWorkspaces(t *testing.T) {
+// TestSameIdempotencyKeyInTwoWorkspaces checks that two workspaces that use the same
+// idempotency key are each billed for their own request.
+func TestSameIdempotencyKeyInTwoWorkspaces(t *testing.T) {
 	is := is.New(t)
 	sums := Sums([]Record{
 		{ID: "k", Workspace: "a", Amount: 5}, {ID: "k", Workspace: "b", Amount: 7}, {ID: "k", Workspace: "a", Amount: 5},
@@ -118,8 +126,9 @@
 	is.Equal(sums[1].Amount, contract.Money(7))
 }
 
-// TestUnionOrder checks that readers agree, whatever the order of filing.
-func TestUnionOrder(t *testing.T) {
+// TestSumsIndependentOfOrder checks that the totals do not depend on the order in
+// which records were filed.
+func TestSumsIndependentOfOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var records []Record
 		for range rapid.IntRange(0, 12).Draw(t, "n") {
@@ -131,13 +140,14 @@
 		want := Sums(records)
 		got := Sums(rapid.Permutation(records).Draw(t, "order"))
 		if fmt.Sprint(want) != fmt.Sprint(got) {
-			t.Fatalf("%v and %v", want, got)
+			t.Fatalf("sums %v in the original order, %v after a permutation", want, got)
 		}
 	})
 }
 
-// TestFullIsSaid shows that the bound refuses, and counts what is at risk.
-func TestFullIsSaid(t *testing.T) {
+// TestFullHolderRefusesRecord checks that a full Holder refuses a record, and that it
+// counts the records at risk.
+func TestFullHolderRefusesRecord(t *testing.T) {
 	is := is.New(t)
 	self := Origin{VM: "a", Incarnation: 1}
 	h := NewHolder(self, 1)
--- a/bill/holder.go
+++ b/bill/holder.go
@@ -5,108 +5,115 @@
 	"time"
 )
 
-// ErrFull means that a process holds as many unfiled records as it may.
+// ErrFull means that a Holder already holds the maximum number of unfiled records.
+// Its text is the detail of the problem document that the client receives.
 var ErrFull = errors.New("holds as many unfiled bill records as it may")
 
-// Holder holds the records of one entry process that are not yet filed: its
-// own, and copies for peers. It is a pure state machine; its owner locks it.
+// Holder holds the unfiled bill records of one entry process: its own records, and
+// copies of the records of peers. It does no I/O and is not safe for concurrent use.
 type Holder struct {
-	self   Origin
-	max    int
-	held   map[key]*held
-	grace  time.Duration
-	atRisk int
+	self       Origin
+	maxRecords int
+	records    map[recordKey]*heldRecord
+	peerDelay  time.Duration
+	atRisk     int
 }
 
-type held struct {
-	record Record
-	since  time.Time
-	copied bool
+// heldRecord is an unfiled record. copied is true if a peer holds it too.
+type heldRecord struct {
+	record    Record
+	heldSince time.Time
+	copied    bool
 }
 
-// copyGrace is how long a peer's record is held before it is filed here too.
-// Its own VM files within a second or two; later means that it may be gone.
-const copyGrace = 10 * time.Second
+// peerFilingDelay is how long the copy of a peer's record is held before this process
+// files it. The peer's VM normally files it within a second or two; after the delay,
+// that VM may be gone.
+const peerFilingDelay = 10 * time.Second
 
-// NewHolder returns a holder of at most max records.
-func NewHolder(self Origin, max int) *Holder {
-	return &Holder{self: self, max: max, held: make(map[key]*held), grace: copyGrace}
+// NewHolder returns an empty Holder for the process self that holds at most
+// maxRecords records.
+func NewHolder(self Origin, maxRecords int) *Holder {
+	return &Holder{self: self, maxRecords: maxRecords, records: make(map[recordKey]*heldRecord), peerDelay: peerFilingDelay}
 }
 
 // Len returns the number of records held.
-func (h *Holder) Len() int { return len(h.held) }
+func (h *Holder) Len() int { return len(h.records) }
 
-// AtRisk returns how many own records are held by no peer and are not filed.
+// AtRisk returns the number of own records that are neither filed nor known to be
+// held by a peer.
 func (h *Holder) AtRisk() int { return h.atRisk }
 
-// Full tells whether no further record can be held. It is asked before work
-// starts: what could not be billed is not begun.
-func (h *Holder) Full() bool { return len(h.held) >= h.max }
+// Full returns whether the Holder cannot take another record. Callers check it before
+// they start a request, so that no request runs that could not be billed.
+func (h *Holder) Full() bool { return len(h.records) >= h.maxRecords }
 
-// Keep holds a record, own or of a peer. Keeping one twice is harmless.
+// Keep adds an own record or the copy of a peer's record. Adding a record twice has
+// no effect.
 func (h *Holder) Keep(r Record, now time.Time) error {
-	if _, had := h.held[r.key()]; had {
+	if _, exists := h.records[r.key()]; exists {
 		return nil
 	}
 	if h.Full() {
 		return ErrFull
 	}
-	h.held[r.key()] = &held{record: r, since: now, copied: r.Origin != h.self}
+	h.records[r.key()] = &heldRecord{record: r, heldSince: now, copied: r.Origin != h.self}
 	if r.Origin == h.self {
 		h.atRisk++
 	}
 	return nil
 }
 
-// Copied notes that a peer holds an own record.
+// Copied marks an own record as held by a peer.
 func (h *Holder) Copied(r Record) {
-	e, ok := h.held[r.key()]
+	e, ok := h.records[r.key()]
 	if ok && !e.copied {
 		e.copied = true
 		h.atRisk--
 	}
 }
 
-// Risky returns own records that no peer is known to hold, at most limit.
+// Risky returns at most limit own records that no peer is known to hold.
 func (h *Holder) Risky(limit int) []Record {
-	var risky []Record
-	for _, e := range h.held {
-		if len(risky) == limit {
+	var uncopied []Record
+	for _, e := range h.records {
+		if len(uncopied) == limit {
 			break
 		}
 		if !e.copied {
-			risky = append(risky, e.record)
+			uncopied = append(uncopied, e.record)
 		}
 	}
-	return risky
+	return uncopied
 }
 
-// Due returns the records to file now, at most limit: own ones at once, those
-// of peers once their VM had its time. They stay held until Filed.
+// Due returns at most limit records to file now. Own records are due immediately,
+// records of peers after peerFilingDelay. Records stay in the Holder until Filed is
+// called for them.
 func (h *Holder) Due(now time.Time, limit int) []Record {
 	var due []Record
-	for _, e := range h.held {
+	for _, e := range h.records {
 		if len(due) == limit {
 			break
 		}
-		if e.record.Origin == h.self || now.Sub(e.since) >= h.grace {
+		if e.record.Origin == h.self || now.Sub(e.heldSince) >= h.peerDelay {
 			due = append(due, e.record)
 		}
 	}
 	return due
 }
 
-// Filed drops records that the platform holds. It may come late, twice, or
-// for records never held.
+// Filed removes records that the platform has stored. It may be called late, more
+// than once, or for records that the Holder never had.
 func (h *Holder) Filed(records []Record) {
 	for _, r := range records {
-		e, ok := h.held[r.key()]
+		e, ok := h.records[r.key()]
 		if !ok {
 			continue
 		}
 		if !e.copied {
 			h.atRisk--
 		}
-		delete(h.held, r.key())
+		delete(h.records, r.key())
 	}
 }
--- a/control/filer.go
+++ b/control/filer.go
@@ -17,54 +17,59 @@
 	"woaddoor/store"
 )
 
-// filer writes bill records to the platform, many in one object.
+// billFiler writes (files) bill records to the platform's store, many records
+// per object.
 //
-// A batch is named by this process's life and a sequence number, and its
-// content is fixed before the first try, so a try whose reply was lost is
-// repeated without harm: the object exists already.
-type filer struct {
-	store  store.Store
-	origin bill.Origin
-	every  time.Duration
-	log    *zap.Logger
+// The name of a batch consists of the VM, the incarnation of this process and a
+// sequence number, and the content of a batch never changes. If the reply to a
+// write is lost and the write is repeated, the store answers that the object
+// exists, which counts as success.
+type billFiler struct {
+	store         store.Store
+	origin        bill.Origin
+	flushInterval time.Duration
+	log           *zap.Logger
 
-	// mu guards the fields below.
-	mu      sync.Mutex
-	pending []bill.Record
-	waiting []chan error
-	wake    chan struct{}
-	seq     uint64
+	// mu guards pending and waiters. Only flushLoop uses batchSeq.
+	mu       sync.Mutex
+	pending  []bill.Record
+	waiters  []chan error
+	wake     chan struct{}
+	batchSeq uint64
 }
 
-// Bounds of filing.
+// Limits of the bill filer.
 const (
-	// maxBatch keeps a batch's object well below the platform's cap.
-	maxBatch    = 2500
-	maxPending  = 100_000
-	fileTimeout = 3 * time.Second
+	// maxBatchRecords keeps the object of a batch well below the platform's
+	// maximum object size.
+	maxBatchRecords   = 2500
+	maxPendingRecords = 100_000
+	fileTimeout       = 3 * time.Second
 )
 
-// errTooMany means that records come faster than the platform takes them.
-var errTooMany = errors.New("more bill records wait than may")
+// errBacklogFull means that bill records arrive faster than the platform
+// accepts them.
+var errBacklogFull = errors.New("too many bill records are waiting to be filed")
 
-func newFiler(store store.Store, origin bill.Origin, every time.Duration, log *zap.Logger) *filer {
-	return &filer{store: store, origin: origin, every: every, log: log, wake: make(chan struct{}, 1)}
+func newBillFiler(store store.Store, origin bill.Origin, flushInterval time.Duration, log *zap.Logger) *billFiler {
+	return &billFiler{store: store, origin: origin, flushInterval: flushInterval, log: log, wake: make(chan struct{}, 1)}
 }
 
-// file returns when the records are filed, or with an error when it is not
-// known that they are.
-func (f *filer) file(ctx context.Context, records []bill.Record) error {
+// file queues the records and waits until the platform has stored them. If it
+// returns an error, the records may or may not have been stored. Without
+// records, it only checks that the platform can be reached.
+func (f *billFiler) file(ctx context.Context, records []bill.Record) error {
 	if len(records) == 0 {
-		return f.probe(ctx)
+		return f.probePlatform(ctx)
 	}
 	done := make(chan error, 1)
 	f.mu.Lock()
-	if len(f.pending)+len(records) > maxPending {
+	if len(f.pending)+len(records) > maxPendingRecords {
 		f.mu.Unlock()
-		return errTooMany
+		return errBacklogFull
 	}
 	f.pending = append(f.pending, records...)
-	f.waiting = append(f.waiting, done)
+	f.waiters = append(f.waiters, done)
 	f.mu.Unlock()
 	select {
 	case f.wake <- struct{}{}:
@@ -78,28 +83,29 @@
 	}
 }
 
-// probeName is an object that never exists.
-const probeName = "woaddoor/probe"
+// probeObject is the name of an object that never exists. Reading it checks that
+// the platform answers.
+const probeObject = "woaddoor/probe"
 
-// probe tells whether the platform answers.
-func (f *filer) probe(ctx context.Context) error {
+// probePlatform returns nil if the platform's store answers a read.
+func (f *billFiler) probePlatform(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, fileTimeout)
 	defer cancel()
-	_, err := f.store.Read(ctx, probeName)
+	_, err := f.store.Read(ctx, probeObject)
 	if errors.Is(err, store.ErrNotFound) {
 		return nil
 	}
 	return err
 }
 
-// loop files what has gathered, at most once in every, so that the number of
-// writes does not grow with that of requests.
-func (f *filer) loop(ctx context.Context) {
+// flushLoop writes the pending records at most once per flushInterval, so that
+// the number of writes does not grow with the number of requests.
+func (f *billFiler) flushLoop(ctx context.Context) {
 	for {
 		select {
 		case <-f.wake:
 			f.flush()
-			clock.Pause(ctx, f.every)
+			clock.Pause(ctx, f.flushInterval)
 		case <-ctx.Done():
 			f.flush()
 			return
@@ -107,38 +113,40 @@
 	}
 }
 
-// flush writes what has gathered and tells those who wait.
-func (f *filer) flush() {
+// flush writes the pending records and sends the result to the waiting callers
+// of file.
+func (f *billFiler) flush() {
 	f.mu.Lock()
-	records, waiting := f.pending, f.waiting
-	f.pending, f.waiting = nil, nil
+	records, waiters := f.pending, f.waiters
+	f.pending, f.waiters = nil, nil
 	f.mu.Unlock()
 	var err error
 	for len(records) > 0 && err == nil {
-		n := min(len(records), maxBatch)
-		err = f.write(records[:n])
+		n := min(len(records), maxBatchRecords)
+		err = f.writeBatch(records[:n])
 		records = records[n:]
 	}
 	if err != nil {
 		f.log.Warn("filing-failed", logs.Failure(err)...)
 	}
-	for _, done := range waiting {
+	for _, done := range waiters {
 		done <- err
 	}
 }
 
-func (f *filer) write(records []bill.Record) error {
-	f.seq++
+// writeBatch stores one batch of records as a new object.
+func (f *billFiler) writeBatch(records []bill.Record) error {
+	f.batchSeq++
 	value, err := json.Marshal(bill.Batch{Records: records})
 	if err != nil {
 		return contract.Fail(contract.StepFile, "", err)
 	}
-	name := fmt.Sprintf("%s%s-%d-%08d", bill.Prefix, f.origin.VM, f.origin.Incarnation, f.seq)
+	name := fmt.Sprintf("%s%s-%d-%08d", bill.Prefix, f.origin.VM, f.origin.Incarnation, f.batchSeq)
 	ctx, cancel := context.WithTimeout(context.Background(), fileTimeout)
 	defer cancel()
 	_, err = f.store.Create(ctx, name, value)
 	if errors.Is(err, store.ErrExists) {
-		return nil // an earlier try whose reply was lost
+		return nil // an earlier attempt succeeded, but its reply was lost
 	}
 	if err == nil {
 		f.log.Info("bills-filed", zap.String("object", name), zap.Int("records", len(records)))
--- a/control/members.go
+++ b/control/members.go
@@ -15,31 +15,36 @@
 	"woaddoor/vm"
 )
 
-// Timings of membership.
+// Intervals, timeouts and fan-out of membership.
 const (
-	heartbeatEvery   = 2 * time.Second
-	heartbeatTimeout = 1500 * time.Millisecond
-	askAfter         = 3 * time.Second
-	askFarAfter      = 6 * time.Second
-	listEvery        = 2 * time.Second
-	listTimeout      = 2 * time.Second
-	// entryDeadAfter is how long the entry process may be silent before its
-	// incarnation is no longer told.
+	heartbeatInterval = 2 * time.Second
+	heartbeatTimeout  = 1500 * time.Millisecond
+	// nearContactAfter is how long a VM of this data centre may be silent before
+	// this VM sends it heartbeats even if the other VM is the one to initiate
+	// them; farContactAfter is the same for VMs of other data centres.
+	nearContactAfter = 3 * time.Second
+	farContactAfter  = 6 * time.Second
+	vmListInterval   = 2 * time.Second
+	vmListTimeout    = 2 * time.Second
+	// entryDeadAfter is how long the entry process may be silent before this VM
+	// stops reporting the incarnation of its entry process.
 	entryDeadAfter = 6 * time.Second
-	// farBeats is how many VMs of each other data centre a watcher tells, and
-	// delegates how many of its own it tells of.
-	farBeats  = 1
-	delegates = 2
-	// farEvery is how many heartbeats within the data centre there are for each
-	// to others.
-	farEvery = 2
+	// farHeartbeatTargets is how many VMs of each other data centre a watcher
+	// sends heartbeats to; delegateCount is how many VMs of its own data centre
+	// such a heartbeat reports.
+	farHeartbeatTargets = 1
+	delegateCount       = 2
+	// roundsPerFarHeartbeat is how often heartbeats also go to other data centres:
+	// in one of this many rounds.
+	roundsPerFarHeartbeat = 2
 )
 
-// self returns what this VM tells of itself. The caller holds mu.
-func (s *Server) self() vm.Member {
+// selfMember returns the member entry that this VM reports about itself. The
+// caller holds mu.
+func (s *Server) selfMember() vm.Member {
 	m := s.table.Self()
 	m.Age = 0
-	if s.clock.Now().Sub(s.entry.heardAt) < entryDeadAfter {
+	if s.clock.Now().Sub(s.entry.receivedAt) < entryDeadAfter {
 		m.EntryIncarnation, m.Revision, m.Leaving = s.entry.incarnation, s.entry.revision, s.entry.leaving
 	} else {
 		m.EntryIncarnation = 0
@@ -47,215 +52,229 @@
 	return m
 }
 
-// takeEntry takes in what this VM's entry process tells of itself.
-func (s *Server) takeEntry(e *protocol.EntryState) {
-	if e == nil {
+// updateEntryState stores the state that the entry process of this VM reports, and
+// merges its roll-out evidence and halted versions.
+func (s *Server) updateEntryState(entry *protocol.EntryState) {
+	if entry == nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e.Incarnation < s.entry.incarnation {
-		return // late word of an earlier life
+	if entry.Incarnation < s.entry.incarnation {
+		return // a late report from an earlier incarnation
 	}
-	s.entry = entryState{e.Incarnation, e.Revision, e.Leaving, s.clock.Now()}
-	s.table.SetSelf(s.self())
-	s.seen = rollout.Merge(s.seen, e.Evidence).Prune(s.config.Progress)
-	for _, v := range e.Halts {
-		s.halts[v] = true
+	s.entry = entryState{entry.Incarnation, entry.Revision, entry.Leaving, s.clock.Now()}
+	s.table.SetSelf(s.selfMember())
+	s.evidence = rollout.Merge(s.evidence, entry.Evidence).Prune(s.config.Progress)
+	for _, v := range entry.Halts {
+		s.halted[v] = true
 	}
 }
 
-// heartbeatLoop tells peers that this VM lives: those of its own data centre,
-// and, while it is one of the watchers, a few of each other data centre.
+// heartbeatLoop sends heartbeats to the VMs of this data centre and, while this VM
+// is a watcher, to a few VMs of each other data centre.
 func (s *Server) heartbeatLoop(ctx context.Context) {
-	for tick := 0; ctx.Err() == nil; tick++ {
-		for _, b := range s.beats(tick%farEvery == 0) {
-			go s.sendBeat(ctx, b)
+	for round := 0; ctx.Err() == nil; round++ {
+		for _, b := range s.planHeartbeats(round%roundsPerFarHeartbeat == 0) {
+			go s.sendHeartbeat(ctx, b)
 		}
-		clock.Pause(ctx, heartbeatEvery)
+		clock.Pause(ctx, heartbeatInterval)
 	}
 }
 
-// beat is a heartbeat and whom it is for.
-type beat struct {
+// outgoingHeartbeat is a heartbeat message and the VM to send it to.
+type outgoingHeartbeat struct {
 	vm      contract.VMID
 	address string
 	message protocol.Heartbeat
 }
 
-// beats returns the heartbeats to send now; toFar tells whether other data
-// centres are told this time.
-func (s *Server) beats(toFar bool) []beat {
+// planHeartbeats returns the heartbeats to send in this round. includeFar is true
+// in rounds that also go to other data centres.
+func (s *Server) planHeartbeats(includeFar bool) []outgoingHeartbeat {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	near, whole, far := s.nearBeat(now, false), s.nearBeat(now, true), s.farBeat(now)
-	var beats []beat
-	known := map[contract.VMID]bool{s.opts.Settings.VM: true}
+	selfOnly, allNear, far := s.nearHeartbeat(now, false), s.nearHeartbeat(now, true), s.farHeartbeat(now)
+	var planned []outgoingHeartbeat
+	knownVMs := map[contract.VMID]bool{s.opts.Settings.VM: true}
 	for _, m := range s.table.Near(now) {
-		known[m.VM] = true
-		// One of two asks and the other answers: the one whose name is first,
-		// and the other too when it has not heard for a while.
-		if s.opts.Settings.VM < m.VM || m.Age > askAfter {
-			message := near
-			if s.differs[m.VM] {
-				message = whole
+		knownVMs[m.VM] = true
+		// Of each pair of VMs, the one whose name sorts first sends the heartbeat
+		// and the other answers. The other VM sends one too if it has not heard
+		// from the first for nearContactAfter.
+		if s.opts.Settings.VM < m.VM || m.Age > nearContactAfter {
+			message := selfOnly
+			if s.digestDiffers[m.VM] {
+				message = allNear
 			}
-			beats = append(beats, beat{m.VM, m.ControlLink, message})
+			planned = append(planned, outgoingHeartbeat{m.VM, m.ControlLink, message})
 		}
 	}
-	watches := toFar && s.table.Watches(s.opts.Settings.Control.Watchers, now)
-	heard := make(map[contract.DataCentreID]bool)
-	for _, m := range s.table.Far(farBeats, now) {
-		known[m.VM], heard[m.DataCentre] = true, true
-		if watches && (s.opts.Settings.DataCentre < m.DataCentre || m.Age > askFarAfter) {
-			beats = append(beats, beat{m.VM, m.ControlLink, far})
+	sendsFar := includeFar && s.table.Watches(s.opts.Settings.Control.Watchers, now)
+	reachedDataCentres := make(map[contract.DataCentreID]bool)
+	for _, m := range s.table.Far(farHeartbeatTargets, now) {
+		knownVMs[m.VM], reachedDataCentres[m.DataCentre] = true, true
+		if sendsFar && (s.opts.Settings.DataCentre < m.DataCentre || m.Age > farContactAfter) {
+			planned = append(planned, outgoingHeartbeat{m.VM, m.ControlLink, far})
 		}
 	}
 	for _, p := range s.opts.Settings.Peers {
 		isNear := p.DataCentre == s.opts.Settings.DataCentre
 		switch {
-		case known[p.VM], !isNear && (heard[p.DataCentre] || !watches):
+		case knownVMs[p.VM], !isNear && (reachedDataCentres[p.DataCentre] || !sendsFar):
 		case isNear:
-			beats = append(beats, beat{p.VM, p.ControlLink, whole})
+			planned = append(planned, outgoingHeartbeat{p.VM, p.ControlLink, allNear})
 		default:
-			beats = append(beats, beat{p.VM, p.ControlLink, far})
+			planned = append(planned, outgoingHeartbeat{p.VM, p.ControlLink, far})
 		}
 	}
-	return beats
+	return planned
 }
 
-// nearBeat is the heartbeat within the data centre: of this VM, or of all that
-// it knows of there. The caller holds mu.
-func (s *Server) nearBeat(now time.Time, all bool) protocol.Heartbeat {
-	s.table.SetSelf(s.self())
+// nearHeartbeat returns the heartbeat for VMs of this data centre. It reports this
+// VM alone or, with includeNear, all VMs that it knows in this data centre. The
+// caller holds mu.
+func (s *Server) nearHeartbeat(now time.Time, includeNear bool) protocol.Heartbeat {
+	s.table.SetSelf(s.selfMember())
 	members := []vm.Member{s.table.Self()}
-	if all {
+	if includeNear {
 		members = append(members, s.table.Near(now)...)
 	}
-	own := s.seen.Of(func(o rollout.Observer) bool { return o.VM == s.opts.Settings.VM })
-	return protocol.Heartbeat{Members: members, Halts: s.haltList(), Evidence: own, Digest: s.table.Digest(now)}
+	ownEvidence := s.evidence.Of(func(o rollout.Observer) bool { return o.VM == s.opts.Settings.VM })
+	return protocol.Heartbeat{Members: members, Halts: s.haltedVersions(), Evidence: ownEvidence, Digest: s.table.Digest(now)}
 }
 
-// farBeat is the heartbeat to other data centres. The caller holds mu.
-func (s *Server) farBeat(now time.Time) protocol.Heartbeat {
-	s.table.SetSelf(s.self())
-	home := s.opts.Settings.DataCentre
-	here := s.seen.Of(func(o rollout.Observer) bool { return !isTotal(o) })
-	return protocol.Heartbeat{Members: s.table.Delegates(delegates, now), Halts: s.haltList(), Evidence: here.Total(totalOf(home))}
+// farHeartbeat returns the heartbeat for VMs of other data centres: the delegates
+// of this data centre and its summed roll-out evidence. The caller holds mu.
+func (s *Server) farHeartbeat(now time.Time) protocol.Heartbeat {
+	s.table.SetSelf(s.selfMember())
+	ownDataCentre := s.opts.Settings.DataCentre
+	localEvidence := s.evidence.Of(func(o rollout.Observer) bool { return !isDataCentreTotal(o) })
+	return protocol.Heartbeat{Members: s.table.Delegates(delegateCount, now), Halts: s.haltedVersions(), Evidence: localEvidence.Total(dataCentreTotal(ownDataCentre))}
 }
 
-// totalPrefix marks the observer that stands for a whole data centre. It is no
-// name of a VM, which has no slash.
+// totalPrefix marks an observer that represents a whole data centre. It cannot
+// clash with a VM name, because VM names contain no slash.
 const totalPrefix = "total/"
 
-func totalOf(dc contract.DataCentreID) rollout.Observer {
+// dataCentreTotal returns the observer under which the summed evidence of a data
+// centre is reported.
+func dataCentreTotal(dc contract.DataCentreID) rollout.Observer {
 	return rollout.Observer{VM: contract.VMID(totalPrefix + string(dc))}
 }
 
-func isTotal(o rollout.Observer) bool { return strings.HasPrefix(string(o.VM), totalPrefix) }
+func isDataCentreTotal(o rollout.Observer) bool { return strings.HasPrefix(string(o.VM), totalPrefix) }
 
-// haltList returns the halted versions. The caller holds mu.
-func (s *Server) haltList() []contract.VersionID {
-	var halts []contract.VersionID
-	for v := range s.halts {
-		halts = append(halts, v)
+// haltedVersions returns the versions known to be halted. The caller holds mu.
+func (s *Server) haltedVersions() []contract.VersionID {
+	var versions []contract.VersionID
+	for v := range s.halted {
+		versions = append(versions, v)
 	}
-	return halts
+	return versions
 }
 
-func (s *Server) sendBeat(ctx context.Context, b beat) {
+// sendHeartbeat sends one heartbeat, merges the answer, and notes whether the
+// peer's member digest differs from that of this VM.
+func (s *Server) sendHeartbeat(ctx context.Context, b outgoingHeartbeat) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	got, err := link.Call[protocol.Heartbeat, protocol.Heartbeat](ctx, s.endpoint, b.address, link.KindHeartbeat, b.message)
+	answer, err := link.Call[protocol.Heartbeat, protocol.Heartbeat](ctx, s.endpoint, b.address, link.KindHeartbeat, b.message)
 	if err != nil {
-		s.metrics.beatFailures.Inc(1)
+		s.metrics.heartbeatFailures.Inc(1)
 		s.log.Debug("heartbeat-failed", logs.Failure(err)...)
 		return
 	}
-	s.takeBeat(got)
-	s.locked(func() {
-		if got.Digest == 0 || got.Digest == s.table.Digest(s.clock.Now()) {
-			delete(s.differs, b.vm)
+	s.mergeHeartbeat(answer)
+	s.withLock(func() {
+		if answer.Digest == 0 || answer.Digest == s.table.Digest(s.clock.Now()) {
+			delete(s.digestDiffers, b.vm)
 		} else {
-			s.differs[b.vm] = true
+			s.digestDiffers[b.vm] = true
 		}
 	})
 }
 
-// answerBeat answers a heartbeat in kind: to one of the own data centre with
-// this VM, to one of another with those that stand for it.
-func (s *Server) answerBeat(b protocol.Heartbeat) protocol.Heartbeat {
-	s.takeBeat(b)
+// answerHeartbeat merges a heartbeat and returns one: to a sender in this data
+// centre it reports this VM, or all VMs that it knows here if the digests differ;
+// to a sender in another data centre it reports the delegates of this one.
+func (s *Server) answerHeartbeat(b protocol.Heartbeat) protocol.Heartbeat {
+	s.mergeHeartbeat(b)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	if len(b.Members) > 0 && b.Members[0].DataCentre == s.opts.Settings.DataCentre {
-		return s.nearBeat(now, b.Digest != s.table.Digest(now))
+		return s.nearHeartbeat(now, b.Digest != s.table.Digest(now))
 	}
-	return s.farBeat(now)
+	return s.farHeartbeat(now)
 }
 
-func (s *Server) takeBeat(b protocol.Heartbeat) {
-	s.heard(b.Members, b.Halts)
-	home := totalOf(s.opts.Settings.DataCentre)
-	s.locked(func() {
-		fresh := b.Evidence.Of(func(o rollout.Observer) bool { return o != home })
-		s.seen = rollout.Merge(s.seen, fresh).Prune(s.config.Progress)
+// mergeHeartbeat merges the members, halted versions and evidence of a heartbeat.
+// It ignores the total of this VM's own data centre, whose parts it knows itself.
+func (s *Server) mergeHeartbeat(b protocol.Heartbeat) {
+	s.mergeMembers(b.Members, b.Halts)
+	ownTotal := dataCentreTotal(s.opts.Settings.DataCentre)
+	s.withLock(func() {
+		evidence := b.Evidence.Of(func(o rollout.Observer) bool { return o != ownTotal })
+		s.evidence = rollout.Merge(s.evidence, evidence).Prune(s.config.Progress)
 	})
 }
 
-// heard takes in who lives and what is halted.
-func (s *Server) heard(members []vm.Member, halts []contract.VersionID) {
+// mergeMembers adds the members that a peer reports to the member table, and the
+// halted versions to those already known.
+func (s *Server) mergeMembers(members []vm.Member, halted []contract.VersionID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	for _, m := range members {
 		s.table.Heard(m, now)
 	}
-	for _, v := range halts {
-		s.halts[v] = true
+	for _, v := range halted {
+		s.halted[v] = true
 	}
 }
 
-// listLoop reads the platform's VM list, on the watchers alone.
-func (s *Server) listLoop(ctx context.Context) {
+// vmListLoop reads the platform's VM list periodically while this VM is a watcher.
+func (s *Server) vmListLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		watches := false
-		s.locked(func() { watches = s.table.Watches(s.opts.Settings.Control.Watchers, s.clock.Now()) })
-		if watches {
-			s.listOnce(ctx)
+		isWatcher := false
+		s.withLock(func() { isWatcher = s.table.Watches(s.opts.Settings.Control.Watchers, s.clock.Now()) })
+		if isWatcher {
+			s.refreshVMList(ctx)
 		}
-		clock.Pause(ctx, listEvery)
+		clock.Pause(ctx, vmListInterval)
 	}
 }
 
-func (s *Server) listOnce(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, listTimeout)
+// refreshVMList reads the platform's VM list once, and updates the member table and
+// the leaving upstreams from it.
+func (s *Server) refreshVMList(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, vmListTimeout)
 	defer cancel()
 	entries, err := s.opts.VMs.VMs(ctx)
 	if err != nil {
 		s.log.Warn("list-failed", logs.Failure(err)...)
 		return
 	}
-	s.locked(func() {
+	s.withLock(func() {
 		s.table.Listed(entries)
-		s.takeLeaving(leavingOf(s.config, entries))
+		s.setLeavingUpstreams(leavingUpstreams(s.config, entries))
 	})
 }
 
-// leavingOf returns the upstreams whose VM is listed as leaving.
-func leavingOf(c *config.Config, entries []contract.VMEntry) []contract.UpstreamID {
-	addresses := make(map[string]bool)
+// leavingUpstreams returns the upstreams whose VM the platform lists as leaving.
+func leavingUpstreams(c *config.Config, entries []contract.VMEntry) []contract.UpstreamID {
+	leavingURLs := make(map[string]bool)
 	for _, e := range entries {
 		if e.Upstream && e.State == contract.VMLeaving {
-			addresses["http://"+e.Address] = true
+			leavingURLs["http://"+e.Address] = true
 		}
 	}
 	var leaving []contract.UpstreamID
 	for _, p := range c.Pools {
 		for _, u := range p.Upstreams {
-			if addresses[u.URL] {
+			if leavingURLs[u.URL] {
 				leaving = append(leaving, u.ID)
 			}
 		}
@@ -263,10 +282,10 @@
 	return leaving
 }
 
-// takeLeaving replaces the leaving upstreams. The caller holds mu.
-func (s *Server) takeLeaving(ids []contract.UpstreamID) {
-	clear(s.leaving)
+// setLeavingUpstreams replaces the set of leaving upstreams. The caller holds mu.
+func (s *Server) setLeavingUpstreams(ids []contract.UpstreamID) {
+	clear(s.leavingUpstreams)
 	for _, id := range ids {
-		s.leaving[id] = true
+		s.leavingUpstreams[id] = true
 	}
 }
--- a/control/orders.go
+++ b/control/orders.go
@@ -13,96 +13,102 @@
 	"woaddoor/logs"
 )
 
-// Bounds of orders.
+// Limits of orders to engines.
 const (
-	// orderTimeout is below the lease's margin: no order outlasts its lease.
-	orderTimeout = 3 * time.Second
-	loadTimeout  = time.Second
-	// maxLoads is how many engines load at once, since the weight store limits
-	// its rate.
-	maxLoads = 2
+	// orderTimeout is shorter than the safety margin at the end of the orders
+	// lease, so that no order is still running when the lease expires.
+	orderTimeout      = 3 * time.Second
+	loadReportTimeout = time.Second
+	// maxConcurrentLoads is how many engines load a version at the same time. The
+	// store that they load weights from limits its rate.
+	maxConcurrentLoads = 2
 )
 
-// loadEverywhere has the engines that hold the old version of a roll-out load
-// the new one, a few at a time, and tells whether they all hold it. It goes by
-// what each engine says it holds, so an order that was lost is given again, and
-// what a late order of a former holder undid is repaired.
-func (s *Server) loadEverywhere(ctx context.Context, conf *config.Config, ro *config.Rollout) bool {
-	missing, known := s.missing(ctx, conf, ro)
-	if !known {
+// loadOnAllEngines orders the engines that hold the old version of a roll-out to
+// load the new one, a few at a time. It returns true once all of them hold it.
+//
+// It relies on the versions that each engine reports, not on the orders sent. A
+// lost order is therefore sent again, and so is one that a late order of a former
+// lease holder undid.
+func (s *Server) loadOnAllEngines(ctx context.Context, conf *config.Config, ro *config.Rollout) bool {
+	targets, found := s.enginesToLoad(ctx, conf, ro)
+	if !found {
 		return false
 	}
-	if len(missing) == 0 {
+	if len(targets) == 0 {
 		return true
 	}
-	if err := s.holdOrders(ctx); err != nil {
+	if err := s.acquireOrdersLease(ctx); err != nil {
 		s.log.Warn("lease-failed", logs.Failure(err)...)
 		return false
 	}
-	for _, m := range missing[:min(len(missing), maxLoads)] {
-		if err := s.order(ctx, m, ro.To); err != nil {
+	for _, m := range targets[:min(len(targets), maxConcurrentLoads)] {
+		if err := s.sendOrder(ctx, m, ro.To); err != nil {
 			s.log.Warn("order-failed", logs.Failure(err)...)
 		}
 	}
 	return false
 }
 
-// target is an engine that an order is for.
-type target struct {
+// orderTarget is an engine to send an order to, and its pool.
+type orderTarget struct {
 	pool     *config.Pool
 	upstream config.Upstream
 }
 
-// missing returns the engines that hold the old version and not the new one.
-// It tells false when no engine holds the old one, as far as they answer.
-func (s *Server) missing(ctx context.Context, conf *config.Config, ro *config.Rollout) ([]target, bool) {
-	var missing []target
-	known := false
+// enginesToLoad returns the engines that hold the old version of a roll-out but not
+// the new one. The second result is false if none of the engines that answer holds
+// the old version. It skips draining engines.
+func (s *Server) enginesToLoad(ctx context.Context, conf *config.Config, ro *config.Rollout) ([]orderTarget, bool) {
+	var targets []orderTarget
+	found := false
 	for _, p := range conf.Pools {
 		if p.Kind != config.EnginePool {
 			continue
 		}
 		for _, u := range p.Upstreams {
-			ask, cancel := context.WithTimeout(ctx, loadTimeout)
-			l, err := s.engine.Load(ask, u.URL)
+			callCtx, cancel := context.WithTimeout(ctx, loadReportTimeout)
+			report, err := s.engine.Load(callCtx, u.URL)
 			cancel()
-			if err != nil || l.Draining || !slices.Contains(l.Versions, ro.From) {
+			if err != nil || report.Draining || !slices.Contains(report.Versions, ro.From) {
 				continue
 			}
-			known = true
-			if !slices.Contains(l.Versions, ro.To) {
-				missing = append(missing, target{p, u})
+			found = true
+			if !slices.Contains(report.Versions, ro.To) {
+				targets = append(targets, orderTarget{p, u})
 			}
 		}
 	}
-	slices.SortFunc(missing, func(a, b target) int {
+	slices.SortFunc(targets, func(a, b orderTarget) int {
 		if a.upstream.ID < b.upstream.ID {
 			return -1
 		}
 		return 1
 	})
-	return missing, known
+	return targets, found
 }
 
-// order gives one order, under the lease's fencing number.
-func (s *Server) order(ctx context.Context, t target, v contract.VersionID) error {
-	number, ready := s.orders.Ready(t.pool.Fencing != config.FencingRefuses)
+// sendOrder orders an engine to load a version. The order carries the fencing
+// number of the lease; sendOrder does nothing while the lease is not usable.
+func (s *Server) sendOrder(ctx context.Context, t orderTarget, v contract.VersionID) error {
+	fencing, ready := s.ordersLease.Ready(t.pool.Fencing != config.FencingRefuses)
 	if !ready {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	err := s.engine.Order(ctx, t.upstream.URL, engine.Order{Kind: engine.OrderLoad, Version: v, Fencing: number})
+	err := s.engine.Order(ctx, t.upstream.URL, engine.Order{Kind: engine.OrderLoad, Version: v, Fencing: fencing})
 	if err == nil {
-		s.log.Info("order-given", zap.String("upstream", string(t.upstream.ID)), zap.String("version", string(v)), zap.Uint64("fencing", uint64(number)))
+		s.log.Info("order-given", zap.String("upstream", string(t.upstream.ID)), zap.String("version", string(v)), zap.Uint64("fencing", uint64(fencing)))
 	}
 	return err
 }
 
-// holdOrders takes or renews the lease for orders, if it may.
-func (s *Server) holdOrders(ctx context.Context) error {
-	if err := s.orders.Look(ctx); err != nil {
+// acquireOrdersLease reads the lease for orders to engines, and acquires or renews
+// it if it is free or already held by this process.
+func (s *Server) acquireOrdersLease(ctx context.Context) error {
+	if err := s.ordersLease.Look(ctx); err != nil {
 		return err
 	}
-	return s.orders.Step(ctx)
+	return s.ordersLease.Step(ctx)
 }
--- a/control/rollouts.go
+++ b/control/rollouts.go
@@ -17,118 +17,121 @@
 	"woaddoor/rollout"
 )
 
-// Timings of roll-outs.
+// Interval and timeout of roll-out steps.
 const (
-	rolloutEvery   = time.Second
-	rolloutTimeout = 5 * time.Second
+	rolloutInterval = time.Second
+	rolloutTimeout  = 5 * time.Second
 )
 
-// rolloutLoop steps the roll-outs, on the watchers. Several may decide at
-// once: the conditional write lets one of them make the step.
+// rolloutLoop advances the roll-outs while this VM is a watcher. Several watchers
+// may decide on a step at the same time; the conditional write of the root object
+// lets only one of them succeed.
 func (s *Server) rolloutLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		clock.Pause(ctx, rolloutEvery)
-		watches := false
-		s.locked(func() { watches = s.table.Watches(s.opts.Settings.Control.Watchers, s.clock.Now()) })
-		if !watches {
+		clock.Pause(ctx, rolloutInterval)
+		isWatcher := false
+		s.withLock(func() { isWatcher = s.table.Watches(s.opts.Settings.Control.Watchers, s.clock.Now()) })
+		if !isWatcher {
 			continue
 		}
-		for m, p := range s.steps(ctx) {
-			if err := s.step(ctx, m, p); err != nil {
+		for m, next := range s.decideSteps(ctx) {
+			if err := s.publishStep(ctx, m, next); err != nil {
 				s.log.Warn("step-failed", append(logs.Failure(err), zap.String("model", string(m)))...)
 			}
 		}
 	}
 }
 
-// next is a decided step and why it is made.
-type next struct {
+// decidedStep is the next progress of a roll-out and the reason for it.
+type decidedStep struct {
 	progress config.Progress
-	why      rollout.Reason
+	reason   rollout.Reason
 }
 
-// steps decides the next step of each roll-out.
-func (s *Server) steps(ctx context.Context) map[contract.ModelID]next {
+// decideSteps returns the next step of each roll-out that is due to advance.
+func (s *Server) decideSteps(ctx context.Context) map[contract.ModelID]decidedStep {
 	var conf *config.Config
-	s.locked(func() { conf = s.config })
-	decided := make(map[contract.ModelID]next)
+	s.withLock(func() { conf = s.config })
+	steps := make(map[contract.ModelID]decidedStep)
 	for m, ro := range conf.Rollouts {
-		loaded := conf.Progress[m] != nil || s.loadEverywhere(ctx, conf, ro)
-		s.locked(func() {
-			p, why := rollout.Next(s.situation(conf, ro, loaded), s.clock.Now())
+		loaded := conf.Progress[m] != nil || s.loadOnAllEngines(ctx, conf, ro)
+		s.withLock(func() {
+			p, reason := rollout.Next(s.situation(conf, ro, loaded), s.clock.Now())
 			if p != nil {
-				decided[m] = next{*p, why}
+				steps[m] = decidedStep{*p, reason}
 			}
 		})
 	}
-	return decided
+	return steps
 }
 
-// situation gathers what is known of a roll-out. The caller holds mu.
+// situation returns the input for deciding the next step of a roll-out. The caller
+// holds mu.
 func (s *Server) situation(conf *config.Config, ro *config.Rollout, loaded bool) rollout.Situation {
 	now := s.clock.Now()
 	p := conf.Progress[ro.Model]
-	seen := s.ramps[ro.Model]
-	if p != nil && seen.progress != *p {
-		seen = ramp{progress: *p, since: now, lastGrown: now}
+	observed := s.stepObservations[ro.Model]
+	if p != nil && observed.progress != *p {
+		observed = stepObservation{progress: *p, firstSeenAt: now, countsGrewAt: now}
 	}
 	if p != nil {
-		if counts := s.seen.Sum(ro.To, p.Step); counts != seen.counts {
-			seen.counts, seen.lastGrown = counts, now
+		if counts := s.evidence.Sum(ro.To, p.Step); counts != observed.counts {
+			observed.counts, observed.countsGrewAt = counts, now
 		}
 	}
-	s.ramps[ro.Model] = seen
+	s.stepObservations[ro.Model] = observed
 	return rollout.Situation{
-		Rollout: ro, Progress: p, Evidence: s.seen, Halted: s.halts[ro.To], Loaded: loaded,
-		StepSince: seen.since, LastRating: seen.lastGrown, CutOff: s.cutOff(now),
+		Rollout: ro, Progress: p, Evidence: s.evidence, Halted: s.halted[ro.To], Loaded: loaded,
+		StepSince: observed.firstSeenAt, LastRating: observed.countsGrewAt, CutOff: s.missesDataCentre(now),
 	}
 }
 
-// cutOff tells whether some data centre of the settings is not heard of. The
-// caller holds mu.
-func (s *Server) cutOff(now time.Time) bool {
-	heard := make(map[contract.DataCentreID]bool)
+// missesDataCentre returns whether no VM is live in at least one data centre of
+// the configured peers. The caller holds mu.
+func (s *Server) missesDataCentre(now time.Time) bool {
+	reached := make(map[contract.DataCentreID]bool)
 	for _, m := range s.table.Live(now) {
-		heard[m.DataCentre] = true
+		reached[m.DataCentre] = true
 	}
 	for _, p := range s.opts.Settings.Peers {
-		if !heard[p.DataCentre] {
+		if !reached[p.DataCentre] {
 			return true
 		}
 	}
 	return false
 }
 
-// step writes a decided step, on the configuration that it was decided on. If
-// that has changed meanwhile, the write fails and the next round decides anew.
-func (s *Server) step(ctx context.Context, m contract.ModelID, n next) error {
+// publishStep writes a decided step on top of the configuration that it was decided
+// for. If the configuration has changed since, nothing is written and the next
+// round decides again.
+func (s *Server) publishStep(ctx context.Context, m contract.ModelID, next decidedStep) error {
 	ctx, cancel := context.WithTimeout(ctx, rolloutTimeout)
 	defer cancel()
 	base, err := history.Load(ctx, s.store)
 	if err != nil {
 		return err
 	}
-	same := false
-	s.locked(func() { same = s.replica.Held().Revision == base.Root.Revision })
-	if !same {
+	unchanged := false
+	s.withLock(func() { unchanged = s.replica.Held().Revision == base.Root.Revision })
+	if !unchanged {
 		return nil
 	}
 	sections := base.Document.Sections()
-	sections[config.ProgressSection(m)] = n.progress.Text()
+	sections[config.ProgressSection(m)] = next.progress.Text()
 	author := history.Author{
 		Who: string(s.opts.Settings.VM), At: s.clock.Now(),
-		Why: fmt.Sprintf("roll-out of %s: %s, step %d: %s", n.progress.To, n.progress.State, n.progress.Step, n.why),
+		Why: fmt.Sprintf("roll-out of %s: %s, step %d: %s", next.progress.To, next.progress.State, next.progress.Step, next.reason),
 	}
-	asked := s.clock.Now()
+	startedAt := s.clock.Now()
 	root, err := history.Publish(ctx, s.store, base, sections, author)
 	var conflict *history.Conflict
 	if errors.As(err, &conflict) {
-		return nil // another VM, or an operator, was first
+		return nil // another VM or an operator changed the configuration first
 	}
 	if err != nil {
 		return contract.Fail(contract.StepRollout, "platform", err)
 	}
-	s.log.Info("rollout-stepped", zap.String("version", string(n.progress.To)), zap.String("state", string(n.progress.State)),
-		zap.Int("step", n.progress.Step), zap.String("why", string(n.why)), zap.Uint64("revision", uint64(root.Revision)))
-	return s.learn(document.New(root.Revision, root.Change, sections), asked, 0)
+	s.log.Info("rollout-stepped", zap.String("version", string(next.progress.To)), zap.String("state", string(next.progress.State)),
+		zap.Int("step", next.progress.Step), zap.String("why", string(next.reason)), zap.Uint64("revision", uint64(root.Revision)))
+	return s.adoptDocument(document.New(root.Revision, root.Change, sections), startedAt, 0)
 }
--- a/control/server.go
+++ b/control/server.go
@@ -1,9 +1,10 @@
-// Package control is the process that keeps a VM in step with the platform: it
-// watches the configuration and hands it on, tells who lives, files bill
-// records, and steps roll-outs.
+// Package control implements the control process of a VM. It watches the
+// configuration in the platform's store and passes it on to other processes,
+// exchanges heartbeats with other VMs, writes bill records to the store, and
+// advances roll-outs.
 //
-// Nothing that a caller waits for goes through it: it may be frozen, killed or
-// cut off while its VM's entry process serves on.
+// No client request passes through the control process. It may be frozen, killed or
+// cut off while the entry process of its VM continues to serve requests.
 package control
 
 import (
@@ -32,7 +33,7 @@
 	"woaddoor/vm"
 )
 
-// Options set up a Server.
+// Options configures a Server.
 type Options struct {
 	Settings *settings.Settings
 	Keys     *keys.Set
@@ -42,7 +43,7 @@
 	VMs      store.VMList
 }
 
-// Server is one life of a control process.
+// Server is a running control process. A restarted process has a new incarnation.
 type Server struct {
 	opts        *Options
 	clock       clock.Clock
@@ -51,56 +52,64 @@
 	incarnation contract.Incarnation
 	endpoint    *link.Endpoint
 	engine      *engine.Client
-	metrics     *measures
-	filing      *filer
+	metrics     *serverMetrics
+	billFiler   *billFiler
 
-	// relayTurn is used by the relay loop alone.
-	relayTurn bool
+	// swapTopPeers alternates which of the two best peers is asked first. Only
+	// pullLoop uses it.
+	swapTopPeers bool
 
-	// orders is this process's part in the lease under which engines get orders.
-	orders *leader.Keeper
+	// ordersLease acquires and renews the lease whose holder may send orders to
+	// engines.
+	ordersLease *leader.Keeper
 
-	// mu guards the fields below; it is never held across I/O.
+	// mu guards all fields that follow it. It is never held during I/O.
 	mu      sync.Mutex
 	replica *document.Replica
 	config  *config.Config
-	// recent holds documents of late, so that peers are sent patches.
-	recent []*document.Document
-	// changed is closed and replaced when replica holds a newer document.
+	// recentDocuments holds the most recent documents, from which patches for
+	// peers are made.
+	recentDocuments []*document.Document
+	// changed is closed and replaced by a new channel whenever the replica
+	// receives a newer document.
 	changed chan struct{}
-	// root is the version of the platform's root object last read, and
-	// rootRevision the revision that it pointed at.
-	root         contract.ObjectVersion
-	rootRevision contract.Revision
-	table        *vm.Table
-	entry        entryState
-	halts        map[contract.VersionID]bool
-	seen         rollout.Evidence
-	leaving      map[contract.UpstreamID]bool
-	ramps        map[contract.ModelID]ramp
-	// differs holds near VMs that know of others than this one does.
-	differs map[contract.VMID]bool
-	// askedMembers is when the VMs of other data centres were last asked for.
-	askedMembers time.Time
+	// rootVersion is the object version of the platform's root object when it was
+	// last read, and rootRevision the revision that it pointed at.
+	rootVersion      contract.ObjectVersion
+	rootRevision     contract.Revision
+	table            *vm.Table
+	entry            entryState
+	halted           map[contract.VersionID]bool
+	evidence         rollout.Evidence
+	leavingUpstreams map[contract.UpstreamID]bool
+	stepObservations map[contract.ModelID]stepObservation
+	// digestDiffers holds the VMs of this data centre whose set of known VMs
+	// differs from that of this VM.
+	digestDiffers map[contract.VMID]bool
+	// farMembersAskedAt is when this VM last asked a peer for the VMs of other
+	// data centres.
+	farMembersAskedAt time.Time
 }
 
-// entryState is what this VM's entry process told last.
+// entryState is the last state that the entry process of this VM reported.
 type entryState struct {
 	incarnation contract.Incarnation
 	revision    contract.Revision
 	leaving     bool
-	heardAt     time.Time
+	receivedAt  time.Time
 }
 
-// ramp is what this VM has seen of a roll-out's present step.
-type ramp struct {
-	progress  config.Progress
-	since     time.Time
-	counts    rollout.Counts
-	lastGrown time.Time
+// stepObservation records when this VM first saw the current step of a roll-out,
+// and when the counts of that step last grew.
+type stepObservation struct {
+	progress     config.Progress
+	firstSeenAt  time.Time
+	counts       rollout.Counts
+	countsGrewAt time.Time
 }
 
-// New provides a server: it opens its link, but serves nothing until Run.
+// New returns a server that listens on its link address. It answers no calls until
+// Run is called.
 func New(opts *Options) (*Server, error) {
 	endpoint, err := link.Listen(opts.Settings.Control.Link, opts.Keys)
 	if err != nil {
@@ -110,36 +119,36 @@
 	s := &Server{
 		opts: opts, clock: opts.Clock, log: opts.Log, store: opts.Store,
 		incarnation: contract.NewIncarnation(now), endpoint: endpoint, engine: engine.NewClient(),
-		metrics: newMeasures(metrics.NewRegistry()),
+		metrics: newServerMetrics(metrics.NewRegistry()),
 		replica: document.NewReplica(), config: &config.Config{}, changed: make(chan struct{}),
-		halts: make(map[contract.VersionID]bool), differs: make(map[contract.VMID]bool), leaving: make(map[contract.UpstreamID]bool), ramps: make(map[contract.ModelID]ramp),
+		halted: make(map[contract.VersionID]bool), digestDiffers: make(map[contract.VMID]bool), leavingUpstreams: make(map[contract.UpstreamID]bool), stepObservations: make(map[contract.ModelID]stepObservation),
 	}
-	s.filing = newFiler(opts.Store, bill.Origin{VM: opts.Settings.VM, Incarnation: s.incarnation}, opts.Settings.Control.FileEvery, s.log)
+	s.billFiler = newBillFiler(opts.Store, bill.Origin{VM: opts.Settings.VM, Incarnation: s.incarnation}, opts.Settings.Control.FileEvery, s.log)
 	s.table = vm.NewTable(vm.Member{
 		VM: opts.Settings.VM, DataCentre: opts.Settings.DataCentre, Incarnation: s.incarnation,
 		EntryLink: opts.Settings.Entry.Advertise, ControlLink: opts.Settings.Control.Advertise,
 	})
-	s.orders = leader.NewKeeper(&leader.KeeperOptions{
+	s.ordersLease = leader.NewKeeper(&leader.KeeperOptions{
 		Options: lease.Options{Self: contract.VMLife{VM: opts.Settings.VM, Incarnation: s.incarnation}},
-		Store:   leaseObject{opts.Store, ordersLease}, Clock: opts.Clock, Timeout: orderTimeout,
+		Store:   leaseStore{opts.Store, ordersLeaseName}, Clock: opts.Clock, Timeout: orderTimeout,
 	})
-	s.handleLinks()
+	s.registerLinkHandlers()
 	return s, nil
 }
 
-// Run serves until ctx ends. What it holds is held by others too, or is filed
-// before it ends.
+// Run serves until ctx is cancelled. It files the pending bill records before it
+// returns; everything else that it holds is also held by other processes.
 func (s *Server) Run(ctx context.Context) error {
-	health, err := net.Listen("tcp", s.opts.Settings.Control.Health)
+	healthListener, err := net.Listen("tcp", s.opts.Settings.Control.Health)
 	if err != nil {
 		return contract.Fail(contract.StepSettings, s.opts.Settings.Control.Health, err)
 	}
-	work, end := context.WithCancel(context.Background())
-	defer end()
-	server := &http.Server{Handler: s.healthRoutes(), ReadHeaderTimeout: headerTimeout}
-	go func() { _ = server.Serve(health) }()
-	go func() { _ = s.endpoint.Serve(work) }()
-	loops := []func(context.Context){s.watchLoop, s.relayLoop, s.heartbeatLoop, s.listLoop, s.statusLoop, s.rolloutLoop, s.filing.loop}
+	linkCtx, stopLink := context.WithCancel(context.Background())
+	defer stopLink()
+	server := &http.Server{Handler: s.healthHandler(), ReadHeaderTimeout: readHeaderTimeout}
+	go func() { _ = server.Serve(healthListener) }()
+	go func() { _ = s.endpoint.Serve(linkCtx) }()
+	loops := []func(context.Context){s.watchLoop, s.pullLoop, s.heartbeatLoop, s.vmListLoop, s.statusLoop, s.rolloutLoop, s.billFiler.flushLoop}
 	var running sync.WaitGroup
 	for _, loop := range loops {
 		running.Go(func() { loop(ctx) })
@@ -153,11 +162,11 @@
 	return s.endpoint.Close()
 }
 
-const headerTimeout = 10 * time.Second
+const readHeaderTimeout = 10 * time.Second
 
-// locked runs a decision.
-func (s *Server) locked(decide func()) {
+// withLock calls f while holding mu.
+func (s *Server) withLock(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	decide()
+	f()
 }
--- a/control/status.go
+++ b/control/status.go
@@ -15,94 +15,98 @@
 	"woaddoor/vm"
 )
 
-// Timings of the status object.
+// Intervals and timeout for writing the status object of a data centre.
 const (
-	statusEvery   = 500 * time.Millisecond
-	statusTimeout = 2 * time.Second
-	// statusAtRest is how often it is written while nothing changes.
-	statusAtRest = 10 * time.Second
+	statusInterval = 500 * time.Millisecond
+	statusTimeout  = 2 * time.Second
+	// statusRefreshInterval is how often the status object is written while its
+	// content does not change.
+	statusRefreshInterval = 10 * time.Second
 )
 
-// statusLoop has the first watcher of a data centre write which configuration
-// its VMs have in force: one object a data centre, written when that changes.
+// statusLoop writes the status object of this data centre, which lists the
+// configuration revision in force on each VM. Only the first-ranked VM of the data
+// centre writes it, when its content changes or has to be refreshed.
 func (s *Server) statusLoop(ctx context.Context) {
 	w := statusWriter{store: s.store}
 	for ctx.Err() == nil {
-		clock.Pause(ctx, statusEvery)
-		st, first := s.dataCentreStatus()
-		if !first {
+		clock.Pause(ctx, statusInterval)
+		status, isWriter := s.dataCentreStatus()
+		if !isWriter {
 			continue
 		}
-		if err := w.write(ctx, st); err != nil {
+		if err := w.write(ctx, status); err != nil {
 			s.log.Warn("status-failed", logs.Failure(err)...)
 		}
 	}
 }
 
-// dataCentreStatus returns the status of this data centre, and whether this VM
-// is the one to write it.
+// dataCentreStatus returns the status of this data centre, and whether this VM is
+// the one that writes it.
 func (s *Server) dataCentreStatus() (datacentre.Status, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	s.table.SetSelf(s.self())
-	st := datacentre.Status{DataCentre: s.opts.Settings.DataCentre, At: now}
+	s.table.SetSelf(s.selfMember())
+	status := datacentre.Status{DataCentre: s.opts.Settings.DataCentre, At: now}
 	ranked := vm.Rank(s.table.Live(now), s.opts.Settings.DataCentre, datacentre.StatusKey)
 	for _, m := range ranked {
 		if m.EntryIncarnation == 0 {
-			continue // no entry process: it gives no upstream any work
+			continue // without an entry process, the VM sends no requests to upstreams
 		}
-		st.VMs = append(st.VMs, datacentre.VMStatus{VM: m.VM, Incarnation: m.EntryIncarnation, Revision: m.Revision, Leaving: m.Leaving})
+		status.VMs = append(status.VMs, datacentre.VMStatus{VM: m.VM, Incarnation: m.EntryIncarnation, Revision: m.Revision, Leaving: m.Leaving})
 	}
-	slices.SortFunc(st.VMs, func(a, b datacentre.VMStatus) int {
+	slices.SortFunc(status.VMs, func(a, b datacentre.VMStatus) int {
 		if a.VM < b.VM {
 			return -1
 		}
 		return 1
 	})
-	return st, len(ranked) > 0 && ranked[0].VM == s.opts.Settings.VM
+	return status, len(ranked) > 0 && ranked[0].VM == s.opts.Settings.VM
 }
 
-// statusWriter remembers what it wrote last, to write only changes.
+// statusWriter writes a status object, and skips writes that would not change it.
 type statusWriter struct {
-	store   store.Store
-	version contract.ObjectVersion
-	last    datacentre.Status
+	store       store.Store
+	version     contract.ObjectVersion
+	lastWritten datacentre.Status
 }
 
-func (w *statusWriter) write(ctx context.Context, st datacentre.Status) error {
-	if slices.Equal(st.VMs, w.last.VMs) && st.At.Sub(w.last.At) < statusAtRest {
+// write stores the status if its VMs changed or if the stored status is older than
+// statusRefreshInterval.
+func (w *statusWriter) write(ctx context.Context, status datacentre.Status) error {
+	if slices.Equal(status.VMs, w.lastWritten.VMs) && status.At.Sub(w.lastWritten.At) < statusRefreshInterval {
 		return nil
 	}
-	value, err := json.Marshal(st)
+	value, err := json.Marshal(status)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	name := datacentre.StatusName(st.DataCentre)
+	name := datacentre.StatusName(status.DataCentre)
 	version, err := w.store.Update(ctx, name, value, w.version)
 	if errors.Is(err, store.ErrConflict) {
-		version, err = w.takeOver(ctx, name, value)
+		version, err = w.overwrite(ctx, name, value)
 	}
 	if err != nil {
 		w.version = 0
 		return err
 	}
-	w.version, w.last = version, st
+	w.version, w.lastWritten = version, status
 	return nil
 }
 
-// takeOver writes the object though another VM, or an own try whose reply was
-// lost, wrote it last. Two writers in turn are harmless: each says what its
-// data centre has in force.
-func (w *statusWriter) takeOver(ctx context.Context, name string, value []byte) (contract.ObjectVersion, error) {
-	o, err := w.store.Read(ctx, name)
+// overwrite writes the object when its stored version is not the expected one: it
+// was written by another VM, or by this VM in a write whose reply was lost. Two VMs
+// that write in turn do no harm, because both report the same data centre.
+func (w *statusWriter) overwrite(ctx context.Context, name string, value []byte) (contract.ObjectVersion, error) {
+	object, err := w.store.Read(ctx, name)
 	if errors.Is(err, store.ErrNotFound) {
 		return w.store.Create(ctx, name, value)
 	}
 	if err != nil {
 		return 0, err
 	}
-	return w.store.Update(ctx, name, value, o.Version)
+	return w.store.Update(ctx, name, value, object.Version)
 }
--- a/control/watch.go
+++ b/control/watch.go
@@ -19,128 +19,133 @@
 	"woaddoor/vm"
 )
 
-// Timings of how configuration arrives.
+// Timeouts and limits for receiving the configuration, by watches of the
+// platform's store and by pulls from peers.
 const (
-	watchTimeout = 3 * time.Second
-	watchPause   = 250 * time.Millisecond
-	relayWait    = 500 * time.Millisecond
-	relayTimeout = relayWait + 500*time.Millisecond
-	relayPause   = 200 * time.Millisecond
-	// relayStale is the age of knowledge from which a watcher, too, asks its
-	// peers: it may be cut off from the platform while they are not.
-	relayStale = 2 * time.Second
-	// maxRecent bounds the documents kept to make patches from.
-	maxRecent = 32
+	watchMargin     = 3 * time.Second
+	watchRetryDelay = 250 * time.Millisecond
+	pullWait        = 500 * time.Millisecond
+	pullTimeout     = pullWait + 500*time.Millisecond
+	pullRetryDelay  = 200 * time.Millisecond
+	// staleAfter is the age of the configuration from which a watcher also pulls
+	// from its peers: it may be cut off from the platform while they are not.
+	staleAfter = 2 * time.Second
+	// maxRecentDocuments limits how many documents are kept for making patches.
+	maxRecentDocuments = 32
 )
 
-// watchLoop watches the platform's root object while this VM is one of the
-// watchers of its data centre. A watch counts as a call, so the others are
-// told by link.
+// watchLoop watches the root object in the platform's store while this VM is one of
+// the watchers of its data centre. The platform counts each watch as a call, so the
+// other VMs get the configuration from their peers over the link.
 func (s *Server) watchLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		watches := false
-		s.locked(func() { watches = s.table.Watches(s.opts.Settings.Control.Watchers, s.clock.Now()) })
-		if !watches {
-			clock.Pause(ctx, watchPause)
+		isWatcher := false
+		s.withLock(func() { isWatcher = s.table.Watches(s.opts.Settings.Control.Watchers, s.clock.Now()) })
+		if !isWatcher {
+			clock.Pause(ctx, watchRetryDelay)
 			continue
 		}
 		if err := s.watchOnce(ctx); err != nil {
 			s.metrics.watchFailures.Inc(1)
 			s.log.Warn("watch-failed", logs.Failure(err)...)
-			clock.Pause(ctx, watchPause)
+			clock.Pause(ctx, watchRetryDelay)
 		}
 	}
 }
 
-// watchOnce waits for one answer of the platform. What it says is true of some
-// moment after it was asked, so freshness counts from before the question.
+// watchOnce makes one watch call to the platform. The answer reflects the state at
+// some time after the call began, so freshness counts from the time before the call.
 func (s *Server) watchOnce(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, s.opts.Settings.Control.WatchWait+watchTimeout)
+	ctx, cancel := context.WithTimeout(ctx, s.opts.Settings.Control.WatchWait+watchMargin)
 	defer cancel()
-	var after contract.ObjectVersion
-	var pointed contract.Revision
-	s.locked(func() { after, pointed = s.root, s.rootRevision })
-	asked := s.clock.Now()
-	o, err := s.store.Watch(ctx, document.RootName, after, s.opts.Settings.Control.WatchWait)
+	var knownVersion contract.ObjectVersion
+	var rootRevision contract.Revision
+	s.withLock(func() { knownVersion, rootRevision = s.rootVersion, s.rootRevision })
+	askedAt := s.clock.Now()
+	object, err := s.store.Watch(ctx, document.RootName, knownVersion, s.opts.Settings.Control.WatchWait)
 	if errors.Is(err, store.ErrUnchanged) {
-		// Only what the unchanged root points at is confirmed. A newer document,
-		// learned from a peer, is not: the answer may come from a replica of
-		// the platform that lags.
-		s.locked(func() { s.replica.Confirm(pointed, asked) })
+		// Confirm only the revision that the unchanged root object points at.
+		// A newer document received from a peer is not confirmed, because the
+		// answer may come from a lagging replica of the platform.
+		s.withLock(func() { s.replica.Confirm(rootRevision, askedAt) })
 		return nil
 	}
 	if err != nil {
 		return contract.Fail(contract.StepWatch, "platform", err)
 	}
 	var held *document.Document
-	s.locked(func() { held = s.replica.Held() })
-	snap, err := history.Advance(ctx, s.store, held, o)
+	s.withLock(func() { held = s.replica.Held() })
+	snapshot, err := history.ReadSnapshotSince(ctx, s.store, held, object)
 	if err != nil {
 		return err
 	}
-	return s.learn(snap.Document, asked, o.Version)
+	return s.adoptDocument(snapshot.Document, askedAt, object.Version)
 }
 
-// learn takes in a document that was the platform's newest at freshAt. A
-// version of zero means that it came from a peer.
-func (s *Server) learn(d *document.Document, freshAt time.Time, version contract.ObjectVersion) error {
-	c, err := config.FromDocument(d)
+// adoptDocument stores a document that was the platform's newest at freshAt, unless
+// this VM already holds a newer one. A rootVersion of 0 means that the document did
+// not come from a watch of the root object, but from a peer or from this VM's own
+// write.
+func (s *Server) adoptDocument(d *document.Document, freshAt time.Time, rootVersion contract.ObjectVersion) error {
+	parsed, err := config.FromDocument(d)
 	if err != nil {
 		return contract.Fail(contract.StepWatch, "", err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if version != 0 {
-		s.root, s.rootRevision = version, d.Revision
+	if rootVersion != 0 {
+		s.rootVersion, s.rootRevision = rootVersion, d.Revision
 	}
 	if !s.replica.Learn(d, freshAt) {
 		return nil
 	}
-	s.config = c
-	s.recent = append(s.recent, d)
-	if len(s.recent) > maxRecent {
-		s.recent = s.recent[1:]
+	s.config = parsed
+	s.recentDocuments = append(s.recentDocuments, d)
+	if len(s.recentDocuments) > maxRecentDocuments {
+		s.recentDocuments = s.recentDocuments[1:]
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
-	s.log.Info("configuration-learned", zap.Uint64("revision", uint64(d.Revision)), zap.Bool("from-platform", version != 0))
+	s.log.Info("configuration-learned", zap.Uint64("revision", uint64(d.Revision)), zap.Bool("from-platform", rootVersion != 0))
 	return nil
 }
 
-// relayLoop asks peers for the newest configuration: always when this VM is
-// not a watcher, and when the platform has not answered for a while.
-func (s *Server) relayLoop(ctx context.Context) {
+// pullLoop pulls the newest configuration from peers while this VM is not a watcher,
+// or while the platform has not answered for longer than staleAfter.
+func (s *Server) pullLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !s.needsRelay() {
-			clock.Pause(ctx, relayPause)
+		if !s.shouldPull() {
+			clock.Pause(ctx, pullRetryDelay)
 			continue
 		}
-		if !s.relayOnce(ctx) {
-			clock.Pause(ctx, relayPause)
+		if !s.pullFromPeers(ctx) {
+			clock.Pause(ctx, pullRetryDelay)
 		}
 	}
 }
 
-func (s *Server) needsRelay() bool {
+// shouldPull returns whether this VM needs the configuration from its peers.
+func (s *Server) shouldPull() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	return !s.table.Watches(s.opts.Settings.Control.Watchers, now) || s.replica.Age(now) > relayStale
+	return !s.table.Watches(s.opts.Settings.Control.Watchers, now) || s.replica.Age(now) > staleAfter
 }
 
-// relayOnce asks one peer after another until one makes this VM fresh.
-func (s *Server) relayOnce(ctx context.Context) bool {
-	for _, address := range s.peers() {
+// pullFromPeers asks one peer after another until the configuration is fresh. It
+// returns whether it is.
+func (s *Server) pullFromPeers(ctx context.Context) bool {
+	for _, address := range s.pullSources() {
 		if ctx.Err() != nil {
 			return false
 		}
-		if err := s.relayFrom(ctx, address); err != nil {
-			s.metrics.relayFailures.Inc(1)
+		if err := s.pullFromPeer(ctx, address); err != nil {
+			s.metrics.pullFailures.Inc(1)
 			s.log.Debug("relay-failed", logs.Failure(err)...)
 			continue
 		}
 		fresh := false
-		s.locked(func() { fresh = s.replica.Age(s.clock.Now()) < relayStale })
+		s.withLock(func() { fresh = s.replica.Age(s.clock.Now()) < staleAfter })
 		if fresh {
 			return true
 		}
@@ -148,20 +153,21 @@
 	return false
 }
 
-// peers returns the control processes to ask, best first: those known to live,
-// else those of the settings.
-func (s *Server) peers() []string {
+// pullSources returns the link addresses of the control processes to pull from,
+// best first: those of the live VMs, or those in the settings if no VM is known to
+// be live.
+func (s *Server) pullSources() []string {
 	var sources []vm.Member
-	s.locked(func() { sources = s.table.Sources(s.clock.Now()) })
+	s.withLock(func() { sources = s.table.Sources(s.clock.Now()) })
 	var addresses []string
 	for _, m := range sources {
 		addresses = append(addresses, m.ControlLink)
 	}
 	if len(addresses) > 1 {
-		// The two best are asked in turn: either may wait for the other, when
-		// they do not agree on who watches.
-		s.relayTurn = !s.relayTurn
-		if s.relayTurn {
+		// Alternate between the two best peers. If the VMs disagree on which of
+		// them are watchers, each of the two peers may be waiting for the other.
+		s.swapTopPeers = !s.swapTopPeers
+		if s.swapTopPeers {
 			addresses[0], addresses[1] = addresses[1], addresses[0]
 		}
 	}
@@ -174,63 +180,68 @@
 	return addresses
 }
 
-func (s *Server) relayFrom(ctx context.Context, address string) error {
-	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
+// pullFromPeer pulls the configuration from the control process at address. It
+// merges the members, halted versions and leaving upstreams in the answer.
+func (s *Server) pullFromPeer(ctx context.Context, address string) error {
+	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	var held *document.Document
-	s.locked(func() { held = s.replica.Held() })
-	asked := s.clock.Now()
-	got, err := link.Call[protocol.PullRequest, protocol.PullAnswer](ctx, s.endpoint, address, link.KindPull,
-		protocol.PullRequest{Have: held.Revision, Hash: held.Hash().Short(), Wait: relayWait, Members: s.wantMembers()})
+	s.withLock(func() { held = s.replica.Held() })
+	askedAt := s.clock.Now()
+	answer, err := link.Call[protocol.PullRequest, protocol.PullAnswer](ctx, s.endpoint, address, link.KindPull,
+		protocol.PullRequest{Have: held.Revision, Hash: held.Hash().Short(), Wait: pullWait, Members: s.nextMemberScope()})
 	if err != nil {
 		return err
 	}
-	s.heard(got.Members, got.Halts)
-	if !got.Known {
+	s.mergeMembers(answer.Members, answer.Halts)
+	if !answer.Known {
 		return nil
 	}
-	freshAt := asked.Add(-got.Age)
-	if got.Patch == nil {
-		s.locked(func() {
+	freshAt := askedAt.Add(-answer.Age)
+	if answer.Patch == nil {
+		s.withLock(func() {
 			s.replica.Confirm(held.Revision, freshAt)
-			s.takeLeaving(got.Leaving)
+			s.setLeavingUpstreams(answer.Leaving)
 		})
 		return nil
 	}
-	if got.Patch.To < held.Revision {
-		return nil // the peer is behind
+	if answer.Patch.To < held.Revision {
+		return nil // the peer holds an older revision
 	}
-	d, err := got.Patch.Apply(held)
+	d, err := answer.Patch.Apply(held)
 	if err != nil {
 		return contract.Fail(contract.StepPull, address, err)
 	}
-	return s.learn(d, freshAt, 0)
+	return s.adoptDocument(d, freshAt, 0)
 }
 
-// membersEvery is how often a VM that is not a watcher asks for the VMs of
-// other data centres, which it is not told by heartbeats.
-const membersEvery = 15 * time.Second
+// farMembersInterval is how often a VM asks its peers for the VMs of other data
+// centres. VMs that are not watchers receive no heartbeats from them.
+const farMembersInterval = 15 * time.Second
 
-func (s *Server) wantMembers() protocol.MemberScope {
+// nextMemberScope returns which members the next pull asks for: the VMs of other
+// data centres once per farMembersInterval, otherwise none.
+func (s *Server) nextMemberScope() protocol.MemberScope {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	if now.Sub(s.askedMembers) < membersEvery {
+	if now.Sub(s.farMembersAskedAt) < farMembersInterval {
 		return protocol.NoMembers
 	}
-	s.askedMembers = now
+	s.farMembersAskedAt = now
 	return protocol.FarMembers
 }
 
-// pull answers an entry process or a peer.
-func (s *Server) pull(ctx context.Context, req protocol.PullRequest) protocol.PullAnswer {
-	s.takeEntry(req.Entry)
-	timer := time.NewTimer(min(req.Wait, relayWait))
+// answerPull answers a pull request of an entry process or of another control
+// process. It waits for a newer revision for at most the time in the request.
+func (s *Server) answerPull(ctx context.Context, req protocol.PullRequest) protocol.PullAnswer {
+	s.updateEntryState(req.Entry)
+	timer := time.NewTimer(min(req.Wait, pullWait))
 	defer timer.Stop()
 	for {
 		var newer bool
 		var changed chan struct{}
-		s.locked(func() {
+		s.withLock(func() {
 			newer = s.replica.Held().Revision > req.Have
 			changed = s.changed
 		})
@@ -245,39 +256,41 @@
 		}
 		break
 	}
-	return s.pullAnswer(req)
+	return s.buildPullAnswer(req)
 }
 
-func (s *Server) pullAnswer(req protocol.PullRequest) protocol.PullAnswer {
+// buildPullAnswer returns the answer to a pull request from the current state.
+func (s *Server) buildPullAnswer(req protocol.PullRequest) protocol.PullAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	held := s.replica.Held()
-	a := protocol.PullAnswer{Known: !s.replica.FreshAt().IsZero(), Halts: s.haltList()}
-	if a.Known {
-		a.Age = s.replica.Age(now)
+	answer := protocol.PullAnswer{Known: !s.replica.FreshAt().IsZero(), Halts: s.haltedVersions()}
+	if answer.Known {
+		answer.Age = s.replica.Age(now)
 	}
 	if req.Members != protocol.NoMembers {
-		a.Members = s.table.Far(delegates, now)
+		answer.Members = s.table.Far(delegateCount, now)
 	}
 	if req.Members == protocol.AllMembers {
-		a.Members = append(a.Members, s.table.Near(now)...)
-		a.Members = append(a.Members, s.table.Self())
+		answer.Members = append(answer.Members, s.table.Near(now)...)
+		answer.Members = append(answer.Members, s.table.Self())
 	}
-	for id := range s.leaving {
-		a.Leaving = append(a.Leaving, id)
+	for id := range s.leavingUpstreams {
+		answer.Leaving = append(answer.Leaving, id)
 	}
 	if held.Revision != req.Have {
-		p := document.NewPatch(s.base(req), held)
-		a.Patch = &p
+		p := document.NewPatch(s.patchBase(req), held)
+		answer.Patch = &p
 	}
-	return a
+	return answer
 }
 
-// base returns the document that the asker holds, if it is known here, so that
-// only the difference is sent. The caller holds mu.
-func (s *Server) base(req protocol.PullRequest) *document.Document {
-	for _, d := range s.recent {
+// patchBase returns the document that the requester holds if it is among the recent
+// documents, so that only the difference is sent. Otherwise it returns nil. The
+// caller holds mu.
+func (s *Server) patchBase(req protocol.PullRequest) *document.Document {
+	for _, d := range s.recentDocuments {
 		if d.Revision == req.Have && d.Hash().Short() == req.Hash {
 			return d
 		}
--- a/document/change.go
+++ b/document/change.go
@@ -43,16 +43,16 @@
 	if sections == nil {
 		sections = make(map[string]Section)
 	}
-	for _, ch := range c.Sections {
-		if ch.Removed {
-			delete(sections, ch.Name)
+	for _, section := range c.Sections {
+		if section.Removed {
+			delete(sections, section.Name)
 			continue
 		}
-		sections[ch.Name] = ch.To
+		sections[section.Name] = section.To
 	}
 	d := New(c.ToRevision, c.ID, sections)
 	if d.Hash() != c.Hash {
-		return nil, ErrWrongHash
+		return nil, ErrHashMismatch
 	}
 	return d, nil
 }
@@ -71,7 +71,7 @@
 func ContentName(h Hash) string { return contentPrefix + string(h) }
 
 // MaxContent is the platform's cap for a value.
-const MaxContent = contract.MiB
+const MaxContentSize = contract.MiB
 
 // EncodeContent returns the stored form of d. It fails when d is larger than
 // the platform takes.
@@ -80,8 +80,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if contract.Bytes(len(value)) > MaxContent {
-		return nil, fmt.Errorf("configuration is %d bytes, the platform takes %d", len(value), MaxContent)
+	if contract.Bytes(len(value)) > MaxContentSize {
+		return nil, fmt.Errorf("configuration is %d bytes, the platform takes %d", len(value), MaxContentSize)
 	}
 	return value, nil
 }
@@ -95,7 +95,7 @@
 	}
 	d := New(root.Revision, root.Change, c.Sections)
 	if d.Hash() != root.Hash {
-		return nil, ErrWrongHash
+		return nil, ErrHashMismatch
 	}
 	return d, nil
 }
--- a/document/document.go
+++ b/document/document.go
@@ -24,10 +24,10 @@
 type Hash string
 
 // shortHash is how much of a hash tells documents of one revision apart.
-const shortHash = 16
+const shortHashLength = 16
 
 // Short returns the beginning of the hash, for telling what is held.
-func (h Hash) Short() Hash { return h[:min(len(h), shortHash)] }
+func (h Hash) Short() Hash { return h[:min(len(h), shortHashLength)] }
 
 // Document is one configuration. The zero value is the empty one, revision 0.
 type Document struct {
@@ -40,7 +40,7 @@
 // New returns the document with these sections. It keeps a copy of the map.
 func New(revision contract.Revision, change contract.ChangeID, sections map[string]Section) *Document {
 	d := &Document{Revision: revision, Change: change, sections: maps.Clone(sections)}
-	d.hash = hashOf(d)
+	d.hash = computeHash(d)
 	return d
 }
 
@@ -61,7 +61,7 @@
 // Hash returns the hash over all sections; the revision is not part of it.
 func (d *Document) Hash() Hash {
 	if d.hash == "" {
-		return hashOf(d)
+		return computeHash(d)
 	}
 	return d.hash
 }
@@ -78,7 +78,7 @@
 	return b.String()
 }
 
-func hashOf(d *Document) Hash {
+func computeHash(d *Document) Hash {
 	sum := sha256.Sum256([]byte(d.Text()))
 	return Hash(hex.EncodeToString(sum[:]))
 }
@@ -93,17 +93,17 @@
 }
 
 // Diff returns the sections that differ from old to d, sorted by name.
-func Diff(old, d *Document) []SectionChange {
+func Diff(old, updated *Document) []SectionChange {
 	var changes []SectionChange
 	for _, name := range old.Names() {
-		to, has := d.sections[name]
-		if !has || to != old.sections[name] {
-			changes = append(changes, SectionChange{Name: name, From: old.sections[name], To: to, Removed: !has})
+		to, exists := updated.sections[name]
+		if !exists || to != old.sections[name] {
+			changes = append(changes, SectionChange{Name: name, From: old.sections[name], To: to, Removed: !exists})
 		}
 	}
-	for _, name := range d.Names() {
-		if _, had := old.sections[name]; !had {
-			changes = append(changes, SectionChange{Name: name, To: d.sections[name]})
+	for _, name := range updated.Names() {
+		if _, existed := old.sections[name]; !existed {
+			changes = append(changes, SectionChange{Name: name, To: updated.sections[name]})
 		}
 	}
 	slices.SortFunc(changes, func(a, b SectionChange) int { return strings.Compare(a.Name, b.Name) })
--- a/document/document_test.go
+++ b/document/document_test.go
@@ -20,7 +20,7 @@
 }
 
 // TestPatchLeadsToDocument compares a patched document with the one sent.
-func TestPatchLeadsToDocument(t *testing.T) {
+func TestPatchYieldsDocument(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		old, d := drawDocument(t, 1), drawDocument(t, 2)
 		got, err := NewPatch(old, d).Apply(old)
@@ -35,7 +35,7 @@
 
 // TestChangeLeadsToDocument applies an audit record to the document that it was
 // made from, and to others, which it refuses.
-func TestChangeLeadsToDocument(t *testing.T) {
+func TestChangeYieldsDocument(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		old, d, other := drawDocument(t, 1), drawDocument(t, 2), drawDocument(t, 1)
 		c := Change{ID: "c", ToRevision: 2, Hash: d.Hash(), Sections: Diff(old, d)}
@@ -50,32 +50,32 @@
 }
 
 // TestPatchOnWrongBase shows that a late patch changes nothing.
-func TestPatchOnWrongBase(t *testing.T) {
+func TestPatchRejectsWrongBase(t *testing.T) {
 	is := is.New(t)
 	one := New(1, "one", map[string]Section{"a": "x = 1\n"})
 	two := New(2, "two", map[string]Section{"a": "x = 2\n"})
 	_, err := NewPatch(one, two).Apply(two)
-	is.Equal(err, ErrWrongBase)
-	wrong := NewPatch(one, two)
-	wrong.Set["a"] = "x = 3\n"
-	_, err = wrong.Apply(one)
-	is.Equal(err, ErrWrongHash)
+	is.Equal(err, ErrBaseMismatch)
+	corrupted := NewPatch(one, two)
+	corrupted.Set["a"] = "x = 3\n"
+	_, err = corrupted.Apply(one)
+	is.Equal(err, ErrHashMismatch)
 }
 
 // naiveReplica takes whatever it read last, as a plain cache would.
 type naiveReplica struct{ held *Document }
 
-func (n *naiveReplica) learn(d *Document) { n.held = d }
+func (n *naiveReplica) update(d *Document) { n.held = d }
 
 // TestNeverReverts shows a stale read that takes the naive replica back to an
 // older configuration, and that Replica holds against any order of reads.
-func TestNeverReverts(t *testing.T) {
+func TestReplicaNeverReverts(t *testing.T) {
 	is := is.New(t)
 	one := New(1, "one", nil)
 	two := New(2, "two", nil)
 	naive := &naiveReplica{}
-	naive.learn(two)
-	naive.learn(one)
+	naive.update(two)
+	naive.update(one)
 	is.Equal(naive.held.Revision, contract.Revision(1)) // the naive way reverts
 
 	rapid.Check(t, func(t *rapid.T) {
@@ -95,7 +95,7 @@
 // TestFreshnessNeverFromBehind checks, against a platform whose history is
 // known, that FreshAt is never later than the time at which the held document
 // stopped being the newest. This is what the end of a serving lease rests on.
-func TestFreshnessNeverFromBehind(t *testing.T) {
+func TestFreshAtNeverTooLate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		// accepted[i] is the second at which revision i+1 was accepted.
 		var accepted []int64
@@ -104,7 +104,7 @@
 			at += rapid.Int64Range(1, 10).Draw(t, "gap")
 			accepted = append(accepted, at)
 		}
-		newestAt := func(sec int64) contract.Revision {
+		newestRevisionAt := func(sec int64) contract.Revision {
 			var n contract.Revision
 			for i, a := range accepted {
 				if a <= sec {
@@ -120,7 +120,7 @@
 			j := rapid.IntRange(0, 2).Draw(t, "from")
 			if i == j { // a read of the platform, any time late
 				r := replicas[i]
-				r.Learn(New(newestAt(sec), "c", nil), time.Unix(sec, 0))
+				r.Learn(New(newestRevisionAt(sec), "c", nil), time.Unix(sec, 0))
 			} else { // a relay from a peer
 				replicas[i].Learn(replicas[j].Held(), replicas[j].FreshAt())
 			}
--- a/document/patch.go
+++ b/document/patch.go
@@ -21,23 +21,23 @@
 
 // ErrWrongBase means that a patch does not start at the document held; the
 // whole document has to be asked for.
-var ErrWrongBase = errors.New("patch starts at another revision")
+var ErrBaseMismatch = errors.New("patch starts at another revision")
 
 // ErrWrongHash means that the patched document is not the one that was sent.
-var ErrWrongHash = errors.New("patched document has another hash")
+var ErrHashMismatch = errors.New("patched document has another hash")
 
 // NewPatch returns the patch that leads from old to d. A nil old, or one that
 // is empty, gives a patch that carries all of d.
-func NewPatch(old, d *Document) Patch {
+func NewPatch(old, updated *Document) Patch {
 	if old == nil {
 		old = &Document{}
 	}
 	p := Patch{
 		From: old.Revision, FromHash: old.Hash(),
-		To: d.Revision, ToHash: d.Hash(), Change: d.Change,
+		To: updated.Revision, ToHash: updated.Hash(), Change: updated.Change,
 		Set: make(map[string]Section),
 	}
-	for _, c := range Diff(old, d) {
+	for _, c := range Diff(old, updated) {
 		if c.Removed {
 			p.Removed = append(p.Removed, c.Name)
 			continue
@@ -54,7 +54,7 @@
 		old = &Document{} // it carries the whole
 	}
 	if p.From != old.Revision || p.FromHash != old.Hash() {
-		return nil, ErrWrongBase
+		return nil, ErrBaseMismatch
 	}
 	sections := old.Sections()
 	if sections == nil {
@@ -68,7 +68,7 @@
 	}
 	d := New(p.To, p.Change, sections)
 	if d.Hash() != p.ToHash {
-		return nil, ErrWrongHash
+		return nil, ErrHashMismatch
 	}
 	return d, nil
 }
--- a/history/history.go
+++ b/history/history.go
@@ -29,20 +29,20 @@
 // Load reads the accepted configuration. Where there is none yet it returns
 // the empty one.
 func Load(ctx context.Context, st store.Store) (Snapshot, error) {
-	o, err := st.Read(ctx, document.RootName)
+	rootObject, err := st.Read(ctx, document.RootName)
 	if errors.Is(err, store.ErrNotFound) {
 		return Snapshot{Document: document.New(0, "", nil)}, nil
 	}
 	if err != nil {
 		return Snapshot{}, contract.Fail(contract.StepWatch, "platform", err)
 	}
-	return Follow(ctx, st, o)
+	return ReadSnapshot(ctx, st, rootObject)
 }
 
 // Follow reads what a root object points at.
-func Follow(ctx context.Context, st store.Store, o store.Object) (Snapshot, error) {
+func ReadSnapshot(ctx context.Context, st store.Store, rootObject store.Object) (Snapshot, error) {
 	var root document.Root
-	if err := json.Unmarshal(o.Value, &root); err != nil {
+	if err := json.Unmarshal(rootObject.Value, &root); err != nil {
 		return Snapshot{}, contract.Fail(contract.StepWatch, "platform", err)
 	}
 	content, err := st.Read(ctx, document.ContentName(root.Hash))
@@ -50,29 +50,29 @@
 		return Snapshot{}, contract.Fail(contract.StepWatch, "platform", err)
 	}
 	d, err := document.DecodeContent(root, content.Value)
-	return Snapshot{Root: root, Version: o.Version, Document: d}, contract.Fail(contract.StepWatch, "platform", err)
+	return Snapshot{Root: root, Version: rootObject.Version, Document: d}, contract.Fail(contract.StepWatch, "platform", err)
 }
 
 // Advance returns what a root object points at, for a process that holds a
 // document already: when the root is one change further, the change's record,
 // which is as small as the change, is read in place of the whole content.
-func Advance(ctx context.Context, st store.Store, held *document.Document, o store.Object) (Snapshot, error) {
+func ReadSnapshotSince(ctx context.Context, st store.Store, held *document.Document, rootObject store.Object) (Snapshot, error) {
 	var root document.Root
-	if err := json.Unmarshal(o.Value, &root); err != nil {
+	if err := json.Unmarshal(rootObject.Value, &root); err != nil {
 		return Snapshot{}, contract.Fail(contract.StepWatch, "platform", err)
 	}
 	if root.Revision != held.Revision+1 || held.Revision == 0 {
-		return Follow(ctx, st, o)
+		return ReadSnapshot(ctx, st, rootObject)
 	}
-	c, err := ReadChange(ctx, st, root.Change)
+	change, err := ReadChange(ctx, st, root.Change)
 	if err != nil {
 		return Snapshot{}, err
 	}
-	d, err := c.Apply(held)
+	d, err := change.Apply(held)
 	if err != nil || d.Hash() != root.Hash {
-		return Follow(ctx, st, o) // held is not what the change was made from
+		return ReadSnapshot(ctx, st, rootObject) // held is not what the change was made from
 	}
-	return Snapshot{Root: root, Version: o.Version, Document: d}, nil
+	return Snapshot{Root: root, Version: rootObject.Version, Document: d}, nil
 }
 
 // Author is who makes a change, and why.
@@ -86,13 +86,13 @@
 type Conflict struct {
 	Winner document.Change
 	// Clash are the sections that both changes touch.
-	Clash []string
+	CommonSections []string
 }
 
 // Error names the winner, and where the two changes clash.
 func (c *Conflict) Error() string {
 	return fmt.Sprintf("revision %d was accepted first: %s by %s at %s; both change: %v",
-		c.Winner.ToRevision, c.Winner.ID, c.Winner.Who, c.Winner.At.Format(time.RFC3339), c.Clash)
+		c.Winner.ToRevision, c.Winner.ID, c.Winner.Who, c.Winner.At.Format(time.RFC3339), c.CommonSections)
 }
 
 // Unsettled means that nobody knows yet whether a change was accepted: the
@@ -116,7 +116,7 @@
 // each under a name of its own, then the root. A stop in between leaves
 // objects that nothing leads to. A lost reply to the root's write is settled
 // by reading back, never by writing again.
-func Publish(ctx context.Context, st store.Store, base Snapshot, sections map[string]document.Section, a Author) (document.Root, error) {
+func Publish(ctx context.Context, st store.Store, base Snapshot, sections map[string]document.Section, author Author) (document.Root, error) {
 	change := contract.ChangeID(ulid.Make().String())
 	next := document.New(base.Root.Revision+1, change, sections)
 	if _, err := config.FromDocument(next); err != nil {
@@ -128,25 +128,25 @@
 	}
 	record := document.Change{
 		ID: change, Previous: base.Root.Change, FromRevision: base.Root.Revision, ToRevision: next.Revision,
-		Who: a.Who, Why: a.Why, At: a.At, Hash: next.Hash(), Sections: document.Diff(base.Document, next),
+		Who: author.Who, Why: author.Why, At: author.At, Hash: next.Hash(), Sections: document.Diff(base.Document, next),
 	}
-	audit, err := json.Marshal(record)
+	encodedRecord, err := json.Marshal(record)
 	if err != nil {
 		return document.Root{}, contract.Fail(contract.StepApply, "", err)
 	}
-	if err := create(ctx, st, document.ContentName(next.Hash()), content); err != nil {
+	if err := createIfAbsent(ctx, st, document.ContentName(next.Hash()), content); err != nil {
 		return document.Root{}, err
 	}
-	if err := create(ctx, st, document.ChangeName(change), audit); err != nil {
+	if err := createIfAbsent(ctx, st, document.ChangeName(change), encodedRecord); err != nil {
 		return document.Root{}, err
 	}
 	root := document.Root{Revision: next.Revision, Change: change, Hash: next.Hash()}
-	return root, point(ctx, st, base, root, record)
+	return root, updateRoot(ctx, st, base, root, record)
 }
 
 // create writes an object whose name fixes its content, so that one that
 // exists already is the same one.
-func create(ctx context.Context, st store.Store, name string, value []byte) error {
+func createIfAbsent(ctx context.Context, st store.Store, name string, value []byte) error {
 	_, err := st.Create(ctx, name, value)
 	if err == nil || errors.Is(err, store.ErrExists) {
 		return nil
@@ -155,7 +155,7 @@
 }
 
 // point makes the root point at a change.
-func point(ctx context.Context, st store.Store, base Snapshot, root document.Root, record document.Change) error {
+func updateRoot(ctx context.Context, st store.Store, base Snapshot, root document.Root, record document.Change) error {
 	value, err := json.Marshal(root)
 	if err != nil {
 		return contract.Fail(contract.StepApply, "", err)
@@ -168,13 +168,13 @@
 	if err == nil {
 		return nil
 	}
-	return settle(ctx, st, record, err)
+	return resolveOutcome(ctx, st, record, err)
 }
 
 // settle finds out what became of a write of the root that gave an error: the
 // change is accepted when the chain of changes leads to it.
-func settle(ctx context.Context, st store.Store, record document.Change, cause error) error {
-	accepted, err := Accepted(ctx, st, record.ID, record.ToRevision)
+func resolveOutcome(ctx context.Context, st store.Store, record document.Change, cause error) error {
+	accepted, err := AcceptedChange(ctx, st, record.ID, record.ToRevision)
 	if err != nil {
 		return &Unsettled{Change: record.ID, Err: errors.Join(cause, err)}
 	}
@@ -188,27 +188,27 @@
 		// The root still stands where it stood, but the write may be on its way.
 		return &Unsettled{Change: record.ID, Err: cause}
 	}
-	return &Conflict{Winner: accepted, Clash: clash(record, accepted)}
+	return &Conflict{Winner: accepted, CommonSections: commonSections(record, accepted)}
 }
 
-func clash(a, b document.Change) []string {
-	touched := make(map[string]bool)
+func commonSections(a, b document.Change) []string {
+	changed := make(map[string]bool)
 	for _, s := range a.Sections {
-		touched[s.Name] = true
+		changed[s.Name] = true
 	}
-	var both []string
+	var common []string
 	for _, s := range b.Sections {
-		if touched[s.Name] {
-			both = append(both, s.Name)
+		if changed[s.Name] {
+			common = append(common, s.Name)
 		}
 	}
-	return both
+	return common
 }
 
 // Accepted returns the change that was accepted as a revision: the asked one,
 // the one that won against it, or the zero Change while the revision is not
 // reached. A stale read of the root shows an older one, never a wrong one.
-func Accepted(ctx context.Context, st store.Store, id contract.ChangeID, revision contract.Revision) (document.Change, error) {
+func AcceptedChange(ctx context.Context, st store.Store, id contract.ChangeID, revision contract.Revision) (document.Change, error) {
 	found := document.Change{}
 	err := Walk(ctx, st, func(c document.Change) bool {
 		if c.ToRevision == revision {
@@ -222,7 +222,7 @@
 // Walk calls visit with each accepted change, the newest first, until visit
 // returns false or there are no more.
 func Walk(ctx context.Context, st store.Store, visit func(document.Change) bool) error {
-	o, err := st.Read(ctx, document.RootName)
+	rootObject, err := st.Read(ctx, document.RootName)
 	if errors.Is(err, store.ErrNotFound) {
 		return nil
 	}
@@ -230,7 +230,7 @@
 		return contract.Fail(contract.StepWatch, "platform", err)
 	}
 	var root document.Root
-	if err := json.Unmarshal(o.Value, &root); err != nil {
+	if err := json.Unmarshal(rootObject.Value, &root); err != nil {
 		return contract.Fail(contract.StepWatch, "platform", err)
 	}
 	for id := root.Change; id != ""; {
@@ -249,9 +249,9 @@
 // ReadChange returns the audit record of a change.
 func ReadChange(ctx context.Context, st store.Store, id contract.ChangeID) (document.Change, error) {
 	var c document.Change
-	o, err := st.Read(ctx, document.ChangeName(id))
+	object, err := st.Read(ctx, document.ChangeName(id))
 	if err != nil {
 		return c, contract.Fail(contract.StepWatch, "platform", err)
 	}
-	return c, contract.Fail(contract.StepWatch, "platform", json.Unmarshal(o.Value, &c))
+	return c, contract.Fail(contract.StepWatch, "platform", json.Unmarshal(object.Value, &c))
 }
--- a/keys/address.go
+++ b/keys/address.go
@@ -12,35 +12,35 @@
 // known by the address it speaks from, which has to be one that the system
 // knows. QUIC shows that a peer receives at its address before it is heard, so
 // another machine cannot speak for it; links are encrypted.
-type ByAddress struct {
+type AddressIdentity struct {
 	certificate tls.Certificate
-	known       func(ip string) bool
+	isKnown     func(ip string) bool
 }
 
 // NewByAddress returns a new identity. known tells whether an IP address is one
 // of a VM of the system.
-func NewByAddress(name string, known func(ip string) bool) (*ByAddress, error) {
-	der, private, err := certificate(name)
+func NewByAddress(name string, isKnown func(ip string) bool) (*AddressIdentity, error) {
+	der, private, err := newCertificate(name)
 	if err != nil {
 		return nil, err
 	}
-	return &ByAddress{certificate: tls.Certificate{Certificate: [][]byte{der}, PrivateKey: private}, known: known}, nil
+	return &AddressIdentity{certificate: tls.Certificate{Certificate: [][]byte{der}, PrivateKey: private}, isKnown: isKnown}, nil
 }
 
 // Peer returns the IP address of a peer that the system knows.
-func (b *ByAddress) Peer(_ [][]byte, from net.Addr) (string, error) {
+func (b *AddressIdentity) Peer(_ [][]byte, from net.Addr) (string, error) {
 	host, _, err := net.SplitHostPort(from.String())
 	if err != nil {
 		return "", fmt.Errorf("%w: %w", ErrUnknownPeer, err)
 	}
-	if !b.known(host) {
+	if !b.isKnown(host) {
 		return "", fmt.Errorf("%w: %s", ErrUnknownPeer, host)
 	}
 	return host, nil
 }
 
 // TLS returns the settings of a link.
-func (b *ByAddress) TLS(protocol string) *tls.Config {
+func (b *AddressIdentity) TLS(protocol string) *tls.Config {
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		NextProtos:   []string{protocol},
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -43,17 +43,17 @@
 
 // Names of the files that Make writes.
 const (
-	PinsFile    = "pins.ini"
-	SigningFile = "signing.key"
-	pinsSection = "pins"
-	signingSize = 32
+	PinsFile       = "pins.ini"
+	SigningFile    = "signing.key"
+	pinsSection    = "pins"
+	signingKeySize = 32
 )
 
 // ErrUnknownPeer means that a peer showed no key of ours.
 var ErrUnknownPeer = errors.New("peer's key is not pinned")
 
 // lifetime of a certificate. Pins, not dates, end a key's use.
-const lifetime = 20 * 365 * 24 * time.Hour
+const certificateLifetime = 20 * 365 * 24 * time.Hour
 
 // HashKey returns the hash by which a workspace's key is known.
 func HashKey(key string) config.KeyHash {
@@ -79,7 +79,7 @@
 	pins := strings.Builder{}
 	fmt.Fprintf(&pins, "[%s]\n", pinsSection)
 	for _, name := range names {
-		pin, err := makePair(filepath.Join(dir, name+".pem"), name)
+		pin, err := writeKeyPair(filepath.Join(dir, name+".pem"), name)
 		if err != nil {
 			return err
 		}
@@ -88,24 +88,24 @@
 	if err := os.WriteFile(filepath.Join(dir, PinsFile), []byte(pins.String()), 0o600); err != nil {
 		return err
 	}
-	signing := make([]byte, signingSize)
+	signing := make([]byte, signingKeySize)
 	if _, err := rand.Read(signing); err != nil {
 		return err
 	}
 	return os.WriteFile(filepath.Join(dir, SigningFile), []byte(hex.EncodeToString(signing)+"\n"), 0o600)
 }
 
-func makePair(path, name string) (Pin, error) {
-	der, private, err := certificate(name)
+func writeKeyPair(path, name string) (Pin, error) {
+	der, private, err := newCertificate(name)
 	if err != nil {
 		return "", err
 	}
-	secret, err := x509.MarshalPKCS8PrivateKey(private)
+	encodedKey, err := x509.MarshalPKCS8PrivateKey(private)
 	if err != nil {
 		return "", err
 	}
 	text := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})
-	text = append(text, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: secret})...)
+	text = append(text, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: encodedKey})...)
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return "", err
 	}
@@ -113,7 +113,7 @@
 }
 
 // certificate returns a new certificate in DER form and its key.
-func certificate(name string) ([]byte, ed25519.PrivateKey, error) {
+func newCertificate(name string) ([]byte, ed25519.PrivateKey, error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
 		return nil, nil, err
@@ -123,7 +123,7 @@
 		Subject:      pkix.Name{CommonName: name},
 		DNSNames:     []string{name},
 		NotBefore:    time.Now().Add(-time.Hour),
-		NotAfter:     time.Now().Add(lifetime),
+		NotAfter:     time.Now().Add(certificateLifetime),
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, public, private)
 	return der, private, err
@@ -144,8 +144,8 @@
 		return nil, contract.Fail(contract.StepSettings, signingFile, err)
 	}
 	signing, err := hex.DecodeString(strings.TrimSpace(string(text)))
-	if err != nil || len(signing) != signingSize {
-		return nil, contract.Fail(contract.StepSettings, signingFile, fmt.Errorf("expected %d bytes in hex", signingSize))
+	if err != nil || len(signing) != signingKeySize {
+		return nil, contract.Fail(contract.StepSettings, signingFile, fmt.Errorf("expected %d bytes in hex", signingKeySize))
 	}
 	return &Set{Certificate: pair, Pins: pins, Signing: signing}, nil
 }
--- a/sign/sign.go
+++ b/sign/sign.go
@@ -19,10 +19,10 @@
 var ErrForged = errors.New("signature does not fit")
 
 // maxText bounds a signed text.
-const maxText = 4096
+const maxTextLength = 4096
 
 // mark stands between the content and the signature.
-const mark = "."
+const separator = "."
 
 // Key signs texts of one purpose, so that a text made for one purpose never
 // passes for another.
@@ -47,14 +47,14 @@
 		return "", err
 	}
 	content := base64.RawURLEncoding.EncodeToString(raw)
-	return content + mark + base64.RawURLEncoding.EncodeToString(k.mac(content)), nil
+	return content + separator + base64.RawURLEncoding.EncodeToString(k.mac(content)), nil
 }
 
 // Open checks a signed text and reads it into v. It reads nothing of a text
 // whose signature does not fit.
 func (k *Key) Open(text string, v any) error {
-	content, signature, ok := strings.Cut(text, mark)
-	if !ok || len(text) > maxText {
+	content, signature, ok := strings.Cut(text, separator)
+	if !ok || len(text) > maxTextLength {
 		return ErrForged
 	}
 	got, err := base64.RawURLEncoding.DecodeString(signature)
--- a/store/http.go
+++ b/store/http.go
@@ -42,8 +42,8 @@
 
 // Client speaks the object API over HTTP, with entity tags as versions.
 type Client struct {
-	base string
-	http *http.Client
+	baseURL    string
+	httpClient *http.Client
 }
 
 // Options set up a Client.
@@ -63,25 +63,25 @@
 	if timeout == 0 {
 		timeout = defaultTimeout
 	}
-	transport := &http.Transport{ResponseHeaderTimeout: timeout + maxWait, MaxIdleConnsPerHost: 8}
-	return &Client{base: opts.URL, http: &http.Client{Transport: transport}}
+	transport := &http.Transport{ResponseHeaderTimeout: timeout + maxWatchWait, MaxIdleConnsPerHost: 8}
+	return &Client{baseURL: opts.URL, httpClient: &http.Client{Transport: transport}}
 }
 
 // maxWait is the longest wait of a watch.
-const maxWait = 10 * time.Second
+const maxWatchWait = 10 * time.Second
 
 // Read returns an object.
 func (c *Client) Read(ctx context.Context, name string) (Object, error) {
-	return c.get(ctx, name, "", "")
+	return c.getObject(ctx, name, "", "")
 }
 
 // Watch waits for a version of the object other than after.
 func (c *Client) Watch(ctx context.Context, name string, after contract.ObjectVersion, wait time.Duration) (Object, error) {
-	return c.get(ctx, name, ETag(after), "?"+ParamWait+"="+min(wait, maxWait).String())
+	return c.getObject(ctx, name, ETag(after), "?"+ParamWait+"="+min(wait, maxWatchWait).String())
 }
 
-func (c *Client) get(ctx context.Context, name, tag, query string) (Object, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+ObjectsPath+name+query, nil)
+func (c *Client) getObject(ctx context.Context, name, tag, query string) (Object, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+ObjectsPath+name+query, nil)
 	if err != nil {
 		return Object{}, err
 	}
@@ -98,32 +98,32 @@
 
 // Create writes a new object.
 func (c *Client) Create(ctx context.Context, name string, value []byte) (contract.ObjectVersion, error) {
-	return c.put(ctx, name, value, HeaderIfNone, "*", ErrExists)
+	return c.putObject(ctx, name, value, HeaderIfNone, "*", ErrExists)
 }
 
 // Update replaces an object of a known version.
 func (c *Client) Update(ctx context.Context, name string, value []byte, version contract.ObjectVersion) (contract.ObjectVersion, error) {
-	return c.put(ctx, name, value, HeaderIfHas, ETag(version), ErrConflict)
+	return c.putObject(ctx, name, value, HeaderIfHas, ETag(version), ErrConflict)
 }
 
-func (c *Client) put(ctx context.Context, name string, value []byte, header, tag string, clash error) (contract.ObjectVersion, error) {
+func (c *Client) putObject(ctx context.Context, name string, value []byte, header, tag string, preconditionErr error) (contract.ObjectVersion, error) {
 	// The reader is wrapped so that the transport cannot send it a second time
 	// by itself: whether a write is tried again is decided by its caller.
 	body := io.NopCloser(bytes.NewReader(value))
-	req, err := http.NewRequestWithContext(ctx, http.MethodPut, c.base+ObjectsPath+name, body)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPut, c.baseURL+ObjectsPath+name, body)
 	if err != nil {
 		return 0, err
 	}
 	req.ContentLength = int64(len(value))
 	req.Header.Set(header, tag)
-	_, got, err := c.do(req)
-	if err == errPrecondition {
-		return 0, clash
+	_, respHeader, err := c.do(req)
+	if err == errPreconditionFailed {
+		return 0, preconditionErr
 	}
 	if err != nil {
 		return 0, err
 	}
-	return ParseETag(got.Get(HeaderETag))
+	return ParseETag(respHeader.Get(HeaderETag))
 }
 
 // List returns names under a prefix.
@@ -141,8 +141,8 @@
 	return entries, err
 }
 
-func (c *Client) getJSON(ctx context.Context, path string, into any) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path, nil)
+func (c *Client) getJSON(ctx context.Context, path string, target any) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+path, nil)
 	if err != nil {
 		return err
 	}
@@ -150,21 +150,21 @@
 	if err != nil {
 		return err
 	}
-	return json.Unmarshal(body, into)
+	return json.Unmarshal(body, target)
 }
 
 // errPrecondition is a condition that did not hold; put says which.
-var errPrecondition = fmt.Errorf("precondition failed")
+var errPreconditionFailed = fmt.Errorf("precondition failed")
 
 func (c *Client) do(req *http.Request) ([]byte, http.Header, error) {
-	resp, err := c.http.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
-		return nil, nil, contract.Fail(contract.StepPlatform, c.base, err)
+		return nil, nil, contract.Fail(contract.StepPlatform, c.baseURL, err)
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(2*contract.MiB)))
 	if err != nil {
-		return nil, nil, contract.Fail(contract.StepPlatform, c.base, err)
+		return nil, nil, contract.Fail(contract.StepPlatform, c.baseURL, err)
 	}
 	switch resp.StatusCode {
 	case http.StatusOK, http.StatusCreated:
@@ -174,9 +174,9 @@
 	case http.StatusNotFound:
 		return nil, nil, ErrNotFound
 	case http.StatusPreconditionFailed:
-		return nil, nil, errPrecondition
+		return nil, nil, errPreconditionFailed
 	case http.StatusTooManyRequests:
 		return nil, nil, ErrTooMany
 	}
-	return nil, nil, contract.Fail(contract.StepPlatform, c.base, fmt.Errorf("status %d: %.200s", resp.StatusCode, body))
+	return nil, nil, contract.Fail(contract.StepPlatform, c.baseURL, fmt.Errorf("status %d: %.200s", resp.StatusCode, body))
 }
