--- a/document/change.go
+++ b/document/change.go
@@ -8,17 +8,18 @@
 	"woaddoor/contract"
 )
 
-// Root is the one object that says which configuration is accepted. Its
-// conditional update is the moment of acceptance.
+// Root is the content of the single root object, which points at the accepted
+// configuration. A change is accepted at the moment when the conditional update of
+// this object succeeds.
 type Root struct {
 	Revision contract.Revision `json:"revision"`
 	Change   contract.ChangeID `json:"change"`
 	Hash     Hash              `json:"hash"`
 }
 
-// Change is the audit record of one change. It is written before the root
-// points at it, so an accepted change always has its record; a record that the
-// root does not lead to was never accepted.
+// Change is the audit record of one configuration change. It is written before the
+// root object points at it, so every accepted change has a record. A record that
+// cannot be reached from the root object was never accepted.
 type Change struct {
 	ID           contract.ChangeID `json:"id"`
 	Previous     contract.ChangeID `json:"previous,omitempty"`
@@ -31,13 +32,14 @@
 	Sections     []SectionChange   `json:"sections"`
 }
 
-// Content is the stored form of a document, named by its hash.
+// Content is the form in which a document is stored. Its object name contains the
+// document's hash.
 type Content struct {
 	Sections map[string]Section `json:"sections"`
 }
 
-// Apply returns the document that the change leads to from old. It fails with
-// ErrWrongHash when old is not the document that it was made from.
+// Apply returns the document that results from applying the change to old. It fails
+// with ErrHashMismatch if old is not the document that the change was made from.
 func (c Change) Apply(old *Document) (*Document, error) {
 	sections := old.Sections()
 	if sections == nil {
@@ -57,37 +59,38 @@
 	return d, nil
 }
 
-// Names of the objects in the platform's store.
+// Names and name prefixes of the configuration objects in the platform's store.
 const (
 	RootName      = "woaddoor/root"
 	changePrefix  = "woaddoor/change/"
 	contentPrefix = "woaddoor/content/"
 )
 
-// ChangeName returns the object name of a change's record.
+// ChangeName returns the object name of the audit record of a change.
 func ChangeName(id contract.ChangeID) string { return changePrefix + string(id) }
 
-// ContentName returns the object name of a document's content.
+// ContentName returns the object name of the content of a document.
 func ContentName(h Hash) string { return contentPrefix + string(h) }
 
-// MaxContent is the platform's cap for a value.
+// MaxContentSize is the platform's maximum size of an object's value.
 const MaxContentSize = contract.MiB
 
-// EncodeContent returns the stored form of d. It fails when d is larger than
-// the platform takes.
+// EncodeContent returns the encoded Content of d. It fails if the result is larger
+// than MaxContentSize.
 func EncodeContent(d *Document) ([]byte, error) {
 	value, err := json.Marshal(Content{Sections: d.sections})
 	if err != nil {
 		return nil, err
 	}
 	if contract.Bytes(len(value)) > MaxContentSize {
-		return nil, fmt.Errorf("configuration is %d bytes, the platform takes %d", len(value), MaxContentSize)
+		return nil, fmt.Errorf("configuration is %d bytes, the platform accepts at most %d", len(value), MaxContentSize)
 	}
 	return value, nil
 }
 
-// DecodeContent returns the document that root and the stored value make, and
-// fails with ErrWrongHash when the value is not what root points at.
+// DecodeContent returns the document with the revision and change ID of root and the
+// sections in the stored value. It fails with ErrHashMismatch if the hash of the
+// sections is not the one in root.
 func DecodeContent(root Root, value []byte) (*Document, error) {
 	var c Content
 	if err := json.Unmarshal(value, &c); err != nil {
--- a/document/document.go
+++ b/document/document.go
@@ -1,9 +1,10 @@
-// Package document holds one accepted configuration as a whole: named sections
-// of text under one revision.
+// Package document defines the configuration document: named sections of text with a
+// single revision.
 //
-// A Document is immutable. The operator's file and what the system itself has
-// decided (the progress of roll-outs) are sections of the same document, so
-// one revision, one conditional write and one way of distribution serve both.
+// A Document is immutable. The settings from the operator's file and the decisions of
+// the system itself (the progress of roll-outs) are sections of the same document.
+// Both therefore share one revision, one conditional write and one way of
+// distribution.
 package document
 
 import (
@@ -17,19 +18,22 @@
 	"woaddoor/contract"
 )
 
-// Section is the text of one section: lines "key = value", sorted by key.
+// Section is the text of one section: lines of the form "key = value", sorted by key.
 type Section string
 
-// Hash is the SHA-256 of a document's sections, in hex.
+// Hash is the hex-encoded SHA-256 hash of the sections of a document.
 type Hash string
 
-// shortHash is how much of a hash tells documents of one revision apart.
+// shortHashLength is the number of hex digits of a short hash. They are enough to
+// distinguish documents with the same revision.
 const shortHashLength = 16
 
-// Short returns the beginning of the hash, for telling what is held.
+// Short returns the first hex digits of the hash. A process sends them in a pull
+// request to identify the document that it holds.
 func (h Hash) Short() Hash { return h[:min(len(h), shortHashLength)] }
 
-// Document is one configuration. The zero value is the empty one, revision 0.
+// Document is one revision of the configuration. The zero value is the empty
+// document with revision 0.
 type Document struct {
 	Revision contract.Revision
 	Change   contract.ChangeID
@@ -37,28 +41,28 @@
 	hash     Hash
 }
 
-// New returns the document with these sections. It keeps a copy of the map.
+// New returns a document with the given sections. It copies the map.
 func New(revision contract.Revision, change contract.ChangeID, sections map[string]Section) *Document {
 	d := &Document{Revision: revision, Change: change, sections: maps.Clone(sections)}
 	d.hash = computeHash(d)
 	return d
 }
 
-// Names returns the names of the sections, sorted.
+// Names returns the sorted names of the sections.
 func (d *Document) Names() []string {
 	return slices.Sorted(maps.Keys(d.sections))
 }
 
-// Section returns the text of a section, and whether there is one.
+// Section returns the text of a section, and whether the section exists.
 func (d *Document) Section(name string) (Section, bool) {
 	s, ok := d.sections[name]
 	return s, ok
 }
 
-// Sections returns a copy of all sections.
+// Sections returns a copy of the map of all sections.
 func (d *Document) Sections() map[string]Section { return maps.Clone(d.sections) }
 
-// Hash returns the hash over all sections; the revision is not part of it.
+// Hash returns the hash of all sections. It does not cover the revision.
 func (d *Document) Hash() Hash {
 	if d.hash == "" {
 		return computeHash(d)
@@ -66,7 +70,7 @@
 	return d.hash
 }
 
-// Text returns the document as an INI text, sections in the order of names.
+// Text returns the document in INI format, with the sections sorted by name.
 func (d *Document) Text() string {
 	var b strings.Builder
 	for i, name := range d.Names() {
@@ -83,16 +87,16 @@
 	return Hash(hex.EncodeToString(sum[:]))
 }
 
-// SectionChange is what became of one section between two documents.
+// SectionChange is the difference in one section between two documents.
 type SectionChange struct {
 	Name string  `cbor:"1,keyasint" json:"name"`
 	From Section `cbor:"2,keyasint" json:"from,omitempty"`
 	To   Section `cbor:"3,keyasint" json:"to,omitempty"`
-	// Removed tells a removed section from one without keys.
+	// Removed distinguishes a section that was removed from one that has no keys.
 	Removed bool `cbor:"4,keyasint" json:"removed,omitempty"`
 }
 
-// Diff returns the sections that differ from old to d, sorted by name.
+// Diff returns the sections that differ between old and updated, sorted by name.
 func Diff(old, updated *Document) []SectionChange {
 	var changes []SectionChange
 	for _, name := range old.Names() {
--- a/document/document_test.go
+++ b/document/document_test.go
@@ -10,6 +10,7 @@
 	"woaddoor/contract"
 )
 
+// drawDocument returns a random document with up to four sections.
 func drawDocument(t *rapid.T, revision contract.Revision) *Document {
 	names := rapid.SliceOfDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d"}), rapid.ID[string]).Draw(t, "names")
 	sections := make(map[string]Section)
@@ -19,7 +20,8 @@
 	return New(revision, contract.ChangeID("c"), sections)
 }
 
-// TestPatchLeadsToDocument compares a patched document with the one sent.
+// TestPatchYieldsDocument checks that applying a patch to the document that it was made
+// from yields the document that it was made for.
 func TestPatchYieldsDocument(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		old, d := drawDocument(t, 1), drawDocument(t, 2)
@@ -28,28 +30,30 @@
 			t.Fatal(err)
 		}
 		if got.Hash() != d.Hash() || got.Revision != d.Revision {
-			t.Fatalf("patched to %q, sent %q", got.Text(), d.Text())
+			t.Fatalf("patch yields %q, want %q", got.Text(), d.Text())
 		}
 	})
 }
 
-// TestChangeLeadsToDocument applies an audit record to the document that it was
-// made from, and to others, which it refuses.
+// TestChangeYieldsDocument checks that applying an audit record to the document that it
+// was made from yields the new document, and that applying it to another document
+// fails unless it yields the same document.
 func TestChangeYieldsDocument(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		old, d, other := drawDocument(t, 1), drawDocument(t, 2), drawDocument(t, 1)
 		c := Change{ID: "c", ToRevision: 2, Hash: d.Hash(), Sections: Diff(old, d)}
 		got, err := c.Apply(old)
 		if err != nil || got.Hash() != d.Hash() {
-			t.Fatalf("%v: led to %q, made for %q", err, got.Text(), d.Text())
+			t.Fatalf("error %v, change yields %q, want %q", err, got.Text(), d.Text())
 		}
 		if got, err := c.Apply(other); err == nil && got.Hash() != d.Hash() {
-			t.Fatalf("led from another document to %q", got.Text())
+			t.Fatalf("change applied to another document yields %q", got.Text())
 		}
 	})
 }
 
-// TestPatchOnWrongBase shows that a late patch changes nothing.
+// TestPatchRejectsWrongBase checks that a patch cannot be applied to a document that it
+// was not made from, as when it arrives late, nor after its sections were corrupted.
 func TestPatchRejectsWrongBase(t *testing.T) {
 	is := is.New(t)
 	one := New(1, "one", map[string]Section{"a": "x = 1\n"})
@@ -62,13 +66,14 @@
 	is.Equal(err, ErrHashMismatch)
 }
 
-// naiveReplica takes whatever it read last, as a plain cache would.
+// naiveReplica keeps the document that it read last, as a plain cache would.
 type naiveReplica struct{ held *Document }
 
 func (n *naiveReplica) update(d *Document) { n.held = d }
 
-// TestNeverReverts shows a stale read that takes the naive replica back to an
-// older configuration, and that Replica holds against any order of reads.
+// TestReplicaNeverReverts checks that a Replica holds the highest revision that it has
+// seen, whatever the order of reads. A naive replica goes back to an older revision
+// after a stale read.
 func TestReplicaNeverReverts(t *testing.T) {
 	is := is.New(t)
 	one := New(1, "one", nil)
@@ -76,7 +81,7 @@
 	naive := &naiveReplica{}
 	naive.update(two)
 	naive.update(one)
-	is.Equal(naive.held.Revision, contract.Revision(1)) // the naive way reverts
+	is.Equal(naive.held.Revision, contract.Revision(1)) // the naive replica reverts
 
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewReplica()
@@ -86,15 +91,15 @@
 			r.Learn(New(rev, "c", nil), time.Unix(rapid.Int64Range(0, 9).Draw(t, "at"), 0))
 			highest = max(highest, rev)
 			if r.Held().Revision != highest {
-				t.Fatalf("held %d after seeing %d", r.Held().Revision, highest)
+				t.Fatalf("replica holds revision %d after reading revision %d", r.Held().Revision, highest)
 			}
 		}
 	})
 }
 
-// TestFreshnessNeverFromBehind checks, against a platform whose history is
-// known, that FreshAt is never later than the time at which the held document
-// stopped being the newest. This is what the end of a serving lease rests on.
+// TestFreshAtNeverTooLate checks, against a known history of accepted revisions, that
+// FreshAt is always before the time at which the held document stopped being the
+// newest. The expiry of a serving lease depends on this.
 func TestFreshAtNeverTooLate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		// accepted[i] is the second at which revision i+1 was accepted.
@@ -116,12 +121,12 @@
 		replicas := []*Replica{NewReplica(), NewReplica(), NewReplica()}
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			sec := rapid.Int64Range(0, at+5).Draw(t, "second")
-			i := rapid.IntRange(0, 2).Draw(t, "who")
-			j := rapid.IntRange(0, 2).Draw(t, "from")
-			if i == j { // a read of the platform, any time late
+			i := rapid.IntRange(0, 2).Draw(t, "replica")
+			j := rapid.IntRange(0, 2).Draw(t, "peer")
+			if i == j { // the replica reads from the platform, possibly a stale revision
 				r := replicas[i]
 				r.Learn(New(newestRevisionAt(sec), "c", nil), time.Unix(sec, 0))
-			} else { // a relay from a peer
+			} else { // the replica pulls from a peer
 				replicas[i].Learn(replicas[j].Held(), replicas[j].FreshAt())
 			}
 			for _, r := range replicas {
--- a/document/patch.go
+++ b/document/patch.go
@@ -6,9 +6,9 @@
 	"woaddoor/contract"
 )
 
-// Patch carries a document from one VM to another. It holds only the sections
-// that changed since From, so that a change costs its own size and not that
-// of the whole document; From zero carries the whole.
+// Patch transfers a document from one VM to another. It holds only the sections that
+// changed since the revision From, so that its size depends on the change and not on
+// the whole document. If From is zero, the patch holds the whole document.
 type Patch struct {
 	From     contract.Revision  `cbor:"1,keyasint"`
 	FromHash Hash               `cbor:"2,keyasint"`
@@ -19,15 +19,16 @@
 	Removed  []string           `cbor:"7,keyasint"`
 }
 
-// ErrWrongBase means that a patch does not start at the document held; the
-// whole document has to be asked for.
-var ErrBaseMismatch = errors.New("patch starts at another revision")
+// ErrBaseMismatch means that a patch was not made from the document that it was
+// applied to. The whole document has to be requested instead.
+var ErrBaseMismatch = errors.New("patch was made from a different document")
 
-// ErrWrongHash means that the patched document is not the one that was sent.
-var ErrHashMismatch = errors.New("patched document has another hash")
+// ErrHashMismatch means that the sections of a received or stored document do not
+// have the expected hash.
+var ErrHashMismatch = errors.New("document does not have the expected hash")
 
-// NewPatch returns the patch that leads from old to d. A nil old, or one that
-// is empty, gives a patch that carries all of d.
+// NewPatch returns the patch that turns old into updated. If old is nil or empty, the
+// patch holds all sections of updated.
 func NewPatch(old, updated *Document) Patch {
 	if old == nil {
 		old = &Document{}
@@ -47,11 +48,11 @@
 	return p
 }
 
-// Apply returns the document that p leads to. It fails with ErrWrongBase or
-// ErrWrongHash and then changes nothing.
+// Apply returns the document that results from applying p to old. It fails with
+// ErrBaseMismatch or ErrHashMismatch. It never modifies old.
 func (p Patch) Apply(old *Document) (*Document, error) {
 	if p.From == 0 {
-		old = &Document{} // it carries the whole
+		old = &Document{} // the patch holds the whole document
 	}
 	if p.From != old.Revision || p.FromHash != old.Hash() {
 		return nil, ErrBaseMismatch
--- a/document/replica.go
+++ b/document/replica.go
@@ -6,31 +6,34 @@
 	"woaddoor/contract"
 )
 
-// Replica is the configuration that one process holds, and how fresh its
-// knowledge is. It is a pure state machine: the time is given with each event.
+// Replica holds the configuration document of one process and the time up to which it
+// was known to be the newest. It reads no clock: callers pass the time to each method.
 //
-// Two rules keep "never reverts" and "withdrawn gets no new work":
-//   - the held revision only rises, whatever is read from whom in which order;
+// Two rules guarantee that the configuration never reverts and that a withdrawn
+// version gets no new work:
+//   - the revision of the held document never decreases, whatever is read from which
+//     source in which order;
 //   - FreshAt is the latest time at which the platform is known to have had no
-//     newer revision than the held one. It is counted on this VM's own clock
-//     from before the question was asked, so no clocks are compared.
+//     newer revision than the held one. It is the time on this VM's own clock before
+//     the request was sent, so the clocks of different VMs are never compared.
 type Replica struct {
 	held    *Document
 	freshAt time.Time
 }
 
-// NewReplica returns a replica that holds the empty document and knows nothing.
+// NewReplica returns a replica that holds the empty document and whose freshness is
+// unknown.
 func NewReplica() *Replica { return &Replica{held: &Document{}} }
 
-// Held returns the document held; revision 0 when there is none yet.
+// Held returns the current document. It has revision 0 until a document is learned.
 func (r *Replica) Held() *Document { return r.held }
 
-// FreshAt returns the time up to which the held document was the platform's
-// newest. The zero time means "never known".
+// FreshAt returns the latest time at which the held document is known to have been
+// the platform's newest. The zero time means that it was never known to be.
 func (r *Replica) FreshAt() time.Time { return r.freshAt }
 
-// Age returns how old the knowledge is at now. It is the largest duration when
-// nothing was ever known.
+// Age returns the time from FreshAt to now. It returns the largest possible duration
+// if FreshAt is zero.
 func (r *Replica) Age(now time.Time) time.Duration {
 	if r.freshAt.IsZero() {
 		return time.Duration(1<<63 - 1)
@@ -38,20 +41,22 @@
 	return max(now.Sub(r.freshAt), 0)
 }
 
-// Learn takes in d, which some source knew to be the platform's newest at
-// freshAt (this VM's clock). It returns whether a newer document is now held.
+// Learn offers the replica a document that a source knew to be the platform's newest
+// at freshAt, a time on this VM's clock. It returns whether d replaced the held
+// document.
 //
-// An older document than the held one says nothing about now: its source was
-// behind, so neither the document nor its freshness counts.
+// A document older than the held one comes from a source that was behind, so Learn
+// ignores both the document and freshAt.
 func (r *Replica) Learn(d *Document, freshAt time.Time) bool {
 	if d.Revision < r.held.Revision {
 		return false
 	}
-	newer := d.Revision > r.held.Revision
-	if newer {
+	isNewer := d.Revision > r.held.Revision
+	if isNewer {
 		r.held = d
-		// The older knowledge was about an older document and may be ahead in
-		// time only when it was wrong: a source that lagged. Start anew.
+		// The previous freshAt belongs to an older document. It can be later than
+		// the new one only if it was wrong, because its source lagged behind, so
+		// replace it.
 		r.freshAt = freshAt
 		return true
 	}
@@ -61,8 +66,8 @@
 	return false
 }
 
-// Confirm notes that the platform's newest revision was revision at freshAt.
-// It returns false when that is not the one held, and then changes nothing.
+// Confirm records that revision was the platform's newest revision at freshAt. If it is
+// not the revision of the held document, Confirm changes nothing and returns false.
 func (r *Replica) Confirm(revision contract.Revision, freshAt time.Time) bool {
 	if revision != r.held.Revision {
 		return false
--- a/history/history.go
+++ b/history/history.go
@@ -1,6 +1,6 @@
-// Package history reads and writes the accepted configuration in the
-// platform's store. Each change is one conditional write of one root object,
-// so it is accepted as a whole or not at all; each leaves its audit record.
+// Package history reads and writes the accepted configuration in the platform's
+// store. A change is accepted by a single conditional write of the root object, so it
+// is accepted as a whole or not at all. Every accepted change has an audit record.
 package history
 
 import (
@@ -18,16 +18,17 @@
 	"woaddoor/store"
 )
 
-// Snapshot is the accepted configuration at the time it was read.
+// Snapshot is the accepted configuration at the time when it was read.
 type Snapshot struct {
 	Root document.Root
-	// Version is the root object's; zero means that there is none yet.
+	// Version is the object version of the root object. Zero means that the root
+	// object does not exist yet.
 	Version  contract.ObjectVersion
 	Document *document.Document
 }
 
-// Load reads the accepted configuration. Where there is none yet it returns
-// the empty one.
+// Load reads the accepted configuration. If there is none yet, it returns an empty
+// document.
 func Load(ctx context.Context, st store.Store) (Snapshot, error) {
 	rootObject, err := st.Read(ctx, document.RootName)
 	if errors.Is(err, store.ErrNotFound) {
@@ -39,7 +40,7 @@
 	return ReadSnapshot(ctx, st, rootObject)
 }
 
-// Follow reads what a root object points at.
+// ReadSnapshot reads the configuration that a root object points at.
 func ReadSnapshot(ctx context.Context, st store.Store, rootObject store.Object) (Snapshot, error) {
 	var root document.Root
 	if err := json.Unmarshal(rootObject.Value, &root); err != nil {
@@ -53,9 +54,10 @@
 	return Snapshot{Root: root, Version: rootObject.Version, Document: d}, contract.Fail(contract.StepWatch, "platform", err)
 }
 
-// Advance returns what a root object points at, for a process that holds a
-// document already: when the root is one change further, the change's record,
-// which is as small as the change, is read in place of the whole content.
+// ReadSnapshotSince returns the configuration that a root object points at, for a
+// process that already holds a document. If the root is exactly one change ahead of
+// held, it reads only the audit record of that change, whose size depends on the
+// change. Otherwise it reads the whole content.
 func ReadSnapshotSince(ctx context.Context, st store.Store, held *document.Document, rootObject store.Object) (Snapshot, error) {
 	var root document.Root
 	if err := json.Unmarshal(rootObject.Value, &root); err != nil {
@@ -70,52 +72,53 @@
 	}
 	d, err := change.Apply(held)
 	if err != nil || d.Hash() != root.Hash {
-		return ReadSnapshot(ctx, st, rootObject) // held is not what the change was made from
+		return ReadSnapshot(ctx, st, rootObject) // the change was made from a document other than held
 	}
 	return Snapshot{Root: root, Version: rootObject.Version, Document: d}, nil
 }
 
-// Author is who makes a change, and why.
+// Author is the author, the reason and the time of a change.
 type Author struct {
 	Who, Why string
 	At       time.Time
 }
 
-// Conflict means that another change was accepted first. Nothing of this one
-// is in force.
+// Conflict means that another change was accepted first. No part of the rejected
+// change is in force.
 type Conflict struct {
 	Winner document.Change
-	// Clash are the sections that both changes touch.
+	// CommonSections are the names of the sections that both changes modify.
 	CommonSections []string
 }
 
-// Error names the winner, and where the two changes clash.
+// Error names the change that was accepted, and the sections that both changes modify.
 func (c *Conflict) Error() string {
 	return fmt.Sprintf("revision %d was accepted first: %s by %s at %s; both change: %v",
 		c.Winner.ToRevision, c.Winner.ID, c.Winner.Who, c.Winner.At.Format(time.RFC3339), c.CommonSections)
 }
 
-// Unsettled means that nobody knows yet whether a change was accepted: the
-// platform could not be asked. Its id finds out later.
+// Unsettled means that it is unknown whether a change was accepted, because the
+// platform could not be read or the write may still be in progress. The ID of the
+// change shows the outcome later.
 type Unsettled struct {
 	Change contract.ChangeID
 	Err    error
 }
 
-// Error names the change.
+// Error names the change whose outcome is unknown.
 func (u *Unsettled) Error() string {
 	return fmt.Sprintf("it is not known whether change %s was accepted: %v; ask again with its id", u.Change, u.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error that left the outcome unknown.
 func (u *Unsettled) Unwrap() error { return u.Err }
 
-// Publish makes the sections the successor of base.
+// Publish makes a configuration with the given sections the successor of base.
 //
-// The order of writes is what makes it safe: content and audit record first,
-// each under a name of its own, then the root. A stop in between leaves
-// objects that nothing leads to. A lost reply to the root's write is settled
-// by reading back, never by writing again.
+// It writes the content and the audit record first, each under a unique name, and the
+// root object last. If it is interrupted, it leaves objects that cannot be reached
+// from the root. If the reply to the write of the root is lost, Publish reads the root
+// to find out the outcome, and never writes it again.
 func Publish(ctx context.Context, st store.Store, base Snapshot, sections map[string]document.Section, author Author) (document.Root, error) {
 	change := contract.ChangeID(ulid.Make().String())
 	next := document.New(base.Root.Revision+1, change, sections)
@@ -144,8 +147,8 @@
 	return root, updateRoot(ctx, st, base, root, record)
 }
 
-// create writes an object whose name fixes its content, so that one that
-// exists already is the same one.
+// createIfAbsent writes an object whose name determines its content. It succeeds if
+// the object already exists, because the existing object is identical.
 func createIfAbsent(ctx context.Context, st store.Store, name string, value []byte) error {
 	_, err := st.Create(ctx, name, value)
 	if err == nil || errors.Is(err, store.ErrExists) {
@@ -154,7 +157,8 @@
 	return contract.Fail(contract.StepApply, "platform", err)
 }
 
-// point makes the root point at a change.
+// updateRoot makes the root object point at a change, and finds out the outcome if the
+// write fails.
 func updateRoot(ctx context.Context, st store.Store, base Snapshot, root document.Root, record document.Change) error {
 	value, err := json.Marshal(root)
 	if err != nil {
@@ -171,8 +175,8 @@
 	return resolveOutcome(ctx, st, record, err)
 }
 
-// settle finds out what became of a write of the root that gave an error: the
-// change is accepted when the chain of changes leads to it.
+// resolveOutcome finds out whether a write of the root object that returned an error
+// took effect. The change is accepted if it is in the chain of accepted changes.
 func resolveOutcome(ctx context.Context, st store.Store, record document.Change, cause error) error {
 	accepted, err := AcceptedChange(ctx, st, record.ID, record.ToRevision)
 	if err != nil {
@@ -185,12 +189,13 @@
 		return contract.Fail(contract.StepApply, "platform", cause)
 	}
 	if accepted.ID == "" {
-		// The root still stands where it stood, but the write may be on its way.
+		// The root object has not changed, but the write may still take effect.
 		return &Unsettled{Change: record.ID, Err: cause}
 	}
 	return &Conflict{Winner: accepted, CommonSections: commonSections(record, accepted)}
 }
 
+// commonSections returns the names of the sections that both changes modify.
 func commonSections(a, b document.Change) []string {
 	changed := make(map[string]bool)
 	for _, s := range a.Sections {
@@ -205,9 +210,10 @@
 	return common
 }
 
-// Accepted returns the change that was accepted as a revision: the asked one,
-// the one that won against it, or the zero Change while the revision is not
-// reached. A stale read of the root shows an older one, never a wrong one.
+// AcceptedChange returns the change that was accepted as the given revision: the one
+// with the given ID, a competing one, or the zero Change if that revision has not been
+// reached. A stale read of the root object gives an older revision, never a wrong
+// change.
 func AcceptedChange(ctx context.Context, st store.Store, id contract.ChangeID, revision contract.Revision) (document.Change, error) {
 	found := document.Change{}
 	err := Walk(ctx, st, func(c document.Change) bool {
@@ -219,8 +225,8 @@
 	return found, err
 }
 
-// Walk calls visit with each accepted change, the newest first, until visit
-// returns false or there are no more.
+// Walk calls visit for each accepted change, from the newest to the oldest, until visit
+// returns false.
 func Walk(ctx context.Context, st store.Store, visit func(document.Change) bool) error {
 	rootObject, err := st.Read(ctx, document.RootName)
 	if errors.Is(err, store.ErrNotFound) {
--- a/history/history_test.go
+++ b/history/history_test.go
@@ -15,6 +15,7 @@
 	"woaddoor/store"
 )
 
+// testSections returns sections whose content depends on seed.
 func testSections(seed int) map[string]document.Section {
 	return map[string]document.Section{
 		"model m":     "serve = m@1\n",
@@ -24,7 +25,9 @@
 
 var testAuthor = Author{Who: "ana", Why: "test", At: time.Unix(0, 0)}
 
-// TestRacingOperators shows the loser who won and where they clash.
+// TestConcurrentPublishConflicts checks that of two changes made from the same
+// configuration only the first is accepted, and that the error for the second names
+// the author of the first and the sections that both modify.
 func TestConcurrentPublishConflicts(t *testing.T) {
 	is := is.New(t)
 	store := standin.New().View("a")
@@ -39,10 +42,11 @@
 	is.Equal(conflict.CommonSections, []string{"model m", "version m@1"})
 	now, err := Load(t.Context(), store)
 	is.NoErr(err)
-	is.Equal(now.Document.Hash(), document.New(1, "", testSections(1)).Hash()) // nothing merged
+	is.Equal(now.Document.Hash(), document.New(1, "", testSections(1)).Hash()) // no part of the second change was merged
 }
 
-// naivePublish tries again when a reply is lost, on what it reads then.
+// naivePublish publishes like Publish, but when a write of the root object fails, it
+// reads the configuration and writes again. It returns the number of attempts.
 func naivePublish(t *rapid.T, store store.Store, sections map[string]document.Section) int {
 	for attempt := 1; ; attempt++ {
 		base, err := Load(t.Context(), store)
@@ -64,8 +68,9 @@
 	}
 }
 
-// TestLostReplies draws lost replies at any write. A change is accepted once,
-// and Publish says so truthfully; the naive retry accepts it twice.
+// TestPublishWithLostReplies checks that a change is accepted exactly once when the
+// platform's replies to any writes are lost, and that Publish returns the true
+// outcome. Retrying the write, as naivePublish does, gets the change accepted twice.
 func TestPublishWithLostReplies(t *testing.T) {
 	acceptedTwice := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -91,7 +96,7 @@
 				wantRevision++
 			}
 			if now.Root.Revision != wantRevision || err == nil && now.Root != root {
-				t.Fatalf("error %v, root %+v, want revision %d", err, now.Root, wantRevision)
+				t.Fatalf("Publish returned error %v, root object is %+v, want revision %d", err, now.Root, wantRevision)
 			}
 			records := 0
 			if err := Walk(t.Context(), store, func(document.Change) bool { records++; return true }); err != nil {
--- a/keys/address.go
+++ b/keys/address.go
@@ -7,18 +7,18 @@
 	"net"
 )
 
-// ByAddress is the identity of a VM whose deployment hands out no secrets: its
-// key is made at each start and lasts as long as the process, and a peer is
-// known by the address it speaks from, which has to be one that the system
-// knows. QUIC shows that a peer receives at its address before it is heard, so
-// another machine cannot speak for it; links are encrypted.
+// AddressIdentity is the identity of a process whose deployment distributes no
+// secrets. It generates a key pair at each start, and identifies a peer by its IP
+// address, which has to belong to a known VM of the system. QUIC validates that a peer
+// receives packets at its address before it accepts any data, so another machine
+// cannot impersonate that peer. Links are encrypted.
 type AddressIdentity struct {
 	certificate tls.Certificate
 	isKnown     func(ip string) bool
 }
 
-// NewByAddress returns a new identity. known tells whether an IP address is one
-// of a VM of the system.
+// NewByAddress returns an AddressIdentity with a new key pair. isKnown returns whether
+// an IP address belongs to a VM of the system.
 func NewByAddress(name string, isKnown func(ip string) bool) (*AddressIdentity, error) {
 	der, private, err := newCertificate(name)
 	if err != nil {
@@ -27,7 +27,8 @@
 	return &AddressIdentity{certificate: tls.Certificate{Certificate: [][]byte{der}, PrivateKey: private}, isKnown: isKnown}, nil
 }
 
-// Peer returns the IP address of a peer that the system knows.
+// Peer returns the IP address of a peer, or ErrUnknownPeer if it does not belong to a
+// known VM.
 func (b *AddressIdentity) Peer(_ [][]byte, from net.Addr) (string, error) {
 	host, _, err := net.SplitHostPort(from.String())
 	if err != nil {
@@ -39,17 +40,19 @@
 	return host, nil
 }
 
-// TLS returns the settings of a link.
+// TLS returns the TLS configuration of a link. It accepts any peer certificate.
 func (b *AddressIdentity) TLS(protocol string) *tls.Config {
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		NextProtos:   []string{protocol},
 		Certificates: []tls.Certificate{b.certificate},
-		// One curve: the hybrid that is preferred otherwise makes the first packet
-		// two, and takes as long again, on VMs with a fifth of a core that dozens
-		// of others call at once after a loss of power.
+		// Allow only X25519. With the hybrid key exchange that Go prefers by
+		// default, the first message needs two packets and the handshake takes
+		// twice as long. That is too slow on a VM with a fifth of a core that
+		// dozens of other VMs call at once after a loss of power.
 		CurvePreferences: []tls.CurveID{tls.X25519},
-		// There is no authority and no pin: who speaks is known by address.
+		// There is no certificate authority and no pinned key: the address
+		// identifies the peer.
 		InsecureSkipVerify: true,
 		VerifyPeerCertificate: func([][]byte, [][]*x509.Certificate) error {
 			return nil
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -1,9 +1,9 @@
-// Package keys holds what the system's processes know each other by: a key
-// pair a process, the pins of its peers' public keys, and the key that signs
-// session tokens and tickets.
+// Package keys provides the keys with which the system's processes authenticate each
+// other: a key pair for each process, the pinned public keys of its peers, and the key
+// that signs session tokens and tickets.
 //
-// There is no certificate authority: a certificate counts only when the hash
-// of its public key is pinned, so a revoked process is a removed line.
+// There is no certificate authority. A certificate is accepted only if the hash of its
+// public key is pinned, so removing a line from the pins file revokes a process.
 package keys
 
 import (
@@ -29,39 +29,43 @@
 	"woaddoor/contract"
 )
 
-// Pin is the SHA-256 of a public key, in hex.
+// Pin is the hex-encoded SHA-256 hash of a public key.
 type Pin string
 
-// Set is what one process holds.
+// Set holds the keys of one process.
 type Set struct {
 	Certificate tls.Certificate
-	// Pins gives the name of the peer that each pinned key belongs to.
+	// Pins maps each pinned key to the name of the peer that it belongs to.
 	Pins map[Pin]string
-	// Signing signs session tokens and tickets; the whole fleet shares it.
+	// Signing is the key that signs session tokens and tickets. All processes of
+	// the fleet share it.
 	Signing []byte
 }
 
-// Names of the files that Make writes.
+// Names and formats of the files that Make writes.
 const (
 	PinsFile       = "pins.ini"
 	SigningFile    = "signing.key"
 	pinsSection    = "pins"
-	signingKeySize = 32
+	signingKeySize = 32 // bytes
 )
 
-// ErrUnknownPeer means that a peer showed no key of ours.
+// ErrUnknownPeer means that a peer presented no pinned key, or connects from an address
+// of no known VM.
 var ErrUnknownPeer = errors.New("peer's key is not pinned")
 
-// lifetime of a certificate. Pins, not dates, end a key's use.
+// certificateLifetime is long because keys are revoked by removing their pins, not by
+// expiry.
 const certificateLifetime = 20 * 365 * 24 * time.Hour
 
-// HashKey returns the hash by which a workspace's key is known.
+// HashKey returns the hash of a workspace's API key. Settings identify the API key by
+// this hash.
 func HashKey(key string) config.KeyHash {
 	sum := sha256.Sum256([]byte(key))
 	return config.KeyHash(hex.EncodeToString(sum[:]))
 }
 
-// PinOf returns the pin of a certificate in DER form.
+// PinOf returns the pin of the public key in a DER-encoded certificate.
 func PinOf(der []byte) (Pin, error) {
 	cert, err := x509.ParseCertificate(der)
 	if err != nil {
@@ -71,7 +75,8 @@
 	return Pin(hex.EncodeToString(sum[:])), nil
 }
 
-// Make writes a key pair for each name, their pins and a signing key into dir.
+// Make writes a new key pair for each name, a file with all their pins, and a new
+// signing key into dir.
 func Make(dir string, names []string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
@@ -88,13 +93,15 @@
 	if err := os.WriteFile(filepath.Join(dir, PinsFile), []byte(pins.String()), 0o600); err != nil {
 		return err
 	}
-	signing := make([]byte, signingKeySize)
-	if _, err := rand.Read(signing); err != nil {
+	signingKey := make([]byte, signingKeySize)
+	if _, err := rand.Read(signingKey); err != nil {
 		return err
 	}
-	return os.WriteFile(filepath.Join(dir, SigningFile), []byte(hex.EncodeToString(signing)+"\n"), 0o600)
+	return os.WriteFile(filepath.Join(dir, SigningFile), []byte(hex.EncodeToString(signingKey)+"\n"), 0o600)
 }
 
+// writeKeyPair generates a certificate and its private key, writes both to a PEM file,
+// and returns the pin.
 func writeKeyPair(path, name string) (Pin, error) {
 	der, private, err := newCertificate(name)
 	if err != nil {
@@ -112,7 +119,8 @@
 	return PinOf(der)
 }
 
-// certificate returns a new certificate in DER form and its key.
+// newCertificate returns a new self-signed certificate in DER encoding, and its private
+// key.
 func newCertificate(name string) ([]byte, ed25519.PrivateKey, error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -129,7 +137,7 @@
 	return der, private, err
 }
 
-// Load reads a process's pair, the pins and the signing key.
+// Load reads the key pair of a process, the pins and the signing key from files.
 func Load(pairFile, pinsFile, signingFile string) (*Set, error) {
 	pair, err := tls.LoadX509KeyPair(pairFile, pairFile)
 	if err != nil {
@@ -143,13 +151,14 @@
 	if err != nil {
 		return nil, contract.Fail(contract.StepSettings, signingFile, err)
 	}
-	signing, err := hex.DecodeString(strings.TrimSpace(string(text)))
-	if err != nil || len(signing) != signingKeySize {
+	signingKey, err := hex.DecodeString(strings.TrimSpace(string(text)))
+	if err != nil || len(signingKey) != signingKeySize {
 		return nil, contract.Fail(contract.StepSettings, signingFile, fmt.Errorf("expected %d bytes in hex", signingKeySize))
 	}
-	return &Set{Certificate: pair, Pins: pins, Signing: signing}, nil
+	return &Set{Certificate: pair, Pins: pins, Signing: signingKey}, nil
 }
 
+// loadPins reads the pins file.
 func loadPins(path string) (map[Pin]string, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -166,13 +175,14 @@
 		}
 	}
 	if len(pins) == 0 {
-		return nil, fmt.Errorf("[%s] is empty: expected lines of pin = name", pinsSection)
+		return nil, fmt.Errorf("section [%s] is empty: expected lines \"pin = name\"", pinsSection)
 	}
 	return pins, nil
 }
 
-// Peer returns the name that a certificate is pinned under, or ErrUnknownPeer.
-// Every pin is compared in constant time.
+// Peer returns the name of the peer whose pinned key is in the first certificate, or
+// ErrUnknownPeer if that key is not pinned. It compares every pin, each in constant
+// time.
 func (s *Set) Peer(raw [][]byte, _ net.Addr) (string, error) {
 	if len(raw) == 0 {
 		return "", ErrUnknownPeer
@@ -182,9 +192,9 @@
 		return "", ErrUnknownPeer
 	}
 	name := ""
-	for pin, n := range s.Pins {
+	for pin, pinnedName := range s.Pins {
 		if subtle.ConstantTimeCompare([]byte(pin), []byte(got)) == 1 {
-			name = n
+			name = pinnedName
 		}
 	}
 	if name == "" {
@@ -193,15 +203,15 @@
 	return name, nil
 }
 
-// TLS returns the settings of a link: both sides show a pinned key.
+// TLS returns the TLS configuration of a link. Both sides have to present a pinned key.
 func (s *Set) TLS(protocol string) *tls.Config {
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		NextProtos:   []string{protocol},
 		Certificates: []tls.Certificate{s.Certificate},
 		ClientAuth:   tls.RequireAnyClientCert,
-		// The chain is not checked by the library since there is no authority;
-		// the pin is checked instead, on both sides.
+		// crypto/tls cannot verify a certificate chain, because there is no
+		// certificate authority. Both sides verify the pin instead.
 		InsecureSkipVerify: true,
 		VerifyPeerCertificate: func(raw [][]byte, _ [][]*x509.Certificate) error {
 			_, err := s.Peer(raw, nil)
--- a/sign/sign.go
+++ b/sign/sign.go
@@ -1,8 +1,8 @@
-// Package sign makes and checks signed texts: what a caller carries from one
-// VM to another in place of the memory that VMs do not have.
+// Package sign creates and verifies signed texts, such as session tokens. Clients
+// carry them from one VM to another, because VMs share no state.
 //
-// The signature is HMAC-SHA256 under a key that the fleet shares. The text is
-// not secret, but nobody outside the fleet can make or alter one.
+// The signature is an HMAC-SHA256 with a key that the whole fleet shares. The content
+// of a text is not encrypted, but nobody outside the fleet can create or alter a text.
 package sign
 
 import (
@@ -15,32 +15,34 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrForged means that a text was not signed with this key for this purpose.
-var ErrForged = errors.New("signature does not fit")
+// ErrForged means that a text is malformed, or was not signed with this key for this
+// purpose.
+var ErrForged = errors.New("signature is not valid")
 
-// maxText bounds a signed text.
+// maxTextLength is the maximum length of a signed text in bytes.
 const maxTextLength = 4096
 
-// mark stands between the content and the signature.
+// separator separates the content of a signed text from the signature.
 const separator = "."
 
-// Key signs texts of one purpose, so that a text made for one purpose never
-// passes for another.
+// Key signs and verifies texts for one purpose. A text that was signed for one purpose
+// is not valid for another.
 type Key struct {
 	secret  []byte
 	purpose string
 }
 
-// NewKey returns the key for a purpose.
+// NewKey returns a Key that uses secret for the given purpose.
 func NewKey(secret []byte, purpose string) *Key { return &Key{secret: secret, purpose: purpose} }
 
+// mac returns the HMAC of the purpose and the content.
 func (k *Key) mac(content string) []byte {
 	h := hmac.New(sha256.New, k.secret)
 	h.Write([]byte(k.purpose + "\x00" + content))
 	return h.Sum(nil)
 }
 
-// Sign returns the signed text of v.
+// Sign returns a signed text that contains v, encoded as CBOR.
 func (k *Key) Sign(v any) (string, error) {
 	raw, err := cbor.Marshal(v)
 	if err != nil {
@@ -50,8 +52,8 @@
 	return content + separator + base64.RawURLEncoding.EncodeToString(k.mac(content)), nil
 }
 
-// Open checks a signed text and reads it into v. It reads nothing of a text
-// whose signature does not fit.
+// Open verifies a signed text and decodes its content into v. It decodes nothing if the
+// signature is not valid.
 func (k *Key) Open(text string, v any) error {
 	content, signature, ok := strings.Cut(text, separator)
 	if !ok || len(text) > maxTextLength {
--- a/store/http.go
+++ b/store/http.go
@@ -14,7 +14,8 @@
 	"woaddoor/contract"
 )
 
-// Names of the HTTP API, shared with the stand-in.
+// Paths, query parameters and headers of the platform's HTTP API. The stand-in of the
+// platform in the tests uses them too.
 const (
 	ObjectsPath  = "/objects/"
 	ListPath     = "/objects"
@@ -27,10 +28,10 @@
 	HeaderETag   = "ETag"
 )
 
-// ETag returns the entity tag of a version.
+// ETag returns the HTTP entity tag that represents an object version.
 func ETag(v contract.ObjectVersion) string { return `"` + strconv.FormatUint(uint64(v), 10) + `"` }
 
-// ParseETag returns the version of an entity tag.
+// ParseETag returns the object version that an HTTP entity tag represents.
 func ParseETag(tag string) (contract.ObjectVersion, error) {
 	unquoted, err := strconv.Unquote(tag)
 	if err != nil {
@@ -40,24 +41,27 @@
 	return contract.ObjectVersion(n), err
 }
 
-// Client speaks the object API over HTTP, with entity tags as versions.
+// Client accesses the platform's object API over HTTP. Entity tags carry the object
+// versions.
 type Client struct {
 	baseURL    string
 	httpClient *http.Client
 }
 
-// Options set up a Client.
+// Options configures a Client.
 type Options struct {
-	// URL is the base of the platform's API, such as "http://10.0.0.1:7000".
+	// URL is the base URL of the platform's API, such as "http://10.0.0.1:7000".
 	URL string
-	// Timeout bounds each call, beyond the wait of a watch. Zero means 2 s.
+	// Timeout limits how long the client waits for the response headers of a call,
+	// in addition to the maximum wait of a watch. Zero means 2 s.
 	Timeout time.Duration
 }
 
-// defaultTimeout bounds a call to a service that answers in milliseconds.
+// defaultTimeout is the Timeout if Options sets none. The platform normally answers
+// within milliseconds.
 const defaultTimeout = 2 * time.Second
 
-// NewClient returns a client of the platform at opts.URL.
+// NewClient returns a client for the platform's API at opts.URL.
 func NewClient(opts *Options) *Client {
 	timeout := opts.Timeout
 	if timeout == 0 {
@@ -67,19 +71,22 @@
 	return &Client{baseURL: opts.URL, httpClient: &http.Client{Transport: transport}}
 }
 
-// maxWait is the longest wait of a watch.
+// maxWatchWait is the longest time that a watch may wait for a new version.
 const maxWatchWait = 10 * time.Second
 
-// Read returns an object.
+// Read returns the object with the given name, or ErrNotFound.
 func (c *Client) Read(ctx context.Context, name string) (Object, error) {
 	return c.getObject(ctx, name, "", "")
 }
 
-// Watch waits for a version of the object other than after.
+// Watch waits for a version of the object other than after, for at most wait or
+// maxWatchWait.
 func (c *Client) Watch(ctx context.Context, name string, after contract.ObjectVersion, wait time.Duration) (Object, error) {
 	return c.getObject(ctx, name, ETag(after), "?"+ParamWait+"="+min(wait, maxWatchWait).String())
 }
 
+// getObject reads an object. A non-empty tag is sent as If-None-Match; query is
+// appended to the URL.
 func (c *Client) getObject(ctx context.Context, name, tag, query string) (Object, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+ObjectsPath+name+query, nil)
 	if err != nil {
@@ -96,19 +103,22 @@
 	return Object{Name: name, Version: version, Value: body}, err
 }
 
-// Create writes a new object.
+// Create writes a new object, or returns ErrExists if it already exists.
 func (c *Client) Create(ctx context.Context, name string, value []byte) (contract.ObjectVersion, error) {
 	return c.putObject(ctx, name, value, HeaderIfNone, "*", ErrExists)
 }
 
-// Update replaces an object of a known version.
+// Update replaces the object if it still has the given version, or else returns
+// ErrConflict.
 func (c *Client) Update(ctx context.Context, name string, value []byte, version contract.ObjectVersion) (contract.ObjectVersion, error) {
 	return c.putObject(ctx, name, value, HeaderIfHas, ETag(version), ErrConflict)
 }
 
+// putObject writes an object under the condition in header and tag. It returns
+// preconditionErr if the condition does not hold.
 func (c *Client) putObject(ctx context.Context, name string, value []byte, header, tag string, preconditionErr error) (contract.ObjectVersion, error) {
-	// The reader is wrapped so that the transport cannot send it a second time
-	// by itself: whether a write is tried again is decided by its caller.
+	// Wrap the reader, so that the HTTP transport cannot send the body again on
+	// its own. Only the caller may decide to retry a write.
 	body := io.NopCloser(bytes.NewReader(value))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, c.baseURL+ObjectsPath+name, body)
 	if err != nil {
@@ -126,7 +136,8 @@
 	return ParseETag(respHeader.Get(HeaderETag))
 }
 
-// List returns names under a prefix.
+// List returns the names of objects that begin with prefix and sort after the name
+// after.
 func (c *Client) List(ctx context.Context, prefix, after string) ([]string, error) {
 	query := url.Values{ParamPrefix: {prefix}, ParamAfter: {after}}
 	var names []string
@@ -141,6 +152,7 @@
 	return entries, err
 }
 
+// getJSON reads a JSON document at path, which includes the query, into target.
 func (c *Client) getJSON(ctx context.Context, path string, target any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+path, nil)
 	if err != nil {
@@ -153,9 +165,12 @@
 	return json.Unmarshal(body, target)
 }
 
-// errPrecondition is a condition that did not hold; put says which.
+// errPreconditionFailed means that the condition of a write did not hold. putObject
+// replaces it by the error for that condition.
 var errPreconditionFailed = fmt.Errorf("precondition failed")
 
+// do sends a request and returns the body and the headers of a successful response. It
+// maps the other statuses to errors.
 func (c *Client) do(req *http.Request) ([]byte, http.Header, error) {
 	resp, err := c.httpClient.Do(req)
 	if err != nil {
--- a/store/store.go
+++ b/store/store.go
@@ -1,8 +1,8 @@
-// Package store meets the platform's service: its object API with versions,
-// conditional updates and watches, and its list of VMs.
+// Package store is the client of the platform's service: an object API with versions,
+// conditional updates and watches, and a list of VMs.
 //
-// Everything that the system has to keep lives there. Each call is counted by
-// the platform, a waiting watch as one, so callers state how often they call.
+// All durable state of the system is stored there. The platform counts every call, and
+// counts a waiting watch as one call, so callers state how often they call.
 package store
 
 import (
@@ -13,15 +13,15 @@
 	"woaddoor/contract"
 )
 
-// Object is one object of the store.
+// Object is a named value in the store, and its version.
 type Object struct {
 	Name    string
 	Version contract.ObjectVersion
 	Value   []byte
 }
 
-// The errors that a Store tells apart. Every other error means that the call
-// may or may not have taken effect.
+// Errors that a Store returns for a known outcome. After any other error, the call may
+// or may not have taken effect.
 var (
 	ErrNotFound  = errors.New("no such object")
 	ErrExists    = errors.New("object exists already")
@@ -30,30 +30,32 @@
 	ErrTooMany   = errors.New("platform's rate limit reached")
 )
 
-// Store is the object API.
+// Store is the platform's object API.
 //
-// A write whose reply is lost may have taken effect: callers settle it by
-// reading back, never by trying blindly again. A write that arrives late is
-// harmless, since each carries its condition.
+// A write whose reply is lost may have taken effect. Callers read the object to find
+// out, and never repeat the write without reading. A write that arrives late is
+// harmless, because every write is conditional.
 type Store interface {
-	// Read returns an object, or ErrNotFound. A replica that lags may answer.
+	// Read returns an object, or ErrNotFound. The answer may come from a lagging
+	// replica of the platform.
 	Read(ctx context.Context, name string) (Object, error)
-	// Create writes a new object, or fails with ErrExists.
+	// Create writes a new object, or returns ErrExists.
 	Create(ctx context.Context, name string, value []byte) (contract.ObjectVersion, error)
-	// Update replaces the object if it still has version, else ErrConflict.
+	// Update replaces the object if it still has the given version, or else
+	// returns ErrConflict.
 	Update(ctx context.Context, name string, value []byte, version contract.ObjectVersion) (contract.ObjectVersion, error)
-	// List returns the names under prefix that sort after the name after, in
-	// order, at most ListPage of them.
+	// List returns the names that begin with prefix and sort after the name
+	// after, sorted, at most ListPage of them.
 	List(ctx context.Context, prefix, after string) ([]string, error)
 	// Watch waits up to wait for a version other than after, and returns the
-	// object, or ErrUnchanged.
+	// object, or ErrUnchanged if there is none.
 	Watch(ctx context.Context, name string, after contract.ObjectVersion, wait time.Duration) (Object, error)
 }
 
-// ListPage is the number of names that one List returns at most.
+// ListPage is the maximum number of names that one List call returns.
 const ListPage = 1000
 
-// VMList is the platform's list of VMs. It lags by seconds.
+// VMList reads the platform's list of VMs, which is seconds behind the actual state.
 type VMList interface {
 	VMs(ctx context.Context) ([]contract.VMEntry, error)
 }
