--- a/bill/bill_test.go
+++ b/bill/bill_test.go
@@ -25,7 +25,7 @@
 	processes  []*entryProcess
 	now        time.Time
 	filed      []Record
-	naiveTotal int // number of filed records, duplicates included
+	filedCount int // number of filed records, including duplicates
 	delivered  map[recordKey]bool
 }
 
@@ -64,15 +64,15 @@
 // fileRecords files the due records of each process, unless there is an outage. The
 // reply of the platform is randomly lost.
 func (f *fleet) fileRecords(outage bool) {
-	for _, v := range f.processes {
-		due := v.holder.Due(f.now, 100)
+	for _, process := range f.processes {
+		due := process.holder.Due(f.now, 100)
 		if len(due) == 0 || outage {
 			continue
 		}
 		f.filed = append(f.filed, due...)
-		f.naiveTotal += len(due)
+		f.filedCount += len(due)
 		if rapid.Bool().Draw(f.t, "reply arrives") {
-			v.holder.Filed(due)
+			process.holder.Filed(due)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 // also checks that the schedules file some records twice, so that counting the filed
 // records without removing duplicates gives a wrong bill.
 func TestDeliveredAnswerBilledOnce(t *testing.T) {
-	naiveTotalsWrong := 0
+	schedulesWithDuplicates := 0
 	rapid.Check(t, func(t *rapid.T) {
 		f := &fleet{t: t, now: time.Unix(0, 0), delivered: make(map[recordKey]bool)}
 		for i := range 3 {
@@ -105,11 +105,11 @@
 				t.Fatalf("answer %v was billed %d times", k, billed[k])
 			}
 		}
-		if f.naiveTotal != len(billed) {
-			naiveTotalsWrong++
+		if f.filedCount != len(billed) {
+			schedulesWithDuplicates++
 		}
 	})
-	if naiveTotalsWrong == 0 {
+	if schedulesWithDuplicates == 0 {
 		t.Error("no schedule filed a record twice: the schedules do not test the removal of duplicates")
 	}
 }
--- a/control/members.go
+++ b/control/members.go
@@ -66,8 +66,8 @@
 	s.entry = entryState{entry.Incarnation, entry.Revision, entry.Leaving, s.clock.Now()}
 	s.table.SetSelf(s.selfMember())
 	s.evidence = rollout.Merge(s.evidence, entry.Evidence).Prune(s.config.Progress)
-	for _, v := range entry.Halts {
-		s.halted[v] = true
+	for _, version := range entry.Halts {
+		s.halted[version] = true
 	}
 }
 
@@ -112,9 +112,9 @@
 		}
 	}
 	sendsFar := includeFar && s.table.Watches(s.opts.Settings.Control.Watchers, now)
-	reachedDataCentres := make(map[contract.DataCentreID]bool)
+	liveDataCentres := make(map[contract.DataCentreID]bool)
 	for _, m := range s.table.Far(farHeartbeatTargets, now) {
-		knownVMs[m.VM], reachedDataCentres[m.DataCentre] = true, true
+		knownVMs[m.VM], liveDataCentres[m.DataCentre] = true, true
 		if sendsFar && (s.opts.Settings.DataCentre < m.DataCentre || m.Age > farContactAfter) {
 			planned = append(planned, outgoingHeartbeat{m.VM, m.ControlLink, far})
 		}
@@ -122,7 +122,7 @@
 	for _, p := range s.opts.Settings.Peers {
 		isNear := p.DataCentre == s.opts.Settings.DataCentre
 		switch {
-		case knownVMs[p.VM], !isNear && (reachedDataCentres[p.DataCentre] || !sendsFar):
+		case knownVMs[p.VM], !isNear && (liveDataCentres[p.DataCentre] || !sendsFar):
 		case isNear:
 			planned = append(planned, outgoingHeartbeat{p.VM, p.ControlLink, allNear})
 		default:
--- a/control/rollouts.go
+++ b/control/rollouts.go
@@ -56,7 +56,7 @@
 	for m, ro := range conf.Rollouts {
 		loaded := conf.Progress[m] != nil || s.loadOnAllEngines(ctx, conf, ro)
 		s.withLock(func() {
-			p, reason := rollout.Next(s.situation(conf, ro, loaded), s.clock.Now())
+			p, reason := rollout.Next(s.rolloutSituation(conf, ro, loaded), s.clock.Now())
 			if p != nil {
 				steps[m] = decidedStep{*p, reason}
 			}
@@ -65,9 +65,9 @@
 	return steps
 }
 
-// situation returns the input for deciding the next step of a roll-out. The caller
+// rolloutSituation returns the input for deciding the next step of a roll-out. The caller
 // holds mu.
-func (s *Server) situation(conf *config.Config, ro *config.Rollout, loaded bool) rollout.Situation {
+func (s *Server) rolloutSituation(conf *config.Config, ro *config.Rollout, loaded bool) rollout.Situation {
 	now := s.clock.Now()
 	p := conf.Progress[ro.Model]
 	observed := s.stepObservations[ro.Model]
@@ -82,19 +82,19 @@
 	s.stepObservations[ro.Model] = observed
 	return rollout.Situation{
 		Rollout: ro, Progress: p, Evidence: s.evidence, Halted: s.halted[ro.To], Loaded: loaded,
-		StepSince: observed.firstSeenAt, LastRating: observed.countsGrewAt, CutOff: s.missesDataCentre(now),
+		StepSince: observed.firstSeenAt, LastRating: observed.countsGrewAt, CutOff: s.hasSilentDataCentre(now),
 	}
 }
 
-// missesDataCentre returns whether no VM is live in at least one data centre of
-// the configured peers. The caller holds mu.
-func (s *Server) missesDataCentre(now time.Time) bool {
-	reached := make(map[contract.DataCentreID]bool)
+// hasSilentDataCentre returns true if none of the VMs in some data centre of the
+// configured peers is known to be live. The caller holds mu.
+func (s *Server) hasSilentDataCentre(now time.Time) bool {
+	live := make(map[contract.DataCentreID]bool)
 	for _, m := range s.table.Live(now) {
-		reached[m.DataCentre] = true
+		live[m.DataCentre] = true
 	}
 	for _, p := range s.opts.Settings.Peers {
-		if !reached[p.DataCentre] {
+		if !live[p.DataCentre] {
 			return true
 		}
 	}
--- a/control/server.go
+++ b/control/server.go
@@ -3,8 +3,8 @@
 // exchanges heartbeats with other VMs, writes bill records to the store, and
 // advances roll-outs.
 //
-// No client request passes through the control process. It may be frozen, killed or
-// cut off while the entry process of its VM continues to serve requests.
+// No client request waits for the control process. It may be frozen, killed or cut off
+// while the entry process of its VM continues to serve requests.
 package control
 
 import (
--- a/control/watch.go
+++ b/control/watch.go
@@ -280,8 +280,8 @@
 		answer.Leaving = append(answer.Leaving, id)
 	}
 	if held.Revision != req.Have {
-		p := document.NewPatch(s.patchBase(req), held)
-		answer.Patch = &p
+		patch := document.NewPatch(s.patchBase(req), held)
+		answer.Patch = &patch
 	}
 	return answer
 }
--- a/document/change.go
+++ b/document/change.go
@@ -52,11 +52,11 @@
 		}
 		sections[section.Name] = section.To
 	}
-	d := New(c.ToRevision, c.ID, sections)
-	if d.Hash() != c.Hash {
+	result := New(c.ToRevision, c.ID, sections)
+	if result.Hash() != c.Hash {
 		return nil, ErrHashMismatch
 	}
-	return d, nil
+	return result, nil
 }
 
 // Names and name prefixes of the configuration objects in the platform's store.
--- a/document/document_test.go
+++ b/document/document_test.go
@@ -56,13 +56,13 @@
 // was not made from, as when it arrives late, nor after its sections were corrupted.
 func TestPatchRejectsWrongBase(t *testing.T) {
 	is := is.New(t)
-	one := New(1, "one", map[string]Section{"a": "x = 1\n"})
-	two := New(2, "two", map[string]Section{"a": "x = 2\n"})
-	_, err := NewPatch(one, two).Apply(two)
+	first := New(1, "one", map[string]Section{"a": "x = 1\n"})
+	second := New(2, "two", map[string]Section{"a": "x = 2\n"})
+	_, err := NewPatch(first, second).Apply(second)
 	is.Equal(err, ErrBaseMismatch)
-	corrupted := NewPatch(one, two)
+	corrupted := NewPatch(first, second)
 	corrupted.Set["a"] = "x = 3\n"
-	_, err = corrupted.Apply(one)
+	_, err = corrupted.Apply(first)
 	is.Equal(err, ErrHashMismatch)
 }
 
@@ -76,22 +76,22 @@
 // after a stale read.
 func TestReplicaNeverReverts(t *testing.T) {
 	is := is.New(t)
-	one := New(1, "one", nil)
-	two := New(2, "two", nil)
+	first := New(1, "one", nil)
+	second := New(2, "two", nil)
 	naive := &naiveReplica{}
-	naive.update(two)
-	naive.update(one)
+	naive.update(second)
+	naive.update(first)
 	is.Equal(naive.held.Revision, contract.Revision(1)) // the naive replica reverts
 
 	rapid.Check(t, func(t *rapid.T) {
-		r := NewReplica()
+		replica := NewReplica()
 		var highest contract.Revision
 		for range rapid.IntRange(1, 30).Draw(t, "reads") {
-			rev := contract.Revision(rapid.Uint64Range(1, 6).Draw(t, "revision"))
-			r.Learn(New(rev, "c", nil), time.Unix(rapid.Int64Range(0, 9).Draw(t, "at"), 0))
-			highest = max(highest, rev)
-			if r.Held().Revision != highest {
-				t.Fatalf("replica holds revision %d after reading revision %d", r.Held().Revision, highest)
+			revision := contract.Revision(rapid.Uint64Range(1, 6).Draw(t, "revision"))
+			replica.Learn(New(revision, "c", nil), time.Unix(rapid.Int64Range(0, 9).Draw(t, "at"), 0))
+			highest = max(highest, revision)
+			if replica.Held().Revision != highest {
+				t.Fatalf("replica holds revision %d after reading revision %d", replica.Held().Revision, highest)
 			}
 		}
 	})
--- a/document/patch.go
+++ b/document/patch.go
@@ -67,9 +67,9 @@
 	for name, s := range p.Set {
 		sections[name] = s
 	}
-	d := New(p.To, p.Change, sections)
-	if d.Hash() != p.ToHash {
+	result := New(p.To, p.Change, sections)
+	if result.Hash() != p.ToHash {
 		return nil, ErrHashMismatch
 	}
-	return d, nil
+	return result, nil
 }
--- a/history/history.go
+++ b/history/history.go
@@ -56,8 +56,8 @@
 
 // ReadSnapshotSince returns the configuration that a root object points at, for a
 // process that already holds a document. If the root is exactly one change ahead of
-// held, it reads only the audit record of that change, whose size depends on the
-// change. Otherwise it reads the whole content.
+// held, it reads only the audit record of that change, which is as small as the change
+// itself. Otherwise it reads the whole content.
 func ReadSnapshotSince(ctx context.Context, st store.Store, held *document.Document, rootObject store.Object) (Snapshot, error) {
 	var root document.Root
 	if err := json.Unmarshal(rootObject.Value, &root); err != nil {
@@ -93,7 +93,7 @@
 
 // Error names the change that was accepted, and the sections that both changes modify.
 func (c *Conflict) Error() string {
-	return fmt.Sprintf("revision %d was accepted first: %s by %s at %s; both change: %v",
+	return fmt.Sprintf("revision %d was accepted first: %s by %s at %s; both changes modify the sections %v",
 		c.Winner.ToRevision, c.Winner.ID, c.Winner.Who, c.Winner.At.Format(time.RFC3339), c.CommonSections)
 }
 
@@ -121,29 +121,29 @@
 // to find out the outcome, and never writes it again.
 func Publish(ctx context.Context, st store.Store, base Snapshot, sections map[string]document.Section, author Author) (document.Root, error) {
 	change := contract.ChangeID(ulid.Make().String())
-	next := document.New(base.Root.Revision+1, change, sections)
-	if _, err := config.FromDocument(next); err != nil {
+	nextDocument := document.New(base.Root.Revision+1, change, sections)
+	if _, err := config.FromDocument(nextDocument); err != nil {
 		return document.Root{}, err
 	}
-	content, err := document.EncodeContent(next)
+	content, err := document.EncodeContent(nextDocument)
 	if err != nil {
 		return document.Root{}, contract.Fail(contract.StepApply, "", err)
 	}
 	record := document.Change{
-		ID: change, Previous: base.Root.Change, FromRevision: base.Root.Revision, ToRevision: next.Revision,
-		Who: author.Who, Why: author.Why, At: author.At, Hash: next.Hash(), Sections: document.Diff(base.Document, next),
+		ID: change, Previous: base.Root.Change, FromRevision: base.Root.Revision, ToRevision: nextDocument.Revision,
+		Who: author.Who, Why: author.Why, At: author.At, Hash: nextDocument.Hash(), Sections: document.Diff(base.Document, nextDocument),
 	}
 	encodedRecord, err := json.Marshal(record)
 	if err != nil {
 		return document.Root{}, contract.Fail(contract.StepApply, "", err)
 	}
-	if err := createIfAbsent(ctx, st, document.ContentName(next.Hash()), content); err != nil {
+	if err := createIfAbsent(ctx, st, document.ContentName(nextDocument.Hash()), content); err != nil {
 		return document.Root{}, err
 	}
 	if err := createIfAbsent(ctx, st, document.ChangeName(change), encodedRecord); err != nil {
 		return document.Root{}, err
 	}
-	root := document.Root{Revision: next.Revision, Change: change, Hash: next.Hash()}
+	root := document.Root{Revision: nextDocument.Revision, Change: change, Hash: nextDocument.Hash()}
 	return root, updateRoot(ctx, st, base, root, record)
 }
 
@@ -215,14 +215,14 @@
 // reached. A stale read of the root object gives an older revision, never a wrong
 // change.
 func AcceptedChange(ctx context.Context, st store.Store, id contract.ChangeID, revision contract.Revision) (document.Change, error) {
-	found := document.Change{}
+	accepted := document.Change{}
 	err := Walk(ctx, st, func(c document.Change) bool {
 		if c.ToRevision == revision {
-			found = c
+			accepted = c
 		}
 		return c.ToRevision > revision && c.ID != id
 	})
-	return found, err
+	return accepted, err
 }
 
 // Walk calls visit for each accepted change, from the newest to the oldest, until visit
@@ -240,24 +240,24 @@
 		return contract.Fail(contract.StepWatch, "platform", err)
 	}
 	for id := root.Change; id != ""; {
-		c, err := ReadChange(ctx, st, id)
+		change, err := ReadChange(ctx, st, id)
 		if err != nil {
 			return err
 		}
-		if !visit(c) {
+		if !visit(change) {
 			return nil
 		}
-		id = c.Previous
+		id = change.Previous
 	}
 	return nil
 }
 
 // ReadChange returns the audit record of a change.
 func ReadChange(ctx context.Context, st store.Store, id contract.ChangeID) (document.Change, error) {
-	var c document.Change
+	var change document.Change
 	object, err := st.Read(ctx, document.ChangeName(id))
 	if err != nil {
-		return c, contract.Fail(contract.StepWatch, "platform", err)
+		return change, contract.Fail(contract.StepWatch, "platform", err)
 	}
-	return c, contract.Fail(contract.StepWatch, "platform", json.Unmarshal(object.Value, &c))
+	return change, contract.Fail(contract.StepWatch, "platform", json.Unmarshal(object.Value, &change))
 }
--- a/history/history_test.go
+++ b/history/history_test.go
@@ -72,7 +72,7 @@
 // platform's replies to any writes are lost, and that Publish returns the true
 // outcome. Retrying the write, as naivePublish does, gets the change accepted twice.
 func TestPublishWithLostReplies(t *testing.T) {
-	acceptedTwice := 0
+	naiveAcceptedTwice := 0
 	rapid.Check(t, func(t *rapid.T) {
 		platform := standin.New()
 		store := platform.View("a")
@@ -112,8 +112,8 @@
 		naivePlatform.SetFaults(standin.Faults{LoseReplies: 2 * lostReplies})
 		naivePublish(t, naivePlatform.View("a"), testSections(0))
 		if now, err := Load(t.Context(), naivePlatform.View("a")); err == nil && now.Root.Revision > 1 {
-			acceptedTwice++
+			naiveAcceptedTwice++
 		}
 	})
-	is.New(t).True(acceptedTwice > 0)
+	is.New(t).True(naiveAcceptedTwice > 0)
 }
--- a/keys/address.go
+++ b/keys/address.go
@@ -20,17 +20,17 @@
 // NewByAddress returns an AddressIdentity with a new key pair. isKnown returns whether
 // an IP address belongs to a VM of the system.
 func NewByAddress(name string, isKnown func(ip string) bool) (*AddressIdentity, error) {
-	der, private, err := newCertificate(name)
+	der, privateKey, err := newCertificate(name)
 	if err != nil {
 		return nil, err
 	}
-	return &AddressIdentity{certificate: tls.Certificate{Certificate: [][]byte{der}, PrivateKey: private}, isKnown: isKnown}, nil
+	return &AddressIdentity{certificate: tls.Certificate{Certificate: [][]byte{der}, PrivateKey: privateKey}, isKnown: isKnown}, nil
 }
 
 // Peer returns the IP address of a peer, or ErrUnknownPeer if it does not belong to a
 // known VM.
-func (b *AddressIdentity) Peer(_ [][]byte, from net.Addr) (string, error) {
-	host, _, err := net.SplitHostPort(from.String())
+func (b *AddressIdentity) Peer(_ [][]byte, address net.Addr) (string, error) {
+	host, _, err := net.SplitHostPort(address.String())
 	if err != nil {
 		return "", fmt.Errorf("%w: %w", ErrUnknownPeer, err)
 	}
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -103,17 +103,17 @@
 // writeKeyPair generates a certificate and its private key, writes both to a PEM file,
 // and returns the pin.
 func writeKeyPair(path, name string) (Pin, error) {
-	der, private, err := newCertificate(name)
+	der, privateKey, err := newCertificate(name)
 	if err != nil {
 		return "", err
 	}
-	encodedKey, err := x509.MarshalPKCS8PrivateKey(private)
+	encodedKey, err := x509.MarshalPKCS8PrivateKey(privateKey)
 	if err != nil {
 		return "", err
 	}
-	text := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})
-	text = append(text, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: encodedKey})...)
-	if err := os.WriteFile(path, text, 0o600); err != nil {
+	pemText := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})
+	pemText = append(pemText, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: encodedKey})...)
+	if err := os.WriteFile(path, pemText, 0o600); err != nil {
 		return "", err
 	}
 	return PinOf(der)
@@ -122,7 +122,7 @@
 // newCertificate returns a new self-signed certificate in DER encoding, and its private
 // key.
 func newCertificate(name string) ([]byte, ed25519.PrivateKey, error) {
-	public, private, err := ed25519.GenerateKey(rand.Reader)
+	publicKey, privateKey, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -133,29 +133,29 @@
 		NotBefore:    time.Now().Add(-time.Hour),
 		NotAfter:     time.Now().Add(certificateLifetime),
 	}
-	der, err := x509.CreateCertificate(rand.Reader, template, template, public, private)
-	return der, private, err
+	der, err := x509.CreateCertificate(rand.Reader, template, template, publicKey, privateKey)
+	return der, privateKey, err
 }
 
 // Load reads the key pair of a process, the pins and the signing key from files.
-func Load(pairFile, pinsFile, signingFile string) (*Set, error) {
-	pair, err := tls.LoadX509KeyPair(pairFile, pairFile)
+func Load(keyPairFile, pinsFile, signingFile string) (*Set, error) {
+	keyPair, err := tls.LoadX509KeyPair(keyPairFile, keyPairFile)
 	if err != nil {
-		return nil, contract.Fail(contract.StepSettings, pairFile, err)
+		return nil, contract.Fail(contract.StepSettings, keyPairFile, err)
 	}
 	pins, err := loadPins(pinsFile)
 	if err != nil {
 		return nil, contract.Fail(contract.StepSettings, pinsFile, err)
 	}
-	text, err := os.ReadFile(signingFile)
+	encodedKey, err := os.ReadFile(signingFile)
 	if err != nil {
 		return nil, contract.Fail(contract.StepSettings, signingFile, err)
 	}
-	signingKey, err := hex.DecodeString(strings.TrimSpace(string(text)))
+	signingKey, err := hex.DecodeString(strings.TrimSpace(string(encodedKey)))
 	if err != nil || len(signingKey) != signingKeySize {
 		return nil, contract.Fail(contract.StepSettings, signingFile, fmt.Errorf("expected %d bytes in hex", signingKeySize))
 	}
-	return &Set{Certificate: pair, Pins: pins, Signing: signingKey}, nil
+	return &Set{Certificate: keyPair, Pins: pins, Signing: signingKey}, nil
 }
 
 // loadPins reads the pins file.
--- a/sign/sign.go
+++ b/sign/sign.go
@@ -44,11 +44,11 @@
 
 // Sign returns a signed text that contains v, encoded as CBOR.
 func (k *Key) Sign(v any) (string, error) {
-	raw, err := cbor.Marshal(v)
+	encoded, err := cbor.Marshal(v)
 	if err != nil {
 		return "", err
 	}
-	content := base64.RawURLEncoding.EncodeToString(raw)
+	content := base64.RawURLEncoding.EncodeToString(encoded)
 	return content + separator + base64.RawURLEncoding.EncodeToString(k.mac(content)), nil
 }
 
@@ -63,9 +63,9 @@
 	if err != nil || !hmac.Equal(got, k.mac(content)) {
 		return ErrForged
 	}
-	raw, err := base64.RawURLEncoding.DecodeString(content)
+	encoded, err := base64.RawURLEncoding.DecodeString(content)
 	if err != nil {
 		return ErrForged
 	}
-	return cbor.Unmarshal(raw, v)
+	return cbor.Unmarshal(encoded, v)
 }
