--- a/history/history.go
+++ b/history/history.go
@@ -1,6 +1,6 @@
-// Package history reads and writes the accepted configuration in the
-// platform's store. Each change is one conditional write of one root object,
-// so it is accepted as a whole or not at all; each leaves its audit record.
+// Package history reads and writes the accepted configuration in the platform's
+// store. A change is accepted by a single conditional write of the root object, so it
+// is accepted as a whole or not at all. Every accepted change has an audit record.
 package history
 
 import (
@@ -18,31 +18,32 @@
 	"woaddoor/store"
 )
 
-// Snapshot is the accepted configuration at the time it was read.
+// Snapshot is the accepted configuration at the time when it was read.
 type Snapshot struct {
 	Root document.Root
-	// Version is the root object's; zero means that there is none yet.
+	// Version is the object version of the root object. Zero means that the root
+	// object does not exist yet.
 	Version  contract.ObjectVersion
 	Document *document.Document
 }
 
-// Load reads the accepted configuration. Where there is none yet it returns
-// the empty one.
+// Load reads the accepted configuration. If there is none yet, it returns an empty
+// document.
 func Load(ctx context.Context, st store.Store) (Snapshot, error) {
-	o, err := st.Read(ctx, document.RootName)
+	rootObject, err := st.Read(ctx, document.RootName)
 	if errors.Is(err, store.ErrNotFound) {
 		return Snapshot{Document: document.New(0, "", nil)}, nil
 	}
 	if err != nil {
 		return Snapshot{}, contract.Fail(contract.StepWatch, "platform", err)
 	}
-	return Follow(ctx, st, o)
+	return ReadSnapshot(ctx, st, rootObject)
 }
 
-// Follow reads what a root object points at.
-func Follow(ctx context.Context, st store.Store, o store.Object) (Snapshot, error) {
+// ReadSnapshot reads the configuration that a root object points at.
+func ReadSnapshot(ctx context.Context, st store.Store, rootObject store.Object) (Snapshot, error) {
 	var root document.Root
-	if err := json.Unmarshal(o.Value, &root); err != nil {
+	if err := json.Unmarshal(rootObject.Value, &root); err != nil {
 		return Snapshot{}, contract.Fail(contract.StepWatch, "platform", err)
 	}
 	content, err := st.Read(ctx, document.ContentName(root.Hash))
@@ -50,103 +51,105 @@
 		return Snapshot{}, contract.Fail(contract.StepWatch, "platform", err)
 	}
 	d, err := document.DecodeContent(root, content.Value)
-	return Snapshot{Root: root, Version: o.Version, Document: d}, contract.Fail(contract.StepWatch, "platform", err)
+	return Snapshot{Root: root, Version: rootObject.Version, Document: d}, contract.Fail(contract.StepWatch, "platform", err)
 }
 
-// Advance returns what a root object points at, for a process that holds a
-// document already: when the root is one change further, the change's record,
-// which is as small as the change, is read in place of the whole content.
-func Advance(ctx context.Context, st store.Store, held *document.Document, o store.Object) (Snapshot, error) {
+// ReadSnapshotSince returns the configuration that a root object points at, for a
+// process that already holds a document. If the root is exactly one change ahead of
+// held, it reads only the audit record of that change, which is as small as the change
+// itself. Otherwise it reads the whole content.
+func ReadSnapshotSince(ctx context.Context, st store.Store, held *document.Document, rootObject store.Object) (Snapshot, error) {
 	var root document.Root
-	if err := json.Unmarshal(o.Value, &root); err != nil {
+	if err := json.Unmarshal(rootObject.Value, &root); err != nil {
 		return Snapshot{}, contract.Fail(contract.StepWatch, "platform", err)
 	}
 	if root.Revision != held.Revision+1 || held.Revision == 0 {
-		return Follow(ctx, st, o)
+		return ReadSnapshot(ctx, st, rootObject)
 	}
-	c, err := ReadChange(ctx, st, root.Change)
+	change, err := ReadChange(ctx, st, root.Change)
 	if err != nil {
 		return Snapshot{}, err
 	}
-	d, err := c.Apply(held)
+	d, err := change.Apply(held)
 	if err != nil || d.Hash() != root.Hash {
-		return Follow(ctx, st, o) // held is not what the change was made from
+		return ReadSnapshot(ctx, st, rootObject) // the change was made from a document other than held
 	}
-	return Snapshot{Root: root, Version: o.Version, Document: d}, nil
+	return Snapshot{Root: root, Version: rootObject.Version, Document: d}, nil
 }
 
-// Author is who makes a change, and why.
+// Author is the author, the reason and the time of a change.
 type Author struct {
 	Who, Why string
 	At       time.Time
 }
 
-// Conflict means that another change was accepted first. Nothing of this one
-// is in force.
+// Conflict means that another change was accepted first. No part of the rejected
+// change is in force.
 type Conflict struct {
 	Winner document.Change
-	// Clash are the sections that both changes touch.
-	Clash []string
+	// CommonSections are the names of the sections that both changes modify.
+	CommonSections []string
 }
 
-// Error names the winner, and where the two changes clash.
+// Error names the change that was accepted, and the sections that both changes modify.
 func (c *Conflict) Error() string {
-	return fmt.Sprintf("revision %d was accepted first: %s by %s at %s; both change: %v",
-		c.Winner.ToRevision, c.Winner.ID, c.Winner.Who, c.Winner.At.Format(time.RFC3339), c.Clash)
+	return fmt.Sprintf("revision %d was accepted first: %s by %s at %s; both changes modify the sections %v",
+		c.Winner.ToRevision, c.Winner.ID, c.Winner.Who, c.Winner.At.Format(time.RFC3339), c.CommonSections)
 }
 
-// Unsettled means that nobody knows yet whether a change was accepted: the
-// platform could not be asked. Its id finds out later.
+// Unsettled means that it is unknown whether a change was accepted, because the
+// platform could not be read or the write may still be in progress. The ID of the
+// change shows the outcome later.
 type Unsettled struct {
 	Change contract.ChangeID
 	Err    error
 }
 
-// Error names the change.
+// Error names the change whose outcome is unknown.
 func (u *Unsettled) Error() string {
 	return fmt.Sprintf("it is not known whether change %s was accepted: %v; ask again with its id", u.Change, u.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error that left the outcome unknown.
 func (u *Unsettled) Unwrap() error { return u.Err }
 
-// Publish makes the sections the successor of base.
+// Publish makes a configuration with the given sections the successor of base.
 //
-// The order of writes is what makes it safe: content and audit record first,
-// each under a name of its own, then the root. A stop in between leaves
-// objects that nothing leads to. A lost reply to the root's write is settled
-// by reading back, never by writing again.
-func Publish(ctx context.Context, st store.Store, base Snapshot, sections map[string]document.Section, a Author) (document.Root, error) {
+// It writes the content and the audit record first, each under a unique name, and the
+// root object last. If it is interrupted, it leaves objects that cannot be reached
+// from the root. If the reply to the write of the root is lost, Publish reads the root
+// to find out the outcome, and never writes it again.
+func Publish(ctx context.Context, st store.Store, base Snapshot, sections map[string]document.Section, author Author) (document.Root, error) {
 	change := contract.ChangeID(ulid.Make().String())
-	next := document.New(base.Root.Revision+1, change, sections)
-	if _, err := config.FromDocument(next); err != nil {
+	nextDocument := document.New(base.Root.Revision+1, change, sections)
+	if _, err := config.FromDocument(nextDocument); err != nil {
 		return document.Root{}, err
 	}
-	content, err := document.EncodeContent(next)
+	content, err := document.EncodeContent(nextDocument)
 	if err != nil {
 		return document.Root{}, contract.Fail(contract.StepApply, "", err)
 	}
 	record := document.Change{
-		ID: change, Previous: base.Root.Change, FromRevision: base.Root.Revision, ToRevision: next.Revision,
-		Who: a.Who, Why: a.Why, At: a.At, Hash: next.Hash(), Sections: document.Diff(base.Document, next),
+		ID: change, Previous: base.Root.Change, FromRevision: base.Root.Revision, ToRevision: nextDocument.Revision,
+		Who: author.Who, Why: author.Why, At: author.At, Hash: nextDocument.Hash(), Sections: document.Diff(base.Document, nextDocument),
 	}
-	audit, err := json.Marshal(record)
+	encodedRecord, err := json.Marshal(record)
 	if err != nil {
 		return document.Root{}, contract.Fail(contract.StepApply, "", err)
 	}
-	if err := create(ctx, st, document.ContentName(next.Hash()), content); err != nil {
+	if err := createIfAbsent(ctx, st, document.ContentName(nextDocument.Hash()), content); err != nil {
 		return document.Root{}, err
 	}
-	if err := create(ctx, st, document.ChangeName(change), audit); err != nil {
+	if err := createIfAbsent(ctx, st, document.ChangeName(change), encodedRecord); err != nil {
 		return document.Root{}, err
 	}
-	root := document.Root{Revision: next.Revision, Change: change, Hash: next.Hash()}
-	return root, point(ctx, st, base, root, record)
+	root := document.Root{Revision: nextDocument.Revision, Change: change, Hash: nextDocument.Hash()}
+	return root, updateRoot(ctx, st, base, root, record)
 }
 
-// create writes an object whose name fixes its content, so that one that
-// exists already is the same one.
-func create(ctx context.Context, st store.Store, name string, value []byte) error {
+// createIfAbsent writes an object whose name determines its content. It succeeds if
+// the object already exists, because the existing object is identical.
+func createIfAbsent(ctx context.Context, st store.Store, name string, value []byte) error {
 	_, err := st.Create(ctx, name, value)
 	if err == nil || errors.Is(err, store.ErrExists) {
 		return nil
@@ -154,8 +157,9 @@
 	return contract.Fail(contract.StepApply, "platform", err)
 }
 
-// point makes the root point at a change.
-func point(ctx context.Context, st store.Store, base Snapshot, root document.Root, record document.Change) error {
+// updateRoot makes the root object point at a change, and finds out the outcome if the
+// write fails.
+func updateRoot(ctx context.Context, st store.Store, base Snapshot, root document.Root, record document.Change) error {
 	value, err := json.Marshal(root)
 	if err != nil {
 		return contract.Fail(contract.StepApply, "", err)
@@ -168,13 +172,13 @@
 	if err == nil {
 		return nil
 	}
-	return settle(ctx, st, record, err)
+	return resolveOutcome(ctx, st, record, err)
 }
 
-// settle finds out what became of a write of the root that gave an error: the
-// change is accepted when the chain of changes leads to it.
-func settle(ctx context.Context, st store.Store, record document.Change, cause error) error {
-	accepted, err := Accepted(ctx, st, record.ID, record.ToRevision)
+// resolveOutcome finds out whether a write of the root object that returned an error
+// took effect. The change is accepted if it is in the chain of accepted changes.
+func resolveOutcome(ctx context.Context, st store.Store, record document.Change, cause error) error {
+	accepted, err := AcceptedChange(ctx, st, record.ID, record.ToRevision)
 	if err != nil {
 		return &Unsettled{Change: record.ID, Err: errors.Join(cause, err)}
 	}
@@ -185,44 +189,46 @@
 		return contract.Fail(contract.StepApply, "platform", cause)
 	}
 	if accepted.ID == "" {
-		// The root still stands where it stood, but the write may be on its way.
+		// The root object has not changed, but the write may still take effect.
 		return &Unsettled{Change: record.ID, Err: cause}
 	}
-	return &Conflict{Winner: accepted, Clash: clash(record, accepted)}
+	return &Conflict{Winner: accepted, CommonSections: commonSections(record, accepted)}
 }
 
-func clash(a, b document.Change) []string {
-	touched := make(map[string]bool)
+// commonSections returns the names of the sections that both changes modify.
+func commonSections(a, b document.Change) []string {
+	changed := make(map[string]bool)
 	for _, s := range a.Sections {
-		touched[s.Name] = true
+		changed[s.Name] = true
 	}
-	var both []string
+	var common []string
 	for _, s := range b.Sections {
-		if touched[s.Name] {
-			both = append(both, s.Name)
+		if changed[s.Name] {
+			common = append(common, s.Name)
 		}
 	}
-	return both
+	return common
 }
 
-// Accepted returns the change that was accepted as a revision: the asked one,
-// the one that won against it, or the zero Change while the revision is not
-// reached. A stale read of the root shows an older one, never a wrong one.
-func Accepted(ctx context.Context, st store.Store, id contract.ChangeID, revision contract.Revision) (document.Change, error) {
-	found := document.Change{}
+// AcceptedChange returns the change that was accepted as the given revision: the one
+// with the given ID, a competing one, or the zero Change if that revision has not been
+// reached. A stale read of the root object gives an older revision, never a wrong
+// change.
+func AcceptedChange(ctx context.Context, st store.Store, id contract.ChangeID, revision contract.Revision) (document.Change, error) {
+	accepted := document.Change{}
 	err := Walk(ctx, st, func(c document.Change) bool {
 		if c.ToRevision == revision {
-			found = c
+			accepted = c
 		}
 		return c.ToRevision > revision && c.ID != id
 	})
-	return found, err
+	return accepted, err
 }
 
-// Walk calls visit with each accepted change, the newest first, until visit
-// returns false or there are no more.
+// Walk calls visit for each accepted change, from the newest to the oldest, until visit
+// returns false.
 func Walk(ctx context.Context, st store.Store, visit func(document.Change) bool) error {
-	o, err := st.Read(ctx, document.RootName)
+	rootObject, err := st.Read(ctx, document.RootName)
 	if errors.Is(err, store.ErrNotFound) {
 		return nil
 	}
@@ -230,28 +236,28 @@
 		return contract.Fail(contract.StepWatch, "platform", err)
 	}
 	var root document.Root
-	if err := json.Unmarshal(o.Value, &root); err != nil {
+	if err := json.Unmarshal(rootObject.Value, &root); err != nil {
 		return contract.Fail(contract.StepWatch, "platform", err)
 	}
 	for id := root.Change; id != ""; {
-		c, err := ReadChange(ctx, st, id)
+		change, err := ReadChange(ctx, st, id)
 		if err != nil {
 			return err
 		}
-		if !visit(c) {
+		if !visit(change) {
 			return nil
 		}
-		id = c.Previous
+		id = change.Previous
 	}
 	return nil
 }
 
 // ReadChange returns the audit record of a change.
 func ReadChange(ctx context.Context, st store.Store, id contract.ChangeID) (document.Change, error) {
-	var c document.Change
-	o, err := st.Read(ctx, document.ChangeName(id))
+	var change document.Change
+	object, err := st.Read(ctx, document.ChangeName(id))
 	if err != nil {
-		return c, contract.Fail(contract.StepWatch, "platform", err)
+		return change, contract.Fail(contract.StepWatch, "platform", err)
 	}
-	return c, contract.Fail(contract.StepWatch, "platform", json.Unmarshal(o.Value, &c))
+	return change, contract.Fail(contract.StepWatch, "platform", json.Unmarshal(object.Value, &change))
 }
--- a/store/http.go
+++ b/store/http.go
@@ -14,7 +14,8 @@
 	"woaddoor/contract"
 )
 
-// Names of the HTTP API, shared with the stand-in.
+// Paths, query parameters and headers of the platform's HTTP API. The stand-in of the
+// platform in the tests uses them too.
 const (
 	ObjectsPath  = "/objects/"
 	ListPath     = "/objects"
@@ -27,10 +28,10 @@
 	HeaderETag   = "ETag"
 )
 
-// ETag returns the entity tag of a version.
+// ETag returns the HTTP entity tag that represents an object version.
 func ETag(v contract.ObjectVersion) string { return `"` + strconv.FormatUint(uint64(v), 10) + `"` }
 
-// ParseETag returns the version of an entity tag.
+// ParseETag returns the object version that an HTTP entity tag represents.
 func ParseETag(tag string) (contract.ObjectVersion, error) {
 	unquoted, err := strconv.Unquote(tag)
 	if err != nil {
@@ -40,48 +41,54 @@
 	return contract.ObjectVersion(n), err
 }
 
-// Client speaks the object API over HTTP, with entity tags as versions.
+// Client accesses the platform's object API over HTTP. Entity tags carry the object
+// versions.
 type Client struct {
-	base string
-	http *http.Client
+	baseURL    string
+	httpClient *http.Client
 }
 
-// Options set up a Client.
+// Options configures a Client.
 type Options struct {
-	// URL is the base of the platform's API, such as "http://10.0.0.1:7000".
+	// URL is the base URL of the platform's API, such as "http://10.0.0.1:7000".
 	URL string
-	// Timeout bounds each call, beyond the wait of a watch. Zero means 2 s.
+	// Timeout limits how long the client waits for the response headers of a call,
+	// in addition to the maximum wait of a watch. Zero means 2 s.
 	Timeout time.Duration
 }
 
-// defaultTimeout bounds a call to a service that answers in milliseconds.
+// defaultTimeout is the Timeout if Options sets none. The platform normally answers
+// within milliseconds.
 const defaultTimeout = 2 * time.Second
 
-// NewClient returns a client of the platform at opts.URL.
+// NewClient returns a client for the platform's API at opts.URL.
 func NewClient(opts *Options) *Client {
 	timeout := opts.Timeout
 	if timeout == 0 {
 		timeout = defaultTimeout
 	}
-	transport := &http.Transport{ResponseHeaderTimeout: timeout + maxWait, MaxIdleConnsPerHost: 8}
-	return &Client{base: opts.URL, http: &http.Client{Transport: transport}}
+	transport := &http.Transport{ResponseHeaderTimeout: timeout + maxWatchWait, MaxIdleConnsPerHost: 8}
+	return &Client{baseURL: opts.URL, httpClient: &http.Client{Transport: transport}}
 }
 
-// maxWait is the longest wait of a watch.
-const maxWait = 10 * time.Second
+// maxWatchWait is the longest time that a watch may wait for a new version.
+const maxWatchWait = 10 * time.Second
 
-// Read returns an object.
+// Read returns the object with the given name, or ErrNotFound.
 func (c *Client) Read(ctx context.Context, name string) (Object, error) {
-	return c.get(ctx, name, "", "")
+	return c.getObject(ctx, name, "", "")
 }
 
-// Watch waits for a version of the object other than after.
+// Watch waits for a version of the object other than after, for at most wait or
+// maxWatchWait.
 func (c *Client) Watch(ctx context.Context, name string, after contract.ObjectVersion, wait time.Duration) (Object, error) {
-	return c.get(ctx, name, ETag(after), "?"+ParamWait+"="+min(wait, maxWait).String())
+	return c.getObject(ctx, name, ETag(after), "?"+ParamWait+"="+min(wait, maxWatchWait).String())
 }
 
-func (c *Client) get(ctx context.Context, name, tag, query string) (Object, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+ObjectsPath+name+query, nil)
+// getObject reads an object. A non-empty tag is sent as If-None-Match; query is
+// appended to the URL.
+func (c *Client) getObject(ctx context.Context, name, tag, query string) (Object, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+ObjectsPath+name+query, nil)
 	if err != nil {
 		return Object{}, err
 	}
@@ -96,37 +103,41 @@
 	return Object{Name: name, Version: version, Value: body}, err
 }
 
-// Create writes a new object.
+// Create writes a new object, or returns ErrExists if it already exists.
 func (c *Client) Create(ctx context.Context, name string, value []byte) (contract.ObjectVersion, error) {
-	return c.put(ctx, name, value, HeaderIfNone, "*", ErrExists)
+	return c.putObject(ctx, name, value, HeaderIfNone, "*", ErrExists)
 }
 
-// Update replaces an object of a known version.
+// Update replaces the object if it still has the given version, or else returns
+// ErrConflict.
 func (c *Client) Update(ctx context.Context, name string, value []byte, version contract.ObjectVersion) (contract.ObjectVersion, error) {
-	return c.put(ctx, name, value, HeaderIfHas, ETag(version), ErrConflict)
+	return c.putObject(ctx, name, value, HeaderIfHas, ETag(version), ErrConflict)
 }
 
-func (c *Client) put(ctx context.Context, name string, value []byte, header, tag string, clash error) (contract.ObjectVersion, error) {
-	// The reader is wrapped so that the transport cannot send it a second time
-	// by itself: whether a write is tried again is decided by its caller.
+// putObject writes an object under the condition in header and tag. It returns
+// preconditionErr if the condition does not hold.
+func (c *Client) putObject(ctx context.Context, name string, value []byte, header, tag string, preconditionErr error) (contract.ObjectVersion, error) {
+	// Wrap the reader, so that the HTTP transport cannot send the body again on
+	// its own. Only the caller may decide to retry a write.
 	body := io.NopCloser(bytes.NewReader(value))
-	req, err := http.NewRequestWithContext(ctx, http.MethodPut, c.base+ObjectsPath+name, body)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPut, c.baseURL+ObjectsPath+name, body)
 	if err != nil {
 		return 0, err
 	}
 	req.ContentLength = int64(len(value))
 	req.Header.Set(header, tag)
-	_, got, err := c.do(req)
-	if err == errPrecondition {
-		return 0, clash
+	_, respHeader, err := c.do(req)
+	if err == errPreconditionFailed {
+		return 0, preconditionErr
 	}
 	if err != nil {
 		return 0, err
 	}
-	return ParseETag(got.Get(HeaderETag))
+	return ParseETag(respHeader.Get(HeaderETag))
 }
 
-// List returns names under a prefix.
+// List returns the names of objects that begin with prefix and sort after the name
+// after.
 func (c *Client) List(ctx context.Context, prefix, after string) ([]string, error) {
 	query := url.Values{ParamPrefix: {prefix}, ParamAfter: {after}}
 	var names []string
@@ -141,8 +152,9 @@
 	return entries, err
 }
 
-func (c *Client) getJSON(ctx context.Context, path string, into any) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path, nil)
+// getJSON reads a JSON document at path, which includes the query, into target.
+func (c *Client) getJSON(ctx context.Context, path string, target any) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+path, nil)
 	if err != nil {
 		return err
 	}
@@ -150,21 +162,24 @@
 	if err != nil {
 		return err
 	}
-	return json.Unmarshal(body, into)
+	return json.Unmarshal(body, target)
 }
 
-// errPrecondition is a condition that did not hold; put says which.
-var errPrecondition = fmt.Errorf("precondition failed")
+// errPreconditionFailed means that the condition of a write did not hold. putObject
+// replaces it by the error for that condition.
+var errPreconditionFailed = fmt.Errorf("precondition failed")
 
+// do sends a request and returns the body and the headers of a successful response. It
+// maps the other statuses to errors.
 func (c *Client) do(req *http.Request) ([]byte, http.Header, error) {
-	resp, err := c.http.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
-		return nil, nil, contract.Fail(contract.StepPlatform, c.base, err)
+		return nil, nil, contract.Fail(contract.StepPlatform, c.baseURL, err)
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(2*contract.MiB)))
 	if err != nil {
-		return nil, nil, contract.Fail(contract.StepPlatform, c.base, err)
+		return nil, nil, contract.Fail(contract.StepPlatform, c.baseURL, err)
 	}
 	switch resp.StatusCode {
 	case http.StatusOK, http.StatusCreated:
@@ -174,9 +189,9 @@
 	case http.StatusNotFound:
 		return nil, nil, ErrNotFound
 	case http.StatusPreconditionFailed:
-		return nil, nil, errPrecondition
+		return nil, nil, errPreconditionFailed
 	case http.StatusTooManyRequests:
 		return nil, nil, ErrTooMany
 	}
-	return nil, nil, contract.Fail(contract.StepPlatform, c.base, fmt.Errorf("status %d: %.200s", resp.StatusCode, body))
+	return nil, nil, contract.Fail(contract.StepPlatform, c.baseURL, fmt.Errorf("status %d: %.200s", resp.StatusCode, body))
 }
