--- a/command/command.go
+++ b/command/command.go
@@ -25,12 +25,12 @@
 
 // Exit codes. docs/OPERATIONS.md lists them.
 const (
-	ExitOK        = 0
-	ExitFailed    = 1
-	ExitInvalid   = 2 // the file or the call is wrong; nothing was changed
-	ExitConflict  = 3 // another change was first; nothing was changed
-	ExitPending   = 4 // accepted, and not yet in force everywhere
-	ExitUnsettled = 5 // it is not known whether it was accepted
+	ExitOK             = 0
+	ExitFailed         = 1
+	ExitInvalid        = 2 // the file or the call is wrong; nothing was changed
+	ExitConflict       = 3 // another change was first; nothing was changed
+	ExitPending        = 4 // accepted, and not yet in force everywhere
+	ExitUnknownOutcome = 5 // it is not known whether it was accepted
 )
 
 // commands are the tool's commands.
@@ -55,8 +55,8 @@
 	Keys     keysCmd     `cmd:"" help:"Make keys for VMs, or hash a workspace's key."`
 }
 
-// session is what a command works with.
-type session struct {
+// invocation is what a command works with.
+type invocation struct {
 	ctx      context.Context
 	operator *operator.Operator
 	out      io.Writer
@@ -85,7 +85,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
 	client := store.NewClient(&store.Options{URL: c.Platform})
-	s := &session{ctx: ctx, operator: &operator.Operator{Store: client, VMs: client, Now: time.Now}, out: stdout, json: c.Output == "json"}
+	s := &invocation{ctx: ctx, operator: &operator.Operator{Store: client, VMs: client, Now: time.Now}, out: stdout, json: c.Output == "json"}
 	err = parsed.Run(s)
 	if err != nil {
 		fmt.Fprintln(stderr, err)
@@ -126,19 +126,19 @@
 	switch {
 	case err == nil:
 		return ExitOK
-	case errors.As(err, &faults), errors.Is(err, operator.ErrNoBase), errors.Is(err, operator.ErrNoVersion):
+	case errors.As(err, &faults), errors.Is(err, operator.ErrNoBaseRevision), errors.Is(err, operator.ErrUnknownVersion):
 		return ExitInvalid
 	case errors.As(err, &conflict), errors.As(err, &stale):
 		return ExitConflict
 	case errors.As(err, &pending):
 		return ExitPending
 	case errors.As(err, &unsettled):
-		return ExitUnsettled
+		return ExitUnknownOutcome
 	}
 	return ExitFailed
 }
 
-func (s *session) print(v any, text func()) error {
+func (s *invocation) printResult(v any, text func()) error {
 	if !s.json {
 		text()
 		return nil
@@ -155,7 +155,7 @@
 type checkCmd struct{ fileArg }
 
 // Run checks a file.
-func (c *checkCmd) Run(s *session) error {
+func (c *checkCmd) Run(s *invocation) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
 		return err
@@ -172,7 +172,7 @@
 type planCmd struct{ fileArg }
 
 // Run shows what a file would change.
-func (c *planCmd) Run(s *session) error {
+func (c *planCmd) Run(s *invocation) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
 		return err
@@ -181,8 +181,8 @@
 	if err != nil {
 		return err
 	}
-	return s.print(p, func() {
-		fmt.Fprintf(s.out, "from revision %d, %d sections change\n", p.From, len(p.Changes))
+	return s.printResult(p, func() {
+		fmt.Fprintf(s.out, "from revision %d, %d sections change\n", p.BaseRevision, len(p.Changes))
 		printChanges(s.out, p.Changes)
 	})
 }
@@ -190,8 +190,8 @@
 func printChanges(w io.Writer, changes []document.SectionChange) {
 	for _, ch := range changes {
 		fmt.Fprintf(w, "[%s]\n", ch.Name)
-		printLines(w, "- ", ch.From)
-		printLines(w, "+ ", ch.To)
+		printSection(w, "- ", ch.From)
+		printSection(w, "+ ", ch.To)
 	}
 }
 
@@ -218,7 +218,7 @@
 }
 
 // Run applies a file.
-func (c *applyCmd) Run(s *session) error {
+func (c *applyCmd) Run(s *invocation) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
 		return err
@@ -228,13 +228,13 @@
 		return err
 	}
 	if c.NoWait {
-		return s.print(root, func() { fmt.Fprintf(s.out, "accepted: revision %d\n", root.Revision) })
+		return s.printResult(root, func() { fmt.Fprintf(s.out, "accepted: revision %d\n", root.Revision) })
 	}
-	return s.wait(root)
+	return s.waitUntilInForce(root)
 }
 
-// wait shows how a change comes into force.
-func (s *session) wait(root document.Root) error {
+// waitUntilInForce shows how a change comes into force.
+func (s *invocation) waitUntilInForce(root document.Root) error {
 	if !s.json {
 		fmt.Fprintf(s.out, "accepted: revision %d, change %s\n", root.Revision, root.Change)
 	}
@@ -246,7 +246,7 @@
 			shown = line
 		}
 	})
-	if printErr := s.print(f, func() {}); printErr != nil {
+	if printErr := s.printResult(f, func() {}); printErr != nil {
 		return printErr
 	}
 	if err != nil {
@@ -261,7 +261,7 @@
 type showCmd struct{}
 
 // Run prints the configuration.
-func (*showCmd) Run(s *session) error {
+func (*showCmd) Run(s *invocation) error {
 	text, err := s.operator.Show(s.ctx)
 	if err != nil {
 		return err
@@ -273,7 +273,7 @@
 type statusCmd struct{}
 
 // Run shows where the configuration is in force.
-func (*statusCmd) Run(s *session) error {
+func (*statusCmd) Run(s *invocation) error {
 	base, err := history.Load(s.ctx, s.operator.Store)
 	if err != nil {
 		return err
@@ -282,7 +282,7 @@
 	if err != nil {
 		return err
 	}
-	return s.print(f, func() {
+	return s.printResult(f, func() {
 		fmt.Fprintf(s.out, "revision %d, in force on %v\n", f.Revision, f.InForce)
 		for _, p := range f.Pending {
 			fmt.Fprintln(s.out, "pending: "+pendingLine(p))
@@ -295,12 +295,12 @@
 }
 
 // Run shows the audit trail.
-func (c *historyCmd) Run(s *session) error {
+func (c *historyCmd) Run(s *invocation) error {
 	changes, err := s.operator.History(s.ctx, c.Limit)
 	if err != nil {
 		return err
 	}
-	return s.print(changes, func() {
+	return s.printResult(changes, func() {
 		for _, ch := range changes {
 			fmt.Fprintf(s.out, "revision %d  %s  by %s: %s  (%d sections, change %s)\n",
 				ch.ToRevision, ch.At.Format(time.RFC3339), ch.Who, ch.Why, len(ch.Sections), ch.ID)
@@ -314,23 +314,23 @@
 }
 
 // Run withdraws a version.
-func (c *withdrawCmd) Run(s *session) error {
+func (c *withdrawCmd) Run(s *invocation) error {
 	root, err := s.operator.Withdraw(s.ctx, contract.VersionID(c.Version), c.author())
 	if err != nil {
 		return err
 	}
-	return s.wait(root)
+	return s.waitUntilInForce(root)
 }
 
 type billCmd struct{}
 
 // Run shows the bills.
-func (*billCmd) Run(s *session) error {
+func (*billCmd) Run(s *invocation) error {
 	sums, err := s.operator.Bills(s.ctx)
 	if err != nil {
 		return err
 	}
-	return s.print(sums, func() {
+	return s.printResult(sums, func() {
 		for _, b := range sums {
 			fmt.Fprintf(s.out, "%s: %d requests, %d input and %d output tokens, %d millionths\n", b.Workspace, b.Requests, b.Input, b.Output, b.Amount)
 		}
@@ -348,7 +348,7 @@
 }
 
 // Run makes keys.
-func (c *makeKeysCmd) Run(s *session) error {
+func (c *makeKeysCmd) Run(s *invocation) error {
 	if err := keys.Make(c.Dir, c.Names); err != nil {
 		return err
 	}
@@ -358,15 +358,15 @@
 
 type hashKeyCmd struct{}
 
-// maxKey bounds a workspace's key.
-const maxKey = 4096
+// maxKeyBytes bounds a workspace's key.
+const maxKeyBytes = 4096
 
 // Run prints a hash.
-func (*hashKeyCmd) Run(s *session) error {
-	raw, err := io.ReadAll(io.LimitReader(os.Stdin, maxKey))
+func (*hashKeyCmd) Run(s *invocation) error {
+	raw, err := io.ReadAll(io.LimitReader(os.Stdin, maxKeyBytes))
 	if err != nil {
 		return err
 	}
-	fmt.Fprintln(s.out, keys.HashKey(trimLine(raw)))
+	fmt.Fprintln(s.out, keys.HashKey(trimLineEnd(raw)))
 	return nil
 }
--- a/command/explain.go
+++ b/command/explain.go
@@ -17,16 +17,16 @@
 	Files   []string `arg:"" optional:"" help:"Log files of VMs; standard input when there is none." type:"existingfile"`
 }
 
-// errNoID means that the id is empty.
-var errNoID = errors.New("the id of the request is empty")
+// errEmptyRequestID means that the id is empty.
+var errEmptyRequestID = errors.New("the id of the request is empty")
 
-// errNoLine means that no line is of the request.
-var errNoLine = errors.New("no log line is of this request: its VM logged elsewhere, was killed before it ended, or never got it")
+// errRequestNotLogged means that no line is of the request.
+var errRequestNotLogged = errors.New("no log line is of this request: its VM logged elsewhere, was killed before it ended, or never got it")
 
 // Run runs the command.
-func (c *explainCmd) Run(s *session) error {
+func (c *explainCmd) Run(s *invocation) error {
 	if c.Request == "" {
-		return errNoID
+		return errEmptyRequestID
 	}
 	lines, err := readLogs(c.Files)
 	if err != nil {
@@ -34,7 +34,7 @@
 	}
 	found, err := explain.Request(s.out, lines, contract.RequestID(c.Request))
 	if err == nil && !found {
-		return fmt.Errorf("%s: %w", c.Request, errNoLine)
+		return fmt.Errorf("%s: %w", c.Request, errRequestNotLogged)
 	}
 	return err
 }
@@ -45,7 +45,7 @@
 }
 
 // Run runs the command.
-func (c *lossesCmd) Run(s *session) error {
+func (c *lossesCmd) Run(s *invocation) error {
 	lines, err := readLogs(c.Files)
 	if err != nil {
 		return err
@@ -62,7 +62,7 @@
 }
 
 // Run runs the command.
-func (c *changesCmd) Run(s *session) error {
+func (c *changesCmd) Run(s *invocation) error {
 	lines, err := readLogs(c.Files)
 	if err != nil {
 		return err
@@ -76,13 +76,13 @@
 	Window time.Duration `help:"The length of a window of usage." default:"5s"`
 }
 
-// errWindow means that a window's length is no length.
-var errWindow = errors.New("--window has to be above 0, for example 5s")
+// errInvalidWindow means that a window's length is no length.
+var errInvalidWindow = errors.New("--window has to be above 0, for example 5s")
 
 // Run runs the command.
-func (c *usageCmd) Run(s *session) error {
+func (c *usageCmd) Run(s *invocation) error {
 	if c.Window <= 0 {
-		return errWindow
+		return errInvalidWindow
 	}
 	lines, err := readLogs(c.Files)
 	if err != nil {
--- a/command/text.go
+++ b/command/text.go
@@ -8,8 +8,8 @@
 	"woaddoor/document"
 )
 
-// printLines writes each line of a section after a mark.
-func printLines(w io.Writer, mark string, s document.Section) {
+// printSection writes each line of a section after a mark.
+func printSection(w io.Writer, mark string, s document.Section) {
 	for _, line := range strings.Split(strings.TrimSuffix(string(s), "\n"), "\n") {
 		if line != "" {
 			fmt.Fprintln(w, mark+line)
@@ -17,5 +17,5 @@
 	}
 }
 
-// trimLine returns the text without the end of its line.
-func trimLine(raw []byte) string { return strings.TrimRight(string(raw), "\r\n") }
+// trimLineEnd returns the text without the end of its line.
+func trimLineEnd(raw []byte) string { return strings.TrimRight(string(raw), "\r\n") }
--- a/command/vms.go
+++ b/command/vms.go
@@ -17,15 +17,15 @@
 	Addresses []string `arg:"" help:"Metrics addresses of VMs, each IP:PORT."`
 }
 
-// vmLine is what the table shows of a VM.
-type vmLine struct {
+// vmRow is what the table shows of a VM.
+type vmRow struct {
 	Address string            `json:"address"`
 	Error   string            `json:"error,omitempty"`
 	Metrics map[string]string `json:"metrics,omitempty"`
 }
 
-// vmTimeout bounds the question to one VM.
-const vmTimeout = 2 * time.Second
+// vmMetricsTimeout bounds the question to one VM.
+const vmMetricsTimeout = 2 * time.Second
 
 // vmColumns are the metrics in the table and their titles.
 var vmColumns = []struct{ title, metric string }{
@@ -36,14 +36,14 @@
 }
 
 // Run runs the command. VMs that do not answer are shown as such.
-func (c *vmsCmd) Run(s *session) error {
-	lines := make([]vmLine, len(c.Addresses))
+func (c *vmsCmd) Run(s *invocation) error {
+	lines := make([]vmRow, len(c.Addresses))
 	var wg sync.WaitGroup
 	for i, a := range c.Addresses {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			lines[i] = askVM(s.ctx, a)
+			lines[i] = fetchVMMetrics(s.ctx, a)
 		}()
 	}
 	wg.Wait()
@@ -69,9 +69,9 @@
 	return w.Flush()
 }
 
-func askVM(ctx context.Context, address string) vmLine {
-	l := vmLine{Address: address}
-	ctx, cancel := context.WithTimeout(ctx, vmTimeout)
+func fetchVMMetrics(ctx context.Context, address string) vmRow {
+	l := vmRow{Address: address}
+	ctx, cancel := context.WithTimeout(ctx, vmMetricsTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/metrics", nil)
 	if err != nil {
--- a/config/build.go
+++ b/config/build.go
@@ -11,7 +11,7 @@
 	"woaddoor/document"
 )
 
-// Kinds of sections. A section is named "kind name".
+// Kinds of sections. A section header has the form "[kind name]".
 const (
 	kindWorkspace = "workspace"
 	kindModel     = "model"
@@ -21,22 +21,24 @@
 	kindPool      = "pool"
 	kindService   = "service"
 	kindProgress  = "progress"
-	// KindFrom is the section of a file that names the revision it was made
-	// from. It is not part of the document.
-	KindFrom = "configuration"
+	// KindConfiguration is the section that names the revision a file is based
+	// on. It is not part of the stored document.
+	KindConfiguration = "configuration"
 )
 
-// ProgressSection returns the name of the section that holds the progress of a
-// roll-out.
+// ProgressSection returns the name of the section that stores the progress of
+// the roll-out of model m.
 func ProgressSection(m contract.ModelID) string { return kindProgress + " " + string(m) }
 
-// VersionSection returns the name of the section of a version.
-func VersionSection(v contract.VersionID) string { return kindVersion + " " + string(v) }
+// VersionSectionName returns the name of the section that declares version v.
+func VersionSectionName(v contract.VersionID) string { return kindVersion + " " + string(v) }
 
-// IsSystemSection tells whether the system, not a file, owns a section.
+// IsSystemSection reports whether a section is written by the system and must
+// not appear in an operator's file.
 func IsSystemSection(name string) bool { return strings.HasPrefix(name, kindProgress+" ") }
 
-// Parse reads and checks an operator's file.
+// Parse parses and validates an operator's configuration file. name is the file
+// name used in errors. Invalid text is reported as Faults.
 func Parse(name string, text []byte) (*Config, *File, error) {
 	f, err := ReadFile(name, text)
 	if err != nil {
@@ -45,10 +47,10 @@
 	var faults Faults
 	for section := range f.sections {
 		if IsSystemSection(section) {
-			faults = append(faults, Fault{name, f.Line(section, ""), section, "", "is kept by the system: expected no such section in a file"})
+			faults = append(faults, Fault{name, f.Line(section, ""), section, "", "is written by the system: expected no such section in a file"})
 		}
 	}
-	c, more := build(f)
+	c, more := buildConfig(f)
 	faults = append(faults, more...)
 	sortFaults(faults)
 	if err := faults.Err(); err != nil {
@@ -57,10 +59,11 @@
 	return c, f, nil
 }
 
-// FromDocument gives a document its meaning. It fails with Faults.
+// FromDocument builds the configuration that a stored document describes. An
+// invalid document is reported as Faults.
 func FromDocument(d *document.Document) (*Config, error) {
 	f := &File{Name: fmt.Sprintf("revision-%d", d.Revision), sections: d.Sections()}
-	c, faults := build(f)
+	c, faults := buildConfig(f)
 	sortFaults(faults)
 	if err := faults.Err(); err != nil {
 		return nil, err
@@ -68,6 +71,7 @@
 	return c, nil
 }
 
+// sortFaults orders faults by line, then by section and key.
 func sortFaults(faults Faults) {
 	slices.SortFunc(faults, func(a, b Fault) int {
 		if a.Line != b.Line {
@@ -77,18 +81,18 @@
 	})
 }
 
-// build reads every section, then checks what they say of each other.
-func build(f *File) (*Config, Faults) {
+// buildConfig reads every section, then checks the references between sections.
+func buildConfig(f *File) (*Config, Faults) {
 	c := &Config{
-		Workspaces: make(map[contract.WorkspaceID]*Workspace),
-		Models:     make(map[contract.ModelID]*Model),
-		Versions:   make(map[contract.VersionID]*Version),
-		Cascades:   make(map[string]*Cascade),
-		Rollouts:   make(map[contract.ModelID]*Rollout),
-		Progress:   make(map[contract.ModelID]*Progress),
-		Pools:      make(map[contract.PoolID]*Pool),
-		Services:   make(map[contract.ServiceID]*Service),
-		byKey:      make(map[KeyHash]*Workspace),
+		Workspaces:         make(map[contract.WorkspaceID]*Workspace),
+		Models:             make(map[contract.ModelID]*Model),
+		Versions:           make(map[contract.VersionID]*Version),
+		Cascades:           make(map[string]*Cascade),
+		Rollouts:           make(map[contract.ModelID]*Rollout),
+		Progress:           make(map[contract.ModelID]*Progress),
+		Pools:              make(map[contract.PoolID]*Pool),
+		Services:           make(map[contract.ServiceID]*Service),
+		workspaceByKeyHash: make(map[KeyHash]*Workspace),
 	}
 	var faults Faults
 	readers := make(map[string]*Reader, len(f.sections))
@@ -102,10 +106,11 @@
 	return c, faults
 }
 
+// readSection reads one section into c, according to the kind in its name.
 func (c *Config) readSection(section string, r *Reader) {
 	kind, name, _ := strings.Cut(section, " ")
-	if name == "" && kind != KindFrom {
-		r.Fault("", `is not a section: expected "[kind name]" with a kind of workspace, model, version, cascade, rollout, pool, service`)
+	if name == "" && kind != KindConfiguration {
+		r.Fault("", `is not a valid section: expected "[kind name]" with a kind of workspace, model, version, cascade, rollout, pool, service`)
 		return
 	}
 	switch kind {
@@ -125,10 +130,10 @@
 		c.readPool(contract.PoolID(name), r)
 	case kindService:
 		c.readService(contract.ServiceID(name), r)
-	case KindFrom:
+	case KindConfiguration:
 		r.Int("from", 0, 0, 1<<62)
 	default:
-		r.Fault("", "is not known: expected a kind of workspace, model, version, cascade, rollout, pool, service")
+		r.Fault("", "has an unknown kind: expected a kind of workspace, model, version, cascade, rollout, pool, service")
 		return
 	}
 	r.Done()
@@ -137,10 +142,10 @@
 func (c *Config) readWorkspace(id contract.WorkspaceID, r *Reader) {
 	w := &Workspace{
 		ID:      id,
-		KeyHash: KeyHash(r.Need("key-hash", "the SHA-256 of the workspace's key, in hex")),
+		KeyHash: KeyHash(r.Need("key-hash", "the SHA-256 of the workspace's API key, in hex")),
 		Allow:   make(map[contract.VersionID]bool),
 		Share:   r.Int("share", 1, 1, 1000),
-		Quality: r.Rate("quality", 0),
+		Quality: r.Fraction("quality", 0),
 		Bill:    BillPolicy(r.OneOf("bill-at-risk", string(BillRefuse), string(BillRefuse), string(BillServe))),
 	}
 	if len(w.KeyHash) != 64 && w.KeyHash != "" {
@@ -167,8 +172,8 @@
 		r.Fault("", `is not a version: expected "model@number"`)
 	}
 	without := r.Duration("serve-without-word", 0)
-	if without > MaxServeWithoutWord {
-		r.Fault("serve-without-word", "is %v: expected at most %v", without, MaxServeWithoutWord)
+	if without > MaxServeWithoutUpdate {
+		r.Fault("serve-without-word", "is %v: expected at most %v", without, MaxServeWithoutUpdate)
 	}
 	c.Versions[id] = &Version{
 		ID:               id,
@@ -188,7 +193,7 @@
 	c.Cascades[name] = cascade
 }
 
-// Defaults of a roll-out.
+// Default settings of a roll-out.
 const (
 	defaultGoodRate      = 0.02
 	defaultBadRate       = 0.10
@@ -202,11 +207,11 @@
 		Model:         m,
 		From:          contract.VersionID(r.Need("from", "the version served now")),
 		To:            contract.VersionID(r.Need("to", "the new version")),
-		Steps:         r.Percents("steps"),
-		GoodRate:      r.Rate("good-rate", defaultGoodRate),
-		BadRate:       r.Rate("bad-rate", defaultBadRate),
-		FalseAlarm:    r.Rate("false-alarm", defaultFalseAlarm),
-		Miss:          r.Rate("miss", defaultMiss),
+		Steps:         r.RisingPercentages("steps"),
+		GoodRate:      r.Fraction("good-rate", defaultGoodRate),
+		BadRate:       r.Fraction("bad-rate", defaultBadRate),
+		FalseAlarm:    r.Fraction("false-alarm", defaultFalseAlarm),
+		Miss:          r.Fraction("miss", defaultMiss),
 		RatingsWithin: r.Duration("ratings-within", defaultRatingsWithin),
 	}
 	if len(ro.Steps) == 0 && !r.Has("steps") {
@@ -227,7 +232,7 @@
 	}
 }
 
-// Text returns the section that holds p.
+// Text returns p encoded as the text of its section.
 func (p *Progress) Text() document.Section {
 	return document.Section("state = " + string(p.State) + "\nstep = " + strconv.Itoa(p.Step) + "\nto = " + string(p.To) + "\n")
 }
@@ -237,7 +242,7 @@
 		ID:         id,
 		Kind:       PoolKind(r.OneOf("kind", string(EnginePool), string(EnginePool), string(ServicePool))),
 		DataCentre: contract.DataCentreID(r.Need("data-centre", "the data centre of its upstreams")),
-		Fencing:    Fencing(r.OneOf("fencing", string(FencingIgnores), string(FencingIgnores), string(FencingRefuses))),
+		Fencing:    FencingMode(r.OneOf("fencing", string(FencingIgnores), string(FencingIgnores), string(FencingRefuses))),
 		Slots:      r.Int("slots", DefaultSlots, 1, 10000),
 	}
 	for _, item := range r.List("upstreams") {
@@ -270,12 +275,12 @@
 	c.Services[id] = s
 }
 
-// Repeatable tells whether a call of the service may run more than once. Calls
-// that change nothing by their method always may.
+// Repeatable reports whether a call of the service may run more than once: it
+// may unless it matches a pattern in NotRepeatable.
 func (s *Service) Repeatable(method, path string) bool {
 	for _, p := range s.NotRepeatable {
-		prefix, open := strings.CutSuffix(p.Path, "*")
-		if p.Method == method && (path == p.Path || open && strings.HasPrefix(path, prefix)) {
+		prefix, isPrefix := strings.CutSuffix(p.Path, "*")
+		if p.Method == method && (path == p.Path || isPrefix && strings.HasPrefix(path, prefix)) {
 			return false
 		}
 	}
--- a/config/check.go
+++ b/config/check.go
@@ -5,22 +5,23 @@
 	"woaddoor/document"
 )
 
-// checker checks what the sections say of each other.
+// checker checks the references between sections, such as from a workspace to
+// the versions that it may use.
 type checker struct {
 	config  *Config
 	readers map[string]*Reader
 }
 
 func (ch *checker) check() {
-	ch.workspaces()
-	ch.models()
-	ch.versions()
-	ch.cascades()
-	ch.rollouts()
-	ch.services()
+	ch.checkWorkspaces()
+	ch.checkModels()
+	ch.checkVersions()
+	ch.checkCascades()
+	ch.checkRollouts()
+	ch.checkServices()
 }
 
-func (ch *checker) workspaces() {
+func (ch *checker) checkWorkspaces() {
 	for id, w := range ch.config.Workspaces {
 		r := ch.readers[kindWorkspace+" "+string(id)]
 		for v := range w.Allow {
@@ -28,21 +29,22 @@
 				r.Fault("allow", "names %s, which has no section: expected a declared version", v)
 			}
 		}
-		if other, twice := ch.config.byKey[w.KeyHash]; twice {
-			r.Fault("key-hash", "is also that of workspace %s: expected a key of its own", other.ID)
+		if other, duplicate := ch.config.workspaceByKeyHash[w.KeyHash]; duplicate {
+			r.Fault("key-hash", "is also the key hash of workspace %s: expected a different key for each workspace", other.ID)
 		}
-		ch.config.byKey[w.KeyHash] = w
+		ch.config.workspaceByKeyHash[w.KeyHash] = w
 	}
 }
 
-func (ch *checker) models() {
+func (ch *checker) checkModels() {
 	for id, m := range ch.config.Models {
 		r := ch.readers[kindModel+" "+string(id)]
-		ch.versionOf(r, "serve", m.Serve, id)
+		ch.checkVersionOf(r, "serve", m.Serve, id)
 	}
 }
 
-func (ch *checker) versionOf(r *Reader, key string, v contract.VersionID, m contract.ModelID) {
+// checkVersionOf checks that v, the value of key, is a declared version of model m.
+func (ch *checker) checkVersionOf(r *Reader, key string, v contract.VersionID, m contract.ModelID) {
 	if v == "" {
 		return
 	}
@@ -55,15 +57,15 @@
 	}
 }
 
-func (ch *checker) versions() {
+func (ch *checker) checkVersions() {
 	for id := range ch.config.Versions {
 		if _, ok := ch.config.Models[id.Model()]; !ok {
-			ch.readers[VersionSection(id)].Fault("", "is of model %s, which has no section: expected a declared model", id.Model())
+			ch.readers[VersionSectionName(id)].Fault("", "is of model %s, which has no section: expected a declared model", id.Model())
 		}
 	}
 }
 
-func (ch *checker) cascades() {
+func (ch *checker) checkCascades() {
 	for name, c := range ch.config.Cascades {
 		r := ch.readers[kindCascade+" "+name]
 		for _, m := range c.Models {
@@ -74,21 +76,21 @@
 	}
 }
 
-func (ch *checker) rollouts() {
+func (ch *checker) checkRollouts() {
 	for m, ro := range ch.config.Rollouts {
 		r := ch.readers[kindRollout+" "+string(m)]
 		if _, ok := ch.config.Models[m]; !ok {
 			r.Fault("", "is of model %s, which has no section: expected a declared model", m)
 		}
-		ch.versionOf(r, "from", ro.From, m)
-		ch.versionOf(r, "to", ro.To, m)
+		ch.checkVersionOf(r, "from", ro.From, m)
+		ch.checkVersionOf(r, "to", ro.To, m)
 		if ro.From == ro.To && ro.From != "" {
 			r.Fault("to", "is the same as from: expected another version")
 		}
 	}
 }
 
-func (ch *checker) services() {
+func (ch *checker) checkServices() {
 	for id, s := range ch.config.Services {
 		r := ch.readers[kindService+" "+string(id)]
 		if len(s.Pools) == 0 {
@@ -103,18 +105,18 @@
 	}
 }
 
-// Successor checks file as the successor of the accepted document, and returns
-// the sections of the new one: those of the file and those that the system
-// keeps of roll-outs that go on.
+// NextSections checks that file f may replace the accepted document. It returns
+// the sections of the new document: those of the file, and the stored progress
+// of each roll-out whose target version is the same in both.
 //
-// A withdrawn version stays withdrawn: a withdrawal that an older file could
-// undo would be a configuration that reverts. The fix gets a new number.
-func Successor(accepted *document.Document, f *File) (map[string]document.Section, error) {
+// A withdrawn version stays withdrawn. Otherwise applying an older file would
+// bring a bad version back into service. A corrected version needs a new number.
+func NextSections(accepted *document.Document, f *File) (map[string]document.Section, error) {
 	old, err := FromDocument(accepted)
 	if err != nil {
 		return nil, err
 	}
-	next, faults := build(f)
+	next, faults := buildConfig(f)
 	if len(faults) > 0 {
 		return nil, faults
 	}
@@ -124,8 +126,8 @@
 		}
 		if now, ok := next.Versions[id]; !ok || now.State != Withdrawn {
 			faults = append(faults, Fault{
-				File: f.Name, Line: f.Line(VersionSection(id), "state"), Section: VersionSection(id), Key: "state",
-				Want: "was withdrawn before: expected it to stay withdrawn; give the mended version a new number",
+				File: f.Name, Line: f.Line(VersionSectionName(id), "state"), Section: VersionSectionName(id), Key: "state",
+				Message: "was withdrawn before: expected it to stay withdrawn; give the corrected version a new number",
 			})
 		}
 	}
@@ -134,7 +136,7 @@
 	}
 	sections := make(map[string]document.Section, len(f.sections))
 	for name, s := range f.sections {
-		if name != KindFrom {
+		if name != KindConfiguration {
 			sections[name] = s
 		}
 	}
--- a/config/config.go
+++ b/config/config.go
@@ -1,9 +1,9 @@
-// Package config gives a document its meaning: workspaces, models, versions,
-// cascades, roll-outs, pools and services, checked as a whole.
+// Package config parses and validates the configuration: workspaces, models,
+// versions, cascades, roll-outs, pools and services.
 //
-// An operator writes it as an INI file; docs/OPERATIONS.md describes each key.
-// Check names the file, the line and the key of each fault and what was
-// expected there.
+// An operator writes the configuration as an INI file; docs/OPERATIONS.md
+// describes each key. Every error names the file, the line and the key, and the
+// value that was expected there.
 package config
 
 import (
@@ -12,7 +12,7 @@
 	"woaddoor/contract"
 )
 
-// Config is one checked configuration. It is not changed after it was built.
+// Config is one validated configuration. It is immutable.
 type Config struct {
 	Workspaces map[contract.WorkspaceID]*Workspace
 	Models     map[contract.ModelID]*Model
@@ -23,58 +23,65 @@
 	Pools      map[contract.PoolID]*Pool
 	Services   map[contract.ServiceID]*Service
 
-	// byKey finds a workspace by the hash of its key.
-	byKey map[KeyHash]*Workspace
+	// workspaceByKeyHash indexes the workspaces by the hash of their API key.
+	workspaceByKeyHash map[KeyHash]*Workspace
 }
 
-// KeyHash is the SHA-256 of a workspace's key, in hex. Keys themselves are in
-// no file and no log.
+// KeyHash is the SHA-256 of a workspace's API key, in hex. The keys themselves
+// are never stored in a file or written to a log.
 type KeyHash string
 
-// BillPolicy says what to do when a bill can be kept neither by a peer nor by
-// the platform.
+// BillPolicy is what to do with a request when its bill record can be stored
+// neither by a peer nor by the platform.
 type BillPolicy string
 
-// The two policies.
+// The policies for requests whose bill record cannot be stored.
 const (
-	// BillRefuse refuses the request: nothing runs that could go unbilled.
+	// BillRefuse refuses the request, so that no unbilled request runs.
 	BillRefuse BillPolicy = "refuse"
-	// BillServe serves, and counts the amount as being at risk.
+	// BillServe serves the request, and counts its amount as at risk of not
+	// being billed.
 	BillServe BillPolicy = "serve"
 )
 
-// Workspace is a customer: what it may use, and its share.
+// Workspace is a customer: the versions that it may use, and its share of the
+// capacity.
 type Workspace struct {
 	ID      contract.WorkspaceID
 	KeyHash KeyHash
-	// Allow lists the versions the workspace may use. It is never empty.
+	// Allow is the set of versions that the workspace may use. It is never empty.
 	Allow map[contract.VersionID]bool
-	// Share is its weight against the other workspaces. Zero means 1.
+	// Share is the workspace's weight relative to the other workspaces when
+	// requests compete for capacity. Zero means 1.
 	Share int
-	// Quality is the least share of good answers it accepts of a cascade.
+	// Quality is the minimum fraction of good answers that the workspace accepts
+	// from a cascade, from 0 to 1.
 	Quality float64
-	// Bill says what happens when no bill can be kept. Empty means refuse.
+	// Bill is what to do with a request whose bill record cannot be stored.
+	// Empty means BillRefuse.
 	Bill BillPolicy
 }
 
-// Model is a model, and the version that serves it outside a roll-out.
+// Model declares a model, its prices, and the version that serves it outside a
+// roll-out.
 type Model struct {
 	ID    contract.ModelID
 	Serve contract.VersionID
-	// Input and Output are the prices of a million tokens.
+	// Input and Output are the prices of a million input and output tokens.
 	Input, Output contract.Price
 }
 
-// VersionState is what a version may be used for.
+// VersionState determines which requests a version may serve.
 type VersionState string
 
-// The states of a version. They only move down this list.
+// The states of a version, in the order in which a version passes through them.
+// A version never returns from Withdrawn to an earlier state.
 const (
-	// Serving takes new sessions and requests.
+	// Serving versions accept new sessions and requests.
 	Serving VersionState = "serving"
-	// Draining keeps its sessions and takes no new ones.
+	// Draining versions continue their open sessions and accept no new ones.
 	Draining VersionState = "draining"
-	// Withdrawn takes no new work at all, for ever.
+	// Withdrawn versions never accept new work again.
 	Withdrawn VersionState = "withdrawn"
 )
 
@@ -82,45 +89,50 @@
 type Version struct {
 	ID    contract.VersionID
 	State VersionState
-	// ServeWithoutWord is how long a VM may go on giving the version new work
-	// without fresh word from the platform. Zero means DefaultServeWithoutWord.
+	// ServeWithoutWord is how long a VM may continue to give the version new work
+	// after its last configuration update from the platform. Zero means
+	// DefaultServeWithoutUpdate.
 	ServeWithoutWord time.Duration
 }
 
-// MaxServeWithoutWord bounds how long a version may be served without word, so
-// that the end of a withdrawal can be worked out from the changes of that time.
-const MaxServeWithoutWord = 48 * time.Hour
+// MaxServeWithoutUpdate is the longest that a version may be served without a
+// configuration update. Because of this bound, only the changes within it have
+// to be read to compute when a withdrawal is in force on every VM.
+const MaxServeWithoutUpdate = 48 * time.Hour
 
-// DefaultServeWithoutWord is used where a version does not say. It bounds both
-// how long a cut-off data centre serves and how long a withdrawal may pend.
-const DefaultServeWithoutWord = 2 * time.Minute
+// DefaultServeWithoutUpdate applies to a version without the setting. It bounds
+// how long a data centre that is cut off from the platform keeps serving, and
+// how long a withdrawal may stay pending.
+const DefaultServeWithoutUpdate = 2 * time.Minute
 
-// Cascade tries a cheaper model first.
+// Cascade is a list of models of which the cheaper are tried first.
 type Cascade struct {
 	Name string
-	// Models are in the order of their cost, cheapest first; two at least.
+	// Models has at least two models, ordered by cost, cheapest first.
 	Models []contract.ModelID
 }
 
-// Rollout is the plan by which a model moves to a new version.
+// Rollout is the plan for moving a model from one version to another.
 type Rollout struct {
 	Model contract.ModelID
 	From  contract.VersionID
 	To    contract.VersionID
-	// Steps are the shares of new sessions, in percent, rising, at each step.
+	// Steps are the rising percentages of new sessions that the new version gets
+	// at each step.
 	Steps []float64
-	// GoodRate and BadRate are the shares of bad answers between which the
-	// sequential test decides.
+	// GoodRate and BadRate are the rates of bad answers that the sequential test
+	// distinguishes: a version at GoodRate passes, and one at BadRate is halted.
 	GoodRate, BadRate float64
-	// FalseAlarm is the chance of halting a version that is good.
+	// FalseAlarm is the accepted probability of halting a good version.
 	FalseAlarm float64
-	// Miss is the chance of passing a version that is bad.
+	// Miss is the accepted probability of passing a bad version.
 	Miss float64
-	// RatingsWithin halts the roll-out when no rating came for so long.
+	// RatingsWithin is how long the roll-out may receive no rating before it is
+	// halted.
 	RatingsWithin time.Duration
 }
 
-// RampState is where a roll-out stands.
+// RampState is the state of a roll-out.
 type RampState string
 
 // The states of a roll-out. Halted and Done are final.
@@ -130,7 +142,8 @@
 	Done    RampState = "done"
 )
 
-// Progress is how far a roll-out got. The system writes it, never a file.
+// Progress is the current step and state of a roll-out. Only the system writes
+// it; an operator's file must not contain it.
 type Progress struct {
 	Model contract.ModelID
 	To    contract.VersionID
@@ -138,7 +151,7 @@
 	State RampState
 }
 
-// PoolKind tells engines from plain services.
+// PoolKind is whether a pool holds model engines or plain services.
 type PoolKind string
 
 // The kinds of pools.
@@ -147,76 +160,82 @@
 	ServicePool PoolKind = "service"
 )
 
-// Fencing says what a pool's engines do with an order that carries an old
+// FencingMode is how a pool's engines treat an order that carries an outdated
 // fencing number.
-type Fencing string
+type FencingMode string
 
-// The two behaviours of engines.
+// The fencing modes: engines refuse an outdated number, or ignore the number.
 const (
-	FencingRefuses Fencing = "refuses"
-	FencingIgnores Fencing = "ignores"
+	FencingRefuses FencingMode = "refuses"
+	FencingIgnores FencingMode = "ignores"
 )
 
-// Pool is a set of like upstreams in one data centre.
+// Pool is a set of interchangeable upstreams in one data centre.
 type Pool struct {
 	ID         contract.PoolID
 	Kind       PoolKind
 	DataCentre contract.DataCentreID
 	Upstreams  []Upstream
-	// Fencing says how its engines treat an old number. Empty means ignores,
-	// which is the safe assumption.
-	Fencing Fencing
-	// Slots is how many requests one upstream works on at once. Zero means 8.
+	// Fencing is how the pool's engines treat an outdated fencing number. Empty
+	// means FencingIgnores, which is the safe assumption.
+	Fencing FencingMode
+	// Slots is how many requests one upstream processes concurrently. Zero means 8.
 	Slots int
-	// Connections is how many requests this VM may have at one upstream at the
-	// same time. Zero means no bound.
+	// Connections is how many concurrent requests this VM may have at one
+	// upstream. Zero means no limit.
 	Connections int
 }
 
-// DefaultSlots is used where a pool does not say.
+// DefaultSlots is the number of slots per upstream of a pool without the setting.
 const DefaultSlots = 8
 
 // Upstream is one back end of a pool.
 type Upstream struct {
 	ID contract.UpstreamID
-	// URL is its base, such as "http://10.0.0.5:8000".
+	// URL is the base URL, such as "http://10.0.0.5:8000".
 	URL string
 }
 
-// Service is a plain service beside the engines.
+// Service is a plain HTTP service without a model, served by pools of kind
+// "service".
 type Service struct {
 	ID    contract.ServiceID
 	Pools []contract.PoolID
-	// NotRepeatable lists the calls that run at most once.
+	// NotRepeatable lists the calls that must run at most once, so a failed one is
+	// not retried.
 	NotRepeatable []CallPattern
-	// Price is what one call costs, in millionths. Zero means nothing.
+	// Price is the price of one call, in millionths of the currency unit. Zero
+	// means free of charge.
 	Price contract.Money
 }
 
-// CallPattern is a method and a path; a path that ends in "*" is a prefix.
+// CallPattern matches calls by method and path. A path that ends in "*" matches
+// every path with that prefix.
 type CallPattern struct {
 	Method string
 	Path   string
 }
 
-// ByKey returns the workspace that the hash of a key belongs to.
+// ByKey returns the workspace whose API key has hash h.
 func (c *Config) ByKey(h KeyHash) (*Workspace, bool) {
-	w, ok := c.byKey[h]
+	w, ok := c.workspaceByKeyHash[h]
 	return w, ok
 }
 
-// ServeWithoutWord returns how long v may be served without fresh word.
+// ServeWithoutWord returns how long v may be served after the last configuration
+// update from the platform.
 func (c *Config) ServeWithoutWord(v contract.VersionID) time.Duration {
 	version, ok := c.Versions[v]
 	if !ok || version.ServeWithoutWord == 0 {
-		return DefaultServeWithoutWord
+		return DefaultServeWithoutUpdate
 	}
 	return version.ServeWithoutWord
 }
 
-// LongestServeWithoutWord returns the longest such time over all versions of
-// the configuration: after it, no VM that missed a change acts on the old one.
-func (c *Config) LongestServeWithoutWord() time.Duration {
+// LongestServeWithoutUpdate returns the maximum of ServeWithoutWord over all
+// versions. A VM that misses the next change stops acting on this configuration
+// within that time.
+func (c *Config) LongestServeWithoutUpdate() time.Duration {
 	longest := time.Duration(0)
 	for id := range c.Versions {
 		longest = max(longest, c.ServeWithoutWord(id))
--- a/config/ini.go
+++ b/config/ini.go
@@ -11,17 +11,17 @@
 	"woaddoor/document"
 )
 
-// Fault is one thing wrong with a file.
+// Fault is one error in a file.
 type Fault struct {
 	File    string `json:"file"`
 	Line    int    `json:"line"`
 	Section string `json:"section,omitempty"`
 	Key     string `json:"key,omitempty"`
-	// Want says what was expected there.
-	Want string `json:"want"`
+	// Message states what is wrong and what was expected instead.
+	Message string `json:"want"`
 }
 
-// String returns "file:line: [section] key: what was expected".
+// String returns the fault as "file:line: [section] key: message".
 func (f Fault) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s:%d:", f.File, f.Line)
@@ -31,13 +31,13 @@
 	if f.Key != "" {
 		fmt.Fprintf(&b, " %s:", f.Key)
 	}
-	return b.String() + " " + f.Want
+	return b.String() + " " + f.Message
 }
 
-// Faults is every fault of a file.
+// Faults lists all errors found in a file. It implements error.
 type Faults []Fault
 
-// Error returns one line a fault.
+// Error returns one line per fault.
 func (fs Faults) Error() string {
 	lines := make([]string, len(fs))
 	for i, f := range fs {
@@ -46,7 +46,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns the faults as an error, nil when there are none.
+// Err returns the faults as an error, or nil if there are none.
 func (fs Faults) Err() error {
 	if len(fs) == 0 {
 		return nil
@@ -54,43 +54,47 @@
 	return fs
 }
 
-// File is an INI file read as sections, with the line of each key.
+// File is a parsed INI file: its sections, and the line number of each section
+// and key.
 type File struct {
 	Name     string
 	sections map[string]document.Section
-	lines    map[place]int
+	lines    map[sectionKey]int
 }
 
-type place struct{ section, key string }
+// sectionKey identifies a key in a section, or the section if key is empty.
+type sectionKey struct{ section, key string }
 
 var (
-	sectionLine = regexp.MustCompile(`^\s*\[([^\]]*)\]`)
-	keyLine     = regexp.MustCompile(`^\s*([^=:;#\[\s][^=:]*?)\s*[=:]`)
-	badLine     = regexp.MustCompile(`key-value delimiter not found: (.*)`)
+	sectionPattern          = regexp.MustCompile(`^\s*\[([^\]]*)\]`)
+	keyPattern              = regexp.MustCompile(`^\s*([^=:;#\[\s][^=:]*?)\s*[=:]`)
+	missingDelimiterPattern = regexp.MustCompile(`key-value delimiter not found: (.*)`)
 )
 
-// ReadFile reads an INI text. The library that parses it keeps no line
-// numbers, so they are looked up beside it; a name that stands twice is a fault.
+// ReadFile parses the text of an INI file; name is used in errors. The INI
+// library keeps no line numbers, so they are looked up separately. A section or
+// key that appears twice is a fault.
 func ReadFile(name string, text []byte) (*File, error) {
-	f := &File{Name: name, sections: make(map[string]document.Section), lines: make(map[place]int)}
-	faults := f.locate(text)
+	f := &File{Name: name, sections: make(map[string]document.Section), lines: make(map[sectionKey]int)}
+	faults := f.indexLines(text)
 	if len(faults) > 0 {
 		return nil, faults
 	}
 	parsed, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true, SkipUnrecognizableLines: false}, text)
 	if err != nil {
-		return nil, f.parseFault(text, err)
+		return nil, f.faultFromParseError(text, err)
 	}
 	for _, s := range parsed.Sections() {
 		if s.Name() == ini.DefaultSection && len(s.Keys()) == 0 {
 			continue
 		}
-		f.sections[s.Name()] = canonical(s)
+		f.sections[s.Name()] = canonicalSection(s)
 	}
 	return f, nil
 }
 
-func canonical(s *ini.Section) document.Section {
+// canonicalSection returns a section as one "key = value" line per key, sorted.
+func canonicalSection(s *ini.Section) document.Section {
 	keys := s.Keys()
 	lines := make([]string, len(keys))
 	for i, k := range keys {
@@ -100,22 +104,23 @@
 	return document.Section(strings.Join(lines, ""))
 }
 
-// locate notes the line of each section and key.
-func (f *File) locate(text []byte) Faults {
+// indexLines records the line number of each section and key, and returns a
+// fault for each that appears twice.
+func (f *File) indexLines(text []byte) Faults {
 	var faults Faults
 	section := ""
 	for i, line := range strings.Split(string(text), "\n") {
-		at := place{section: section}
-		if m := sectionLine.FindStringSubmatch(line); m != nil {
+		at := sectionKey{section: section}
+		if m := sectionPattern.FindStringSubmatch(line); m != nil {
 			section = m[1]
-			at = place{section: section}
-		} else if m := keyLine.FindStringSubmatch(line); m != nil {
+			at = sectionKey{section: section}
+		} else if m := keyPattern.FindStringSubmatch(line); m != nil {
 			at.key = m[1]
 		} else {
 			continue
 		}
-		if first, twice := f.lines[at]; twice {
-			faults = append(faults, Fault{f.Name, i + 1, at.section, at.key, fmt.Sprintf("stands already at line %d", first)})
+		if first, duplicate := f.lines[at]; duplicate {
+			faults = append(faults, Fault{f.Name, i + 1, at.section, at.key, fmt.Sprintf("duplicates line %d: expected it once", first)})
 			continue
 		}
 		f.lines[at] = i + 1
@@ -123,11 +128,12 @@
 	return faults
 }
 
-// parseFault turns an error of the library into a fault with its line.
-func (f *File) parseFault(text []byte, err error) Faults {
-	fault := Fault{File: f.Name, Line: 1, Want: err.Error()}
-	if m := badLine.FindStringSubmatch(err.Error()); m != nil {
-		fault.Want = `expected "key = value", a [section] or a comment`
+// faultFromParseError converts an error of the INI library into a fault with the
+// number of the offending line, or line 1 if it cannot be found.
+func (f *File) faultFromParseError(text []byte, err error) Faults {
+	fault := Fault{File: f.Name, Line: 1, Message: err.Error()}
+	if m := missingDelimiterPattern.FindStringSubmatch(err.Error()); m != nil {
+		fault.Message = `expected "key = value", a [section] or a comment`
 		for i, line := range strings.Split(string(text), "\n") {
 			if strings.TrimSpace(line) == strings.TrimSpace(m[1]) {
 				fault.Line = i + 1
@@ -138,16 +144,18 @@
 	return Faults{fault}
 }
 
-// Line returns the line of a key, else that of its section, else 1.
+// Line returns the line number of a key. If the key is absent it returns the
+// line of the section, and if that is absent too, 1.
 func (f *File) Line(section, key string) int {
-	if n, ok := f.lines[place{section, key}]; ok {
+	if n, ok := f.lines[sectionKey{section, key}]; ok {
 		return n
 	}
-	if n, ok := f.lines[place{section: section}]; ok {
+	if n, ok := f.lines[sectionKey{section: section}]; ok {
 		return n
 	}
 	return 1
 }
 
-// Sections returns the sections as a document keeps them.
+// Sections returns the sections by name, in the form in which a document stores
+// them. The caller must not modify the map.
 func (f *File) Sections() map[string]document.Section { return f.sections }
--- a/config/reader.go
+++ b/config/reader.go
@@ -11,21 +11,22 @@
 	"woaddoor/document"
 )
 
-// Reader takes typed values out of one section and notes each fault. Keys that
-// nobody asked for are faults too, see Done.
+// Reader reads typed values from one section and collects a fault for each
+// invalid one. Keys of the section that were never read are faults too; see Done.
 type Reader struct {
-	file    *File
-	section string
-	values  map[string]string
-	asked   []string
-	faults  *Faults
+	file     *File
+	section  string
+	values   map[string]string
+	readKeys []string
+	faults   *Faults
 }
 
-// NewReader returns a reader of one section of a file.
+// NewReader returns a reader of one section of a file. It appends to faults.
 func NewReader(f *File, section string, faults *Faults) *Reader {
 	return &Reader{file: f, section: section, values: parseSection(f.sections[section]), faults: faults}
 }
 
+// parseSection returns the values of a canonical section by key.
 func parseSection(s document.Section) map[string]string {
 	values := make(map[string]string)
 	for _, line := range strings.Split(string(s), "\n") {
@@ -37,27 +38,30 @@
 	return values
 }
 
-// Fault notes that key is not what was wanted.
+// Fault records a fault of key; an empty key means the section as a whole. The
+// message is formatted from want and args.
 func (r *Reader) Fault(key, want string, args ...any) {
 	*r.faults = append(*r.faults, Fault{
 		File: r.file.Name, Line: r.file.Line(r.section, key),
-		Section: r.section, Key: key, Want: fmt.Sprintf(want, args...),
+		Section: r.section, Key: key, Message: fmt.Sprintf(want, args...),
 	})
 }
 
-// Keys returns the keys of the section, sorted, where any name is one.
+// Keys returns all keys present in the section, sorted. It is for sections whose
+// key names are not fixed.
 func (r *Reader) Keys() []string { return slices.Sorted(maps.Keys(r.values)) }
 
-// Text returns the value of key, or fallback when it is not there.
+// Text returns the value of key, or fallback if the key is absent.
 func (r *Reader) Text(key, fallback string) string {
-	r.asked = append(r.asked, key)
+	r.readKeys = append(r.readKeys, key)
 	if v, ok := r.values[key]; ok {
 		return v
 	}
 	return fallback
 }
 
-// Need returns the value of key, which has to be there and not be empty.
+// Need returns the value of key. A missing or empty value is a fault, whose
+// message contains want.
 func (r *Reader) Need(key, want string) string {
 	v := r.Text(key, "")
 	if v == "" {
@@ -66,13 +70,13 @@
 	return v
 }
 
-// Has tells whether the section holds key.
+// Has reports whether the section contains key.
 func (r *Reader) Has(key string) bool {
 	_, ok := r.values[key]
 	return ok
 }
 
-// List returns the comma-separated values of key.
+// List returns the comma-separated values of key, without the empty ones.
 func (r *Reader) List(key string) []string {
 	var items []string
 	for _, item := range strings.Split(r.Text(key, ""), ",") {
@@ -83,7 +87,8 @@
 	return items
 }
 
-// Duration returns the value of key as a duration with its unit.
+// Duration returns the value of key, a non-negative duration with a unit such as
+// 30s. It returns fallback if the value is missing or invalid.
 func (r *Reader) Duration(key string, fallback time.Duration) time.Duration {
 	text := r.Text(key, "")
 	if text == "" {
@@ -97,7 +102,8 @@
 	return d
 }
 
-// Int returns the value of key as a whole number from low to high.
+// Int returns the value of key, a whole number from low to high. It returns
+// fallback if the value is missing or invalid.
 func (r *Reader) Int(key string, fallback, low, high int) int {
 	text := r.Text(key, "")
 	if text == "" {
@@ -111,12 +117,14 @@
 	return n
 }
 
-// Rate returns the value of key as a number from 0 to 1.
-func (r *Reader) Rate(key string, fallback float64) float64 {
+// Fraction returns the value of key, a number from 0 to 1. It returns fallback if
+// the value is missing or invalid.
+func (r *Reader) Fraction(key string, fallback float64) float64 {
 	return r.Number(key, fallback, 0, 1)
 }
 
-// Number returns the value of key as a number from low to high.
+// Number returns the value of key, a number from low to high. It returns fallback
+// if the value is missing or invalid.
 func (r *Reader) Number(key string, fallback, low, high float64) float64 {
 	text := r.Text(key, "")
 	if text == "" {
@@ -130,8 +138,9 @@
 	return x
 }
 
-// Percents returns the comma-separated percentages of key, which have to rise.
-func (r *Reader) Percents(key string) []float64 {
+// RisingPercentages returns the comma-separated percentages of key, which must be
+// strictly rising.
+func (r *Reader) RisingPercentages(key string) []float64 {
 	var steps []float64
 	for _, item := range r.List(key) {
 		x, err := strconv.ParseFloat(strings.TrimSuffix(item, "%"), 64)
@@ -145,7 +154,8 @@
 	return steps
 }
 
-// OneOf returns the value of key, which has to be one of the choices.
+// OneOf returns the value of key, which must be one of the choices. It returns
+// fallback if the value is missing or invalid.
 func (r *Reader) OneOf(key, fallback string, choices ...string) string {
 	v := r.Text(key, fallback)
 	for _, c := range choices {
@@ -157,15 +167,16 @@
 	return fallback
 }
 
-// Done notes a fault for each key of the section that nobody asked for.
+// Done records a fault for each key of the section that was never read, so that
+// misspelled keys are not ignored.
 func (r *Reader) Done() {
-	asked := make(map[string]bool, len(r.asked))
-	for _, k := range r.asked {
-		asked[k] = true
+	known := make(map[string]bool, len(r.readKeys))
+	for _, k := range r.readKeys {
+		known[k] = true
 	}
 	for key := range r.values {
-		if !asked[key] {
-			r.Fault(key, "is not known here: expected one of %s", strings.Join(r.asked, ", "))
+		if !known[key] {
+			r.Fault(key, "is not a key of this section: expected one of %s", strings.Join(r.readKeys, ", "))
 		}
 	}
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -28,37 +28,37 @@
 	exitSettings = 2
 )
 
-// arguments are those of both daemons.
-type arguments struct {
+// daemonArguments are those of both daemons.
+type daemonArguments struct {
 	Settings string `arg:"" help:"The VM's settings file (INI), shared by both daemons." type:"path"`
 	Check    bool   `help:"Check the settings and the keys, print every fault, and end."`
 }
 
-// service is a daemon's server.
-type service interface {
+// server is a daemon's server.
+type server interface {
 	Run(ctx context.Context) error
 }
 
-// start makes a daemon's server.
-type start func(s *settings.Settings, set *keys.Set, log *zap.Logger) (service, error)
+// serviceFactory makes a daemon's server.
+type serviceFactory func(s *settings.Settings, set *keys.Set, log *zap.Logger) (server, error)
 
 // Entry runs woaddoor-entry and returns its exit code.
 func Entry(args []string) int {
-	return run("woaddoor-entry", "Takes callers' requests on an entry VM.", args, func(s *settings.Settings, set *keys.Set, log *zap.Logger) (service, error) {
+	return run("woaddoor-entry", "Takes callers' requests on an entry VM.", args, func(s *settings.Settings, set *keys.Set, log *zap.Logger) (server, error) {
 		return entry.New(&entry.Options{Settings: s, Keys: set, Clock: clock.NewSystem(), Log: log})
 	})
 }
 
 // Control runs woaddoor-control and returns its exit code.
 func Control(args []string) int {
-	return run("woaddoor-control", "Keeps an entry VM in step with the platform.", args, func(s *settings.Settings, set *keys.Set, log *zap.Logger) (service, error) {
+	return run("woaddoor-control", "Keeps an entry VM in step with the platform.", args, func(s *settings.Settings, set *keys.Set, log *zap.Logger) (server, error) {
 		client := store.NewClient(&store.Options{URL: s.Platform.URL})
 		return control.New(&control.Options{Settings: s, Keys: set, Clock: clock.NewSystem(), Log: log, Store: client, VMs: client})
 	})
 }
 
-func run(name, about string, args []string, begin start) int {
-	var a arguments
+func run(name, about string, args []string, begin serviceFactory) int {
+	var a daemonArguments
 	parser := kong.Must(&a, kong.Name(name), kong.Description(about), kong.UsageOnError())
 	_, err := parser.Parse(args)
 	parser.FatalIfErrorf(err)
@@ -67,7 +67,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return exitSettings
 	}
-	set, err := keys.Load(s.Keys.Pair, s.Keys.Pins, s.Keys.Signing)
+	set, err := keys.Load(s.Keys.KeyPairFile, s.Keys.PinsFile, s.Keys.SigningKeyFile)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitSettings
@@ -82,7 +82,7 @@
 
 // serve runs until SIGTERM or SIGINT. Further signals are noted and change
 // nothing: a planned stop cuts off no request, however often it is asked for.
-func serve(s *settings.Settings, set *keys.Set, log *zap.Logger, begin start) int {
+func serve(s *settings.Settings, set *keys.Set, log *zap.Logger, begin serviceFactory) int {
 	server, err := begin(s, set, log)
 	if err != nil {
 		log.Error("start-failed", logs.Failure(err)...)
--- a/daemon/duties.go
+++ b/daemon/duties.go
@@ -17,19 +17,19 @@
 	members "woaddoor/vm"
 )
 
-// dutiesLease is the name of the lease under which one VM acts for all.
-const dutiesLease = "duties"
+// dutiesLeaseName is the name of the lease under which one VM acts for all.
+const dutiesLeaseName = "duties"
 
-// callPart is the part of a lease that a call may take, divided: less than the margin at its
+// dutyTimeoutDivisor is the part of a lease that a call may take, divided: less than the margin at its
 // end in which none is made.
-const callPart = 4
+const dutyTimeoutDivisor = 4
 
 // dutyTimeout bounds a call that one VM makes for all, and those that keep its lease.
-func (v *vm) dutyTimeout() time.Duration { return v.settings.Duties.Lease / callPart }
+func (v *vmProcess) dutyTimeout() time.Duration { return v.settings.Duties.Lease / dutyTimeoutDivisor }
 
-// prepareDuties makes the parts by which one VM acts for all, where the deployment asks for
+// buildDuties makes the parts by which one VM acts for all, where the deployment asks for
 // anything.
-func (v *vm) prepareDuties(store *platform.Store, self members.Member) {
+func (v *vmProcess) buildDuties(store *platform.Store, self members.Member) {
 	d := v.settings.Duties
 	if d.Address == "" {
 		return
@@ -37,7 +37,7 @@
 	life := contract.VMLife{VM: self.VM, Incarnation: self.Incarnation}
 	v.lease = leader.NewKeeper(&leader.KeeperOptions{
 		Options: lease.Options{Self: life, Length: d.Lease},
-		Store:   platform.NewLease(store, dutiesLease), Clock: clock.NewSystem(), Timeout: v.dutyTimeout(),
+		Store:   platform.NewLease(store, dutiesLeaseName), Clock: clock.NewSystem(), Timeout: v.dutyTimeout(),
 	})
 	if !platform.Reports(d.Names) {
 		return
@@ -48,26 +48,26 @@
 	})
 }
 
-func (v *vm) usageTerms() usage.Terms {
-	return usage.Terms{Window: v.settings.Duties.UsageWindow, Late: v.settings.Duties.UsageLate}
+func (v *vmProcess) usageTerms() usage.Terms {
+	return usage.Terms{Window: v.settings.Duties.UsageWindow, Late: v.settings.Duties.UsageReportDeadline}
 }
 
-// began returns what is told of requests that upstreams begin to run; nil where nobody asks.
-func (v *vm) began() func(contract.WorkspaceID, time.Time) {
+// usageRecorder returns what is told of requests that upstreams begin to run; nil where nobody asks.
+func (v *vmProcess) usageRecorder() func(contract.WorkspaceID, time.Time) {
 	if v.usage == nil {
 		return nil
 	}
 	return v.usage.Began
 }
 
-// leader returns what acts for all VMs where this one is to; nil where none does.
-func (v *vm) leader() *leader.Leader {
+// newLeader returns what acts for all VMs where this one is to; nil where none does.
+func (v *vmProcess) newLeader() *leader.Leader {
 	if v.lease == nil {
 		return nil
 	}
 	d := v.settings.Duties
 	calls := platform.NewDuties(d.Address, v.settings.Name, v.dutyTimeout())
-	calls.Called = v.dutyCalled
+	calls.Called = v.countDutyCall
 	var acts []leader.Act
 	if v.usage != nil {
 		acts = append(acts, leader.NewReports(&leader.ReportsOptions{
@@ -87,7 +87,7 @@
 }
 
 // services returns those of the configuration in force.
-func (v *vm) services() map[contract.ServiceID]*route.Service {
+func (v *vmProcess) services() map[contract.ServiceID]*route.Service {
 	if t := v.site.Table(); t != nil {
 		return t.Services
 	}
@@ -95,7 +95,7 @@
 }
 
 // objective returns the shortest objective of the routes to a service.
-func (v *vm) objective(s contract.ServiceID) time.Duration {
+func (v *vmProcess) objective(s contract.ServiceID) time.Duration {
 	if t := v.site.Table(); t != nil {
 		return t.Objective(s)
 	}
@@ -103,18 +103,18 @@
 }
 
 // listAge returns how old the store's word on the list of upstreams is.
-func (v *vm) listAge() time.Duration {
+func (v *vmProcess) listAge() time.Duration {
 	_, age := v.site.Ages()
 	return age
 }
 
-// dutyCalled counts a call that one VM makes for all.
-func (v *vm) dutyCalled(c platform.Call, err error) {
+// countDutyCall counts a call that one VM makes for all.
+func (v *vmProcess) countDutyCall(c platform.Call, err error) {
 	v.countCall("duty", fmt.Sprintf("call=%q", c.Verb), err)
 }
 
-// dutyLines returns what is told of who acts for all.
-func (v *vm) dutyLines() []string {
+// leaseMetrics returns what is told of who acts for all.
+func (v *vmProcess) leaseMetrics() []string {
 	if v.lease == nil {
 		return nil
 	}
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -16,13 +16,13 @@
 // pathMetrics is where a VM serves its metrics as text.
 const pathMetrics = "/metrics"
 
-// storeCalled counts a call to the platform's store.
-func (v *vm) storeCalled(c platform.Call, err error) {
+// countStoreCall counts a call to the platform's store.
+func (v *vmProcess) countStoreCall(c platform.Call, err error) {
 	v.countCall("store", fmt.Sprintf("call=%q,kind=%q", c.Verb, c.Kind), err)
 }
 
 // countCall counts a call of some calls, by its labels and by whether it failed.
-func (v *vm) countCall(calls, labels string, err error) {
+func (v *vmProcess) countCall(calls, labels string, err error) {
 	name := calls + "_calls_total"
 	if err != nil {
 		name = calls + "_calls_failed_total"
@@ -30,14 +30,14 @@
 	metrics.GetOrRegisterCounter(fmt.Sprintf("%s{%s}", name, labels), v.registry).Inc(1)
 }
 
-// storeUnreadable logs and counts an object of the store that cannot be read.
-func (v *vm) storeUnreadable(kind string, err error) {
+// recordUnreadableObject logs and counts an object of the store that cannot be read.
+func (v *vmProcess) recordUnreadableObject(kind string, err error) {
 	metrics.GetOrRegisterCounter(fmt.Sprintf("objects_malformed_total{kind=%q,by=%q}", kind, "store"), v.registry).Inc(1)
 	v.log.Error("object-unreadable", zap.String("kind", kind), zap.Error(err))
 }
 
-// evacuationLines returns what is told of data centres that are evacuated.
-func (v *vm) evacuationLines() []string {
+// evacuationMetrics returns what is told of data centres that are evacuated.
+func (v *vmProcess) evacuationMetrics() []string {
 	var lines []string
 	all := v.relay.Evacuated()
 	for _, e := range all {
@@ -48,15 +48,15 @@
 	return append(lines, fmt.Sprintf("evacuations %d", len(all)))
 }
 
-// metricsPage serves the metrics, one name and value a line.
-func (v *vm) metricsPage() http.Handler {
+// metricsHandler serves the metrics, one name and value a line.
+func (v *vmProcess) metricsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(pathMetrics, func(w http.ResponseWriter, _ *http.Request) {
-		lines := append(v.gauges(), registryLines(v.registry)...)
-		lines = append(lines, registryLines(v.relay.Metrics.Registry)...)
-		lines = append(lines, v.peerLines()...)
-		lines = append(lines, v.evacuationLines()...)
-		lines = append(lines, v.dutyLines()...)
+		lines := append(v.gaugeMetrics(), registryMetrics(v.registry)...)
+		lines = append(lines, registryMetrics(v.relay.Metrics.Registry)...)
+		lines = append(lines, v.peerMetrics()...)
+		lines = append(lines, v.evacuationMetrics()...)
+		lines = append(lines, v.leaseMetrics()...)
 		sort.Strings(lines)
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 		_, _ = fmt.Fprintln(w, strings.Join(lines, "\n")) // the reader is gone
@@ -64,8 +64,8 @@
 	return mux
 }
 
-// gauges returns what is read at the time of the question.
-func (v *vm) gauges() []string {
+// gaugeMetrics returns what is read at the time of the question.
+func (v *vmProcess) gaugeMetrics() []string {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	configuration, upstreams := v.site.Ages()
@@ -86,7 +86,7 @@
 		line("connections_opened_total", dialed),
 		line("requests_held", v.relay.Held()),
 		line("goroutines", runtime.NumGoroutine()),
-		line("log_lines_left_out_total", v.lines.LeftOut()),
+		line("log_lines_left_out_total", v.logWriter.LeftOut()),
 		line("memory_heap_bytes", memory.HeapAlloc),
 		line("memory_system_bytes", memory.Sys),
 		line("retry_budget_left_ratio", v.relay.BudgetLeft()),
@@ -100,9 +100,9 @@
 	}
 }
 
-// peerLines returns what VMs tell each other, by kind of message and by whether it
+// peerMetrics returns what VMs tell each other, by kind of message and by whether it
 // crosses the border of the data centre, and where this one stands among them.
-func (v *vm) peerLines() []string {
+func (v *vmProcess) peerMetrics() []string {
 	var lines []string
 	for _, s := range v.peers.Traffic() {
 		to := "near"
@@ -126,7 +126,7 @@
 // quantiles are those served of each histogram.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-func registryLines(r metrics.Registry) []string {
+func registryMetrics(r metrics.Registry) []string {
 	var lines []string
 	r.Each(func(name string, m any) {
 		switch m := m.(type) {
--- a/daemon/vm.go
+++ b/daemon/vm.go
@@ -58,17 +58,17 @@
 	return runVM(s, a.Settings)
 }
 
-// vm is one life of the process.
-type vm struct {
-	settings *settings.VM
-	path     string
-	log      *zap.Logger
-	site     *site.Site
-	relay    *relay.Relay
-	peers    *site.Peers
-	lines    *logs.Bounded
-	registry metrics.Registry
-	stopping atomic.Bool
+// vmProcess is one life of the process.
+type vmProcess struct {
+	settings     *settings.VM
+	settingsPath string
+	log          *zap.Logger
+	site         *site.Site
+	relay        *relay.Relay
+	peers        *site.Peers
+	logWriter    *logs.Bounded
+	registry     metrics.Registry
+	stopping     atomic.Bool
 	// lease and usage are those under which one VM acts for all; nil where none does.
 	lease *leader.Keeper
 	usage *leader.Book
@@ -80,21 +80,21 @@
 // process uses a small part of its processor.
 const gcPercent = 50
 
-// heapShare is the part of the machine's memory from which on the collector works
+// memoryLimitShare is the part of the machine's memory from which on the collector works
 // harder: what the kernel holds for connections counts as well.
-const heapShare = 0.6
+const memoryLimitShare = 0.6
 
-// closeLogs bounds the wait for lines at the end of the process.
-const closeLogs = 200 * time.Millisecond
+// logFlushTimeout bounds the wait for lines at the end of the process.
+const logFlushTimeout = 200 * time.Millisecond
 
 func runVM(s *settings.VM, path string) int {
 	debug.SetGCPercent(gcPercent)
 	if limit := s.Machine.Memory; limit > 0 {
-		debug.SetMemoryLimit(int64(heapShare * float64(limit)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(limit)))
 	}
 	log, lines := logs.NewBounded(os.Stdout, zap.String("vm", string(s.Name)))
-	defer lines.Close(closeLogs)
-	v := &vm{settings: s, path: path, log: log, lines: lines}
+	defer lines.Close(logFlushTimeout)
+	v := &vmProcess{settings: s, settingsPath: path, log: log, logWriter: lines}
 	if err := v.build(); err != nil {
 		log.Error("start-failed", logs.Failure(err)...)
 		return exitFailed
@@ -108,12 +108,12 @@
 	log.Info("start", zap.String("data_centre", string(s.DataCentre)), zap.Bool("first_start", s.FirstStart), zap.String("store", s.Store))
 	go v.site.Run(ctx)
 	go v.relay.Reach(ctx)
-	v.wait()
+	v.waitForSignals()
 	return exitOK
 }
 
 // build makes the parts of the process.
-func (v *vm) build() error {
+func (v *vmProcess) build() error {
 	s := v.settings
 	v.registry = metrics.NewRegistry()
 	identity, err := keys.NewByAddress(string(s.Name), func(ip string) bool { return v.peers.KnownIP(ip) })
@@ -122,15 +122,15 @@
 	}
 	endpoint, err := link.Listen(s.Listen.Links, identity, link.ShareLinks)
 	if err != nil {
-		return contract.Fail(contract.StepSettings, v.path+": [listen] links", err)
+		return contract.Fail(contract.StepSettings, v.settingsPath+": [listen] links", err)
 	}
 	self := members.Member{
 		VM: s.Name, DataCentre: s.DataCentre, Incarnation: contract.NewIncarnation(time.Now()), ControlLink: s.Listen.Links,
-		Strength: s.Machine.Strength(),
+		Strength: s.Machine.CapacityUnits(),
 	}
 	store := platform.NewStore(s.Store)
-	store.Called, store.Unreadable = v.storeCalled, v.storeUnreadable
-	v.prepareDuties(store, self)
+	store.Called, store.Unreadable = v.countStoreCall, v.recordUnreadableObject
+	v.buildDuties(store, self)
 	v.peers = site.NewPeers(&site.PeersOptions{
 		Endpoint: endpoint, Self: self, Seeds: s.Listen.Seeds, Regions: s.Regions, FirstStart: s.FirstStart, Log: v.log, Now: time.Now,
 		Lease: v.lease, Usage: v.usage,
@@ -140,20 +140,20 @@
 		Budget:  retry.WindowOptions{Ratio: s.Bounds.RetryRatio, Slack: s.Bounds.RetrySlack, Length: s.Bounds.RetryWindow},
 		VMs:     v.peers.Count,
 		ListAge: v.listAge,
-		Policy:  s.Policy, WorthOfCost: s.WorthOfCost, RepeatPrice: s.RepeatPrice, CanaryShare: s.Bounds.CanaryShare, LongestRest: s.Bounds.LongestRest, BadAnswer: func() { go v.peers.Grave(context.Background()) },
+		Policy:  s.Policy, WorthOfCost: s.ValueCostRatio, RepeatPrice: s.MaxRepeatPrice, CanaryShare: s.Bounds.CanaryShare, LongestRest: s.Bounds.LongestRest, BadAnswer: func() { go v.peers.Grave(context.Background()) },
 		Suspected: func() { go v.peers.Grave(context.Background()) },
 		Wake:      func() { v.site.Wake() }, Sent: v.peers.Sent, Opinion: v.peers.Opinion, Rest: v.peers.Rest, Limit: v.peers.Limit, Group: v.peers.Group,
-		Began:      v.began(),
+		Began:      v.usageRecorder(),
 		Evacuation: s.Bounds.Evacuation, Owners: v.peers.Owners, Cold: relay.ColdBounds{Overshoot: s.Bounds.ColdOvershoot, Slack: s.Bounds.ColdSlack},
 	})
 	options := &site.Options{
-		VM: s.Name, FirstStart: s.FirstStart, Configurations: platform.Configurations(store, s.Bounds.Apply),
-		Upstreams: platform.Upstreams(store, s.Bounds.Drain), Orders: platform.Orders(store), NoteOrder: store.NoteOrder, Relay: v.relay, Log: v.log, Now: time.Now,
+		VM: s.Name, FirstStart: s.FirstStart, Configurations: platform.Configurations(store, s.Bounds.ConfigurationApply),
+		Upstreams: platform.Upstreams(store, s.Bounds.UpstreamDrain), Orders: platform.Orders(store), NoteOrder: store.NoteOrder, Relay: v.relay, Log: v.log, Now: time.Now,
 		Peers: v.peers, VMs: store.VMs, Link: s.Listen.Links, Registry: v.registry,
 		Held: platform.HeldContents(store), HeldNotes: store,
 		PutVM: func(ctx context.Context) error { return store.PutVM(ctx, s.Name, s.Listen.Links) },
 	}
-	options.Leader = v.leader()
+	options.Leader = v.newLeader()
 	if s.Bounds.Evacuation > 0 {
 		options.Evacuations = platform.Evacuations(store, s.Bounds.Evacuation)
 	}
@@ -164,13 +164,13 @@
 // Bounds of callers' connections, where the configuration's come too late to be
 // set on a server: clients keep within them.
 const (
-	headerTimeout = 10 * time.Second
-	idleTimeout   = 3 * time.Minute
-	maxHeader     = 64 << 10
+	headerTimeout  = 10 * time.Second
+	idleTimeout    = 3 * time.Minute
+	maxHeaderBytes = 64 << 10
 )
 
 // listen opens the VM's addresses. An address in use is told with its name.
-func (v *vm) listen() error {
+func (v *vmProcess) listen() error {
 	front := &platform.Front{
 		Relay: v.relay, Table: v.site.Table, Await: v.site.Await, Now: time.Now, Closing: v.stopping.Load,
 		Ending: func() bool { return v.callers.Draining() },
@@ -179,28 +179,28 @@
 		},
 	}
 	ready := http.NewServeMux()
-	ready.HandleFunc(platform.PathReady, v.ready)
+	ready.HandleFunc(platform.PathReady, v.serveReadiness)
 	for _, l := range []struct {
 		name, address string
 		handler       http.Handler
 	}{
 		{"callers", v.settings.Listen.Callers, front},
 		{"ready", v.settings.Listen.Ready, ready},
-		{"metrics-port", v.settings.Listen.Metrics, v.metricsPage()},
+		{"metrics-port", v.settings.Listen.Metrics, v.metricsHandler()},
 	} {
 		if l.address == "" {
 			continue
 		}
 		listener, err := net.Listen("tcp", l.address)
 		if err != nil {
-			return contract.Fail(contract.StepSettings, v.path+": [listen] "+l.name, err)
+			return contract.Fail(contract.StepSettings, v.settingsPath+": [listen] "+l.name, err)
 		}
 		server := &http.Server{
-			Handler: l.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
+			Handler: l.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 			ErrorLog: zap.NewStdLog(v.log.With(zap.String("listener", l.name))),
 		}
 		if l.handler == front {
-			v.callers = drain.Listen(listener, v.settings.Machine.Callers())
+			v.callers = drain.Listen(listener, v.settings.Machine.MaxCallerConnections())
 			listener, server.ConnState = v.callers, v.callers.ConnState
 		}
 		go func() {
@@ -212,8 +212,8 @@
 	return nil
 }
 
-// ready tells the balancer whether to send new connections.
-func (v *vm) ready(w http.ResponseWriter, _ *http.Request) {
+// serveReadiness tells the balancer whether to send new connections.
+func (v *vmProcess) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if v.stopping.Load() || !v.site.Ready() || v.relay.CutOff() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -221,12 +221,12 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// balancerSees is how long the balancer goes on sending connections to a VM
+// balancerDetectionTime is how long the balancer goes on sending connections to a VM
 // that is no longer ready: it asks every second and takes two misses.
-const balancerSees = 2500 * time.Millisecond
+const balancerDetectionTime = 2500 * time.Millisecond
 
-// wait handles signals until the process is to end.
-func (v *vm) wait() {
+// waitForSignals handles signals until the process is to end.
+func (v *vmProcess) waitForSignals() {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
 	for got := range signals {
@@ -236,13 +236,13 @@
 		}
 		v.reload()
 	}
-	v.stop()
+	v.shutDown()
 }
 
 // reload reads the settings again and says what has changed. Addresses and
 // bounds are in use since the start, so a change of them needs a restart.
-func (v *vm) reload() {
-	s, err := settings.LoadVM(v.path)
+func (v *vmProcess) reload() {
+	s, err := settings.LoadVM(v.settingsPath)
 	if err != nil {
 		v.log.Error("reload-failed", logs.Failure(err)...)
 		return
@@ -250,23 +250,23 @@
 	v.log.Info("reload", zap.Bool("same", reflect.DeepEqual(s, v.settings)), zap.String("takes_effect", "at the next start"))
 }
 
-// stop ends the process without cutting off a request: the balancer is told
+// shutDown ends the process without cutting off a request: the balancer is told
 // first, and connections are closed once it sends no more.
-func (v *vm) stop() {
+func (v *vmProcess) shutDown() {
 	v.stopping.Store(true)
-	ctx, cancel := context.WithTimeout(context.Background(), v.settings.Bounds.Grace-graceMargin)
+	ctx, cancel := context.WithTimeout(context.Background(), v.settings.Bounds.ShutdownGrace-shutdownMargin)
 	defer cancel()
 	resigned := make(chan struct{})
 	go func() {
 		defer close(resigned)
 		v.site.Resign(ctx)
 	}()
-	time.Sleep(min(balancerSees, v.settings.Bounds.Grace/2))
+	time.Sleep(min(balancerDetectionTime, v.settings.Bounds.ShutdownGrace/2))
 	whole := v.callers.Drain(ctx)
 	<-resigned
 	v.peers.LastUsage(ctx)
 	v.log.Info("stop", zap.Bool("whole", whole))
 }
 
-// graceMargin is the part of the grace that is left for the end itself.
-const graceMargin = 300 * time.Millisecond
+// shutdownMargin is the part of the grace that is left for the end itself.
+const shutdownMargin = 300 * time.Millisecond
--- a/daemon/vm_test.go
+++ b/daemon/vm_test.go
@@ -24,19 +24,19 @@
 	"woaddoor/internal/standin/replica"
 )
 
-// asVM makes the test binary run as woaddoor-vm, so that real processes get
+// runAsVMEnv makes the test binary run as woaddoor-vm, so that real processes get
 // real signals.
-const asVM = "WOADDOOR_TEST_AS_VM"
+const runAsVMEnv = "WOADDOOR_TEST_AS_VM"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asVM) != "" {
+	if os.Getenv(runAsVMEnv) != "" {
 		os.Exit(VM(os.Args[1:]))
 	}
 	os.Exit(m.Run())
 }
 
-// ports returns n addresses on loopback that were free a moment ago.
-func ports(t *testing.T, n int) []string {
+// freeAddresses returns n addresses on loopback that were free a moment ago.
+func freeAddresses(t *testing.T, n int) []string {
 	t.Helper()
 	var out []string
 	for range n {
@@ -48,8 +48,8 @@
 	return out
 }
 
-// process is a running woaddoor-vm.
-type process struct {
+// vmUnderTest is a running woaddoor-vm.
+type vmUnderTest struct {
 	*exec.Cmd
 	callers, ready, metrics string
 
@@ -57,13 +57,13 @@
 	log bytes.Buffer
 }
 
-func (p *process) Write(b []byte) (int, error) {
+func (p *vmUnderTest) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.Write(b)
 }
 
-func (p *process) text() string {
+func (p *vmUnderTest) logText() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
@@ -90,23 +90,23 @@
 `, addresses[0], addresses[1], addresses[2], metrics, store)
 }
 
-func startVM(t *testing.T, settings string, addresses []string) *process {
+func startVM(t *testing.T, settings string, addresses []string) *vmUnderTest {
 	t.Helper()
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "vm.ini")
 	is.NoErr(os.WriteFile(path, []byte(settings), 0o600))
-	p := &process{Cmd: exec.Command(os.Args[0], "run", "--settings", path)}
+	p := &vmUnderTest{Cmd: exec.Command(os.Args[0], "run", "--settings", path)}
 	if addresses != nil {
 		p.callers, p.ready, p.metrics = addresses[0], addresses[1], addresses[3]
 	}
-	p.Env = append(os.Environ(), asVM+"=1")
+	p.Env = append(os.Environ(), runAsVMEnv+"=1")
 	p.Stdout, p.Stderr = p, p
 	is.NoErr(p.Start())
 	t.Cleanup(func() { _ = p.Process.Kill(); _ = p.Wait() })
 	return p
 }
 
-func until(t *testing.T, ok func() bool) {
+func waitUntil(t *testing.T, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(15 * time.Second); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -115,8 +115,8 @@
 	}
 }
 
-// servingVM starts the stand-ins and a VM that is ready.
-func servingVM(t *testing.T, h replica.Handler) *process {
+// startReadyVM starts the stand-ins and a VM that is ready.
+func startReadyVM(t *testing.T, h replica.Handler) *vmUnderTest {
 	t.Helper()
 	is := is.New(t)
 	store := objects.New()
@@ -126,14 +126,14 @@
 	is.NoErr(err)
 	t.Cleanup(u.Close)
 	store.PutSample(objects.Sample{Prefix: "/s/", Attempts: 1, Address: u.Address(), DataCentre: "d"})
-	addresses := ports(t, 4)
+	addresses := freeAddresses(t, 4)
 	p := startVM(t, settingsText(server.Listener.Addr().String(), addresses), addresses)
-	until(t, func() bool { return p.status("http://"+p.ready+"/api/readyz") == http.StatusOK })
-	until(t, func() bool { return strings.Contains(p.text(), "event=upstream") })
+	waitUntil(t, func() bool { return p.httpStatus("http://"+p.ready+"/api/readyz") == http.StatusOK })
+	waitUntil(t, func() bool { return strings.Contains(p.logText(), "event=upstream") })
 	return p
 }
 
-func (p *process) status(url string) int {
+func (p *vmUnderTest) httpStatus(url string) int {
 	resp, err := http.Get(url)
 	if err != nil {
 		return 0
@@ -142,13 +142,13 @@
 	return resp.StatusCode
 }
 
-// TestPlannedStopCutsNothing stops a VM in the middle of a stream: the stream
+// TestShutdownCompletesOpenStream stops a VM in the middle of a stream: the stream
 // ends whole, new connections are told to close, and the process ends by itself.
-func TestPlannedStopCutsNothing(t *testing.T) {
+func TestShutdownCompletesOpenStream(t *testing.T) {
 	is := is.New(t)
 	begun := make(chan struct{})
 	goOn := make(chan struct{})
-	p := servingVM(t, func(c *replica.Conn, r *replica.Request) bool {
+	p := startReadyVM(t, func(c *replica.Conn, r *replica.Request) bool {
 		c.BeginStream(r.ID())
 		c.Event(1, "a")
 		close(begun)
@@ -164,40 +164,40 @@
 	defer resp.Body.Close()
 	<-begun
 	is.NoErr(p.Process.Signal(syscall.SIGTERM))
-	until(t, func() bool { return p.status("http://"+p.ready+"/api/readyz") == http.StatusServiceUnavailable })
+	waitUntil(t, func() bool { return p.httpStatus("http://"+p.ready+"/api/readyz") == http.StatusServiceUnavailable })
 	close(goOn)
 	body, err := io.ReadAll(resp.Body)
 	is.NoErr(err) // whole
 	is.Equal(string(body), "id: 1\ndata: a\n\nid: 2\ndata: b\n\n")
 	is.NoErr(p.Wait())
-	is.True(strings.Contains(p.text(), "event=stop")) // its last line
-	is.True(strings.Contains(p.text(), "whole=true"))
+	is.True(strings.Contains(p.logText(), "event=stop")) // its last line
+	is.True(strings.Contains(p.logText(), "whole=true"))
 }
 
-// TestReloadSaysWhatItDoes checks that SIGHUP loses nothing and says what has
+// TestReloadLogsItsOutcome checks that SIGHUP loses nothing and says what has
 // become of the settings, also when they are broken.
-func TestReloadSaysWhatItDoes(t *testing.T) {
+func TestReloadLogsItsOutcome(t *testing.T) {
 	is := is.New(t)
-	p := servingVM(t, func(c *replica.Conn, r *replica.Request) bool {
+	p := startReadyVM(t, func(c *replica.Conn, r *replica.Request) bool {
 		c.BeginStream(r.ID())
 		c.EndStream()
 		return true
 	})
 	is.NoErr(p.Process.Signal(syscall.SIGHUP))
-	until(t, func() bool { return strings.Contains(p.text(), "event=reload") })
+	waitUntil(t, func() bool { return strings.Contains(p.logText(), "event=reload") })
 	is.NoErr(os.WriteFile(p.Args[3], []byte("[vm\n"), 0o600))
 	is.NoErr(p.Process.Signal(syscall.SIGHUP))
-	until(t, func() bool { return strings.Contains(p.text(), "event=reload-failed") })
-	is.Equal(p.status("http://"+p.ready+"/api/readyz"), http.StatusOK)
+	waitUntil(t, func() bool { return strings.Contains(p.logText(), "event=reload-failed") })
+	is.Equal(p.httpStatus("http://"+p.ready+"/api/readyz"), http.StatusOK)
 }
 
-// TestBrokenSettings checks that each fault ends the process with one line that
+// TestInvalidSettingsEndProcess checks that each fault ends the process with one line that
 // names file and key.
-func TestBrokenSettings(t *testing.T) {
+func TestInvalidSettingsEndProcess(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
 	defer taken.Close()
-	addresses := ports(t, 4)
+	addresses := freeAddresses(t, 4)
 	good := settingsText("127.0.0.1:1", addresses)
 	for name, c := range map[string]struct {
 		text, want string
@@ -216,8 +216,8 @@
 			exit, ok := err.(*exec.ExitError)
 			is.True(ok)
 			is.Equal(exit.ExitCode(), c.code)
-			is.True(strings.Contains(p.text(), c.want))
-			is.True(strings.Contains(p.text(), "vm.ini"))
+			is.True(strings.Contains(p.logText(), c.want))
+			is.True(strings.Contains(p.logText(), "vm.ini"))
 		})
 	}
 }
@@ -226,7 +226,7 @@
 // same metrics.
 func TestMetricNames(t *testing.T) {
 	is := is.New(t)
-	p := servingVM(t, func(c *replica.Conn, r *replica.Request) bool {
+	p := startReadyVM(t, func(c *replica.Conn, r *replica.Request) bool {
 		c.BeginStream(r.ID())
 		c.EndStream()
 		return true
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -47,7 +47,7 @@
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
 	for scanner.Scan() {
-		if l := parse(scanner.Text()); l != nil {
+		if l := parseLine(scanner.Text()); l != nil {
 			lines = append(lines, l)
 		} else {
 			others++
@@ -56,8 +56,8 @@
 	return lines, others, scanner.Err()
 }
 
-// parse returns the line in a text, nil when there is none.
-func parse(text string) *Line {
+// parseLine returns the line in a text, nil when there is none.
+func parseLine(text string) *Line {
 	at := strings.Index(text, "time=")
 	if at < 0 {
 		return nil
@@ -98,61 +98,61 @@
 
 // Request writes the life of a request. It returns whether any line is of it.
 func Request(w io.Writer, lines []*Line, id contract.RequestID) (bool, error) {
-	e := &explainer{w: w, lines: lines}
+	e := &printer{w: w, lines: lines}
 	found := false
 	for i, l := range lines {
 		if l.Value("request") != string(id) {
 			continue
 		}
 		found = true
-		e.line(l)
-		e.beliefs(i)
+		e.printLine(l)
+		e.printKnownState(i)
 	}
 	return found, e.err
 }
 
-// explainer writes the steps of a request.
-type explainer struct {
+// printer writes the steps of a request.
+type printer struct {
 	w     io.Writer
 	lines []*Line
 	err   error
 }
 
-func (e *explainer) printf(format string, args ...any) {
+func (e *printer) printf(format string, args ...any) {
 	if e.err == nil {
 		_, e.err = fmt.Fprintf(e.w, format, args...)
 	}
 }
 
-// line writes a line of the request, without what every line carries.
-func (e *explainer) line(l *Line) {
+// printLine writes a line of the request, without what every line carries.
+func (e *printer) printLine(l *Line) {
 	e.printf("%s %s %s", l.At.Format("15:04:05.000"), l.VM, l.Event)
 	for _, f := range l.Fields {
 		if f.Key != "level" && f.Key != "request" && f.Value != "" {
-			e.printf(" %s=%s", f.Key, quoted(f.Value))
+			e.printf(" %s=%s", f.Key, quoteIfNeeded(f.Value))
 		}
 	}
 	e.printf("\n")
 }
 
-func quoted(v string) string {
+func quoteIfNeeded(v string) string {
 	if strings.ContainsAny(v, " =\"") {
 		return fmt.Sprintf("%q", v)
 	}
 	return v
 }
 
-// belief is a kind of line that says what a VM believes from then on.
-type belief struct {
+// stateEvent is a kind of line that says what a VM believes from then on.
+type stateEvent struct {
 	event string
-	// by is the field that has to be the same in the request's line; "" for
+	// matchField is the field that has to be the same in the request's line; "" for
 	// none.
-	by string
-	// show are the fields that are told.
-	show []string
+	matchField string
+	// shownFields are the fields that are told.
+	shownFields []string
 }
 
-var beliefs = []belief{
+var stateEvents = []stateEvent{
 	{"configuration", "", []string{"version", "revision", "from"}},
 	{"upstream", "upstream", []string{"leaving", "gone", "release", "address", "revision"}},
 	{"upstream-leaves", "upstream", []string{"born", "listed_leaving", "status"}},
@@ -167,38 +167,38 @@
 	{"start", "", nil},
 }
 
-// staleAfter is how long ago a change of the store's reach or of the process
+// startShownFor is how long ago a change of the store's reach or of the process
 // still explains a step.
-const staleAfter = time.Minute
+const startShownFor = time.Minute
 
-// beliefs writes what the VM of a line believed then, and since when.
-func (e *explainer) beliefs(at int) {
+// printKnownState writes what the VM of a line believed then, and since when.
+func (e *printer) printKnownState(at int) {
 	l := e.lines[at]
-	for _, b := range beliefs {
-		known := e.newest(at, b)
-		if known == nil || b.show == nil && l.At.Sub(known.At) > staleAfter {
+	for _, b := range stateEvents {
+		known := e.latestBefore(at, b)
+		if known == nil || b.shownFields == nil && l.At.Sub(known.At) > startShownFor {
 			continue
 		}
 		e.printf("    believed %s since %s (%s before)", b.event, known.At.Format("15:04:05.000"), l.At.Sub(known.At).Round(time.Millisecond))
-		for _, key := range b.show {
+		for _, key := range b.shownFields {
 			if v := known.Value(key); v != "" {
-				e.printf(" %s=%s", key, quoted(v))
+				e.printf(" %s=%s", key, quoteIfNeeded(v))
 			}
 		}
 		e.printf("\n")
 	}
 }
 
-// newest returns the newest line of a belief before a line, at its VM and in
+// latestBefore returns the newest line of a belief before a line, at its VM and in
 // the same life of the process.
-func (e *explainer) newest(at int, b belief) *Line {
+func (e *printer) latestBefore(at int, b stateEvent) *Line {
 	l := e.lines[at]
 	for i := at - 1; i >= 0; i-- {
 		o := e.lines[i]
 		if o.VM != l.VM {
 			continue
 		}
-		if o.Event == b.event && (b.by == "" || o.Value(b.by) == l.Value(b.by) && l.Value(b.by) != "") {
+		if o.Event == b.event && (b.matchField == "" || o.Value(b.matchField) == l.Value(b.matchField) && l.Value(b.matchField) != "") {
 			return o
 		}
 		if o.Event == "start" {
@@ -208,10 +208,10 @@
 	return nil
 }
 
-// changes are the events that the audit trail holds: what changed in the
+// auditEvents are the events that the audit trail holds: what changed in the
 // configuration, upstreams, orders and evacuations, what upstreams said of themselves, which
 // contents are held, and which VMs came and went.
-var changes = map[string]bool{
+var auditEvents = map[string]bool{
 	"configuration": true, "upstream": true, "order": true, "order-noted": true, "release-bad": true, "enlisted": true,
 	"request-held": true, "request-released": true, "evacuation": true,
 	"upstream-leaves": true, "upstream-rests": true, "upstream-rest-ends": true, "upstream-limit": true,
@@ -222,10 +222,10 @@
 // revision, a content's print and epoch, or a limit's life and version, with the VM that knew
 // it first.
 func Changes(w io.Writer, lines []*Line) error {
-	e := &explainer{w: w, lines: lines}
+	e := &printer{w: w, lines: lines}
 	told := make(map[string]bool)
 	for _, l := range lines {
-		if !changes[l.Event] {
+		if !auditEvents[l.Event] {
 			continue
 		}
 		if revision := cmp.Or(l.Value("revision")+l.Value("epoch"), l.Value("version")); revision != "" {
@@ -235,7 +235,7 @@
 			}
 			told[key] = true
 		}
-		e.line(l)
+		e.printLine(l)
 	}
 	return e.err
 }
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -9,7 +9,7 @@
 	"woaddoor/contract"
 )
 
-const sample = `
+const requestSample = `
   19.9 vm-a time=2026-05-07T06:48:40Z level=info event=start vm=vm-a
 other output
 time=2026-05-07T06:48:41Z level=info event=configuration vm=vm-a version=7 revision=30 from=store
@@ -20,9 +20,9 @@
 time=2026-05-07T06:48:44Z level=info event=delivered vm=vm-b request=r2
 `
 
-func read(t *testing.T) []*Line {
+func readSample(t *testing.T) []*Line {
 	t.Helper()
-	lines, others, err := Read(strings.NewReader(sample))
+	lines, others, err := Read(strings.NewReader(requestSample))
 	is := is.New(t)
 	is.NoErr(err)
 	is.Equal(others, 2) // an empty line and other output
@@ -30,11 +30,11 @@
 	return lines
 }
 
-// TestRequest checks that a request's steps come with what its VM believed.
-func TestRequest(t *testing.T) {
+// TestRequestShowsKnownState checks that a request's steps come with what its VM believed.
+func TestRequestShowsKnownState(t *testing.T) {
 	is := is.New(t)
 	var out strings.Builder
-	found, err := Request(&out, read(t), "r1")
+	found, err := Request(&out, readSample(t), "r1")
 	is.NoErr(err)
 	is.True(found)
 	for _, want := range []string{
@@ -46,32 +46,32 @@
 		is.True(strings.Contains(out.String(), want))
 	}
 	is.True(!strings.Contains(out.String(), "vm-b")) // another VM's beliefs
-	found, err = Request(&out, read(t), "r9")
+	found, err = Request(&out, readSample(t), "r9")
 	is.NoErr(err)
 	is.True(!found)
 }
 
-// TestChanges checks that each change of an object is told once.
-func TestChanges(t *testing.T) {
+// TestChangesListsEachChangeOnce checks that each change of an object is told once.
+func TestChangesListsEachChangeOnce(t *testing.T) {
 	is := is.New(t)
 	var out strings.Builder
-	is.NoErr(Changes(&out, read(t)))
+	is.NoErr(Changes(&out, readSample(t)))
 	is.Equal(strings.Count(out.String(), "configuration version=7"), 1)
 	is.True(strings.Contains(out.String(), "upstream upstream=u1"))
 	is.True(!strings.Contains(out.String(), "refused"))
 }
 
-const saidSample = `time=2026-05-07T06:48:41Z level=info event=upstream vm=vm-a upstream=u1 gone=false leaving=false revision=31
+const upstreamStateSample = `time=2026-05-07T06:48:41Z level=info event=upstream vm=vm-a upstream=u1 gone=false leaving=false revision=31
 time=2026-05-07T06:48:42Z level=info event=upstream-rests vm=vm-a upstream=u1 born=7 request=r0 status=503 for=3s asked=3s
 time=2026-05-07T06:48:43Z level=info event=upstream-leaves vm=vm-a upstream=u1 born=7 request=r0 status=200 listed_leaving=false
 time=2026-05-07T06:48:44Z level=warn event=refused vm=vm-a request=r1 upstream=u1 reason=upstreams-rest detail="none of 1 upstreams ..."
 `
 
-// TestWhatUpstreamsSay leads from a refusal to what its upstream had said, beside what the
+// TestRequestShowsUpstreamState leads from a refusal to what its upstream had said, beside what the
 // list says of it.
-func TestWhatUpstreamsSay(t *testing.T) {
+func TestRequestShowsUpstreamState(t *testing.T) {
 	is := is.New(t)
-	explained, changes, losses := toldOf(t, saidSample, "r1")
+	explained, changes, losses := explainSample(t, upstreamStateSample, "r1")
 	for _, want := range []string{
 		"believed upstream since 06:48:41.000 (3s before) leaving=false gone=false revision=31",
 		"believed upstream-rests since 06:48:42.000 (2s before) born=7 for=3s asked=3s status=503",
@@ -88,18 +88,18 @@
 time=2026-05-07T06:48:44Z level=warn event=refused vm=vm-a request=r1 upstream=u1 reason=upstreams-at-limit detail="none of 1 upstreams ..."
 `
 
-// TestLimitOfUpstream leads from a refusal to the limit that another VM has told, and tells
+// TestRequestShowsUpstreamLimit leads from a refusal to the limit that another VM has told, and tells
 // each change of a limit once.
-func TestLimitOfUpstream(t *testing.T) {
+func TestRequestShowsUpstreamLimit(t *testing.T) {
 	is := is.New(t)
-	explained, changes, losses := toldOf(t, limitSample, "r1")
+	explained, changes, losses := explainSample(t, limitSample, "r1")
 	is.True(strings.Contains(explained, "believed upstream-limit since 06:48:41.100 (2.9s before) born=7 version=1 named=true per_second=1.6 peer=vm-b"))
 	is.Equal(strings.Count(changes, "upstream-limit"), 1)
 	is.True(strings.Contains(losses, "refused: upstreams-at-limit"))
 }
 
-// toldOf returns what is told of log lines: of a request, of what changed, and of losses.
-func toldOf(t *testing.T, sample string, request contract.RequestID) (explained, changes, losses string) {
+// explainSample returns what is told of log lines: of a request, of what changed, and of losses.
+func explainSample(t *testing.T, sample string, request contract.RequestID) (explained, changes, losses string) {
 	t.Helper()
 	is := is.New(t)
 	lines, _, err := Read(strings.NewReader(sample))
@@ -119,9 +119,9 @@
 time=2026-05-07T06:48:45Z level=warn event=refused vm=vm-a request=r2 reason=no-upstream
 `
 
-// TestHeldRequest leads from a refusal to the upstreams that its content has ended, and to
+// TestRequestShowsHeldContent leads from a refusal to the upstreams that its content has ended, and to
 // no other content's; and tells each content that is held once.
-func TestHeldRequest(t *testing.T) {
+func TestRequestShowsHeldContent(t *testing.T) {
 	is := is.New(t)
 	lines, _, err := Read(strings.NewReader(heldSample))
 	is.NoErr(err)
--- a/explain/losses_test.go
+++ b/explain/losses_test.go
@@ -22,9 +22,9 @@
 time=2026-05-07T06:48:44Z event=retry vm=b request=r7
 `
 
-// TestLosses checks that each request has one cause, that all add up, and that
+// TestLossesCountsOneCausePerRequest checks that each request has one cause, that all add up, and that
 // one without an end is left out.
-func TestLosses(t *testing.T) {
+func TestLossesCountsOneCausePerRequest(t *testing.T) {
 	is := is.New(t)
 	lines, _, err := Read(strings.NewReader(lossSample))
 	is.NoErr(err)
--- a/explain/models.go
+++ b/explain/models.go
@@ -8,30 +8,30 @@
 	"text/tabwriter"
 )
 
-// modelRecord is what the log tells of a model's answers.
-type modelRecord struct {
+// modelStats is what the log tells of a model's answers.
+type modelStats struct {
 	answers, givenUp int
-	// opinions are the model's own of its answers, ratios what its answers took to
+	// confidences are the model's own of its answers, ratios what its answers took to
 	// begin against what was expected.
-	opinions, ratios []float64
-	// stood counts answers that were kept though their opinion was under poorOpinion.
-	stood int
+	confidences, timeRatios []float64
+	// keptPoor counts answers that were kept though their opinion was under poorOpinion.
+	keptPoor int
 }
 
-// poorOpinion is the opinion under which an answer is more likely poor than good: few of
+// poorConfidence is the opinion under which an answer is more likely poor than good: few of
 // the largest model's are.
-const poorOpinion = 0.5
+const poorConfidence = 0.5
 
 // Models writes, for each model, how many answers it began, how many were given up and
 // how many stood though poor by their own opinion, the quartiles of its opinions, and how
 // far the expected time to the first of an answer was off.
 func Models(w io.Writer, lines []*Line) error {
-	models := make(map[string]*modelRecord)
+	models := make(map[string]*modelStats)
 	last := make(map[string]*Line) // the newest attempt of each request at a VM
-	of := func(l *Line) *modelRecord {
+	of := func(l *Line) *modelStats {
 		name := l.Value("model")
 		if models[name] == nil {
-			models[name] = &modelRecord{}
+			models[name] = &modelStats{}
 		}
 		return models[name]
 	}
@@ -39,7 +39,7 @@
 		id := l.VM + " " + l.Value("request")
 		switch l.Event {
 		case "attempt":
-			of(l).began(l)
+			of(l).addAttempt(l)
 			last[id] = l
 		case "given-up":
 			if a := last[id]; a != nil {
@@ -48,8 +48,8 @@
 			}
 		case "delivered":
 			a := last[id]
-			if opinion, ok := number(a, "confidence"); ok && opinion >= 0 && opinion < poorOpinion {
-				of(a).stood++
+			if opinion, ok := numberField(a, "confidence"); ok && opinion >= 0 && opinion < poorConfidence {
+				of(a).keptPoor++
 			}
 			delete(last, id)
 		}
@@ -57,19 +57,19 @@
 	return writeModels(w, models)
 }
 
-// began takes in an attempt whose answer has begun.
-func (m *modelRecord) began(l *Line) {
+// addAttempt takes in an attempt whose answer has begun.
+func (m *modelStats) addAttempt(l *Line) {
 	m.answers++
-	if opinion, ok := number(l, "confidence"); ok && opinion >= 0 {
-		m.opinions = append(m.opinions, opinion)
+	if opinion, ok := numberField(l, "confidence"); ok && opinion >= 0 {
+		m.confidences = append(m.confidences, opinion)
 	}
-	if expected := millis(l, "wait_ms") + millis(l, "read_ms"); expected > 0 {
-		m.ratios = append(m.ratios, float64(millis(l, "first_ms"))/float64(expected))
+	if expected := millisField(l, "wait_ms") + millisField(l, "read_ms"); expected > 0 {
+		m.timeRatios = append(m.timeRatios, float64(millisField(l, "first_ms"))/float64(expected))
 	}
 }
 
-// number reads a field; false when the line or the field is missing, or is no number.
-func number(l *Line, key string) (float64, bool) {
+// numberField reads a field; false when the line or the field is missing, or is no number.
+func numberField(l *Line, key string) (float64, bool) {
 	if l == nil {
 		return 0, false
 	}
@@ -77,12 +77,12 @@
 	return n, err == nil
 }
 
-func writeModels(w io.Writer, models map[string]*modelRecord) error {
+func writeModels(w io.Writer, models map[string]*modelStats) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, name := range sortedKeys(models) {
 		m := models[name]
 		_, err := fmt.Fprintf(t, "model %s\tanswers %d\tgiven up %s\tpoor and stood %s\topinions %s\ttook/expected %s\n",
-			name, m.answers, part(m.givenUp, m.answers), part(m.stood, m.answers), quartiles(m.opinions), quartiles(m.ratios))
+			name, m.answers, percentage(m.givenUp, m.answers), percentage(m.keptPoor, m.answers), quartiles(m.confidences), quartiles(m.timeRatios))
 		if err != nil {
 			return err
 		}
--- a/explain/usage.go
+++ b/explain/usage.go
@@ -11,9 +11,9 @@
 
 // Events of what one VM does for all.
 const (
-	eventLease  = "lease"
-	eventWindow = "usage-window"
-	eventFailed = "usage-report-failed"
+	eventLease             = "lease"
+	eventUsageWindow       = "usage-window"
+	eventUsageReportFailed = "usage-report-failed"
 )
 
 // Usage writes which VM has held the lease under which one acts for all, since when, and how the
@@ -29,12 +29,12 @@
 				held[n] = true
 				fmt.Fprintf(out, "%s\t%s holds the lease, number %s\tbefore it %s\n", l.At.Format(time.RFC3339), l.VM, n, cmp.Or(l.Value("before"), "nobody"))
 			}
-		case eventFailed:
+		case eventUsageReportFailed:
 			failed[l.Value("window")]++
-		case eventWindow:
+		case eventUsageWindow:
 			fmt.Fprintf(out, "%s\twindow %s from %s\t%s by %s, number %s, %s requests of %s workspaces, %d calls failed before\n", l.At.Format(time.RFC3339),
-				l.Value("window"), windowStart(l.Value("window"), length), l.Value("end"), l.VM, quoted(l.Value("fencing")),
-				quoted(l.Value("requests")), quoted(l.Value("workspaces")), failed[l.Value("window")])
+				l.Value("window"), windowStart(l.Value("window"), length), l.Value("end"), l.VM, quoteIfNeeded(l.Value("fencing")),
+				quoteIfNeeded(l.Value("requests")), quoteIfNeeded(l.Value("workspaces")), failed[l.Value("window")])
 		}
 	}
 	return out.Flush()
--- a/explain/usage_test.go
+++ b/explain/usage_test.go
@@ -17,8 +17,8 @@
 time=2026-06-22T14:03:21.000Z level=info event=usage-window vm=vm-b window=356427398 end=missed after=10.8s
 `
 
-// TestUsage checks that holders and windows are told, each once.
-func TestUsage(t *testing.T) {
+// TestUsageListsLeaseHoldersAndWindows checks that holders and windows are told, each once.
+func TestUsageListsLeaseHoldersAndWindows(t *testing.T) {
 	is := is.New(t)
 	lines, _, err := Read(strings.NewReader(usageSample))
 	is.NoErr(err)
--- a/operator/bills.go
+++ b/operator/bills.go
@@ -11,8 +11,8 @@
 	"woaddoor/history"
 )
 
-// Bills returns what each workspace owes by the records filed so far. Records
-// that are filed more than once count once.
+// Bills returns the amount that each workspace owes according to the bill records
+// filed so far. A record that was filed more than once is counted once.
 func (o *Operator) Bills(ctx context.Context) ([]bill.Sum, error) {
 	var records []bill.Record
 	after := ""
@@ -39,7 +39,7 @@
 	}
 }
 
-// History returns the newest n audit records, the newest first.
+// History returns the n latest audit records, latest first.
 func (o *Operator) History(ctx context.Context, n int) ([]document.Change, error) {
 	var changes []document.Change
 	err := history.Walk(ctx, o.Store, func(c document.Change) bool {
@@ -49,6 +49,7 @@
 	return changes, err
 }
 
+// sortedLines sorts lines in place and returns them.
 func sortedLines(lines []string) []string {
 	slices.Sort(lines)
 	return lines
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -1,5 +1,6 @@
-// Package operator is what the woaddoor command does: it checks, plans and
-// applies declarative files, withdraws versions, and shows what is in force.
+// Package operator implements the operations of the woaddoor command: it plans and
+// applies configuration files, withdraws versions, and shows which revision is in
+// force on which VM.
 package operator
 
 import (
@@ -19,46 +20,47 @@
 	"woaddoor/store"
 )
 
-// Operator works on one platform.
+// Operator performs operations on the configuration of one platform.
 type Operator struct {
 	Store store.Store
 	VMs   store.VMList
-	// Now tells the time, for records and for ends that it states.
+	// Now returns the current time. Tests replace it.
 	Now func() time.Time
 }
 
-// ErrNoBase means that a file does not say which revision it was made from.
-var ErrNoBase = errors.New("the file does not say which revision it was made from")
+// ErrNoBaseRevision means that a file does not name the revision that it is based on.
+var ErrNoBaseRevision = errors.New("the file does not name the revision that it is based on")
 
-// StaleError means that a file was made from an older revision: what was
-// changed since would be undone.
+// StaleError means that a file is based on an older revision than the accepted
+// one. Applying it would undo the changes made since.
 type StaleError struct {
-	From, Now contract.Revision
-	Since     []document.Change
+	BaseRevision, AcceptedRevision contract.Revision
+	NewerChanges                   []document.Change
 }
 
-// Error names the changes that the file does not know of.
+// Error lists the changes that the file does not include.
 func (e *StaleError) Error() string {
-	lines := []string{fmt.Sprintf("the file was made from revision %d, accepted now is %d; since then:", e.From, e.Now)}
-	for _, c := range e.Since {
+	lines := []string{fmt.Sprintf("the file is based on revision %d, but revision %d is accepted; changes since then:", e.BaseRevision, e.AcceptedRevision)}
+	for _, c := range e.NewerChanges {
 		names := make([]string, len(c.Sections))
 		for i, s := range c.Sections {
 			names[i] = s.Name
 		}
 		lines = append(lines, fmt.Sprintf("  revision %d by %s, %s: %s", c.ToRevision, c.Who, c.Why, strings.Join(names, ", ")))
 	}
-	return strings.Join(append(lines, "run woaddoor show, carry your change over, and apply again"), "\n")
+	return strings.Join(append(lines, "run woaddoor show, make your change in its output, and apply that"), "\n")
 }
 
-// Plan is what applying a file would change.
+// Plan lists the changes that applying a file would make.
 type Plan struct {
-	From     contract.Revision        `json:"from"`
-	Changes  []document.SectionChange `json:"changes"`
-	base     history.Snapshot
-	sections map[string]document.Section
+	BaseRevision contract.Revision        `json:"from"`
+	Changes      []document.SectionChange `json:"changes"`
+	base         history.Snapshot
+	sections     map[string]document.Section
 }
 
-// Plan checks a file against the accepted configuration. It changes nothing.
+// Plan validates a file and compares it with the accepted configuration, without
+// changing anything.
 func (o *Operator) Plan(ctx context.Context, name string, text []byte) (*Plan, error) {
 	_, f, err := config.Parse(name, text)
 	if err != nil {
@@ -68,23 +70,23 @@
 	if err != nil {
 		return nil, err
 	}
-	sections, err := config.Successor(base.Document, f)
+	sections, err := config.NextSections(base.Document, f)
 	if err != nil {
 		return nil, err
 	}
 	next := document.New(base.Root.Revision+1, "", sections)
-	return &Plan{From: base.Root.Revision, Changes: document.Diff(base.Document, next), base: base, sections: sections}, nil
+	return &Plan{BaseRevision: base.Root.Revision, Changes: document.Diff(base.Document, next), base: base, sections: sections}, nil
 }
 
-// Apply makes a file the accepted configuration, as a whole or not at all.
-// from is the revision that it was made from; negative means what the file's
-// own [configuration] section says.
+// Apply makes a file the accepted configuration, entirely or not at all. from is
+// the revision that the file is based on. If it is negative, the file's
+// [configuration] section names that revision.
 func (o *Operator) Apply(ctx context.Context, name string, text []byte, from int64, a history.Author) (document.Root, error) {
 	p, err := o.Plan(ctx, name, text)
 	if err != nil {
 		return document.Root{}, err
 	}
-	if err := o.checkBase(ctx, name, text, from, p); err != nil {
+	if err := o.checkBaseRevision(ctx, name, text, from, p); err != nil {
 		return document.Root{}, err
 	}
 	if len(p.Changes) == 0 {
@@ -93,28 +95,28 @@
 	return history.Publish(ctx, o.Store, p.base, p.sections, a)
 }
 
-// checkBase refuses a file that was not made from what is accepted now: it
-// would undo what others changed since.
-func (o *Operator) checkBase(ctx context.Context, name string, text []byte, from int64, p *Plan) error {
-	if p.From == 0 {
-		return nil // the first configuration
+// checkBaseRevision refuses a file that is not based on the accepted revision,
+// because it would undo changes that others made since.
+func (o *Operator) checkBaseRevision(ctx context.Context, name string, text []byte, from int64, p *Plan) error {
+	if p.BaseRevision == 0 {
+		return nil // no configuration has been accepted yet
 	}
 	if from < 0 {
-		stated, err := baseOf(name, text)
+		stated, err := statedBaseRevision(name, text)
 		if err != nil {
 			return err
 		}
 		from = stated
 	}
-	if contract.Revision(from) == p.From {
+	if contract.Revision(from) == p.BaseRevision {
 		return nil
 	}
-	stale := &StaleError{From: contract.Revision(from), Now: p.From}
+	stale := &StaleError{BaseRevision: contract.Revision(from), AcceptedRevision: p.BaseRevision}
 	err := history.Walk(ctx, o.Store, func(c document.Change) bool {
-		if c.ToRevision <= stale.From {
+		if c.ToRevision <= stale.BaseRevision {
 			return false
 		}
-		stale.Since = append(stale.Since, c)
+		stale.NewerChanges = append(stale.NewerChanges, c)
 		return true
 	})
 	if err != nil {
@@ -123,24 +125,25 @@
 	return stale
 }
 
-// fromPrefix begins the line of a file that names its base.
-const fromPrefix = "from = "
+// baseRevisionPrefix starts the line of a file that names its base revision.
+const baseRevisionPrefix = "from = "
 
-func baseOf(name string, text []byte) (int64, error) {
+// statedBaseRevision returns the revision that a file's [configuration] section names.
+func statedBaseRevision(name string, text []byte) (int64, error) {
 	f, err := config.ReadFile(name, text)
 	if err != nil {
 		return 0, err
 	}
-	for _, line := range strings.Split(string(f.Sections()[config.KindFrom]), "\n") {
-		if number, ok := strings.CutPrefix(line, fromPrefix); ok {
+	for _, line := range strings.Split(string(f.Sections()[config.KindConfiguration]), "\n") {
+		if number, ok := strings.CutPrefix(line, baseRevisionPrefix); ok {
 			return strconv.ParseInt(number, 10, 64)
 		}
 	}
-	return 0, fmt.Errorf("%s: %w: expected [%s] with from = REVISION (woaddoor show prints it), or --from", name, ErrNoBase, config.KindFrom)
+	return 0, fmt.Errorf("%s: %w: expected [%s] with from = REVISION (woaddoor show prints it), or --from", name, ErrNoBaseRevision, config.KindConfiguration)
 }
 
-// Show returns the accepted configuration as a file, with the revision it is
-// made from.
+// Show returns the accepted configuration as the text of a file that names the
+// accepted revision as its base.
 func (o *Operator) Show(ctx context.Context) (string, error) {
 	base, err := history.Load(ctx, o.Store)
 	if err != nil {
@@ -152,25 +155,27 @@
 			delete(sections, name)
 		}
 	}
-	head := fmt.Sprintf("[%s]\n%s%d\n\n", config.KindFrom, fromPrefix, base.Root.Revision)
+	head := fmt.Sprintf("[%s]\n%s%d\n\n", config.KindConfiguration, baseRevisionPrefix, base.Root.Revision)
 	return head + document.New(0, "", sections).Text(), nil
 }
 
-// withdrawTries bounds how often a withdrawal is carried over to a newer
-// configuration: it only takes away, so it fits any.
-const withdrawTries = 10
+// maxWithdrawAttempts is how often a withdrawal is attempted while other changes
+// conflict with it. It can be applied to any newer configuration, because it only
+// changes the state of one version.
+const maxWithdrawAttempts = 10
 
-// ErrNoVersion means that there is no such version.
-var ErrNoVersion = errors.New("no such version")
+// ErrUnknownVersion means that the configuration does not declare the version.
+var ErrUnknownVersion = errors.New("the configuration does not declare the version")
 
-// Withdraw withdraws a version, whatever else changes at the same time.
+// Withdraw withdraws a version, even if others change the configuration at the
+// same time.
 func (o *Operator) Withdraw(ctx context.Context, v contract.VersionID, a history.Author) (document.Root, error) {
 	for n := 1; ; n++ {
 		base, err := history.Load(ctx, o.Store)
 		if err != nil {
 			return document.Root{}, err
 		}
-		sections, changed, err := withdrawn(base.Document, v)
+		sections, changed, err := sectionsWithWithdrawal(base.Document, v)
 		if err != nil {
 			return document.Root{}, err
 		}
@@ -179,19 +184,22 @@
 		}
 		root, err := history.Publish(ctx, o.Store, base, sections, a)
 		var conflict *history.Conflict
-		if !errors.As(err, &conflict) || n == withdrawTries {
+		if !errors.As(err, &conflict) || n == maxWithdrawAttempts {
 			return root, err
 		}
 	}
 }
 
+// statePrefix starts the line of a section that holds the state of a version.
 const statePrefix = "state = "
 
-func withdrawn(d *document.Document, v contract.VersionID) (map[string]document.Section, bool, error) {
-	name := config.VersionSection(v)
+// sectionsWithWithdrawal returns the sections of d with version v withdrawn, and
+// whether that differs from d.
+func sectionsWithWithdrawal(d *document.Document, v contract.VersionID) (map[string]document.Section, bool, error) {
+	name := config.VersionSectionName(v)
 	old, ok := d.Section(name)
 	if !ok {
-		return nil, false, fmt.Errorf("%w: %s", ErrNoVersion, v)
+		return nil, false, fmt.Errorf("%w: %s", ErrUnknownVersion, v)
 	}
 	lines := []string{}
 	for _, line := range strings.Split(strings.TrimSuffix(string(old), "\n"), "\n") {
@@ -206,7 +214,8 @@
 	return sections, text != old, nil
 }
 
-// Force tells where a revision is in force now.
+// Force returns the VMs on which a revision is in force, and those on which it is
+// pending.
 func (o *Operator) Force(ctx context.Context, root document.Root) (datacentre.Force, error) {
 	statuses, err := o.statuses(ctx)
 	if err != nil {
@@ -222,13 +231,14 @@
 			expected[e.ID] = e.DataCentre
 		}
 	}
-	sureAt, err := o.sureAt(ctx, root)
+	olderExpireAt, err := o.olderExpireAt(ctx, root)
 	if err != nil {
 		return datacentre.Force{}, err
 	}
-	return datacentre.Assess(root.Revision, statuses, expected, sureAt), nil
+	return datacentre.Assess(root.Revision, statuses, expected, olderExpireAt), nil
 }
 
+// statuses returns the status that each data centre has stored.
 func (o *Operator) statuses(ctx context.Context) ([]datacentre.Status, error) {
 	names, err := o.Store.List(ctx, datacentre.StatusPrefix, "")
 	if err != nil {
@@ -249,40 +259,41 @@
 	return statuses, nil
 }
 
-// clockSlack covers what clocks run apart while a permission lasts.
-const clockSlack = 2 * time.Second
+// maxClockSkew is the maximum difference assumed between the clocks of VMs and the
+// operator while a permission to serve is valid.
+const maxClockSkew = 2 * time.Second
 
-// sureAt returns when no VM can act on a configuration before root any more:
-// each earlier one could be acted on until its successor was accepted, and
-// then for the longest time without word that it gave.
-func (o *Operator) sureAt(ctx context.Context, root document.Root) (time.Time, error) {
-	sure := time.Time{}
-	acceptedNext := time.Time{}
-	var failed error
+// olderExpireAt returns the time from which no VM can act on a configuration
+// older than root. A VM without updates acts on a configuration for at most its
+// LongestServeWithoutUpdate, counted from the acceptance of the next one.
+func (o *Operator) olderExpireAt(ctx context.Context, root document.Root) (time.Time, error) {
+	latest := time.Time{}
+	nextAcceptedAt := time.Time{}
+	var readErr error
 	err := history.Walk(ctx, o.Store, func(c document.Change) bool {
-		if c.ToRevision < root.Revision && !acceptedNext.IsZero() {
-			longest, err := o.longest(ctx, c)
+		if c.ToRevision < root.Revision && !nextAcceptedAt.IsZero() {
+			longest, err := o.longestServeWithoutUpdate(ctx, c)
 			if err != nil {
-				failed = err // an end that leaves one out would be too early
+				readErr = err // without this configuration the result could be too early
 				return false
 			}
-			if end := acceptedNext.Add(longest + clockSlack); end.After(sure) {
-				sure = end
+			if end := nextAcceptedAt.Add(longest + maxClockSkew); end.After(latest) {
+				latest = end
 			}
 		}
 		if c.ToRevision <= root.Revision {
-			acceptedNext = c.At
+			nextAcceptedAt = c.At
 		}
-		return o.Now().Sub(c.At) < historyWindow
+		return o.Now().Sub(c.At) < historyLookback
 	})
-	return sure, errors.Join(err, failed)
+	return latest, errors.Join(err, readErr)
 }
 
-// historyWindow is how far back configurations are looked at: no VM can act on
+// historyLookback is how far back older configurations are read. No VM can act on
 // one that was replaced longer ago.
-const historyWindow = config.MaxServeWithoutWord + time.Hour
+const historyLookback = config.MaxServeWithoutUpdate + time.Hour
 
-func (o *Operator) longest(ctx context.Context, c document.Change) (time.Duration, error) {
+func (o *Operator) longestServeWithoutUpdate(ctx context.Context, c document.Change) (time.Duration, error) {
 	obj, err := o.Store.Read(ctx, document.ContentName(c.Hash))
 	if err != nil {
 		return 0, err
@@ -295,11 +306,11 @@
 	if err != nil {
 		return 0, err
 	}
-	return conf.LongestServeWithoutWord(), nil
+	return conf.LongestServeWithoutUpdate(), nil
 }
 
-// Wait returns once the revision is in force everywhere, or when ctx ends; it
-// calls progress with each state on the way.
+// Wait returns once the revision is in force on every VM, or when ctx ends. It
+// calls progress with the state after each poll.
 func (o *Operator) Wait(ctx context.Context, root document.Root, progress func(datacentre.Force)) (datacentre.Force, error) {
 	var f datacentre.Force
 	for {
@@ -314,10 +325,10 @@
 		select {
 		case <-ctx.Done():
 			return f, errors.Join(ctx.Err(), err)
-		case <-time.After(forceEvery):
+		case <-time.After(waitPollInterval):
 		}
 	}
 }
 
-// forceEvery is how often the platform is asked while waiting.
-const forceEvery = 300 * time.Millisecond
+// waitPollInterval is the interval at which Wait polls the platform.
+const waitPollInterval = 300 * time.Millisecond
--- a/settings/duties.go
+++ b/settings/duties.go
@@ -7,48 +7,54 @@
 	"woaddoor/config"
 )
 
-// Duties is what one VM does for all, by calls to the platform. The zero value is nothing.
+// Duties configures the duties that one VM, the holder of a lease, performs on
+// behalf of all VMs by calls to the platform. The zero value means no duties.
 type Duties struct {
-	// Address is the TCP address that takes the calls; empty where there are none.
+	// Address is the TCP address of the platform that receives the calls. Empty
+	// means no duties.
 	Address string
-	// Names are what is to be done, in the platform's words.
+	// Names are the duties to perform, under the platform's names for them, such
+	// as metering and autoscale.
 	Names []string
-	// Lease is how long a VM holds on to it without a word to the store. One that is told as
-	// shorter than leastLease is taken for that: a longer lease breaks no promise.
+	// Lease is how long a VM keeps the lease without renewing it in the store. A
+	// setting below minLease is raised to it, because a longer lease breaks no
+	// guarantee.
 	Lease time.Duration
-	// UsageWindow is the length of a window of usage, UsageLate how long after its end a
-	// report is due.
-	UsageWindow, UsageLate time.Duration
+	// UsageWindow is the length of a usage reporting window. UsageReportDeadline is
+	// how long after the end of a window its report is due.
+	UsageWindow, UsageReportDeadline time.Duration
 }
 
-// Keys of [duties].
+// Keys of the [duties] section.
 const (
-	keyLease       = "lease"
-	keyUsageWindow = "usage-window"
-	keyUsageLate   = "usage-late"
+	keyLease               = "lease"
+	keyUsageWindow         = "usage-window"
+	keyUsageReportDeadline = "usage-late"
 )
 
-// Defaults and bounds of Duties.
+// Defaults and minimum values of Duties.
 const (
-	defaultLease       = 3 * time.Second
-	defaultUsageWindow = 5 * time.Second
-	defaultUsageLate   = 10 * time.Second
-	// leastLease leaves a third of the lease for a call and a third for a renewal.
-	leastLease = time.Second
+	defaultLease               = 3 * time.Second
+	defaultUsageWindow         = 5 * time.Second
+	defaultUsageReportDeadline = 10 * time.Second
+	// minLease is the minimum lease. It leaves one third of the lease for a call to the
+	// platform and one third for a renewal.
+	minLease = time.Second
 )
 
+// readDuties reads the [duties] section. An absent section leaves v.Duties zero.
 func readDuties(v *VM, r *config.Reader) {
 	if len(r.Keys()) == 0 {
 		return
 	}
 	v.Duties = Duties{
-		Address: address(r, "address"), Names: r.List("names"),
-		Lease:       cmp.Or(r.Duration(keyLease, 0), defaultLease),
-		UsageWindow: cmp.Or(r.Duration(keyUsageWindow, 0), defaultUsageWindow),
-		UsageLate:   cmp.Or(r.Duration(keyUsageLate, 0), defaultUsageLate),
+		Address: readAddress(r, "address"), Names: r.List("names"),
+		Lease:               cmp.Or(r.Duration(keyLease, 0), defaultLease),
+		UsageWindow:         cmp.Or(r.Duration(keyUsageWindow, 0), defaultUsageWindow),
+		UsageReportDeadline: cmp.Or(r.Duration(keyUsageReportDeadline, 0), defaultUsageReportDeadline),
 	}
-	v.Duties.Lease = max(v.Duties.Lease, leastLease)
-	if d := v.Duties; d.UsageLate < d.Lease {
-		r.Fault(keyUsageLate, "is %v: expected the lease of %v at least, during which nobody may report", d.UsageLate, d.Lease)
+	v.Duties.Lease = max(v.Duties.Lease, minLease)
+	if d := v.Duties; d.UsageReportDeadline < d.Lease {
+		r.Fault(keyUsageReportDeadline, "is %v: expected at least the lease of %v, during which no VM may be able to report", d.UsageReportDeadline, d.Lease)
 	}
 }
--- a/settings/duties_test.go
+++ b/settings/duties_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-const dutiesBase = `[vm]
+const minimalSettings = `[vm]
 name = vm1
 data-centre = d
 [listen]
@@ -19,21 +19,23 @@
 address = 10.0.0.2:1
 `
 
-// TestDuties reads what one VM does for all, with defaults, and nothing where nothing is asked.
-func TestDuties(t *testing.T) {
+// TestParseVMDuties checks that absent duties stay zero, that omitted keys get
+// their defaults, and that a lease below the minimum is raised to it.
+func TestParseVMDuties(t *testing.T) {
 	is := is.New(t)
-	v, err := ParseVM("vm.ini", []byte(dutiesBase))
+	v, err := ParseVM("vm.ini", []byte(minimalSettings))
 	is.NoErr(err)
 	is.Equal(v.Duties, Duties{})
-	v, err = ParseVM("vm.ini", []byte(dutiesBase+"[duties]\naddress = 10.0.0.3:1\nnames = metering,autoscale\nlease = 500ms\nusage-late = 20s\n"))
+	v, err = ParseVM("vm.ini", []byte(minimalSettings+"[duties]\naddress = 10.0.0.3:1\nnames = metering,autoscale\nlease = 500ms\nusage-late = 20s\n"))
 	is.NoErr(err)
 	is.Equal(v.Duties, Duties{
-		Address: "10.0.0.3:1", Names: []string{"metering", "autoscale"}, Lease: leastLease, UsageWindow: defaultUsageWindow, UsageLate: 20 * time.Second,
+		Address: "10.0.0.3:1", Names: []string{"metering", "autoscale"}, Lease: minLease, UsageWindow: defaultUsageWindow, UsageReportDeadline: 20 * time.Second,
 	})
 }
 
-// TestDutiesThatContradict names file, section and key of settings that cannot hold together.
-func TestDutiesThatContradict(t *testing.T) {
+// TestParseVMRejectsInvalidDuties checks that the errors about invalid duties name
+// the file, the section and the key.
+func TestParseVMRejectsInvalidDuties(t *testing.T) {
 	is := is.New(t)
 	for text, want := range map[string]string{
 		"[duties]\nnames = metering\n":                                     "[duties] address",
@@ -41,7 +43,7 @@
 		"[duties]\naddress = 10.0.0.3:1\nlease = soon\n":                   "[duties] lease",
 		"[duties]\naddress = 10.0.0.3:1\nusage-window = -5s\nlease = 1s\n": "[duties] usage-window",
 	} {
-		_, err := ParseVM("vm.ini", []byte(dutiesBase+text))
+		_, err := ParseVM("vm.ini", []byte(minimalSettings+text))
 		is.True(err != nil)
 		is.True(strings.Contains(err.Error(), want))
 		is.True(strings.Contains(err.Error(), "vm.ini"))
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,6 +1,7 @@
-// Package settings reads the settings of a daemon: its addresses, its data
-// centre, its keys, its peers. They are read once, at the start, and checked
-// whole; what can change while a daemon runs is configuration instead.
+// Package settings reads the settings file of a daemon: its addresses, its data
+// centre, its keys and its peers. The file is read once, at the start, and all of
+// its errors are reported together. What may change while a daemon runs is part
+// of the configuration instead; see package config.
 package settings
 
 import (
@@ -15,7 +16,8 @@
 	"woaddoor/contract"
 )
 
-// Settings are those of both daemons of one VM, which share a file.
+// Settings holds the settings of woaddoor-entry and woaddoor-control, the two
+// daemons of one VM, which share a settings file.
 type Settings struct {
 	VM         contract.VMID
 	DataCentre contract.DataCentreID
@@ -28,53 +30,60 @@
 
 // Entry holds the settings of woaddoor-entry.
 type Entry struct {
-	// Callers is the TCP address for callers.
+	// Callers is the TCP address that accepts callers' requests.
 	Callers string
-	// Health is the TCP address for health, readiness and metrics.
+	// Health is the TCP address that serves health, readiness and metrics.
 	Health string
-	// Link is the UDP address for other processes of the system.
+	// Link is the UDP address for links from other daemons of the system.
 	Link string
-	// Advertise is the address that others are told. Empty means Link.
+	// Advertise is the link address announced to other daemons. Empty means Link.
 	Advertise string
-	// MaxBody bounds a caller's body. Zero means 1 MiB.
+	// MaxBody is the maximum size of a request body. Zero means 1 MiB.
 	MaxBody contract.Bytes
-	// MaxInFlight bounds the requests worked on at once. Zero means 4096.
+	// MaxInFlight is the maximum number of concurrent requests. Zero means 4096.
 	MaxInFlight int
-	// MaxQueue bounds the requests that wait. Zero means 1024.
+	// MaxQueue is the maximum number of queued requests. Zero means 1024.
 	MaxQueue int
-	// MaxTickets bounds the tickets remembered as an arbiter. Zero means 200000.
+	// MaxTickets is the maximum number of tickets that this VM stores as one of
+	// their arbiters. Zero means 200000.
 	MaxTickets int
-	// MaxBills bounds the bill records held until filed. Zero means 100000.
+	// MaxBills is the maximum number of bill records kept in memory until they are
+	// filed with the platform. Zero means 100000.
 	MaxBills int
-	// Drain is the longest that a planned stop waits for requests in flight.
+	// Drain is the longest that a planned shutdown waits for requests in flight.
 	// Zero means 1 h.
 	Drain time.Duration
-	// StallAfter is the longest gap between two chunks of a stream before the
-	// upstream counts as stalled, whatever the stream's own pace. Zero: 10 s.
+	// StallAfter is the gap between two chunks of a stream after which the
+	// upstream counts as stalled, regardless of the stream's usual pace. Zero means
+	// 10 s.
 	StallAfter time.Duration
 }
 
 // Control holds the settings of woaddoor-control.
 type Control struct {
+	// Health is the TCP address that serves health, readiness and metrics.
 	Health string
-	Link   string
-	// Advertise is the link address that others are told. Empty means Link.
+	// Link is the UDP address for links from other daemons of the system.
+	Link string
+	// Advertise is the link address announced to other daemons. Empty means Link.
 	Advertise string
-	// Watchers is how many VMs of a data centre watch the platform. Zero: 2.
+	// Watchers is how many VMs of a data centre watch the platform for changes.
+	// Zero means 2.
 	Watchers int
-	// WatchWait is how long one watch is held open. Zero means 1 s.
+	// WatchWait is how long one watch request stays open. Zero means 1 s.
 	WatchWait time.Duration
-	// FileEvery is the longest that bill records wait for company. Zero: 1 s.
+	// FileEvery is the longest that bill records wait to be filed in one batch.
+	// Zero means 1 s.
 	FileEvery time.Duration
 }
 
-// Keys names the files of package keys.
-type Keys struct{ Pair, Pins, Signing string }
+// Keys holds the paths of the key files that package keys loads.
+type Keys struct{ KeyPairFile, PinsFile, SigningKeyFile string }
 
-// Platform says where the platform's API is.
+// Platform holds the URL of the platform's API.
 type Platform struct{ URL string }
 
-// Peer is another VM of the system, known from the start.
+// Peer is another VM of the system that is listed in the settings file.
 type Peer struct {
 	VM          contract.VMID
 	DataCentre  contract.DataCentreID
@@ -82,23 +91,23 @@
 	ControlLink string
 }
 
-// Defaults, where a setting is left out.
+// Defaults of omitted settings, and the upper limit of integer settings.
 const (
-	defaultMaxBody     = 1 << 20
-	defaultMaxInFlight = 4096
-	defaultMaxQueue    = 1024
-	defaultMaxTickets  = 200_000
-	defaultMaxBills    = 100_000
-	defaultDrain       = time.Hour
-	defaultStallAfter  = 10 * time.Second
-	defaultWatchers    = 2
-	defaultWatchWait   = time.Second
-	defaultFileEvery   = time.Second
-	most               = 1 << 40
+	defaultMaxBody            = 1 << 20
+	defaultMaxInFlight        = 4096
+	defaultMaxQueue           = 1024
+	defaultMaxTickets         = 200_000
+	defaultMaxBills           = 100_000
+	defaultDrainTimeout       = time.Hour
+	defaultStallAfter         = 10 * time.Second
+	defaultWatchers           = 2
+	defaultWatchWait          = time.Second
+	defaultBillFilingInterval = time.Second
+	maxIntSetting             = 1 << 40
 )
 
-// Load reads and checks the file at path. It fails with config.Faults that
-// name each fault's line and key.
+// Load reads and validates the settings file at path. Invalid settings are
+// reported as config.Faults, which name the line and key of each error.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -107,7 +116,8 @@
 	return Parse(path, text)
 }
 
-// Parse reads and checks a text. Paths of key files are relative to the file.
+// Parse parses and validates the text of the settings file at path. Relative
+// paths of key files are resolved against the directory of path.
 func Parse(path string, text []byte) (*Settings, error) {
 	f, err := config.ReadFile(path, text)
 	if err != nil {
@@ -115,19 +125,19 @@
 	}
 	var faults config.Faults
 	reader := func(section string) *config.Reader { return config.NewReader(f, section, &faults) }
-	known := map[string]func(*Settings, *config.Reader){
+	readers := map[string]func(*Settings, *config.Reader){
 		"vm": readVM, "entry": readEntry, "control": readControl,
 		"keys": readKeys(filepath.Dir(path)), "platform": readPlatform, "peers": nil,
 	}
 	for section := range f.Sections() {
-		if _, ok := known[section]; !ok {
-			reader(section).Fault("", "is not known: expected vm, entry, control, keys, platform or peers")
+		if _, ok := readers[section]; !ok {
+			reader(section).Fault("", "is an unknown section: expected vm, entry, control, keys, platform or peers")
 		}
 	}
 	s := &Settings{}
 	for _, section := range []string{"vm", "entry", "control", "keys", "platform"} {
 		r := reader(section)
-		known[section](s, r)
+		readers[section](s, r)
 		r.Done()
 	}
 	readPeers(s, string(f.Sections()["peers"]), reader("peers"))
@@ -142,7 +152,8 @@
 	s.DataCentre = contract.DataCentreID(r.Need("data-centre", "the name of its data centre"))
 }
 
-func address(r *config.Reader, key string) string {
+// readAddress returns the value of key, which must be an address with a port.
+func readAddress(r *config.Reader, key string) string {
 	v := r.Need(key, "an address, such as 10.0.0.1:8080")
 	if v == "" {
 		return v
@@ -155,28 +166,29 @@
 
 func readEntry(s *Settings, r *config.Reader) {
 	s.Entry = Entry{
-		Callers: address(r, "callers"), Health: address(r, "health"), Link: address(r, "link"),
+		Callers: readAddress(r, "callers"), Health: readAddress(r, "health"), Link: readAddress(r, "link"),
 		Advertise:   r.Text("advertise", r.Text("link", "")),
-		MaxBody:     contract.Bytes(r.Int("max-body-bytes", defaultMaxBody, 1, most)),
-		MaxInFlight: r.Int("max-in-flight", defaultMaxInFlight, 1, most),
-		MaxQueue:    r.Int("max-queue", defaultMaxQueue, 0, most),
-		MaxTickets:  r.Int("max-tickets", defaultMaxTickets, 1, most),
-		MaxBills:    r.Int("max-bills", defaultMaxBills, 1, most),
-		Drain:       r.Duration("drain", defaultDrain),
+		MaxBody:     contract.Bytes(r.Int("max-body-bytes", defaultMaxBody, 1, maxIntSetting)),
+		MaxInFlight: r.Int("max-in-flight", defaultMaxInFlight, 1, maxIntSetting),
+		MaxQueue:    r.Int("max-queue", defaultMaxQueue, 0, maxIntSetting),
+		MaxTickets:  r.Int("max-tickets", defaultMaxTickets, 1, maxIntSetting),
+		MaxBills:    r.Int("max-bills", defaultMaxBills, 1, maxIntSetting),
+		Drain:       r.Duration("drain", defaultDrainTimeout),
 		StallAfter:  r.Duration("stall-after", defaultStallAfter),
 	}
 }
 
 func readControl(s *Settings, r *config.Reader) {
 	s.Control = Control{
-		Health: address(r, "health"), Link: address(r, "link"),
+		Health: readAddress(r, "health"), Link: readAddress(r, "link"),
 		Advertise: r.Text("advertise", r.Text("link", "")),
 		Watchers:  r.Int("watchers", defaultWatchers, 1, 100),
 		WatchWait: r.Duration("watch-wait", defaultWatchWait),
-		FileEvery: r.Duration("file-every", defaultFileEvery),
+		FileEvery: r.Duration("file-every", defaultBillFilingInterval),
 	}
 }
 
+// readKeys returns a function that reads the paths of the key files, relative to dir.
 func readKeys(dir string) func(*Settings, *config.Reader) {
 	return func(s *Settings, r *config.Reader) {
 		file := func(key, want string) string {
@@ -187,9 +199,9 @@
 			return v
 		}
 		s.Keys = Keys{
-			Pair:    file("pair", "the file of the VM's certificate and key"),
-			Pins:    file("pins", "the file of its peers' pins"),
-			Signing: file("signing", "the file of the fleet's signing key"),
+			KeyPairFile:    file("pair", "the file of the VM's certificate and key"),
+			PinsFile:       file("pins", "the file with the pinned keys of its peers"),
+			SigningKeyFile: file("signing", "the file of the fleet's signing key"),
 		}
 	}
 }
@@ -198,6 +210,8 @@
 	s.Platform.URL = r.Need("url", "the platform's address, such as http://10.0.0.9:7000")
 }
 
+// readPeers reads the peers from the text of the [peers] section. It skips the VM
+// itself, so that all VMs can share one list.
 func readPeers(s *Settings, section string, r *config.Reader) {
 	for _, line := range strings.Split(section, "\n") {
 		name, value, ok := strings.Cut(line, " = ")
@@ -219,5 +233,5 @@
 	}
 }
 
-// String returns the VM's name and data centre.
+// String returns the name of the VM and its data centre.
 func (s *Settings) String() string { return fmt.Sprintf("%s in %s", s.VM, s.DataCentre) }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-const good = `[vm]
+const validSettings = `[vm]
 name = a1
 data-centre = avellaneda
 
@@ -35,25 +35,26 @@
 a2 = avellaneda 10.0.0.2:9000 10.0.0.2:9001
 `
 
-func TestGoodSettings(t *testing.T) {
+// TestParseValidSettings checks resolved key paths, the list of peers, and defaults.
+func TestParseValidSettings(t *testing.T) {
 	is := is.New(t)
-	s, err := Parse("/etc/woaddoor/a1.ini", []byte(good))
+	s, err := Parse("/etc/woaddoor/a1.ini", []byte(validSettings))
 	is.NoErr(err)
-	is.Equal(s.Keys.Pair, "/etc/woaddoor/keys/a1.pem")
-	is.Equal(len(s.Peers), 1) // itself is not among its peers
+	is.Equal(s.Keys.KeyPairFile, "/etc/woaddoor/keys/a1.pem")
+	is.Equal(len(s.Peers), 1) // the VM itself is not one of its peers
 	is.Equal(s.Control.FileEvery, 2*time.Second)
 	is.Equal(s.Entry.Advertise, s.Entry.Link)
 }
 
-// TestAllFaults checks that every fault is listed at once.
-func TestAllFaults(t *testing.T) {
+// TestParseReportsAllFaults checks that one error lists all faults of the file.
+func TestParseReportsAllFaults(t *testing.T) {
 	is := is.New(t)
-	bad := strings.NewReplacer("name = a1\n", "", "10.0.0.1:8080", "nowhere", "2s", "2", "[platform]", "[platfrom]", "a2 = avellaneda 10.0.0.2:9000", "a2 = avellaneda").Replace(good)
+	bad := strings.NewReplacer("name = a1\n", "", "10.0.0.1:8080", "nowhere", "2s", "2", "[platform]", "[platfrom]", "a2 = avellaneda 10.0.0.2:9000", "a2 = avellaneda").Replace(validSettings)
 	_, err := Parse("a1.ini", []byte(bad))
 	is.True(err != nil)
 	for _, want := range []string{
 		"[vm] name: is missing", "a1.ini:5: [entry] callers: is \"nowhere\"", "[control] file-every: is \"2\"",
-		"[platfrom] is not known", "[peers] a2: is ",
+		"[platfrom] is an unknown section", "[peers] a2: is ",
 	} {
 		if !strings.Contains(err.Error(), want) {
 			t.Errorf("want %q in:\n%s", want, err)
--- a/settings/vm.go
+++ b/settings/vm.go
@@ -14,48 +14,48 @@
 	"woaddoor/upstream"
 )
 
-// VM is the settings of woaddoor-vm, the one process of a VM on the users'
-// platform. Every bound of the deployment stands here; none has a figure in
-// the code.
+// VM holds the settings of woaddoor-vm, the only process of a VM on the users'
+// platform. Every limit that a deployment sets is here; the code has only defaults.
 type VM struct {
 	Name       contract.VMID
 	DataCentre contract.DataCentreID
-	// Regions names the region of each data centre.
+	// Regions maps each data centre to the name of its region.
 	Regions map[contract.DataCentreID]string
-	// FirstStart is true only when the whole system starts for the first time.
+	// FirstStart is true only when the whole system is started for the first time.
 	FirstStart bool
 	Listen     Listen
-	// Store is the TCP address of the platform's store.
+	// Store is the TCP address of the platform's object store.
 	Store   string
 	Machine Machine
 	Bounds  Bounds
-	// Duties is what one VM does for all.
+	// Duties configures what one VM does on behalf of all VMs.
 	Duties Duties
-	// Policy says which mechanisms of the policy are left out: none, but to
-	// measure what one is worth.
+	// Policy selects the mechanisms of the upstream selection policy that are
+	// disabled. It is empty except in experiments that measure the benefit of one.
 	Policy upstream.Policy
-	// WorthOfCost is what a request of the first rank is worth against what the
-	// dearest model's answer costs, and RepeatPrice what a repeat costs at most, in
-	// parts of what a request is worth.
-	WorthOfCost, RepeatPrice float64
+	// ValueCostRatio is the value of a request of the highest rank divided by the
+	// cost of an answer from the most expensive model. MaxRepeatPrice is the price of
+	// repeating a request when the retry budget is almost used up, as a fraction of
+	// the value of the request.
+	ValueCostRatio, MaxRepeatPrice float64
 }
 
-// PolicyKeys are the keys of [policy].
-var PolicyKeys = []string{keyWithout, keyWorthOfCost, keyRepeatPrice}
+// PolicyKeys lists the keys of the [policy] section.
+var PolicyKeys = []string{keyWithout, keyValueCostRatio, keyRepeatPrice}
 
 const (
-	keyWithout     = "without"
-	keyWorthOfCost = "worth-of-cost"
-	keyRepeatPrice = "repeat-price"
+	keyWithout        = "without"
+	keyValueCostRatio = "worth-of-cost"
+	keyRepeatPrice    = "repeat-price"
 )
 
-// Bounds of [policy].
+// Limits of the values in the [policy] section.
 const (
-	leastWorthOfCost, mostWorthOfCost = 0.1, 1000
-	mostRepeatPrice                   = 10
+	minValueCostRatio, maxValueCostRatio = 0.1, 1000
+	maxRepeatPrice                       = 10
 )
 
-// CheckPolicy checks lines of [policy].
+// CheckPolicy validates lines of a [policy] section, each of the form "key = value".
 func CheckPolicy(lines string) error {
 	f, err := config.ReadFile("policy", []byte("[policy]\n"+lines+"\n"))
 	if err != nil {
@@ -66,107 +66,116 @@
 	return faults.Err()
 }
 
+// readPolicy reads the [policy] section into v.
 func readPolicy(v *VM, r *config.Reader) {
 	var err error
 	if v.Policy, err = upstream.NewPolicy(r.List(keyWithout)); err != nil {
 		r.Fault(keyWithout, "%v", err)
 	}
-	v.WorthOfCost = r.Number(keyWorthOfCost, cascade.DefaultWorthOfCost, leastWorthOfCost, mostWorthOfCost)
-	v.RepeatPrice = r.Number(keyRepeatPrice, cascade.DefaultRepeatPrice, 0, mostRepeatPrice)
+	v.ValueCostRatio = r.Number(keyValueCostRatio, cascade.DefaultWorthOfCost, minValueCostRatio, maxValueCostRatio)
+	v.MaxRepeatPrice = r.Number(keyRepeatPrice, cascade.DefaultRepeatPrice, 0, maxRepeatPrice)
 }
 
-// Machine is what the machine gives the process. Zero means no bound.
+// Machine holds the resources that the machine gives the process. Zero means
+// that a resource is not limited or not known.
 type Machine struct {
-	Memory      contract.Bytes
-	Descriptors int
-	// Share is the part of its cores that the process gets, times the cores, and
-	// Link how fast its link is.
-	Share    float64
+	Memory          contract.Bytes
+	FileDescriptors int
+	// CPUCores is the number of cores times the fraction of them that the process
+	// may use. LinkMbps is the speed of the network link in megabits per second.
+	CPUCores float64
 	LinkMbps float64
 }
 
-// Parts of the descriptors.
+// Division of the file descriptors among their uses.
 const (
-	// forFiles are descriptors that the platform keeps for files.
-	forFiles = 200
-	// callersShare is the part of the rest that callers' connections may take;
-	// upstreams' connections and links have the other.
-	callersShare = 0.5
+	// reservedDescriptors is the number of descriptors that the platform keeps for files.
+	reservedDescriptors = 200
+	// callerDescriptorShare is the fraction of the remaining descriptors that callers'
+	// connections may use. The rest is for connections to upstreams and links.
+	callerDescriptorShare = 0.5
 )
 
-// Units of Strength: the smallest machines known so far.
+// Resources of one capacity unit. They are those of the smallest machines known.
 const (
-	strengthShare = 0.1  // of a core
-	strengthLink  = 10.0 // megabits a second
+	coresPerCapacityUnit    = 0.1  // cores
+	linkMbpsPerCapacityUnit = 10.0 // megabits per second
 )
 
-// Strength returns how much a machine can do for others, by what it has least of,
-// in whole units; 0 when that is not told.
-func (m Machine) Strength() int { return int(min(m.Share/strengthShare, m.LinkMbps/strengthLink)) }
+// CapacityUnits returns the capacity of the machine, in whole units, for work on
+// behalf of other VMs. Its scarcest resource limits it. 0 means that the capacity is
+// not known.
+func (m Machine) CapacityUnits() int {
+	return int(min(m.CPUCores/coresPerCapacityUnit, m.LinkMbps/linkMbpsPerCapacityUnit))
+}
 
-// Callers returns how many connections callers may have.
-func (m Machine) Callers() int {
-	if m.Descriptors == 0 {
+// MaxCallerConnections returns the maximum number of open connections from
+// callers. 0 means no limit.
+func (m Machine) MaxCallerConnections() int {
+	if m.FileDescriptors == 0 {
 		return 0
 	}
-	return max(int(callersShare*float64(m.Descriptors-forFiles)), 1)
+	return max(int(callerDescriptorShare*float64(m.FileDescriptors-reservedDescriptors)), 1)
 }
 
-// Listen holds the addresses of a VM.
+// Listen holds the addresses on which a VM listens, and those of other VMs to contact.
 type Listen struct {
-	// Callers and Ready are TCP addresses for requests and for the balancer's
-	// question whether the VM is ready.
+	// Callers is the TCP address for requests, and Ready the one for the load
+	// balancer's readiness checks.
 	Callers, Ready string
-	// Links is the UDP address for other VMs.
+	// Links is the UDP address for links from other VMs.
 	Links string
-	// Seeds are link addresses at which VMs may be found, this one's among them
-	// where it is one that others ask; they may be down or stale.
+	// Seeds are link addresses of VMs to contact at the start. Some may be down or
+	// outdated, and the VM's own address is included if it is itself a seed.
 	Seeds []string
-	// Metrics is the TCP address at which metrics are served.
+	// Metrics is the TCP address that serves metrics. Empty means none.
 	Metrics string
 }
 
-// Bounds are what the deployment promises its users.
+// Bounds holds the limits that the deployment guarantees to its users.
 type Bounds struct {
-	// Drain is how soon after the store's word an upstream that leaves gets no
-	// more requests.
-	Drain time.Duration
-	// Grace is the time between the word to stop and the end of the process.
-	Grace time.Duration
-	// Apply is how soon a configuration is in force.
-	Apply time.Duration
-	// RetryRatio, RetryWindow and RetrySlack bound the repeated sends of all
-	// VMs together.
+	// UpstreamDrain is the longest that an upstream may still receive requests after
+	// the store has listed it as leaving.
+	UpstreamDrain time.Duration
+	// ShutdownGrace is the time from the signal to stop until the process must end.
+	ShutdownGrace time.Duration
+	// ConfigurationApply is the longest time until a new configuration is in force.
+	ConfigurationApply time.Duration
+	// RetryRatio, RetryWindow and RetrySlack limit the retries of all VMs together:
+	// in each window, the ratio of retries to requests, plus a constant number.
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetrySlack  float64
-	// CanaryShare bounds the part of requests that a bad release gets.
+	// CanaryShare is the maximum fraction of requests that a bad release may receive.
 	CanaryShare float64
-	// LongestRest bounds for how long an upstream is obeyed that asks for a rest.
+	// LongestRest is the longest pause in requests that an upstream may ask for and
+	// be granted.
 	LongestRest time.Duration
-	// Evacuation is how soon the upstreams of a data centre that is evacuated get
-	// nothing more; zero where no data centre ever is.
+	// Evacuation is the longest that upstreams of a data centre may still receive
+	// requests after its evacuation is ordered. Zero disables evacuations.
 	Evacuation time.Duration
-	// ColdOvershoot and ColdSlack bound what a cold upstream gets from all VMs
-	// together in any second: so many times what it bears, and so many requests more.
+	// ColdOvershoot and ColdSlack limit the requests that all VMs together send to a
+	// cold upstream in any second: ColdOvershoot times the rate that it can handle,
+	// plus ColdSlack requests.
 	ColdOvershoot, ColdSlack float64
 }
 
-// Defaults, where a deployment leaves a bound out: the smallest that the
-// deployments known so far have.
+// Defaults of omitted bounds. They are the smallest values of the known
+// deployments.
 const (
-	defaultDrainBound  = 2 * time.Second
-	defaultGrace       = 8 * time.Second
-	defaultApply       = 2 * time.Second
-	defaultRetryWindow = 10 * time.Second
-	defaultRetryRatio  = 0.1
-	defaultCanaryShare = 0.1
-	// defaultColdOvershoot allows a cold upstream what it bears and no more.
+	defaultUpstreamDrain      = 2 * time.Second
+	defaultShutdownGrace      = 8 * time.Second
+	defaultConfigurationApply = 2 * time.Second
+	defaultRetryWindow        = 10 * time.Second
+	defaultRetryRatio         = 0.1
+	defaultCanaryShare        = 0.1
+	// defaultColdOvershoot limits a cold upstream to exactly the rate that it
+	// can handle.
 	defaultColdOvershoot = 1
 	maxPort              = 65535
 )
 
-// LoadVM reads and checks the settings file of woaddoor-vm.
+// LoadVM reads and validates the settings file of woaddoor-vm.
 func LoadVM(path string) (*VM, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -175,8 +184,8 @@
 	return ParseVM(path, text)
 }
 
-// ParseVM reads and checks a text. Sections and keys that are not known are
-// left out: the deployment may add some.
+// ParseVM parses and validates the text of the settings file at path. Unknown
+// sections and keys are ignored, because the deployment may add some.
 func ParseVM(path string, text []byte) (*VM, error) {
 	f, err := config.ReadFile(path, text)
 	if err != nil {
@@ -185,20 +194,20 @@
 	var faults config.Faults
 	section := func(name string) *config.Reader { return config.NewReader(f, name, &faults) }
 	v := &VM{}
-	readName(v, section("vm"))
+	readIdentity(v, section("vm"))
 	v.Regions = make(map[contract.DataCentreID]string)
 	regions := section("regions")
 	for _, dc := range regions.Keys() {
 		v.Regions[contract.DataCentreID(dc)] = regions.Text(dc, "")
 	}
 	readListen(v, section("listen"))
-	v.Store = address(section("store"), "address")
+	v.Store = readAddress(section("store"), "address")
 	m := section("machine")
 	v.Machine = Machine{
-		Memory:      contract.Bytes(m.Int("memory-mb", 0, 0, most)) * contract.MiB,
-		Descriptors: m.Int("descriptors", 0, 0, most),
-		Share:       m.Number("cpu-share", 0, 0, math.MaxInt32) * m.Number("cores", 1, 0, math.MaxInt32),
-		LinkMbps:    m.Number("link-mbps", 0, 0, math.MaxInt32),
+		Memory:          contract.Bytes(m.Int("memory-mb", 0, 0, maxIntSetting)) * contract.MiB,
+		FileDescriptors: m.Int("descriptors", 0, 0, maxIntSetting),
+		CPUCores:        m.Number("cpu-share", 0, 0, math.MaxInt32) * m.Number("cores", 1, 0, math.MaxInt32),
+		LinkMbps:        m.Number("link-mbps", 0, 0, math.MaxInt32),
 	}
 	readBounds(v, section("bounds"))
 	readPolicy(v, section("policy"))
@@ -209,28 +218,32 @@
 	return v, nil
 }
 
-func readName(v *VM, r *config.Reader) {
+// readIdentity reads the [vm] section: the VM's name and data centre.
+func readIdentity(v *VM, r *config.Reader) {
 	v.Name = contract.VMID(r.Need("name", "the VM's name"))
 	v.DataCentre = contract.DataCentreID(r.Need("data-centre", "the name of its data centre"))
 	v.FirstStart = r.Text("first-start", "") == "true"
 }
 
+// readListen reads the [listen] section. The metrics address is the host of the
+// readiness address with its own port.
 func readListen(v *VM, r *config.Reader) {
-	v.Listen = Listen{Callers: address(r, "callers"), Ready: address(r, "ready"), Links: address(r, "links")}
-	v.Listen.Seeds = seeds(r, v.Listen.Links)
+	v.Listen = Listen{Callers: readAddress(r, "callers"), Ready: readAddress(r, "ready"), Links: readAddress(r, "links")}
+	v.Listen.Seeds = readSeeds(r, v.Listen.Links)
 	port := r.Int("metrics-port", 0, 0, maxPort)
 	host, _, err := net.SplitHostPort(v.Listen.Ready)
-	if port > 0 && err == nil { // a fault of the address is noted already
+	if port > 0 && err == nil { // an invalid address is already reported
 		v.Listen.Metrics = net.JoinHostPort(host, strconv.Itoa(port))
 	}
 }
 
-// seeds reads the addresses of other VMs. A deployment may tell them with the
-// port of another listener: links have the same port at all VMs.
-func seeds(r *config.Reader, links string) []string {
+// readSeeds returns the link addresses of the seeds. A deployment may list them with
+// the port of another listener, so the port is replaced by that of this VM's
+// links, which is the same on all VMs.
+func readSeeds(r *config.Reader, links string) []string {
 	_, port, err := net.SplitHostPort(links)
 	if err != nil {
-		return nil // a fault of links, noted already
+		return nil // an invalid links address is already reported
 	}
 	var out []string
 	for _, s := range r.List("seeds") {
@@ -244,17 +257,18 @@
 	return out
 }
 
+// readBounds reads the [bounds] section, with defaults for omitted keys.
 func readBounds(v *VM, r *config.Reader) {
 	v.Bounds = Bounds{
-		Drain:       cmp.Or(r.Duration("drain", 0), defaultDrainBound),
-		Grace:       cmp.Or(r.Duration("grace", 0), defaultGrace),
-		Apply:       cmp.Or(r.Duration("apply", 0), defaultApply),
-		RetryRatio:  r.Number("retry-ratio", defaultRetryRatio, 0, math.MaxInt32),
-		RetryWindow: cmp.Or(r.Duration("retry-window", 0), defaultRetryWindow),
-		RetrySlack:  r.Number("retry-slack", 0, 0, math.MaxInt32),
-		CanaryShare: r.Number("canary-share", defaultCanaryShare, 0, 1),
-		Evacuation:  r.Duration("evacuation", 0),
-		LongestRest: cmp.Or(r.Duration("longest-rest", 0), upstream.DefaultLongestRest),
+		UpstreamDrain:      cmp.Or(r.Duration("drain", 0), defaultUpstreamDrain),
+		ShutdownGrace:      cmp.Or(r.Duration("grace", 0), defaultShutdownGrace),
+		ConfigurationApply: cmp.Or(r.Duration("apply", 0), defaultConfigurationApply),
+		RetryRatio:         r.Number("retry-ratio", defaultRetryRatio, 0, math.MaxInt32),
+		RetryWindow:        cmp.Or(r.Duration("retry-window", 0), defaultRetryWindow),
+		RetrySlack:         r.Number("retry-slack", 0, 0, math.MaxInt32),
+		CanaryShare:        r.Number("canary-share", defaultCanaryShare, 0, 1),
+		Evacuation:         r.Duration("evacuation", 0),
+		LongestRest:        cmp.Or(r.Duration("longest-rest", 0), upstream.DefaultLongestRest),
 
 		ColdOvershoot: r.Number("cold-overshoot", defaultColdOvershoot, 1, math.MaxInt32),
 		ColdSlack:     r.Number("cold-slack", 0, 0, math.MaxInt32),
