--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,5 +1,6 @@
-// Package explain reads the log lines of VMs and tells the life of a request,
-// with what was believed at each step and how old that was, or what changed.
+// Package explain analyses the log lines of VMs. It prints the steps of a request
+// with the state that its VM knew at each step, the changes of that state, why
+// requests failed or were late, and the usage reports.
 package explain
 
 import (
@@ -16,18 +17,19 @@
 	"woaddoor/contract"
 )
 
-// Line is one log line.
+// Line is one parsed log line.
 type Line struct {
-	At     time.Time
-	Event  string
-	VM     string
+	At    time.Time
+	Event string
+	VM    string
+	// Fields are the other fields, in the order in which they were written.
 	Fields []Field
 }
 
-// Field is one key and value of a line, in the order in which they were written.
+// Field is one key and its value in a log line.
 type Field struct{ Key, Value string }
 
-// Value returns the value of a key, or "".
+// Value returns the value of the first field with the key, or "" if there is none.
 func (l *Line) Value(key string) string {
 	for _, f := range l.Fields {
 		if f.Key == key {
@@ -37,26 +39,26 @@
 	return ""
 }
 
-// maxLine bounds one line, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a line.
+const maxLineBytes = 1 << 20
 
-// Read reads the lines of one file. Lines that are not log lines are left out
-// and counted: a file may hold other output, and a prefix before time= is
-// dropped.
-func Read(r io.Reader) (lines []*Line, others int, err error) {
+// Read parses the log lines of one file. A file may contain other output: lines
+// that are not log lines are skipped and counted, and any prefix before
+// "time=" is ignored.
+func Read(r io.Reader) (lines []*Line, skipped int, err error) {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for scanner.Scan() {
 		if l := parseLine(scanner.Text()); l != nil {
 			lines = append(lines, l)
 		} else {
-			others++
+			skipped++
 		}
 	}
-	return lines, others, scanner.Err()
+	return lines, skipped, scanner.Err()
 }
 
-// parseLine returns the line in a text, nil when there is none.
+// parseLine parses one log line. It returns nil if the text is not a log line.
 func parseLine(text string) *Line {
 	at := strings.Index(text, "time=")
 	if at < 0 {
@@ -90,51 +92,54 @@
 	return l
 }
 
-// Sort orders lines by time. Those of one VM keep their order; times of day of
-// VMs may differ.
+// Sort orders lines by time. Lines with equal times keep their order. Lines of
+// different VMs may be out of order, because their clocks may differ.
 func Sort(lines []*Line) {
 	sort.SliceStable(lines, func(a, b int) bool { return lines[a].At.Before(lines[b].At) })
 }
 
-// Request writes the life of a request. It returns whether any line is of it.
+// Request prints each log line of a request, followed by the state that the VM
+// knew at that time. It reports whether there is any line of the request.
 func Request(w io.Writer, lines []*Line, id contract.RequestID) (bool, error) {
-	e := &printer{w: w, lines: lines}
+	p := &printer{w: w, lines: lines}
 	found := false
 	for i, l := range lines {
 		if l.Value("request") != string(id) {
 			continue
 		}
 		found = true
-		e.printLine(l)
-		e.printKnownState(i)
+		p.printLine(l)
+		p.printKnownState(i)
 	}
-	return found, e.err
+	return found, p.err
 }
 
-// printer writes the steps of a request.
+// printer prints log lines and keeps the first write error.
 type printer struct {
 	w     io.Writer
 	lines []*Line
 	err   error
 }
 
-func (e *printer) printf(format string, args ...any) {
-	if e.err == nil {
-		_, e.err = fmt.Fprintf(e.w, format, args...)
+// printf formats to w, unless an earlier write failed.
+func (p *printer) printf(format string, args ...any) {
+	if p.err == nil {
+		_, p.err = fmt.Fprintf(p.w, format, args...)
 	}
 }
 
-// printLine writes a line of the request, without what every line carries.
-func (e *printer) printLine(l *Line) {
-	e.printf("%s %s %s", l.At.Format("15:04:05.000"), l.VM, l.Event)
+// printLine prints a log line without its level, request id and empty fields.
+func (p *printer) printLine(l *Line) {
+	p.printf("%s %s %s", l.At.Format("15:04:05.000"), l.VM, l.Event)
 	for _, f := range l.Fields {
 		if f.Key != "level" && f.Key != "request" && f.Value != "" {
-			e.printf(" %s=%s", f.Key, quoteIfNeeded(f.Value))
+			p.printf(" %s=%s", f.Key, quoteIfNeeded(f.Value))
 		}
 	}
-	e.printf("\n")
+	p.printf("\n")
 }
 
+// quoteIfNeeded quotes v if it contains a space, "=" or a quotation mark.
 func quoteIfNeeded(v string) string {
 	if strings.ContainsAny(v, " =\"") {
 		return fmt.Sprintf("%q", v)
@@ -142,16 +147,18 @@
 	return v
 }
 
-// stateEvent is a kind of line that says what a VM believes from then on.
+// stateEvent is a kind of log line that records the state which a VM knows from
+// then on.
 type stateEvent struct {
 	event string
-	// matchField is the field that has to be the same in the request's line; "" for
-	// none.
+	// matchField is the field that must have the same value in the line of the
+	// request. Empty means that the event applies to every request of the VM.
 	matchField string
-	// shownFields are the fields that are told.
+	// shownFields are the fields that are printed.
 	shownFields []string
 }
 
+// stateEvents lists the state events, in the order in which they are printed.
 var stateEvents = []stateEvent{
 	{"configuration", "", []string{"version", "revision", "from"}},
 	{"upstream", "upstream", []string{"leaving", "gone", "release", "address", "revision"}},
@@ -167,50 +174,52 @@
 	{"start", "", nil},
 }
 
-// startShownFor is how long ago a change of the store's reach or of the process
-// still explains a step.
+// startShownFor is how long after the start of a VM its start event is still printed
+// with the steps of a request.
 const startShownFor = time.Minute
 
-// printKnownState writes what the VM of a line believed then, and since when.
-func (e *printer) printKnownState(at int) {
-	l := e.lines[at]
-	for _, b := range stateEvents {
-		known := e.latestBefore(at, b)
-		if known == nil || b.shownFields == nil && l.At.Sub(known.At) > startShownFor {
+// printKnownState prints the state that the VM of the line at index knew at that time,
+// and since when it had known it.
+func (p *printer) printKnownState(index int) {
+	l := p.lines[index]
+	for _, e := range stateEvents {
+		known := p.latestBefore(index, e)
+		if known == nil || e.shownFields == nil && l.At.Sub(known.At) > startShownFor {
 			continue
 		}
-		e.printf("    believed %s since %s (%s before)", b.event, known.At.Format("15:04:05.000"), l.At.Sub(known.At).Round(time.Millisecond))
-		for _, key := range b.shownFields {
+		p.printf("    believed %s since %s (%s before)", e.event, known.At.Format("15:04:05.000"), l.At.Sub(known.At).Round(time.Millisecond))
+		for _, key := range e.shownFields {
 			if v := known.Value(key); v != "" {
-				e.printf(" %s=%s", key, quoteIfNeeded(v))
+				p.printf(" %s=%s", key, quoteIfNeeded(v))
 			}
 		}
-		e.printf("\n")
+		p.printf("\n")
 	}
 }
 
-// latestBefore returns the newest line of a belief before a line, at its VM and in
-// the same life of the process.
-func (e *printer) latestBefore(at int, b stateEvent) *Line {
-	l := e.lines[at]
-	for i := at - 1; i >= 0; i-- {
-		o := e.lines[i]
-		if o.VM != l.VM {
+// latestBefore returns the latest line of state event e before the line at index that has the
+// same VM and was written since the last start of its process, or nil.
+func (p *printer) latestBefore(index int, e stateEvent) *Line {
+	l := p.lines[index]
+	for i := index - 1; i >= 0; i-- {
+		earlier := p.lines[i]
+		if earlier.VM != l.VM {
 			continue
 		}
-		if o.Event == b.event && (b.matchField == "" || o.Value(b.matchField) == l.Value(b.matchField) && l.Value(b.matchField) != "") {
-			return o
+		if earlier.Event == e.event && (e.matchField == "" || earlier.Value(e.matchField) == l.Value(e.matchField) && l.Value(e.matchField) != "") {
+			return earlier
 		}
-		if o.Event == "start" {
+		if earlier.Event == "start" {
 			return nil
 		}
 	}
 	return nil
 }
 
-// auditEvents are the events that the audit trail holds: what changed in the
-// configuration, upstreams, orders and evacuations, what upstreams said of themselves, which
-// contents are held, and which VMs came and went.
+// auditEvents are the events that Changes prints: changes of the configuration,
+// upstreams, orders and evacuations, the states that upstreams report of themselves,
+// request contents that are held, the start and stop of VMs, and their connection to
+// the store.
 var auditEvents = map[string]bool{
 	"configuration": true, "upstream": true, "order": true, "order-noted": true, "release-bad": true, "enlisted": true,
 	"request-held": true, "request-released": true, "evacuation": true,
@@ -218,24 +227,25 @@
 	"start": true, "stop": true, "signal": true, "reload": true, "store-lost": true, "store-regained": true, "vms": true,
 }
 
-// Changes writes what changed, in order: each change of an object once, by its
-// revision, a content's print and epoch, or a limit's life and version, with the VM that knew
-// it first.
+// Changes prints the changes in the order of the lines. Each change is printed once,
+// for the first VM that logged it. Changes are identified by the revision of an object,
+// by the fingerprint and epoch of a request's content, or, for the rate limit of an
+// upstream, by the start of the upstream and the version of the limit.
 func Changes(w io.Writer, lines []*Line) error {
-	e := &printer{w: w, lines: lines}
-	told := make(map[string]bool)
+	p := &printer{w: w, lines: lines}
+	printed := make(map[string]bool)
 	for _, l := range lines {
 		if !auditEvents[l.Event] {
 			continue
 		}
 		if revision := cmp.Or(l.Value("revision")+l.Value("epoch"), l.Value("version")); revision != "" {
 			key := l.Event + "|" + revision + "|" + l.Value("upstream") + "|" + l.Value("born") + "|" + l.Value("gone") + "|" + l.Value("print")
-			if told[key] {
+			if printed[key] {
 				continue
 			}
-			told[key] = true
+			printed[key] = true
 		}
-		e.printLine(l)
+		p.printLine(l)
 	}
-	return e.err
+	return p.err
 }
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -20,17 +20,19 @@
 time=2026-05-07T06:48:44Z level=info event=delivered vm=vm-b request=r2
 `
 
+// readSample parses requestSample and sorts its lines.
 func readSample(t *testing.T) []*Line {
 	t.Helper()
-	lines, others, err := Read(strings.NewReader(requestSample))
+	lines, skipped, err := Read(strings.NewReader(requestSample))
 	is := is.New(t)
 	is.NoErr(err)
-	is.Equal(others, 2) // an empty line and other output
+	is.Equal(skipped, 2) // an empty line and a line of other output
 	Sort(lines)
 	return lines
 }
 
-// TestRequestShowsKnownState checks that a request's steps come with what its VM believed.
+// TestRequestShowsKnownState checks that each step of a request is printed with the
+// state that its VM knew, and without that of other VMs.
 func TestRequestShowsKnownState(t *testing.T) {
 	is := is.New(t)
 	var out strings.Builder
@@ -45,13 +47,13 @@
 	} {
 		is.True(strings.Contains(out.String(), want))
 	}
-	is.True(!strings.Contains(out.String(), "vm-b")) // another VM's beliefs
+	is.True(!strings.Contains(out.String(), "vm-b")) // the state of another VM
 	found, err = Request(&out, readSample(t), "r9")
 	is.NoErr(err)
 	is.True(!found)
 }
 
-// TestChangesListsEachChangeOnce checks that each change of an object is told once.
+// TestChangesListsEachChangeOnce checks that each change of an object is printed once.
 func TestChangesListsEachChangeOnce(t *testing.T) {
 	is := is.New(t)
 	var out strings.Builder
@@ -67,8 +69,8 @@
 time=2026-05-07T06:48:44Z level=warn event=refused vm=vm-a request=r1 upstream=u1 reason=upstreams-rest detail="none of 1 upstreams ..."
 `
 
-// TestRequestShowsUpstreamState leads from a refusal to what its upstream had said, beside what the
-// list says of it.
+// TestRequestShowsUpstreamState checks that a refusal is printed with the states that the
+// upstream reported of itself, and with its entry in the list of upstreams.
 func TestRequestShowsUpstreamState(t *testing.T) {
 	is := is.New(t)
 	explained, changes, losses := explainSample(t, upstreamStateSample, "r1")
@@ -88,8 +90,8 @@
 time=2026-05-07T06:48:44Z level=warn event=refused vm=vm-a request=r1 upstream=u1 reason=upstreams-at-limit detail="none of 1 upstreams ..."
 `
 
-// TestRequestShowsUpstreamLimit leads from a refusal to the limit that another VM has told, and tells
-// each change of a limit once.
+// TestRequestShowsUpstreamLimit checks that a refusal is printed with the rate limit that
+// another VM reported, and that each change of a limit is printed once.
 func TestRequestShowsUpstreamLimit(t *testing.T) {
 	is := is.New(t)
 	explained, changes, losses := explainSample(t, limitSample, "r1")
@@ -98,7 +100,7 @@
 	is.True(strings.Contains(losses, "refused: upstreams-at-limit"))
 }
 
-// explainSample returns what is told of log lines: of a request, of what changed, and of losses.
+// explainSample returns the output of Request, Changes and Losses for log lines.
 func explainSample(t *testing.T, sample string, request contract.RequestID) (explained, changes, losses string) {
 	t.Helper()
 	is := is.New(t)
@@ -119,8 +121,9 @@
 time=2026-05-07T06:48:45Z level=warn event=refused vm=vm-a request=r2 reason=no-upstream
 `
 
-// TestRequestShowsHeldContent leads from a refusal to the upstreams that its content has ended, and to
-// no other content's; and tells each content that is held once.
+// TestRequestShowsHeldContent checks that a refusal is printed with the upstreams that
+// crashed on the request's content, without those of other contents, and that each held
+// content is listed once among the changes.
 func TestRequestShowsHeldContent(t *testing.T) {
 	is := is.New(t)
 	lines, _, err := Read(strings.NewReader(heldSample))
--- a/explain/losses.go
+++ b/explain/losses.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// Causes of what is lost. Each request has one: the largest of its parts.
+// Causes of a lost request, one that failed or was late. Each lost request has one
+// cause; for a late one it is the cause of the largest part of the delay.
 const (
 	causeQueue        = "late: waited at the engine"
 	causePrefill      = "late: its prompt was read"
@@ -20,7 +21,7 @@
 	causeFailed       = "failed: the upstream's own answer"
 )
 
-// requestLog is what the log tells of one request at one VM.
+// requestLog collects the log lines of one request at one VM.
 type requestLog struct {
 	outcome  *Line
 	attempts []*Line
@@ -28,8 +29,8 @@
 	retries  []*Line
 }
 
-// Losses writes, for each route, how many requests were answered in time and why
-// the others were not, by their newest end at each VM that logged one.
+// Losses prints, for each route, how many requests were answered in time and the
+// causes of the others. It takes the latest outcome that each VM logged for a request.
 func Losses(w io.Writer, lines []*Line) error {
 	requests := make(map[string]*requestLog)
 	for _, l := range lines {
@@ -56,17 +57,19 @@
 	return writeLosses(w, requests)
 }
 
-// routeLosses counts the requests of a route, by cause.
+// routeLosses counts the requests of a route: all, those answered in time, and the
+// others by cause.
 type routeLosses struct {
 	requests, inTime int
 	causes           map[string]int
 }
 
+// writeLosses prints the table of losses by route and cause.
 func writeLosses(w io.Writer, requests map[string]*requestLog) error {
 	routes := make(map[string]*routeLosses)
 	for _, r := range requests {
 		if r.outcome == nil {
-			continue // under way, or its VM was killed
+			continue // still running, or its VM was killed
 		}
 		name := r.outcome.Value("route")
 		if routes[name] == nil {
@@ -96,8 +99,10 @@
 	return t.Flush()
 }
 
-func percentage(n, of int) string { return fmt.Sprintf("%.1f%%", 100*float64(n)/float64(of)) }
+// percentage formats n as a percentage of total.
+func percentage(n, total int) string { return fmt.Sprintf("%.1f%%", 100*float64(n)/float64(total)) }
 
+// sortedKeys returns the keys of m, sorted.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
@@ -107,7 +112,7 @@
 	return keys
 }
 
-// cause returns why a request was not answered well and in time, or "".
+// cause returns why the request failed or was late, or "" if it was answered in time.
 func (r *requestLog) cause() string {
 	switch r.outcome.Event {
 	case "refused":
@@ -126,41 +131,42 @@
 	return r.lateCause()
 }
 
-// lateCause returns the largest part of the time to the first answer.
+// lateCause returns the cause of the largest part of the time until the answer began.
 func (r *requestLog) lateCause() string {
 	parts := make(map[string]time.Duration)
 	for i, a := range r.attempts {
-		took, reading := millisField(a, "first_ms"), millisField(a, "read_ms")
+		elapsed, prefill := millisField(a, "first_ms"), millisField(a, "read_ms")
 		switch {
 		case i == len(r.attempts)-1:
-			parts[causePrefill] += min(reading, took)
-			parts[causeQueue] += max(took-reading, 0)
+			parts[causePrefill] += min(prefill, elapsed)
+			parts[causeQueue] += max(elapsed-prefill, 0)
 		case i < len(r.givenUp):
-			parts[causeGivenUp] += took
+			parts[causeGivenUp] += elapsed
 		default:
-			parts[causeRetried] += took
+			parts[causeRetried] += elapsed
 		}
 	}
-	if len(r.attempts) == 0 { // a plain service
+	if len(r.attempts) == 0 { // the upstream is a plain service
 		parts[causeSlowUpstream] = 1
 	}
 	if len(r.retries) > 0 {
-		known := time.Duration(0)
+		attributed := time.Duration(0)
 		for _, p := range parts {
-			known += p
+			attributed += p
 		}
-		parts[causeRetried] += max(millisField(r.outcome, "first_ms")-known, 0)
+		parts[causeRetried] += max(millisField(r.outcome, "first_ms")-attributed, 0)
 	}
-	most := causeSlowUpstream
+	largest := causeSlowUpstream
 	for _, c := range sortedKeys(parts) {
-		if parts[c] > parts[most] {
-			most = c
+		if parts[c] > parts[largest] {
+			largest = c
 		}
 	}
-	return most
+	return largest
 }
 
-// millisField reads a field of milliseconds; zero when it is missing or no number.
+// millisField returns a field in milliseconds as a duration. It returns 0 if the field is
+// missing or not a number.
 func millisField(l *Line, key string) time.Duration {
 	n, err := strconv.ParseInt(l.Value(key), 10, 64)
 	if err != nil {
--- a/explain/losses_test.go
+++ b/explain/losses_test.go
@@ -22,8 +22,8 @@
 time=2026-05-07T06:48:44Z event=retry vm=b request=r7
 `
 
-// TestLossesCountsOneCausePerRequest checks that each request has one cause, that all add up, and that
-// one without an end is left out.
+// TestLossesCountsOneCausePerRequest checks that each lost request counts under one
+// cause, that the counts add up, and that a request without an outcome is omitted.
 func TestLossesCountsOneCausePerRequest(t *testing.T) {
 	is := is.New(t)
 	lines, _, err := Read(strings.NewReader(lossSample))
--- a/explain/models.go
+++ b/explain/models.go
@@ -8,27 +8,29 @@
 	"text/tabwriter"
 )
 
-// modelStats is what the log tells of a model's answers.
+// modelStats collects the figures of a model's answers.
 type modelStats struct {
 	answers, givenUp int
-	// confidences are the model's own of its answers, ratios what its answers took to
-	// begin against what was expected.
+	// confidences are the model's confidences in its own answers. timeRatios are the
+	// actual divided by the expected times until an answer began.
 	confidences, timeRatios []float64
-	// keptPoor counts answers that were kept though their opinion was under poorOpinion.
+	// keptPoor counts answers that were delivered with a confidence below
+	// poorConfidence.
 	keptPoor int
 }
 
-// poorConfidence is the opinion under which an answer is more likely poor than good: few of
-// the largest model's are.
+// poorConfidence is the confidence below which an answer is more likely poor than
+// good. Few answers of the largest model are below it.
 const poorConfidence = 0.5
 
-// Models writes, for each model, how many answers it began, how many were given up and
-// how many stood though poor by their own opinion, the quartiles of its opinions, and how
-// far the expected time to the first of an answer was off.
+// Models prints, for each model, how many answers it began, how many of them were
+// discarded for a larger model's, how many were delivered though the model's confidence
+// was poor, the quartiles of its confidence, and the quartiles of the actual divided by
+// the expected time until an answer began.
 func Models(w io.Writer, lines []*Line) error {
 	models := make(map[string]*modelStats)
-	last := make(map[string]*Line) // the newest attempt of each request at a VM
-	of := func(l *Line) *modelStats {
+	last := make(map[string]*Line) // the latest attempt of each request at a VM
+	statsOf := func(l *Line) *modelStats {
 		name := l.Value("model")
 		if models[name] == nil {
 			models[name] = &modelStats{}
@@ -39,17 +41,17 @@
 		id := l.VM + " " + l.Value("request")
 		switch l.Event {
 		case "attempt":
-			of(l).addAttempt(l)
+			statsOf(l).addAttempt(l)
 			last[id] = l
 		case "given-up":
 			if a := last[id]; a != nil {
-				of(a).givenUp++
+				statsOf(a).givenUp++
 				delete(last, id)
 			}
 		case "delivered":
 			a := last[id]
-			if opinion, ok := numberField(a, "confidence"); ok && opinion >= 0 && opinion < poorConfidence {
-				of(a).keptPoor++
+			if confidence, ok := numberField(a, "confidence"); ok && confidence >= 0 && confidence < poorConfidence {
+				statsOf(a).keptPoor++
 			}
 			delete(last, id)
 		}
@@ -57,18 +59,19 @@
 	return writeModels(w, models)
 }
 
-// addAttempt takes in an attempt whose answer has begun.
+// addAttempt counts an attempt whose answer has begun.
 func (m *modelStats) addAttempt(l *Line) {
 	m.answers++
-	if opinion, ok := numberField(l, "confidence"); ok && opinion >= 0 {
-		m.confidences = append(m.confidences, opinion)
+	if confidence, ok := numberField(l, "confidence"); ok && confidence >= 0 {
+		m.confidences = append(m.confidences, confidence)
 	}
 	if expected := millisField(l, "wait_ms") + millisField(l, "read_ms"); expected > 0 {
 		m.timeRatios = append(m.timeRatios, float64(millisField(l, "first_ms"))/float64(expected))
 	}
 }
 
-// numberField reads a field; false when the line or the field is missing, or is no number.
+// numberField returns a field as a number. It returns false if the line or the field is
+// missing, or the field is not a number.
 func numberField(l *Line, key string) (float64, bool) {
 	if l == nil {
 		return 0, false
@@ -77,6 +80,7 @@
 	return n, err == nil
 }
 
+// writeModels prints the table of models.
 func writeModels(w io.Writer, models map[string]*modelStats) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, name := range sortedKeys(models) {
@@ -90,7 +94,7 @@
 	return t.Flush()
 }
 
-// quartiles returns the quartiles of some figures, "-" of none.
+// quartiles formats the three quartiles of x. It returns "-" if x is empty.
 func quartiles(x []float64) string {
 	if len(x) == 0 {
 		return "-"
--- a/explain/usage.go
+++ b/explain/usage.go
@@ -9,38 +9,39 @@
 	"time"
 )
 
-// Events of what one VM does for all.
+// Log events of the lease and of the usage reports.
 const (
 	eventLease             = "lease"
 	eventUsageWindow       = "usage-window"
 	eventUsageReportFailed = "usage-report-failed"
 )
 
-// Usage writes which VM has held the lease under which one acts for all, since when, and how the
-// report of each window has ended, by the window's number. length is that of a window.
-func Usage(w io.Writer, lines []*Line, length time.Duration) error {
+// Usage prints which VM held the lease to act on behalf of all VMs, and since when, and
+// the outcome of the usage report of each window. windowLength is the length of a window.
+func Usage(w io.Writer, lines []*Line, windowLength time.Duration) error {
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	held := make(map[string]bool) // numbers whose taking was written
+	printed := make(map[string]bool) // the fencing numbers whose lease holder was printed
 	failed := make(map[string]int)
 	for _, l := range lines {
 		switch l.Event {
 		case eventLease:
-			if n := l.Value("fencing"); l.Value("mine") == "true" && !held[n] {
-				held[n] = true
+			if n := l.Value("fencing"); l.Value("mine") == "true" && !printed[n] {
+				printed[n] = true
 				fmt.Fprintf(out, "%s\t%s holds the lease, number %s\tbefore it %s\n", l.At.Format(time.RFC3339), l.VM, n, cmp.Or(l.Value("before"), "nobody"))
 			}
 		case eventUsageReportFailed:
 			failed[l.Value("window")]++
 		case eventUsageWindow:
 			fmt.Fprintf(out, "%s\twindow %s from %s\t%s by %s, number %s, %s requests of %s workspaces, %d calls failed before\n", l.At.Format(time.RFC3339),
-				l.Value("window"), windowStart(l.Value("window"), length), l.Value("end"), l.VM, quoteIfNeeded(l.Value("fencing")),
+				l.Value("window"), windowStart(l.Value("window"), windowLength), l.Value("end"), l.VM, quoteIfNeeded(l.Value("fencing")),
 				quoteIfNeeded(l.Value("requests")), quoteIfNeeded(l.Value("workspaces")), failed[l.Value("window")])
 		}
 	}
 	return out.Flush()
 }
 
-// windowStart returns when a window begins, by its number.
+// windowStart formats the start time of the window with a number. Window n starts n
+// window lengths after the Unix epoch.
 func windowStart(number string, length time.Duration) string {
 	n, err := strconv.ParseInt(number, 10, 64)
 	if err != nil {
--- a/explain/usage_test.go
+++ b/explain/usage_test.go
@@ -17,7 +17,8 @@
 time=2026-06-22T14:03:21.000Z level=info event=usage-window vm=vm-b window=356427398 end=missed after=10.8s
 `
 
-// TestUsageListsLeaseHoldersAndWindows checks that holders and windows are told, each once.
+// TestUsageListsLeaseHoldersAndWindows checks that each lease holder and each window
+// is printed once.
 func TestUsageListsLeaseHoldersAndWindows(t *testing.T) {
 	is := is.New(t)
 	lines, _, err := Read(strings.NewReader(usageSample))
@@ -29,7 +30,7 @@
 		"vm-b holds the lease, number 2", "before it vm-a", "missed by vm-b",
 	} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("%q is not told in\n%s", want, out.String())
+			t.Errorf("want %q in:\n%s", want, out.String())
 		}
 	}
 	is.Equal(strings.Count(out.String(), "holds the lease"), 2)
