--- a/cmd/woaddoor-control/main.go
+++ b/cmd/woaddoor-control/main.go
@@ -1,4 +1,5 @@
-// Command woaddoor-control keeps an entry VM in step with the platform.
+// Command woaddoor-control synchronizes an entry VM with the platform: it watches the
+// configuration, reports the status of the VMs, files bill records and steps roll-outs.
 package main
 
 import (
--- a/cmd/woaddoor-entry/main.go
+++ b/cmd/woaddoor-entry/main.go
@@ -1,4 +1,5 @@
-// Command woaddoor-entry takes callers' requests on an entry VM.
+// Command woaddoor-entry receives callers' requests on an entry VM and routes them to
+// upstreams.
 package main
 
 import (
--- a/cmd/woaddoor-vm/main.go
+++ b/cmd/woaddoor-vm/main.go
@@ -1,4 +1,5 @@
-// Command woaddoor-vm routes requests on a VM of the users' platform.
+// Command woaddoor-vm receives and routes requests on a VM of the users' platform, as the
+// only process of the VM.
 package main
 
 import (
--- a/cmd/woaddoor/main.go
+++ b/cmd/woaddoor/main.go
@@ -1,4 +1,5 @@
-// Command woaddoor is the operator's tool.
+// Command woaddoor is the operator's command-line tool: it applies configuration files,
+// withdraws versions, and analyses metrics and logs.
 package main
 
 import (
--- a/command/command.go
+++ b/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the command line of the operator's tool.
+// Package command implements the command line of woaddoor, the operator's tool.
 package command
 
 import (
@@ -23,17 +23,17 @@
 	"woaddoor/store"
 )
 
-// Exit codes. docs/OPERATIONS.md lists them.
+// Exit codes of the tool. docs/OPERATIONS.md lists them.
 const (
 	ExitOK             = 0
 	ExitFailed         = 1
-	ExitInvalid        = 2 // the file or the call is wrong; nothing was changed
-	ExitConflict       = 3 // another change was first; nothing was changed
-	ExitPending        = 4 // accepted, and not yet in force everywhere
-	ExitUnknownOutcome = 5 // it is not known whether it was accepted
+	ExitInvalid        = 2 // the file or the arguments are invalid; nothing was changed
+	ExitConflict       = 3 // another change was accepted first; nothing was changed
+	ExitPending        = 4 // the change is accepted but not yet in force on every VM
+	ExitUnknownOutcome = 5 // it is not known whether the change was accepted
 )
 
-// commands are the tool's commands.
+// commands declares the global flags and the commands of the tool.
 type commands struct {
 	Platform string        `help:"The platform's address." env:"WOADDOOR_PLATFORM" default:"http://127.0.0.1:7000"`
 	Output   string        `help:"Form of the output." enum:"text,json" default:"text"`
@@ -55,7 +55,8 @@
 	Keys     keysCmd     `cmd:"" help:"Make keys for VMs, or hash a workspace's key."`
 }
 
-// invocation is what a command works with.
+// invocation holds what a command needs to run: its context, the operator of the
+// platform, and where and in which format to print.
 type invocation struct {
 	ctx      context.Context
 	operator *operator.Operator
@@ -63,7 +64,7 @@
 	json     bool
 }
 
-// Run runs the tool and returns its exit code.
+// Run runs the tool with the command-line arguments and returns its exit code.
 func Run(args []string, stdout, stderr io.Writer) int {
 	var c commands
 	code := -1
@@ -75,7 +76,7 @@
 		return ExitFailed
 	}
 	parsed, err := parser.Parse(args)
-	if code >= 0 { // help was printed
+	if code >= 0 { // kong printed the help and called Exit
 		return code
 	}
 	if err != nil {
@@ -93,7 +94,7 @@
 	return exitCode(err)
 }
 
-// pendingError means that a change is accepted and not yet in force everywhere.
+// pendingError means that a change is accepted but not yet in force on every VM.
 type pendingError struct{ force datacentre.Force }
 
 func (e *pendingError) Error() string {
@@ -104,19 +105,21 @@
 	return text
 }
 
-// pendingLine says what is known of a VM that has not acknowledged a revision.
+// pendingLine describes a VM that has not acknowledged a revision: the revision that
+// it has, and until when it may act on an older one.
 func pendingLine(p datacentre.PendingVM) string {
 	has := fmt.Sprintf("has revision %d", p.Revision)
 	if p.Revision == 0 {
-		has = "does not tell what it has"
+		has = "has not reported its revision"
 	}
-	until := "; there is no older one to act on"
+	until := "; there is no older revision to act on"
 	if !p.Until.IsZero() {
-		until = "; it may act on an older one until " + p.Until.Format(time.RFC3339)
+		until = "; it may act on an older revision until " + p.Until.Format(time.RFC3339)
 	}
 	return fmt.Sprintf("%s in %s %s%s", p.VM, p.DataCentre, has, until)
 }
 
+// exitCode returns the exit code for the error of a command.
 func exitCode(err error) int {
 	var faults config.Faults
 	var conflict *history.Conflict
@@ -138,6 +141,7 @@
 	return ExitFailed
 }
 
+// printResult prints v as JSON if the user asked for JSON, and otherwise calls text.
 func (s *invocation) printResult(v any, text func()) error {
 	if !s.json {
 		text()
@@ -148,13 +152,15 @@
 	return e.Encode(v)
 }
 
+// fileArg is the argument of the commands that take a configuration file.
 type fileArg struct {
 	File string `arg:"" help:"The configuration file (INI)." type:"existingfile"`
 }
 
+// checkCmd validates a configuration file without contacting the platform.
 type checkCmd struct{ fileArg }
 
-// Run checks a file.
+// Run validates the file and prints what it declares.
 func (c *checkCmd) Run(s *invocation) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -169,9 +175,10 @@
 	return nil
 }
 
+// planCmd shows the changes that applying a file would make.
 type planCmd struct{ fileArg }
 
-// Run shows what a file would change.
+// Run prints the sections that would change, line by line.
 func (c *planCmd) Run(s *invocation) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -187,6 +194,7 @@
 	})
 }
 
+// printChanges prints the removed and added lines of each changed section.
 func printChanges(w io.Writer, changes []document.SectionChange) {
 	for _, ch := range changes {
 		fmt.Fprintf(w, "[%s]\n", ch.Name)
@@ -195,11 +203,13 @@
 	}
 }
 
+// authorFlags are the flags that record who makes a change, and why.
 type authorFlags struct {
 	Who string `help:"Who makes the change. Default: the user's name." default:""`
 	Why string `help:"Why, for the audit trail." required:""`
 }
 
+// author returns the author of a change made now. It defaults to the current user.
 func (f authorFlags) author() history.Author {
 	who := f.Who
 	if who == "" {
@@ -210,6 +220,7 @@
 	return history.Author{Who: who, Why: f.Why, At: time.Now()}
 }
 
+// applyCmd makes a file the accepted configuration.
 type applyCmd struct {
 	fileArg
 	authorFlags
@@ -217,7 +228,7 @@
 	NoWait bool  `help:"Do not wait until it is in force."`
 }
 
-// Run applies a file.
+// Run applies the file and, unless NoWait is set, waits until it is in force.
 func (c *applyCmd) Run(s *invocation) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -233,17 +244,18 @@
 	return s.waitUntilInForce(root)
 }
 
-// waitUntilInForce shows how a change comes into force.
+// waitUntilInForce prints the progress of an accepted change until it is in force on
+// every VM. It returns a pendingError if the context ends before that.
 func (s *invocation) waitUntilInForce(root document.Root) error {
 	if !s.json {
 		fmt.Fprintf(s.out, "accepted: revision %d, change %s\n", root.Revision, root.Change)
 	}
-	shown := ""
+	lastLine := ""
 	f, err := s.operator.Wait(s.ctx, root, func(f datacentre.Force) {
 		line := fmt.Sprintf("in force on %d VMs, pending on %d", len(f.InForce), len(f.Pending))
-		if line != shown && !s.json {
+		if line != lastLine && !s.json {
 			fmt.Fprintln(s.out, line)
-			shown = line
+			lastLine = line
 		}
 	})
 	if printErr := s.printResult(f, func() {}); printErr != nil {
@@ -258,9 +270,10 @@
 	return nil
 }
 
+// showCmd prints the accepted configuration.
 type showCmd struct{}
 
-// Run prints the configuration.
+// Run prints the configuration as a file that can be edited and applied.
 func (*showCmd) Run(s *invocation) error {
 	text, err := s.operator.Show(s.ctx)
 	if err != nil {
@@ -270,9 +283,10 @@
 	return nil
 }
 
+// statusCmd shows where the accepted configuration is in force.
 type statusCmd struct{}
 
-// Run shows where the configuration is in force.
+// Run prints the VMs on which the accepted revision is in force or pending.
 func (*statusCmd) Run(s *invocation) error {
 	base, err := history.Load(s.ctx, s.operator.Store)
 	if err != nil {
@@ -290,11 +304,12 @@
 	})
 }
 
+// historyCmd shows the audit trail of the configuration.
 type historyCmd struct {
 	Limit int `help:"How many changes to show." default:"20"`
 }
 
-// Run shows the audit trail.
+// Run prints the latest changes, latest first.
 func (c *historyCmd) Run(s *invocation) error {
 	changes, err := s.operator.History(s.ctx, c.Limit)
 	if err != nil {
@@ -308,12 +323,13 @@
 	})
 }
 
+// withdrawCmd withdraws a version permanently.
 type withdrawCmd struct {
 	authorFlags
 	Version string `arg:"" help:"The version, such as chat-small@3."`
 }
 
-// Run withdraws a version.
+// Run withdraws the version and waits until the withdrawal is in force.
 func (c *withdrawCmd) Run(s *invocation) error {
 	root, err := s.operator.Withdraw(s.ctx, contract.VersionID(c.Version), c.author())
 	if err != nil {
@@ -322,9 +338,10 @@
 	return s.waitUntilInForce(root)
 }
 
+// billCmd shows the amount that each workspace owes.
 type billCmd struct{}
 
-// Run shows the bills.
+// Run prints the requests, tokens and amount of each workspace.
 func (*billCmd) Run(s *invocation) error {
 	sums, err := s.operator.Bills(s.ctx)
 	if err != nil {
@@ -337,17 +354,19 @@
 	})
 }
 
+// keysCmd groups the commands for keys.
 type keysCmd struct {
 	Make makeKeysCmd `cmd:"" help:"Make keys for trial use. Example: woaddoor keys make keys a1 a2 b1"`
 	Hash hashKeyCmd  `cmd:"" help:"Print the hash of a workspace's key, read from standard input, for a configuration file."`
 }
 
+// makeKeysCmd generates the key files of VMs for trial use.
 type makeKeysCmd struct {
 	Dir   string   `arg:"" help:"The directory to write to."`
 	Names []string `arg:"" help:"The names of the VMs."`
 }
 
-// Run makes keys.
+// Run writes a key pair for each VM, the pins file and the signing key to Dir.
 func (c *makeKeysCmd) Run(s *invocation) error {
 	if err := keys.Make(c.Dir, c.Names); err != nil {
 		return err
@@ -356,12 +375,13 @@
 	return nil
 }
 
+// hashKeyCmd prints the hash of a workspace's API key.
 type hashKeyCmd struct{}
 
-// maxKeyBytes bounds a workspace's key.
+// maxKeyBytes is the maximum length of a workspace's API key.
 const maxKeyBytes = 4096
 
-// Run prints a hash.
+// Run reads the key from standard input and prints its hash.
 func (*hashKeyCmd) Run(s *invocation) error {
 	raw, err := io.ReadAll(io.LimitReader(os.Stdin, maxKeyBytes))
 	if err != nil {
--- a/command/explain.go
+++ b/command/explain.go
@@ -11,17 +11,17 @@
 	"woaddoor/explain"
 )
 
-// explainCmd tells the life of a request from log lines.
+// explainCmd prints the steps of a request from the log lines of VMs.
 type explainCmd struct {
 	Request string   `arg:"" help:"The id of the request."`
 	Files   []string `arg:"" optional:"" help:"Log files of VMs; standard input when there is none." type:"existingfile"`
 }
 
-// errEmptyRequestID means that the id is empty.
+// errEmptyRequestID means that the request id on the command line is empty.
 var errEmptyRequestID = errors.New("the id of the request is empty")
 
-// errRequestNotLogged means that no line is of the request.
-var errRequestNotLogged = errors.New("no log line is of this request: its VM logged elsewhere, was killed before it ended, or never got it")
+// errRequestNotLogged means that no log line has the id of the request.
+var errRequestNotLogged = errors.New("no log line has the id of this request: its VM logged elsewhere, was killed before the request ended, or never received it")
 
 // Run runs the command.
 func (c *explainCmd) Run(s *invocation) error {
@@ -39,7 +39,7 @@
 	return err
 }
 
-// lossesCmd tells why requests were not answered well and in time.
+// lossesCmd prints why requests failed or were late, and statistics of each model.
 type lossesCmd struct {
 	Files []string `arg:"" optional:"" help:"Log files of VMs; standard input when there is none." type:"existingfile"`
 }
@@ -56,7 +56,8 @@
 	return explain.Models(s.out, lines)
 }
 
-// changesCmd tells what changed from log lines.
+// changesCmd prints the changes of the configuration and of upstreams from the log
+// lines of VMs.
 type changesCmd struct {
 	Files []string `arg:"" optional:"" help:"Log files of VMs; standard input when there is none." type:"existingfile"`
 }
@@ -70,14 +71,15 @@
 	return explain.Changes(s.out, lines)
 }
 
-// usageCmd tells who acted for all and what was reported of usage, from log lines.
+// usageCmd prints the holders of the lease and the usage reports from the log lines
+// of VMs.
 type usageCmd struct {
 	Files  []string      `arg:"" optional:"" help:"Log files of VMs; standard input when there is none." type:"existingfile"`
 	Window time.Duration `help:"The length of a window of usage." default:"5s"`
 }
 
-// errInvalidWindow means that a window's length is no length.
-var errInvalidWindow = errors.New("--window has to be above 0, for example 5s")
+// errInvalidWindow means that the length of a usage window is not positive.
+var errInvalidWindow = errors.New("--window must be greater than 0, for example 5s")
 
 // Run runs the command.
 func (c *usageCmd) Run(s *invocation) error {
@@ -91,7 +93,8 @@
 	return explain.Usage(s.out, lines, c.Window)
 }
 
-// readLogs reads the lines of files, or of standard input, in the order of time.
+// readLogs returns the log lines of the files, or of standard input if there are none,
+// sorted by time.
 func readLogs(files []string) ([]*explain.Line, error) {
 	if len(files) == 0 {
 		return readLog(os.Stdin, "standard input")
@@ -103,8 +106,8 @@
 			return nil, err
 		}
 		lines, err := readLog(f, name)
-		if closed := f.Close(); err == nil {
-			err = closed
+		if closeErr := f.Close(); err == nil {
+			err = closeErr
 		}
 		if err != nil {
 			return nil, err
@@ -115,6 +118,7 @@
 	return all, nil
 }
 
+// readLog returns the log lines of one source, sorted by time. name is for errors.
 func readLog(r io.Reader, name string) ([]*explain.Line, error) {
 	lines, _, err := explain.Read(r)
 	if err != nil {
--- a/command/text.go
+++ b/command/text.go
@@ -8,14 +8,14 @@
 	"woaddoor/document"
 )
 
-// printSection writes each line of a section after a mark.
-func printSection(w io.Writer, mark string, s document.Section) {
+// printSection writes each line of a section with a prefix.
+func printSection(w io.Writer, prefix string, s document.Section) {
 	for _, line := range strings.Split(strings.TrimSuffix(string(s), "\n"), "\n") {
 		if line != "" {
-			fmt.Fprintln(w, mark+line)
+			fmt.Fprintln(w, prefix+line)
 		}
 	}
 }
 
-// trimLineEnd returns the text without the end of its line.
+// trimLineEnd returns the text without trailing line breaks.
 func trimLineEnd(raw []byte) string { return strings.TrimRight(string(raw), "\r\n") }
--- a/config/check.go
+++ b/config/check.go
@@ -12,6 +12,7 @@
 	readers map[string]*Reader
 }
 
+// check runs all checks and records their faults.
 func (ch *checker) check() {
 	ch.checkWorkspaces()
 	ch.checkModels()
@@ -21,6 +22,8 @@
 	ch.checkServices()
 }
 
+// checkWorkspaces checks that allowed versions are declared and that no two workspaces
+// have the same key. It also indexes the workspaces by key hash.
 func (ch *checker) checkWorkspaces() {
 	for id, w := range ch.config.Workspaces {
 		r := ch.readers[kindWorkspace+" "+string(id)]
@@ -90,6 +93,7 @@
 	}
 }
 
+// checkServices checks that each service has pools, all declared with kind service.
 func (ch *checker) checkServices() {
 	for id, s := range ch.config.Services {
 		r := ch.readers[kindService+" "+string(id)]
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon starts the two daemons from their settings and stops them on
-// a signal.
+// Package daemon starts the daemons woaddoor-entry, woaddoor-control and woaddoor-vm
+// from their settings and stops them on a signal.
 package daemon
 
 import (
@@ -25,22 +25,23 @@
 const (
 	exitOK       = 0
 	exitFailed   = 1
-	exitSettings = 2
+	exitSettings = 2 // the settings or the keys are invalid
 )
 
-// daemonArguments are those of both daemons.
+// daemonArguments are the command-line arguments of woaddoor-entry and
+// woaddoor-control.
 type daemonArguments struct {
 	Settings string `arg:"" help:"The VM's settings file (INI), shared by both daemons." type:"path"`
 	Check    bool   `help:"Check the settings and the keys, print every fault, and end."`
 }
 
-// server is a daemon's server.
+// server is the main component of a daemon. It runs until ctx ends.
 type server interface {
 	Run(ctx context.Context) error
 }
 
-// serviceFactory makes a daemon's server.
-type serviceFactory func(s *settings.Settings, set *keys.Set, log *zap.Logger) (server, error)
+// serverFactory creates the server of a daemon.
+type serverFactory func(s *settings.Settings, set *keys.Set, log *zap.Logger) (server, error)
 
 // Entry runs woaddoor-entry and returns its exit code.
 func Entry(args []string) int {
@@ -51,15 +52,17 @@
 
 // Control runs woaddoor-control and returns its exit code.
 func Control(args []string) int {
-	return run("woaddoor-control", "Keeps an entry VM in step with the platform.", args, func(s *settings.Settings, set *keys.Set, log *zap.Logger) (server, error) {
+	return run("woaddoor-control", "Synchronizes an entry VM with the platform: configuration, status, bill records and roll-outs.", args, func(s *settings.Settings, set *keys.Set, log *zap.Logger) (server, error) {
 		client := store.NewClient(&store.Options{URL: s.Platform.URL})
 		return control.New(&control.Options{Settings: s, Keys: set, Clock: clock.NewSystem(), Log: log, Store: client, VMs: client})
 	})
 }
 
-func run(name, about string, args []string, begin serviceFactory) int {
+// run parses the arguments, loads the settings and the keys, and runs the daemon. It
+// returns the exit code.
+func run(name, description string, args []string, newServer serverFactory) int {
 	var a daemonArguments
-	parser := kong.Must(&a, kong.Name(name), kong.Description(about), kong.UsageOnError())
+	parser := kong.Must(&a, kong.Name(name), kong.Description(description), kong.UsageOnError())
 	_, err := parser.Parse(args)
 	parser.FatalIfErrorf(err)
 	s, err := settings.Load(a.Settings)
@@ -77,13 +80,13 @@
 		return exitOK
 	}
 	log := logs.New(os.Stderr, zap.String("process", name), zap.String("vm", string(s.VM)))
-	return serve(s, set, log, begin)
+	return serve(s, set, log, newServer)
 }
 
-// serve runs until SIGTERM or SIGINT. Further signals are noted and change
-// nothing: a planned stop cuts off no request, however often it is asked for.
-func serve(s *settings.Settings, set *keys.Set, log *zap.Logger, begin serviceFactory) int {
-	server, err := begin(s, set, log)
+// serve runs the daemon until SIGTERM or SIGINT. Further signals are logged and have
+// no effect: repeating the signal does not make a planned shutdown cut off requests.
+func serve(s *settings.Settings, set *keys.Set, log *zap.Logger, newServer serverFactory) int {
+	server, err := newServer(s, set, log)
 	if err != nil {
 		log.Error("start-failed", logs.Failure(err)...)
 		return exitFailed
--- a/daemon/duties.go
+++ b/daemon/duties.go
@@ -17,18 +17,20 @@
 	members "woaddoor/vm"
 )
 
-// dutiesLeaseName is the name of the lease under which one VM acts for all.
+// dutiesLeaseName is the name of the lease whose holder acts on behalf of all VMs.
 const dutiesLeaseName = "duties"
 
-// dutyTimeoutDivisor is the part of a lease that a call may take, divided: less than the margin at its
-// end in which none is made.
+// dutyTimeoutDivisor divides the length of the lease to get the timeout of a call. The
+// timeout is less than the margin at the end of the lease in which no call is started,
+// so a call ends before the lease does.
 const dutyTimeoutDivisor = 4
 
-// dutyTimeout bounds a call that one VM makes for all, and those that keep its lease.
+// dutyTimeout is the timeout of a call to the platform on behalf of all VMs, and of the
+// calls that renew the lease.
 func (v *vmProcess) dutyTimeout() time.Duration { return v.settings.Duties.Lease / dutyTimeoutDivisor }
 
-// buildDuties makes the parts by which one VM acts for all, where the deployment asks for
-// anything.
+// buildDuties creates the lease keeper and the usage book, the components by which one VM
+// acts on behalf of all, if the deployment configures duties.
 func (v *vmProcess) buildDuties(store *platform.Store, self members.Member) {
 	d := v.settings.Duties
 	if d.Address == "" {
@@ -48,11 +50,13 @@
 	})
 }
 
+// usageTerms returns the reporting windows and deadlines of usage.
 func (v *vmProcess) usageTerms() usage.Terms {
 	return usage.Terms{Window: v.settings.Duties.UsageWindow, Late: v.settings.Duties.UsageReportDeadline}
 }
 
-// usageRecorder returns what is told of requests that upstreams begin to run; nil where nobody asks.
+// usageRecorder returns the callback that counts a request when an upstream begins to run
+// it. It is nil if usage is not reported.
 func (v *vmProcess) usageRecorder() func(contract.WorkspaceID, time.Time) {
 	if v.usage == nil {
 		return nil
@@ -60,7 +64,8 @@
 	return v.usage.Began
 }
 
-// newLeader returns what acts for all VMs where this one is to; nil where none does.
+// newLeader returns the component that acts on behalf of all VMs while this VM holds the
+// lease. It is nil if the deployment configures no duties.
 func (v *vmProcess) newLeader() *leader.Leader {
 	if v.lease == nil {
 		return nil
@@ -86,7 +91,7 @@
 	})
 }
 
-// services returns those of the configuration in force.
+// services returns the services of the configuration in force.
 func (v *vmProcess) services() map[contract.ServiceID]*route.Service {
 	if t := v.site.Table(); t != nil {
 		return t.Services
@@ -94,7 +99,7 @@
 	return nil
 }
 
-// objective returns the shortest objective of the routes to a service.
+// objective returns the shortest latency objective among the routes to a service.
 func (v *vmProcess) objective(s contract.ServiceID) time.Duration {
 	if t := v.site.Table(); t != nil {
 		return t.Objective(s)
@@ -102,18 +107,18 @@
 	return 0
 }
 
-// listAge returns how old the store's word on the list of upstreams is.
+// listAge returns the time since the store last confirmed the list of upstreams.
 func (v *vmProcess) listAge() time.Duration {
 	_, age := v.site.Ages()
 	return age
 }
 
-// countDutyCall counts a call that one VM makes for all.
+// countDutyCall counts a call to the platform on behalf of all VMs.
 func (v *vmProcess) countDutyCall(c platform.Call, err error) {
 	v.countCall("duty", fmt.Sprintf("call=%q", c.Verb), err)
 }
 
-// leaseMetrics returns what is told of who acts for all.
+// leaseMetrics returns the metrics of the lease: its holder, fencing number and age.
 func (v *vmProcess) leaseMetrics() []string {
 	if v.lease == nil {
 		return nil
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -16,27 +16,28 @@
 // pathMetrics is where a VM serves its metrics as text.
 const pathMetrics = "/metrics"
 
-// countStoreCall counts a call to the platform's store.
+// countStoreCall counts a call to the platform's object store.
 func (v *vmProcess) countStoreCall(c platform.Call, err error) {
 	v.countCall("store", fmt.Sprintf("call=%q,kind=%q", c.Verb, c.Kind), err)
 }
 
-// countCall counts a call of some calls, by its labels and by whether it failed.
-func (v *vmProcess) countCall(calls, labels string, err error) {
-	name := calls + "_calls_total"
+// countCall increments the counter of calls to target, such as "store", or that of its
+// failed calls if err is not nil.
+func (v *vmProcess) countCall(target, labels string, err error) {
+	name := target + "_calls_total"
 	if err != nil {
-		name = calls + "_calls_failed_total"
+		name = target + "_calls_failed_total"
 	}
 	metrics.GetOrRegisterCounter(fmt.Sprintf("%s{%s}", name, labels), v.registry).Inc(1)
 }
 
-// recordUnreadableObject logs and counts an object of the store that cannot be read.
+// recordUnreadableObject logs and counts an object of the store that cannot be decoded.
 func (v *vmProcess) recordUnreadableObject(kind string, err error) {
 	metrics.GetOrRegisterCounter(fmt.Sprintf("objects_malformed_total{kind=%q,by=%q}", kind, "store"), v.registry).Inc(1)
 	v.log.Error("object-unreadable", zap.String("kind", kind), zap.Error(err))
 }
 
-// evacuationMetrics returns what is told of data centres that are evacuated.
+// evacuationMetrics returns the metrics of the data centres that are being evacuated.
 func (v *vmProcess) evacuationMetrics() []string {
 	var lines []string
 	all := v.relay.Evacuated()
@@ -48,7 +49,7 @@
 	return append(lines, fmt.Sprintf("evacuations %d", len(all)))
 }
 
-// metricsHandler serves the metrics, one name and value a line.
+// metricsHandler serves the metrics as text, with one name and value per line.
 func (v *vmProcess) metricsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(pathMetrics, func(w http.ResponseWriter, _ *http.Request) {
@@ -59,12 +60,12 @@
 		lines = append(lines, v.leaseMetrics()...)
 		sort.Strings(lines)
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		_, _ = fmt.Fprintln(w, strings.Join(lines, "\n")) // the reader is gone
+		_, _ = fmt.Fprintln(w, strings.Join(lines, "\n")) // fails only if the client has disconnected
 	})
 	return mux
 }
 
-// gaugeMetrics returns what is read at the time of the question.
+// gaugeMetrics returns the metrics whose values are read when they are requested.
 func (v *vmProcess) gaugeMetrics() []string {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
@@ -100,8 +101,8 @@
 	}
 }
 
-// peerMetrics returns what VMs tell each other, by kind of message and by whether it
-// crosses the border of the data centre, and where this one stands among them.
+// peerMetrics returns the traffic between VMs, by kind of message and by whether it stays
+// in the data centre or leaves it, and the role of this VM among the VMs.
 func (v *vmProcess) peerMetrics() []string {
 	var lines []string
 	for _, s := range v.peers.Traffic() {
@@ -123,9 +124,10 @@
 		fmt.Sprintf("vm_leaves %d", st.Leaves))
 }
 
-// quantiles are those served of each histogram.
+// quantiles are the quantiles that are served for each histogram.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
+// registryMetrics returns the counters and histograms of a registry.
 func registryMetrics(r metrics.Registry) []string {
 	var lines []string
 	r.Each(func(name string, m any) {
--- a/daemon/vm.go
+++ b/daemon/vm.go
@@ -33,7 +33,7 @@
 	members "woaddoor/vm"
 )
 
-// vmArguments are those of woaddoor-vm.
+// vmArguments are the command-line arguments of woaddoor-vm.
 type vmArguments struct {
 	Settings string   `help:"The settings file (INI)." env:"WOADDOOR_CONFIG" type:"path" required:""`
 	Run      struct{} `cmd:"" help:"Serve until SIGTERM, for example: woaddoor-vm run --settings /etc/woaddoor/settings.ini"`
@@ -58,7 +58,7 @@
 	return runVM(s, a.Settings)
 }
 
-// vmProcess is one life of the process.
+// vmProcess holds the components of a running woaddoor-vm process.
 type vmProcess struct {
 	settings     *settings.VM
 	settingsPath string
@@ -69,24 +69,29 @@
 	logWriter    *logs.Bounded
 	registry     metrics.Registry
 	stopping     atomic.Bool
-	// lease and usage are those under which one VM acts for all; nil where none does.
+	// lease is the lease whose holder acts on behalf of all VMs, and usage counts the
+	// requests for its usage reports. They are nil if the deployment does not configure
+	// them.
 	lease *leader.Keeper
 	usage *leader.Book
-	// callers are the connections of callers.
+	// callers is the listener for callers, which tracks their connections.
 	callers *drain.Listener
 }
 
-// gcPercent makes the collector run more often: memory is paid for and the
-// process uses a small part of its processor.
+// gcPercent makes the garbage collector run more often than by default. It trades CPU
+// time, of which the process uses little, for memory, which is charged for.
 const gcPercent = 50
 
-// memoryLimitShare is the part of the machine's memory from which on the collector works
-// harder: what the kernel holds for connections counts as well.
+// memoryLimitShare is the fraction of the machine's memory that is set as the memory limit of
+// the garbage collector. The rest is for the kernel's connection buffers, which count
+// towards the machine's memory as well.
 const memoryLimitShare = 0.6
 
-// logFlushTimeout bounds the wait for lines at the end of the process.
+// logFlushTimeout is the longest wait for queued log lines to be written at the end of the
+// process.
 const logFlushTimeout = 200 * time.Millisecond
 
+// runVM runs woaddoor-vm until a signal ends it, and returns the exit code.
 func runVM(s *settings.VM, path string) int {
 	debug.SetGCPercent(gcPercent)
 	if limit := s.Machine.Memory; limit > 0 {
@@ -112,7 +117,7 @@
 	return exitOK
 }
 
-// build makes the parts of the process.
+// build creates the components of the process and connects them.
 func (v *vmProcess) build() error {
 	s := v.settings
 	v.registry = metrics.NewRegistry()
@@ -161,15 +166,16 @@
 	return nil
 }
 
-// Bounds of callers' connections, where the configuration's come too late to be
-// set on a server: clients keep within them.
+// Limits of callers' connections. The limits in the configuration are not known yet when
+// the HTTP servers are created; clients stay within these.
 const (
 	headerTimeout  = 10 * time.Second
 	idleTimeout    = 3 * time.Minute
 	maxHeaderBytes = 64 << 10
 )
 
-// listen opens the VM's addresses. An address in use is told with its name.
+// listen opens the listeners of the VM. The error about an address that is in use names
+// its settings key.
 func (v *vmProcess) listen() error {
 	front := &platform.Front{
 		Relay: v.relay, Table: v.site.Table, Await: v.site.Await, Now: time.Now, Closing: v.stopping.Load,
@@ -212,7 +218,10 @@
 	return nil
 }
 
-// serveReadiness tells the balancer whether to send new connections.
+// serveReadiness answers the readiness check of the load balancer, which sends new
+// connections only to VMs that are ready. A VM is not ready while it stops, before it
+// knows a configuration and the upstreams, and while all upstreams of a service have been
+// unreachable for a while.
 func (v *vmProcess) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if v.stopping.Load() || !v.site.Ready() || v.relay.CutOff() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -221,11 +230,12 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// balancerDetectionTime is how long the balancer goes on sending connections to a VM
-// that is no longer ready: it asks every second and takes two misses.
+// balancerDetectionTime is how long the load balancer keeps sending connections to a VM that
+// is no longer ready: it checks every second and needs two failed checks.
 const balancerDetectionTime = 2500 * time.Millisecond
 
-// waitForSignals handles signals until the process is to end.
+// waitForSignals handles signals until SIGTERM or SIGINT, and then shuts the process down.
+// SIGHUP reloads the settings.
 func (v *vmProcess) waitForSignals() {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
@@ -239,8 +249,9 @@
 	v.shutDown()
 }
 
-// reload reads the settings again and says what has changed. Addresses and
-// bounds are in use since the start, so a change of them needs a restart.
+// reload reads the settings again, checks them, and logs whether they differ from the
+// current ones. Changed settings take effect at the next start, because addresses and
+// bounds cannot change while the process runs.
 func (v *vmProcess) reload() {
 	s, err := settings.LoadVM(v.settingsPath)
 	if err != nil {
@@ -250,8 +261,9 @@
 	v.log.Info("reload", zap.Bool("same", reflect.DeepEqual(s, v.settings)), zap.String("takes_effect", "at the next start"))
 }
 
-// shutDown ends the process without cutting off a request: the balancer is told
-// first, and connections are closed once it sends no more.
+// shutDown ends the process without cutting off a request: it first reports the VM as not
+// ready to the load balancer, and closes connections after the balancer has stopped
+// sending new ones.
 func (v *vmProcess) shutDown() {
 	v.stopping.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), v.settings.Bounds.ShutdownGrace-shutdownMargin)
@@ -262,11 +274,12 @@
 		v.site.Resign(ctx)
 	}()
 	time.Sleep(min(balancerDetectionTime, v.settings.Bounds.ShutdownGrace/2))
-	whole := v.callers.Drain(ctx)
+	drained := v.callers.Drain(ctx)
 	<-resigned
 	v.peers.LastUsage(ctx)
-	v.log.Info("stop", zap.Bool("whole", whole))
+	v.log.Info("stop", zap.Bool("whole", drained))
 }
 
-// shutdownMargin is the part of the grace that is left for the end itself.
+// shutdownMargin is the part of the shutdown grace that is reserved for ending the process
+// after connections are closed.
 const shutdownMargin = 300 * time.Millisecond
--- a/daemon/vm_test.go
+++ b/daemon/vm_test.go
@@ -24,10 +24,11 @@
 	"woaddoor/internal/standin/replica"
 )
 
-// runAsVMEnv makes the test binary run as woaddoor-vm, so that real processes get
-// real signals.
+// runAsVMEnv is the environment variable that makes the test binary run as woaddoor-vm, so
+// that tests can send signals to a real process.
 const runAsVMEnv = "WOADDOOR_TEST_AS_VM"
 
+// TestMain runs the test binary as woaddoor-vm if runAsVMEnv is set.
 func TestMain(m *testing.M) {
 	if os.Getenv(runAsVMEnv) != "" {
 		os.Exit(VM(os.Args[1:]))
@@ -35,40 +36,45 @@
 	os.Exit(m.Run())
 }
 
-// freeAddresses returns n addresses on loopback that were free a moment ago.
+// freeAddresses returns n loopback addresses that are not in use.
 func freeAddresses(t *testing.T, n int) []string {
 	t.Helper()
-	var out []string
+	var addresses []string
 	for range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		is.New(t).NoErr(err)
 		defer l.Close()
-		out = append(out, l.Addr().String())
+		addresses = append(addresses, l.Addr().String())
 	}
-	return out
+	return addresses
 }
 
-// vmUnderTest is a running woaddoor-vm.
+// vmUnderTest is a running woaddoor-vm process.
 type vmUnderTest struct {
 	*exec.Cmd
+	// callers, ready and metrics are its listen addresses.
 	callers, ready, metrics string
 
-	mu  sync.Mutex
+	mu  sync.Mutex // guards log
 	log bytes.Buffer
 }
 
+// Write appends to the log. The process writes its output to it.
 func (p *vmUnderTest) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.Write(b)
 }
 
+// logText returns the output of the process so far.
 func (p *vmUnderTest) logText() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
 }
 
+// settingsText returns a settings file with the address of the store and four listen
+// addresses: for callers, readiness, links and metrics.
 func settingsText(store string, addresses []string) string {
 	_, metrics, _ := net.SplitHostPort(addresses[3])
 	return fmt.Sprintf(`[vm]
@@ -90,6 +96,7 @@
 `, addresses[0], addresses[1], addresses[2], metrics, store)
 }
 
+// startVM starts woaddoor-vm with a settings file and kills it at the end of the test.
 func startVM(t *testing.T, settings string, addresses []string) *vmUnderTest {
 	t.Helper()
 	is := is.New(t)
@@ -106,16 +113,18 @@
 	return p
 }
 
-func waitUntil(t *testing.T, ok func() bool) {
+// waitUntil polls a condition and fails the test if it is not met within 15 seconds.
+func waitUntil(t *testing.T, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(15 * time.Second); !ok(); time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("the condition did not come about")
+	for deadline := time.Now().Add(15 * time.Second); !condition(); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("the condition was not met within 15 seconds")
 		}
 	}
 }
 
-// startReadyVM starts the stand-ins and a VM that is ready.
+// startReadyVM starts a stand-in store, a stand-in upstream that answers with h, and a VM, and
+// waits until the VM is ready and knows the upstream.
 func startReadyVM(t *testing.T, h replica.Handler) *vmUnderTest {
 	t.Helper()
 	is := is.New(t)
@@ -133,6 +142,7 @@
 	return p
 }
 
+// httpStatus returns the status of a GET request, or 0 if it fails.
 func (p *vmUnderTest) httpStatus(url string) int {
 	resp, err := http.Get(url)
 	if err != nil {
@@ -142,17 +152,18 @@
 	return resp.StatusCode
 }
 
-// TestShutdownCompletesOpenStream stops a VM in the middle of a stream: the stream
-// ends whole, new connections are told to close, and the process ends by itself.
+// TestShutdownCompletesOpenStream sends SIGTERM while a stream is open: the VM reports
+// that it is not ready, the stream is delivered completely, and the process ends by
+// itself.
 func TestShutdownCompletesOpenStream(t *testing.T) {
 	is := is.New(t)
-	begun := make(chan struct{})
-	goOn := make(chan struct{})
+	streamBegun := make(chan struct{})
+	continueStream := make(chan struct{})
 	p := startReadyVM(t, func(c *replica.Conn, r *replica.Request) bool {
 		c.BeginStream(r.ID())
 		c.Event(1, "a")
-		close(begun)
-		<-goOn
+		close(streamBegun)
+		<-continueStream
 		c.Event(2, "b")
 		c.EndStream()
 		return true
@@ -162,20 +173,20 @@
 	resp, err := http.DefaultClient.Do(req)
 	is.NoErr(err)
 	defer resp.Body.Close()
-	<-begun
+	<-streamBegun
 	is.NoErr(p.Process.Signal(syscall.SIGTERM))
 	waitUntil(t, func() bool { return p.httpStatus("http://"+p.ready+"/api/readyz") == http.StatusServiceUnavailable })
-	close(goOn)
+	close(continueStream)
 	body, err := io.ReadAll(resp.Body)
-	is.NoErr(err) // whole
+	is.NoErr(err) // the body is complete
 	is.Equal(string(body), "id: 1\ndata: a\n\nid: 2\ndata: b\n\n")
 	is.NoErr(p.Wait())
-	is.True(strings.Contains(p.logText(), "event=stop")) // its last line
+	is.True(strings.Contains(p.logText(), "event=stop")) // the last event that it logs
 	is.True(strings.Contains(p.logText(), "whole=true"))
 }
 
-// TestReloadLogsItsOutcome checks that SIGHUP loses nothing and says what has
-// become of the settings, also when they are broken.
+// TestReloadLogsItsOutcome checks that SIGHUP logs the outcome of the reload, for valid
+// and for invalid settings, and that the VM stays ready.
 func TestReloadLogsItsOutcome(t *testing.T) {
 	is := is.New(t)
 	p := startReadyVM(t, func(c *replica.Conn, r *replica.Request) bool {
@@ -191,8 +202,8 @@
 	is.Equal(p.httpStatus("http://"+p.ready+"/api/readyz"), http.StatusOK)
 }
 
-// TestInvalidSettingsEndProcess checks that each fault ends the process with one line that
-// names file and key.
+// TestInvalidSettingsEndProcess checks that invalid settings end the process with the exit
+// code for them and an error that names the file and the key.
 func TestInvalidSettingsEndProcess(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
@@ -203,11 +214,11 @@
 		text, want string
 		code       int
 	}{
-		"not a file of settings": {"[vm\n", "vm.ini:1:", exitSettings},
-		"field missing":          {strings.Replace(good, "name = vm1\n", "", 1), "[vm] name: is missing or empty", exitSettings},
-		"no address":             {strings.Replace(good, "callers = "+addresses[0], "callers = x", 1), `[listen] callers: is "x"`, exitSettings},
-		"not a number":           {strings.Replace(good, "0.5", "many", 1), `[bounds] retry-ratio: is "many"`, exitSettings},
-		"address in use":         {strings.Replace(good, addresses[0], taken.Addr().String(), 1), "[listen] callers", exitFailed},
+		"malformed file":  {"[vm\n", "vm.ini:1:", exitSettings},
+		"missing key":     {strings.Replace(good, "name = vm1\n", "", 1), "[vm] name: is missing or empty", exitSettings},
+		"invalid address": {strings.Replace(good, "callers = "+addresses[0], "callers = x", 1), `[listen] callers: is "x"`, exitSettings},
+		"invalid number":  {strings.Replace(good, "0.5", "many", 1), `[bounds] retry-ratio: is "many"`, exitSettings},
+		"address in use":  {strings.Replace(good, addresses[0], taken.Addr().String(), 1), "[listen] callers", exitFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -222,8 +233,8 @@
 	}
 }
 
-// TestMetricNames checks that what is served and the operators' page name the
-// same metrics.
+// TestMetricNames checks that every metric that is served is documented in
+// docs/OPERATIONS.md.
 func TestMetricNames(t *testing.T) {
 	is := is.New(t)
 	p := startReadyVM(t, func(c *replica.Conn, r *replica.Request) bool {
@@ -237,16 +248,16 @@
 	page, err := os.ReadFile("../docs/OPERATIONS.md")
 	is.NoErr(err)
 	scanner := bufio.NewScanner(resp.Body)
-	variable := regexp.MustCompile(`^(store_calls|refusals)_`)
+	generatedNames := regexp.MustCompile(`^(store_calls|refusals)_`)
 	for scanner.Scan() {
 		name, _, _ := strings.Cut(scanner.Text(), " ")
 		name, _, _ = strings.Cut(name, "{")
 		name = strings.TrimSuffix(name, "_count")
-		if name == "" || variable.MatchString(name) {
+		if name == "" || generatedNames.MatchString(name) {
 			continue
 		}
 		if !strings.Contains(string(page), "`"+name+"`") {
-			t.Errorf("%s is served and not in docs/OPERATIONS.md", name)
+			t.Errorf("metric %s is served but not documented in docs/OPERATIONS.md", name)
 		}
 	}
 	is.NoErr(scanner.Err())
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -43,12 +43,12 @@
 	ctx := t.Context()
 	_, err := o.Apply(ctx, "site.ini", testFile("10s"), -1, testAuthor("ana", *now))
 	is.NoErr(err)
-	mine, err := o.Show(ctx) // ana's copy is based on revision 1
+	anasFile, err := o.Show(ctx) // ana's copy is based on revision 1
 	is.NoErr(err)
 	_, err = o.Apply(ctx, "site.ini", testFile("20s"), 1, testAuthor("ben", *now))
 	is.NoErr(err)
 
-	_, err = o.Apply(ctx, "site.ini", []byte(strings.Replace(mine, "10s", "30s", 1)), -1, testAuthor("ana", *now))
+	_, err = o.Apply(ctx, "site.ini", []byte(strings.Replace(anasFile, "10s", "30s", 1)), -1, testAuthor("ana", *now))
 	var stale *StaleError
 	is.True(errors.As(err, &stale))
 	is.Equal(stale.NewerChanges[0].Who, "ben")
--- a/settings/vm.go
+++ b/settings/vm.go
@@ -52,7 +52,7 @@
 // Limits of the values in the [policy] section.
 const (
 	minValueCostRatio, maxValueCostRatio = 0.1, 1000
-	maxRepeatPrice                       = 10
+	maxRepeatPriceSetting                = 10
 )
 
 // CheckPolicy validates lines of a [policy] section, each of the form "key = value".
@@ -73,7 +73,7 @@
 		r.Fault(keyWithout, "%v", err)
 	}
 	v.ValueCostRatio = r.Number(keyValueCostRatio, cascade.DefaultWorthOfCost, minValueCostRatio, maxValueCostRatio)
-	v.MaxRepeatPrice = r.Number(keyRepeatPrice, cascade.DefaultRepeatPrice, 0, maxRepeatPrice)
+	v.MaxRepeatPrice = r.Number(keyRepeatPrice, cascade.DefaultRepeatPrice, 0, maxRepeatPriceSetting)
 }
 
 // Machine holds the resources that the machine gives the process. Zero means
