--- a/daemon/duties.go
+++ b/daemon/duties.go
@@ -17,19 +17,21 @@
 	members "woaddoor/vm"
 )
 
-// dutiesLease is the name of the lease under which one VM acts for all.
-const dutiesLease = "duties"
+// dutiesLeaseName is the name of the lease whose holder acts on behalf of all VMs.
+const dutiesLeaseName = "duties"
 
-// callPart is the part of a lease that a call may take, divided: less than the margin at its
-// end in which none is made.
-const callPart = 4
+// dutyTimeoutDivisor divides the length of the lease to get the timeout of a call. The
+// timeout is less than the margin at the end of the lease in which no call is started,
+// so a call ends before the lease does.
+const dutyTimeoutDivisor = 4
 
-// dutyTimeout bounds a call that one VM makes for all, and those that keep its lease.
-func (v *vm) dutyTimeout() time.Duration { return v.settings.Duties.Lease / callPart }
+// dutyTimeout is the timeout of a call to the platform on behalf of all VMs, and of the
+// calls that renew the lease.
+func (v *vmProcess) dutyTimeout() time.Duration { return v.settings.Duties.Lease / dutyTimeoutDivisor }
 
-// prepareDuties makes the parts by which one VM acts for all, where the deployment asks for
-// anything.
-func (v *vm) prepareDuties(store *platform.Store, self members.Member) {
+// buildDuties creates the lease keeper and the usage book, the components by which one VM
+// acts on behalf of all, if the deployment configures duties.
+func (v *vmProcess) buildDuties(store *platform.Store, self members.Member) {
 	d := v.settings.Duties
 	if d.Address == "" {
 		return
@@ -37,7 +39,7 @@
 	life := contract.VMLife{VM: self.VM, Incarnation: self.Incarnation}
 	v.lease = leader.NewKeeper(&leader.KeeperOptions{
 		Options: lease.Options{Self: life, Length: d.Lease},
-		Store:   platform.NewLease(store, dutiesLease), Clock: clock.NewSystem(), Timeout: v.dutyTimeout(),
+		Store:   platform.NewLease(store, dutiesLeaseName), Clock: clock.NewSystem(), Timeout: v.dutyTimeout(),
 	})
 	if !platform.Reports(d.Names) {
 		return
@@ -48,26 +50,29 @@
 	})
 }
 
-func (v *vm) usageTerms() usage.Terms {
-	return usage.Terms{Window: v.settings.Duties.UsageWindow, Late: v.settings.Duties.UsageLate}
+// usageTerms returns the reporting windows and deadlines of usage.
+func (v *vmProcess) usageTerms() usage.Terms {
+	return usage.Terms{Window: v.settings.Duties.UsageWindow, Late: v.settings.Duties.UsageReportDeadline}
 }
 
-// began returns what is told of requests that upstreams begin to run; nil where nobody asks.
-func (v *vm) began() func(contract.WorkspaceID, time.Time) {
+// usageRecorder returns the callback that counts a request when an upstream begins to run
+// it. It is nil if usage is not reported.
+func (v *vmProcess) usageRecorder() func(contract.WorkspaceID, time.Time) {
 	if v.usage == nil {
 		return nil
 	}
 	return v.usage.Began
 }
 
-// leader returns what acts for all VMs where this one is to; nil where none does.
-func (v *vm) leader() *leader.Leader {
+// newLeader returns the component that acts on behalf of all VMs while this VM holds the
+// lease. It is nil if the deployment configures no duties.
+func (v *vmProcess) newLeader() *leader.Leader {
 	if v.lease == nil {
 		return nil
 	}
 	d := v.settings.Duties
 	calls := platform.NewDuties(d.Address, v.settings.Name, v.dutyTimeout())
-	calls.Called = v.dutyCalled
+	calls.Called = v.countDutyCall
 	var acts []leader.Act
 	if v.usage != nil {
 		acts = append(acts, leader.NewReports(&leader.ReportsOptions{
@@ -86,35 +91,35 @@
 	})
 }
 
-// services returns those of the configuration in force.
-func (v *vm) services() map[contract.ServiceID]*route.Service {
+// services returns the services of the configuration in force.
+func (v *vmProcess) services() map[contract.ServiceID]*route.Service {
 	if t := v.site.Table(); t != nil {
 		return t.Services
 	}
 	return nil
 }
 
-// objective returns the shortest objective of the routes to a service.
-func (v *vm) objective(s contract.ServiceID) time.Duration {
+// objective returns the shortest latency objective among the routes to a service.
+func (v *vmProcess) objective(s contract.ServiceID) time.Duration {
 	if t := v.site.Table(); t != nil {
 		return t.Objective(s)
 	}
 	return 0
 }
 
-// listAge returns how old the store's word on the list of upstreams is.
-func (v *vm) listAge() time.Duration {
+// listAge returns the time since the store last confirmed the list of upstreams.
+func (v *vmProcess) listAge() time.Duration {
 	_, age := v.site.Ages()
 	return age
 }
 
-// dutyCalled counts a call that one VM makes for all.
-func (v *vm) dutyCalled(c platform.Call, err error) {
+// countDutyCall counts a call to the platform on behalf of all VMs.
+func (v *vmProcess) countDutyCall(c platform.Call, err error) {
 	v.countCall("duty", fmt.Sprintf("call=%q", c.Verb), err)
 }
 
-// dutyLines returns what is told of who acts for all.
-func (v *vm) dutyLines() []string {
+// leaseMetrics returns the metrics of the lease: its holder, fencing number and age.
+func (v *vmProcess) leaseMetrics() []string {
 	if v.lease == nil {
 		return nil
 	}
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -16,28 +16,29 @@
 // pathMetrics is where a VM serves its metrics as text.
 const pathMetrics = "/metrics"
 
-// storeCalled counts a call to the platform's store.
-func (v *vm) storeCalled(c platform.Call, err error) {
+// countStoreCall counts a call to the platform's object store.
+func (v *vmProcess) countStoreCall(c platform.Call, err error) {
 	v.countCall("store", fmt.Sprintf("call=%q,kind=%q", c.Verb, c.Kind), err)
 }
 
-// countCall counts a call of some calls, by its labels and by whether it failed.
-func (v *vm) countCall(calls, labels string, err error) {
-	name := calls + "_calls_total"
+// countCall increments the counter of calls to target, such as "store", or that of its
+// failed calls if err is not nil.
+func (v *vmProcess) countCall(target, labels string, err error) {
+	name := target + "_calls_total"
 	if err != nil {
-		name = calls + "_calls_failed_total"
+		name = target + "_calls_failed_total"
 	}
 	metrics.GetOrRegisterCounter(fmt.Sprintf("%s{%s}", name, labels), v.registry).Inc(1)
 }
 
-// storeUnreadable logs and counts an object of the store that cannot be read.
-func (v *vm) storeUnreadable(kind string, err error) {
+// recordUnreadableObject logs and counts an object of the store that cannot be decoded.
+func (v *vmProcess) recordUnreadableObject(kind string, err error) {
 	metrics.GetOrRegisterCounter(fmt.Sprintf("objects_malformed_total{kind=%q,by=%q}", kind, "store"), v.registry).Inc(1)
 	v.log.Error("object-unreadable", zap.String("kind", kind), zap.Error(err))
 }
 
-// evacuationLines returns what is told of data centres that are evacuated.
-func (v *vm) evacuationLines() []string {
+// evacuationMetrics returns the metrics of the data centres that are being evacuated.
+func (v *vmProcess) evacuationMetrics() []string {
 	var lines []string
 	all := v.relay.Evacuated()
 	for _, e := range all {
@@ -48,24 +49,24 @@
 	return append(lines, fmt.Sprintf("evacuations %d", len(all)))
 }
 
-// metricsPage serves the metrics, one name and value a line.
-func (v *vm) metricsPage() http.Handler {
+// metricsHandler serves the metrics as text, with one name and value per line.
+func (v *vmProcess) metricsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(pathMetrics, func(w http.ResponseWriter, _ *http.Request) {
-		lines := append(v.gauges(), registryLines(v.registry)...)
-		lines = append(lines, registryLines(v.relay.Metrics.Registry)...)
-		lines = append(lines, v.peerLines()...)
-		lines = append(lines, v.evacuationLines()...)
-		lines = append(lines, v.dutyLines()...)
+		lines := append(v.gaugeMetrics(), registryMetrics(v.registry)...)
+		lines = append(lines, registryMetrics(v.relay.Metrics.Registry)...)
+		lines = append(lines, v.peerMetrics()...)
+		lines = append(lines, v.evacuationMetrics()...)
+		lines = append(lines, v.leaseMetrics()...)
 		sort.Strings(lines)
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		_, _ = fmt.Fprintln(w, strings.Join(lines, "\n")) // the reader is gone
+		_, _ = fmt.Fprintln(w, strings.Join(lines, "\n")) // fails only if the client has disconnected
 	})
 	return mux
 }
 
-// gauges returns what is read at the time of the question.
-func (v *vm) gauges() []string {
+// gaugeMetrics returns the metrics whose values are read when they are requested.
+func (v *vmProcess) gaugeMetrics() []string {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	configuration, upstreams := v.site.Ages()
@@ -86,7 +87,7 @@
 		line("connections_opened_total", dialed),
 		line("requests_held", v.relay.Held()),
 		line("goroutines", runtime.NumGoroutine()),
-		line("log_lines_left_out_total", v.lines.LeftOut()),
+		line("log_lines_left_out_total", v.logWriter.LeftOut()),
 		line("memory_heap_bytes", memory.HeapAlloc),
 		line("memory_system_bytes", memory.Sys),
 		line("retry_budget_left_ratio", v.relay.BudgetLeft()),
@@ -100,9 +101,9 @@
 	}
 }
 
-// peerLines returns what VMs tell each other, by kind of message and by whether it
-// crosses the border of the data centre, and where this one stands among them.
-func (v *vm) peerLines() []string {
+// peerMetrics returns the traffic between VMs, by kind of message and by whether it stays
+// in the data centre or leaves it, and the role of this VM among the VMs.
+func (v *vmProcess) peerMetrics() []string {
 	var lines []string
 	for _, s := range v.peers.Traffic() {
 		to := "near"
@@ -123,10 +124,11 @@
 		fmt.Sprintf("vm_leaves %d", st.Leaves))
 }
 
-// quantiles are those served of each histogram.
+// quantiles are the quantiles that are served for each histogram.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-func registryLines(r metrics.Registry) []string {
+// registryMetrics returns the counters and histograms of a registry.
+func registryMetrics(r metrics.Registry) []string {
 	var lines []string
 	r.Each(func(name string, m any) {
 		switch m := m.(type) {
