--- a/clock/boot_linux.go
+++ b/clock/boot_linux.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// sinceBoot returns the time since the machine started, suspensions included, and
-// whether the system tells it.
+// sinceBoot returns the time since the VM booted, including the time it was suspended,
+// and whether the kernel provides it.
 func sinceBoot() (time.Duration, bool) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
--- a/clock/boot_other.go
+++ b/clock/boot_other.go
@@ -4,5 +4,6 @@
 
 import "time"
 
-// sinceBoot tells that this system has no clock that counts suspensions.
+// sinceBoot returns false: this operating system has no supported clock that includes
+// the time of suspensions.
 func sinceBoot() (time.Duration, bool) { return 0, false }
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,11 +1,11 @@
-// Package clock gives a time that is safe to end leases by.
+// Package clock provides a time that is safe for checking the expiry of leases.
 //
-// A VM can be suspended and woken. The monotonic clock of the system stands
-// still through a suspension and the wall clock can be set, so neither alone
-// tells how long a lease has been held. Where the system has a clock that counts
-// suspensions and is never set, a Clock follows that one. Elsewhere it adds up,
-// between two readings, the larger of what the two other clocks say has passed:
-// it may run fast, which ends a lease early, and never runs slow.
+// A VM can be suspended and resumed. The monotonic clock of the operating system
+// stops during a suspension and the wall clock can be set, so neither of them alone
+// measures how long a lease has been held. On Linux, System uses CLOCK_BOOTTIME if the
+// kernel provides it: it includes suspensions and is never set. Elsewhere System
+// advances between two readings by the larger of the advances of the monotonic and the
+// wall clock. It may then run fast, which ends a lease early, but it never runs slow.
 package clock
 
 import (
@@ -14,14 +14,14 @@
 	"time"
 )
 
-// Clock tells the time. Readings never go back.
+// Clock provides the current time. Successive readings never decrease.
 type Clock interface {
 	Now() time.Time
 }
 
-// System is the clock of this VM. The zero value is not usable: see NewSystem.
+// System is the clock of this VM. Use NewSystem to create one.
 type System struct {
-	read func() (wall, mono time.Time)
+	readClocks func() (wall, mono time.Time)
 
 	// mu guards the fields below.
 	mu       sync.Mutex
@@ -30,71 +30,75 @@
 	now      time.Time
 }
 
-// NewSystem returns the clock of this VM. It starts at the time of day.
+// NewSystem returns the clock of this VM. Its first reading is the wall-clock time.
 func NewSystem() *System {
 	if _, ok := sinceBoot(); ok {
-		return newBoot(time.Now().Round(0), func() time.Duration {
-			d, _ := sinceBoot() // a clock that was there once stays
+		return newBootClock(time.Now().Round(0), func() time.Duration {
+			d, _ := sinceBoot() // cannot fail: the call above succeeded
 			return d
 		})
 	}
-	return newSystem(func() (time.Time, time.Time) {
+	return newTwoClockSystem(func() (time.Time, time.Time) {
 		t := time.Now()
 		return t.Round(0), t
 	})
 }
 
-// newBoot returns a clock that begins at start and follows one that counts suspensions.
-func newBoot(start time.Time, read func() time.Duration) *System {
-	first := read()
-	return newSystem(func() (time.Time, time.Time) {
-		t := start.Add(read() - first)
+// newBootClock returns a clock that reads start at first and then advances with read,
+// which returns the time since boot.
+func newBootClock(start time.Time, read func() time.Duration) *System {
+	readAtStart := read()
+	return newTwoClockSystem(func() (time.Time, time.Time) {
+		t := start.Add(read() - readAtStart)
 		return t, t
 	})
 }
 
-func newSystem(read func() (wall, mono time.Time)) *System {
+// newTwoClockSystem returns a clock that advances with the faster of the two clocks that
+// readClocks reads.
+func newTwoClockSystem(read func() (wall, mono time.Time)) *System {
 	wall, mono := read()
-	return &System{read: read, lastWall: wall, lastMono: mono, now: wall}
+	return &System{readClocks: read, lastWall: wall, lastMono: mono, now: wall}
 }
 
-// Now returns the time, without a monotonic part.
+// Now returns the current time, without a monotonic clock reading.
 func (s *System) Now() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// The reading is taken under the lock: outside it, an older reading could
-	// be added after a newer one.
-	wall, mono := s.read()
-	passed := max(mono.Sub(s.lastMono), wall.Sub(s.lastWall), 0)
+	// Read the clocks under the lock, so that a concurrent call cannot apply an older
+	// reading after a newer one.
+	wall, mono := s.readClocks()
+	elapsed := max(mono.Sub(s.lastMono), wall.Sub(s.lastWall), 0)
 	s.lastWall, s.lastMono = wall, mono
-	s.now = s.now.Add(passed)
+	s.now = s.now.Add(elapsed)
 	return s.now
 }
 
-// Fake is a clock that a test sets. It is safe for concurrent use.
+// Fake is a clock for tests that only moves when Advance is called. It is safe for
+// concurrent use.
 type Fake struct {
 	mu  sync.Mutex
 	now time.Time
 }
 
-// NewFake returns a fake clock that stands at start.
+// NewFake returns a fake clock set to start.
 func NewFake(start time.Time) *Fake { return &Fake{now: start} }
 
-// Now returns the time that was set last.
+// Now returns the current time of the fake clock.
 func (f *Fake) Now() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.now
 }
 
-// Advance moves the clock on by d.
+// Advance moves the clock forward by d.
 func (f *Fake) Advance(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.now = f.now.Add(d)
 }
 
-// Pause waits for d, or until ctx ends.
+// Pause waits for d or until ctx is done.
 func Pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/contract/doc.go
+++ b/contract/doc.go
@@ -1,6 +1,6 @@
-// Package contract holds the words that the parts of woaddoor share: the ids
-// of the things of its world, the outcome of a request, refusals, and errors
-// that carry the step and the peer at which they arose.
+// Package contract defines the types that all other packages of woaddoor
+// share: ids, the outcome of a request, refusals, and errors that record the
+// processing step and the peer that failed.
 //
-// It has no behaviour of its own, so every other package may import it.
+// It imports no other package of woaddoor, so every package may import it.
 package contract
--- a/contract/errors.go
+++ b/contract/errors.go
@@ -8,11 +8,12 @@
 	"github.com/rotisserie/eris"
 )
 
-// Step names the step of a request, or of a daemon's work, at which an error
-// arose. It is part of what a caller sees, so the set is stable.
+// Step names the step of request processing, or of a daemon's background work,
+// in which an error occurred. Clients see it in problem documents, so existing
+// values must not change.
 type Step string
 
-// The steps at which an error can arise.
+// The steps in which an error can occur.
 const (
 	StepAuth     Step = "auth"
 	StepRead     Step = "read"
@@ -40,15 +41,16 @@
 	StepRate     Step = "rate"
 )
 
-// StepError is an error with the step and the peer at which it arose.
+// StepError adds to an error the step in which it occurred and the peer involved.
 type StepError struct {
 	Step Step
-	// Peer is the other side: a VM, an upstream or an address; "" for none.
+	// Peer is the VM, the upstream or the address that was being contacted. It
+	// is empty if no peer was involved.
 	Peer string
 	Err  error
 }
 
-// Error returns the step, the peer and the cause.
+// Error formats the step, the peer if there is one, and the wrapped error.
 func (e *StepError) Error() string {
 	if e.Peer == "" {
 		return fmt.Sprintf("%s: %v", e.Step, e.Err)
@@ -56,11 +58,11 @@
 	return fmt.Sprintf("%s: peer %s: %v", e.Step, e.Peer, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (e *StepError) Unwrap() error { return e.Err }
 
-// Fail wraps err with the step and the peer at which it arose, and with the
-// stack of the caller. It returns nil for a nil err.
+// Fail wraps err with the step in which it occurred, the peer involved and a
+// stack trace. It returns nil if err is nil.
 func Fail(step Step, peer string, err error) error {
 	if err == nil {
 		return nil
@@ -68,11 +70,11 @@
 	return &StepError{Step: step, Peer: peer, Err: eris.Wrap(err, "failed")}
 }
 
-// RefusalKind names why a request is refused. It is the last part of the
-// problem's type URI, so it is stable.
+// RefusalKind is the reason for refusing a request. Clients see it as the last
+// part of the type URI of a problem document, so existing values must not change.
 type RefusalKind string
 
-// The kinds of refusals. docs/OPERATIONS.md says for each what to do.
+// The kinds of refusals. docs/OPERATIONS.md describes what to do about each.
 const (
 	RefusedKey             RefusalKind = "key-unknown"
 	RefusedRequest         RefusalKind = "request-invalid"
@@ -99,29 +101,32 @@
 	RefusedStreamForbidden RefusalKind = "stream-invalid"
 )
 
-// Refusal is the final answer to a request that the system gave up on.
+// Refusal is the error response to a request that the router does not serve or
+// stops retrying.
 type Refusal struct {
 	Kind    RefusalKind
 	Outcome Outcome
 	Step    Step
 	Peer    string
 	Detail  string
-	// RetryAfter is when another try makes sense. Zero means that none does.
+	// RetryAfter is how long the client should wait before it retries. Zero
+	// means that a retry would not help.
 	RetryAfter time.Duration
 }
 
-// Error returns the refusal in one line.
+// Error formats the refusal as one line.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("refused at %s: %s (%s): %s", r.Step, r.Kind, r.Outcome, r.Detail)
 }
 
-// WithRetryAfter sets when another try makes sense, and returns r.
+// WithRetryAfter sets how long the client should wait before it retries, and
+// returns r.
 func (r *Refusal) WithRetryAfter(d time.Duration) *Refusal {
 	r.RetryAfter = d
 	return r
 }
 
-// AsRefusal finds the refusal in err, if it holds one.
+// AsRefusal returns the refusal that err is or wraps, and whether there is one.
 func AsRefusal(err error) (*Refusal, bool) {
 	var r *Refusal
 	ok := errors.As(err, &r)
--- a/contract/ids.go
+++ b/contract/ids.go
@@ -5,100 +5,107 @@
 	"time"
 )
 
-// WorkspaceID names a workspace, the customer that a request belongs to.
+// WorkspaceID identifies a workspace: the customer that a request belongs to.
 type WorkspaceID string
 
-// ModelID names a model, such as "chat-small".
+// ModelID identifies a model, such as "chat-small".
 type ModelID string
 
-// VersionID names one version of a model, written "model@number".
+// VersionID identifies one version of a model, in the form "model@number".
 type VersionID string
 
-// versionMark stands between a model and the number of its version.
-const versionMark = "@"
+// versionSeparator separates the model from the version number in a VersionID.
+const versionSeparator = "@"
 
-// Model returns the model that v is a version of, or "" when v names none.
+// Model returns the model that v is a version of, or "" if v has no version
+// separator.
 func (v VersionID) Model() ModelID {
-	model, _, found := strings.Cut(string(v), versionMark)
+	model, _, found := strings.Cut(string(v), versionSeparator)
 	if !found {
 		return ""
 	}
 	return ModelID(model)
 }
 
-// IsVersion tells whether name is a version, "model@number", and not a model.
+// IsVersion reports whether name is a version ("model@number") rather than a model.
 func IsVersion(name string) bool {
-	model, number, found := strings.Cut(name, versionMark)
+	model, number, found := strings.Cut(name, versionSeparator)
 	return found && model != "" && number != ""
 }
 
-// VMID names a VM of the system.
+// VMID identifies a VM, whether it runs the router or an upstream.
 type VMID string
 
-// DataCentreID names a data centre.
+// DataCentreID identifies a data centre.
 type DataCentreID string
 
-// PoolID names a pool of upstreams.
+// PoolID identifies a pool of upstreams.
 type PoolID string
 
-// UpstreamID names one upstream: a replica of an engine or of a plain service.
+// UpstreamID identifies one upstream: a replica of a model engine or of a plain
+// HTTP service.
 type UpstreamID string
 
-// Life is one life of an upstream: it may start again under its id, and is another then.
-// What was said of one life says nothing of the next.
+// Life identifies one run of an upstream. An upstream that restarts under the same id is a
+// new Life: load, limits and failures that were recorded for the previous one do not apply
+// to it.
 type Life struct {
 	Upstream UpstreamID `cbor:"1,keyasint"`
-	// Born tells lives under one id apart; zero where an id is never used again.
+	// Born distinguishes the runs of an upstream that restarts under the same id. It is
+	// zero where an id is never reused.
 	Born int64 `cbor:"2,keyasint,omitempty"`
 }
 
-// ServiceID names a plain service.
+// ServiceID identifies a plain HTTP service.
 type ServiceID string
 
-// RequestID names one request of one caller. It is unique over the fleet.
+// RequestID identifies one client request. It is unique across all VMs.
 type RequestID string
 
-// ChangeID names one change of configuration.
+// ChangeID identifies one configuration change.
 type ChangeID string
 
-// Revision counts accepted configurations. It only rises; zero is "none yet".
+// Revision counts the accepted configurations. It only increases. Zero means
+// that no configuration has been accepted yet.
 type Revision uint64
 
-// Incarnation tells apart the lives of a process under one name. It is drawn
-// anew at each start, and a later start has a higher one.
+// Incarnation distinguishes the runs of a process that restarts under the same
+// name. Each start gets a new one, and a later start gets a higher one.
 type Incarnation uint64
 
-// FencingNumber orders the holders of a lease: a later holder has a higher one.
+// FencingNumber is the fencing token of a lease: each new holder gets a higher
+// one, so that a request from a previous holder can be rejected.
 type FencingNumber uint64
 
-// Tokens counts tokens of a model.
+// Tokens is a number of model tokens.
 type Tokens int64
 
-// Money is an amount in millionths of the currency that the prices use.
+// Money is an amount in millionths of the currency in which prices are set.
 type Money int64
 
 // Bytes is a size in bytes.
 type Bytes int64
 
-// Sizes of common limits.
+// Binary units of size.
 const (
 	KiB Bytes = 1 << 10
 	MiB Bytes = 1 << 20
 )
 
-// Price is what one million tokens cost.
+// Price is the price of one million tokens.
 type Price Money
 
-// tokensPerPrice is the number of tokens that a Price is for.
+// tokensPerPrice is the number of tokens that a Price applies to.
 const tokensPerPrice = 1_000_000
 
-// Cost returns the price of n tokens, rounded down to a millionth.
+// Cost returns the price of n tokens, rounded down to one millionth of the
+// currency.
 func (p Price) Cost(n Tokens) Money {
 	return Money(int64(p) * int64(n) / tokensPerPrice)
 }
 
-// NewIncarnation derives an incarnation from the time of a start. Two starts
-// under one name in the same microsecond are not told apart.
+// NewIncarnation derives an incarnation from the start time of a process. Two
+// starts under the same name within one microsecond get the same incarnation.
 func NewIncarnation(start time.Time) Incarnation {
 	return Incarnation(start.UnixMicro())
 }
--- a/contract/outcome.go
+++ b/contract/outcome.go
@@ -1,20 +1,22 @@
 package contract
 
-// Outcome is what is known about whether a request ran. A caller decides by it
-// whether another try is safe, so NotRun is only ever said with a proof.
+// Outcome records what is known about whether an upstream executed a request.
+// Clients decide by it whether a retry is safe, so NotRun is only set when it is
+// proven.
 type Outcome uint8
 
-// The three outcomes. Unknown is the zero value: knowledge has to be shown.
+// The three outcomes. Unknown is the zero value, so that an outcome that is
+// never set claims nothing.
 const (
 	// Unknown means that bytes of the request may have reached an upstream.
 	Unknown Outcome = iota
-	// NotRun means that no upstream has received the request, nor will.
+	// NotRun means that no upstream has executed the request or will execute it.
 	NotRun
-	// Ran means that an upstream has answered the request.
+	// Ran means that an upstream has responded to the request.
 	Ran
 )
 
-// String returns the words used in answers to callers.
+// String returns the name of the outcome as it appears in responses to clients.
 func (o Outcome) String() string {
 	switch o {
 	case NotRun:
@@ -26,8 +28,8 @@
 	}
 }
 
-// Worse returns the outcome that holds for both of two attempts at one
-// request: it is not run only when neither ran.
+// Worse combines the outcomes of two attempts at the same request: Ran if either
+// attempt ran, NotRun only if neither ran, and Unknown otherwise.
 func (o Outcome) Worse(other Outcome) Outcome {
 	if o == other {
 		return o
--- a/contract/reports.go
+++ b/contract/reports.go
@@ -1,39 +1,41 @@
 package contract
 
-// Load is what an engine reports of itself. It lags.
+// Load is the load report of an engine. Its figures are slightly out of date:
+// see AgeMillis.
 type Load struct {
-	// Incarnation tells the lives of an upstream under one address apart.
+	// Incarnation distinguishes the runs of an upstream at the same address.
 	Incarnation Incarnation `json:"incarnation"`
 	Draining    bool        `json:"draining"`
 	Running     int         `json:"running"`
 	Waiting     int         `json:"waiting"`
-	// Versions are those it holds now. Routing rests on this, not on orders.
+	// Versions are the model versions that the engine has loaded. Routing relies
+	// on this list, not on the orders that were sent to the engine.
 	Versions []VersionID `json:"versions"`
-	// AgeMillis is how old the figures were when the report was answered.
+	// AgeMillis is how old the figures were when the engine sent the report.
 	AgeMillis int64 `json:"age_ms"`
 }
 
-// ObjectVersion is the version of one object of the platform's store. It rises
-// with each update of it.
+// ObjectVersion is the version of an object in the platform's store. It increases
+// with each update of the object.
 type ObjectVersion uint64
 
-// VMState is what the platform's list says of a VM.
+// VMState is the state of a VM in the platform's VM list.
 type VMState string
 
-// The states in the VM list.
+// The states that a VM can have in the VM list.
 const (
 	VMLive    VMState = "live"
 	VMLeaving VMState = "leaving"
 )
 
-// VMEntry is one line of the VM list.
+// VMEntry is one entry of the platform's VM list.
 type VMEntry struct {
 	ID         VMID         `json:"id"`
 	DataCentre DataCentreID `json:"data_centre"`
-	// Address is the IP and port that the VM serves at. For a VM of the system
-	// it is the link address of its control process.
+	// Address is the IP address and port at which the VM serves. For a VM that
+	// runs the router it is the link address of the control process.
 	Address string  `json:"address"`
 	State   VMState `json:"state"`
-	// Upstream is true for a VM that carries an upstream.
+	// Upstream is true for a VM that runs an upstream.
 	Upstream bool `json:"upstream"`
 }
--- a/contract/vmlife.go
+++ b/contract/vmlife.go
@@ -1,6 +1,7 @@
 package contract
 
-// VMLife names one life of a VM: its name and its incarnation. The zero value is none.
+// VMLife identifies one run of a VM by the name and the incarnation of the VM.
+// The zero value means that there is no such VM.
 type VMLife struct {
 	VM          VMID        `json:"vm" cbor:"1,keyasint"`
 	Incarnation Incarnation `json:"incarnation" cbor:"2,keyasint"`
--- a/drain/drain.go
+++ b/drain/drain.go
@@ -1,10 +1,10 @@
-// Package drain keeps the connections of an HTTP server's callers: it bounds how
-// many there are, and ends the server without losing a request that has arrived.
+// Package drain limits the number of client connections of an HTTP server, and shuts
+// the server down without dropping a request that has arrived.
 //
-// http.Server.Shutdown closes each connection that the server takes for idle,
-// also one whose next request has arrived and is not read yet: on a slow VM that
-// is a request without an answer. A Listener knows which connections are quiet,
-// and closes only those.
+// http.Server.Shutdown closes every connection that the server considers idle, even
+// if the next request has arrived on it but has not been read yet. On a slow VM such
+// a request would get no response. A Listener closes only connections that are idle
+// and have no unread bytes.
 package drain
 
 import (
@@ -18,138 +18,142 @@
 	"woaddoor/peek"
 )
 
-// Timings of the end of a server.
+// Timings of a shutdown.
 const (
-	// quietFor is how long a connection has to have brought no byte to be closed:
-	// a request may have been read and not be known to the server yet.
-	quietFor = 300 * time.Millisecond
-	// lookEvery is how often connections are looked at.
-	lookEvery = 25 * time.Millisecond
+	// minIdle is how long no byte must have been read from a connection before it may
+	// be closed. The server may have read a request and not yet reported the
+	// connection as active.
+	minIdle = 300 * time.Millisecond
+	// pollInterval is how often a shutdown checks which connections can be closed.
+	pollInterval = 25 * time.Millisecond
 )
 
-// Listener is a listener that knows the state of its connections. Its ConnState
-// has to be that of the server.
+// Listener is a net.Listener that tracks the state of its connections. The server must
+// use its ConnState method as http.Server.ConnState.
 type Listener struct {
 	net.Listener
-	most     int
+	maxConns int
 	draining atomic.Bool
-	// TurnedAway counts the connections that were closed at once.
+	// TurnedAway counts the connections that were rejected because of the limit.
 	TurnedAway atomic.Int64
-	// mu guards conns.
+	// mu guards conns, the set of open connections.
 	mu    sync.Mutex
 	conns map[*conn]bool
 }
 
-// Listen returns a listener over another one that keeps at most so many
-// connections; zero means no bound.
-func Listen(l net.Listener, most int) *Listener {
-	return &Listener{Listener: l, most: most, conns: make(map[*conn]bool)}
+// Listen wraps l in a Listener that keeps at most maxConns connections open. Zero means
+// no limit.
+func Listen(l net.Listener, maxConns int) *Listener {
+	return &Listener{Listener: l, maxConns: maxConns, conns: make(map[*conn]bool)}
 }
 
-// conn is one connection of a caller.
+// conn is one client connection.
 type conn struct {
 	net.Conn
-	idle   atomic.Bool
-	heard  atomic.Int64 // when the last byte came, in Unix nanoseconds
-	listen *Listener
+	serverIdle atomic.Bool  // whether http.Server reported the connection as new or idle
+	lastRead   atomic.Int64 // time at which a byte was last read, in Unix nanoseconds
+	listener   *Listener
 }
 
-// Open returns how many connections there are.
+// Open returns the number of open connections.
 func (l *Listener) Open() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns)
 }
 
-// Accept waits for the next connection. Where there are too many, the one that
-// has been idle for longest gives way to it; where none is idle, it is closed
-// before anything is read from it, so that its caller may try another VM.
+// Accept waits for the next connection. At the connection limit it closes the
+// connection that has been idle longest to make room. If none is idle, it closes the
+// new connection before anything is read from it, so that the client can safely try
+// another VM.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
-		nc, err := l.Listener.Accept()
+		accepted, err := l.Listener.Accept()
 		if err != nil && l.draining.Load() {
 			return nil, http.ErrServerClosed
 		}
 		if err != nil {
 			return nil, err
 		}
-		c := &conn{Conn: nc, listen: l}
-		c.idle.Store(true)
-		c.heard.Store(time.Now().UnixNano())
+		c := &conn{Conn: accepted, listener: l}
+		c.serverIdle.Store(true)
+		c.lastRead.Store(time.Now().UnixNano())
 		if l.admit(c, time.Now()) {
 			return c, nil
 		}
 		l.TurnedAway.Add(1)
-		_ = nc.Close() // its caller finds out by itself
+		_ = accepted.Close() // the client notices the close
 	}
 }
 
-// admit makes room for a connection and counts it, or returns false.
+// admit registers a connection and reports whether it did. At the connection limit it
+// closes the connection that has been idle longest, or returns false if none is idle.
 func (l *Listener) admit(c *conn, now time.Time) bool {
 	l.mu.Lock()
-	var oldest *conn
-	full := l.most > 0 && len(l.conns) >= l.most
+	var longestIdle *conn
+	full := l.maxConns > 0 && len(l.conns) >= l.maxConns
 	if full {
-		for o := range l.conns {
-			if o.quiet(now) && (oldest == nil || o.heard.Load() < oldest.heard.Load()) {
-				oldest = o
+		for other := range l.conns {
+			if other.closable(now) && (longestIdle == nil || other.lastRead.Load() < longestIdle.lastRead.Load()) {
+				longestIdle = other
 			}
 		}
 	}
-	admitted := !full || oldest != nil
+	admitted := !full || longestIdle != nil
 	if admitted {
 		l.conns[c] = true
 	}
 	l.mu.Unlock()
-	if oldest != nil {
-		_ = oldest.Close() // its caller opens another
+	if longestIdle != nil {
+		_ = longestIdle.Close() // the client opens another connection
 	}
 	return admitted
 }
 
-// Read reads what the caller has sent.
+// Read reads from the connection and records when it last returned bytes.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.heard.Store(time.Now().UnixNano())
+		c.lastRead.Store(time.Now().UnixNano())
 	}
 	return n, err
 }
 
-// Close closes the connection.
+// Close removes the connection from its listener and closes it.
 func (c *conn) Close() error {
-	c.listen.mu.Lock()
-	delete(c.listen.conns, c)
-	c.listen.mu.Unlock()
+	c.listener.mu.Lock()
+	delete(c.listener.conns, c)
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// ConnState takes in the state of a connection. One whose answer has ended while
-// the server ends is closed, unless its next request has arrived already.
+// ConnState records the state of a connection, as reported by the server. While the
+// server drains, it closes a connection that becomes idle, unless the next request has
+// already arrived on it.
 func (l *Listener) ConnState(nc net.Conn, s http.ConnState) {
 	c, ok := nc.(*conn)
 	if !ok {
 		return
 	}
-	c.idle.Store(s == http.StateNew || s == http.StateIdle)
-	if s == http.StateIdle && l.draining.Load() && !c.unread() {
-		_ = c.Close() // its caller finds out by itself
+	c.serverIdle.Store(s == http.StateNew || s == http.StateIdle)
+	if s == http.StateIdle && l.draining.Load() && !c.hasUnread() {
+		_ = c.Close() // the client notices the close
 	}
 }
 
-// Draining tells whether the server ends. A request that still comes is better
-// refused: it might not be answered by the time that the process has to end.
+// Draining reports whether Drain has been called. The server should refuse further
+// requests then, because they might not finish before the process exits.
 func (l *Listener) Draining() bool { return l.draining.Load() }
 
-// Drain takes no new connections and closes the others as they become quiet, until
-// none is left or ctx ends. It tells whether none was left.
+// Drain stops accepting connections and closes the open ones as they become idle, until
+// none is left or ctx is done. It reports whether all connections were closed.
 func (l *Listener) Drain(ctx context.Context) bool {
 	l.draining.Store(true)
-	_ = l.Listener.Close() // its connections stay
-	ticker := time.NewTicker(lookEvery)
+	_ = l.Listener.Close() // accepted connections stay open
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
-		if l.closeQuiet(time.Now()) == 0 {
+		if l.closeClosable(time.Now()) == 0 {
 			return true
 		}
 		select {
@@ -160,28 +164,29 @@
 	}
 }
 
-// closeQuiet closes the connections on which nothing is under way, and returns
-// how many are left.
-func (l *Listener) closeQuiet(now time.Time) int {
-	var quiet []*conn
+// closeClosable closes the connections that have no request in progress and returns how
+// many remain.
+func (l *Listener) closeClosable(now time.Time) int {
+	var closing []*conn
 	l.mu.Lock()
 	for c := range l.conns {
-		if c.quiet(now) {
-			quiet = append(quiet, c)
+		if c.closable(now) {
+			closing = append(closing, c)
 		}
 	}
-	left := len(l.conns) - len(quiet)
+	left := len(l.conns) - len(closing)
 	l.mu.Unlock()
-	for _, c := range quiet {
-		_ = c.Close() // its caller finds out by itself
+	for _, c := range closing {
+		_ = c.Close() // the client notices the close
 	}
 	return left
 }
 
-// quiet tells whether no request is under way, or has arrived, on a connection.
-func (c *conn) quiet(now time.Time) bool {
-	return c.idle.Load() && now.Sub(time.Unix(0, c.heard.Load())) > quietFor && !c.unread()
+// closable reports whether no request is in progress on the connection and none has
+// arrived on it.
+func (c *conn) closable(now time.Time) bool {
+	return c.serverIdle.Load() && now.Sub(time.Unix(0, c.lastRead.Load())) > minIdle && !c.hasUnread()
 }
 
-// unread tells whether bytes have arrived that were not read yet.
-func (c *conn) unread() bool { return peek.Look(c.Conn) == peek.Waiting }
+// hasUnread reports whether bytes have arrived that have not been read yet.
+func (c *conn) hasUnread() bool { return peek.Look(c.Conn) == peek.Readable }
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -13,15 +13,15 @@
 	"github.com/matryer/is"
 )
 
-// pair returns a listener's side of a connection, idle for long, and the caller's.
-func pair(t *testing.T) (l *Listener, server, caller net.Conn) {
+// newConnPair returns a listener and both ends of a new connection to it.
+func newConnPair(t *testing.T) (l *Listener, server, caller net.Conn) {
 	t.Helper()
 	is := is.New(t)
-	inner, err := net.Listen("tcp", "127.0.0.1:0")
+	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	l = Listen(inner, 0)
+	l = Listen(tcp, 0)
 	t.Cleanup(func() { _ = l.Close() })
-	caller, err = net.Dial("tcp", inner.Addr().String())
+	caller, err = net.Dial("tcp", tcp.Addr().String())
 	is.NoErr(err)
 	t.Cleanup(func() { _ = caller.Close() })
 	server, err = l.Accept()
@@ -30,49 +30,50 @@
 	return l, server, caller
 }
 
-// later is when a connection that says nothing counts as quiet.
-func later() time.Time { return time.Now().Add(2 * quietFor) }
+// afterMinIdle returns a time at which a connection that reads nothing more may be closed.
+func afterMinIdle() time.Time { return time.Now().Add(2 * minIdle) }
 
-// TestArrivedRequest shows that a connection on which bytes have arrived that the
-// server has not read yet is not closed, though the server takes it for idle.
-func TestArrivedRequest(t *testing.T) {
+// TestConnWithUnreadRequestStaysOpen checks that a connection with unread bytes stays open
+// although the server considers it idle, and so does one whose bytes were just read.
+func TestConnWithUnreadRequestStaysOpen(t *testing.T) {
 	is := is.New(t)
-	l, server, caller := pair(t)
+	l, server, caller := newConnPair(t)
 	l.ConnState(server, http.StateIdle)
 	_, err := io.WriteString(caller, "GET")
 	is.NoErr(err)
-	for !server.(*conn).unread() { // loopback delivers at once
+	for !server.(*conn).hasUnread() { // busy-wait: loopback delivers almost at once
 	}
-	is.Equal(l.closeQuiet(later()), 1)
+	is.Equal(l.closeClosable(afterMinIdle()), 1)
 	got := make([]byte, 3)
 	_, err = io.ReadFull(server, got)
 	is.NoErr(err)
-	is.Equal(l.closeQuiet(time.Now()), 1) // read just now, and not known to the server yet
-	is.Equal(l.closeQuiet(later()), 0)
+	is.Equal(l.closeClosable(time.Now()), 1) // just read: the server may not have reported the connection as active yet
+	is.Equal(l.closeClosable(afterMinIdle()), 0)
 	_, err = caller.Read(got)
 	is.Equal(err, io.EOF)
 }
 
-// TestRequestUnderWay shows that a connection with a request is left to end it.
-func TestRequestUnderWay(t *testing.T) {
+// TestConnWithActiveRequestStaysOpen checks that a connection is not closed while a request
+// is in progress on it.
+func TestConnWithActiveRequestStaysOpen(t *testing.T) {
 	is := is.New(t)
-	l, server, _ := pair(t)
+	l, server, _ := newConnPair(t)
 	l.ConnState(server, http.StateActive)
-	is.Equal(l.closeQuiet(later()), 1)
+	is.Equal(l.closeClosable(afterMinIdle()), 1)
 	l.ConnState(server, http.StateIdle)
-	is.Equal(l.closeQuiet(later()), 0)
+	is.Equal(l.closeClosable(afterMinIdle()), 0)
 }
 
-// TestAnswerEndsWhileDraining shows that a connection whose answer ends while the
-// server ends is not kept, and one with a next request on it is.
-func TestAnswerEndsWhileDraining(t *testing.T) {
+// TestConnClosesAfterResponseWhileDraining checks that a draining server closes a connection
+// once its response has ended, unless the next request has already arrived on it.
+func TestConnClosesAfterResponseWhileDraining(t *testing.T) {
 	is := is.New(t)
-	l, server, caller := pair(t)
+	l, server, caller := newConnPair(t)
 	l.draining.Store(true)
 	l.ConnState(server, http.StateActive)
 	_, err := io.WriteString(caller, "GET")
 	is.NoErr(err)
-	for !server.(*conn).unread() { // loopback delivers at once
+	for !server.(*conn).hasUnread() { // busy-wait: loopback delivers almost at once
 	}
 	l.ConnState(server, http.StateIdle)
 	got := make([]byte, 3)
@@ -84,28 +85,28 @@
 	is.Equal(err, io.EOF)
 }
 
-// TestDrainServer ends a server with an idle caller and one whose request is
-// under way: the one is closed, the other gets its whole answer.
-func TestDrainServer(t *testing.T) {
+// TestDrainFinishesActiveRequests drains a server that has an idle connection and one with
+// a request in progress. The idle one is closed, and the request gets its full response.
+func TestDrainFinishesActiveRequests(t *testing.T) {
 	is := is.New(t)
-	inner, err := net.Listen("tcp", "127.0.0.1:0")
+	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	l := Listen(inner, 0)
-	begun, end := make(chan struct{}), make(chan struct{})
+	l := Listen(tcp, 0)
+	started, finish := make(chan struct{}), make(chan struct{})
 	server := &http.Server{ConnState: l.ConnState, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		close(begun)
-		<-end
+		close(started)
+		<-finish
 		_, _ = io.WriteString(w, "whole")
 	})}
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(l) }()
-	idle, err := net.Dial("tcp", inner.Addr().String())
+	idle, err := net.Dial("tcp", tcp.Addr().String())
 	is.NoErr(err)
-	busy, err := net.Dial("tcp", inner.Addr().String())
+	busy, err := net.Dial("tcp", tcp.Addr().String())
 	is.NoErr(err)
 	_, err = io.WriteString(busy, "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
 	is.NoErr(err)
-	<-begun
+	<-started
 	drained := make(chan bool, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -114,9 +115,9 @@
 	}()
 	_, err = idle.Read(make([]byte, 1))
 	is.Equal(err, io.EOF)
-	_, err = net.Dial("tcp", inner.Addr().String()) // nothing new is begun
+	_, err = net.Dial("tcp", tcp.Addr().String()) // new connections are refused
 	is.True(err != nil)
-	close(end)
+	close(finish)
 	resp, err := http.ReadResponse(bufio.NewReader(busy), nil)
 	is.NoErr(err)
 	body, err := io.ReadAll(resp.Body)
@@ -127,12 +128,12 @@
 	is.True(errors.Is(<-served, http.ErrServerClosed))
 }
 
-// TestTooManyConnections shows that the connection that has been idle for longest
-// gives way to a new one, and that none with a request does.
-func TestTooManyConnections(t *testing.T) {
+// TestConnectionLimit checks that at the limit the connection that has been idle longest is
+// closed for a new one, and that a new one is rejected if all others have requests.
+func TestConnectionLimit(t *testing.T) {
 	is := is.New(t)
-	l, first, caller := pair(t)
-	l.most = 2
+	l, first, caller := newConnPair(t)
+	l.maxConns = 2
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", l.Addr().String())
 		is.NoErr(err)
@@ -143,20 +144,20 @@
 	second, err := l.Accept()
 	is.NoErr(err)
 	t.Cleanup(func() { _ = second.Close() })
-	first.(*conn).heard.Store(1)
-	second.(*conn).heard.Store(2)
+	first.(*conn).lastRead.Store(1)
+	second.(*conn).lastRead.Store(2)
 	dial()
 	third, err := l.Accept()
 	is.NoErr(err)
 	t.Cleanup(func() { _ = third.Close() })
 	_, err = caller.Read(make([]byte, 1))
-	is.Equal(err, io.EOF) // the first gave way
+	is.Equal(err, io.EOF) // the first one was closed to make room
 
 	l.ConnState(second, http.StateActive)
 	l.ConnState(third, http.StateActive)
-	turnedAway := dial()
-	go func() { _, _ = l.Accept() }() // ends with the listener
-	_, err = turnedAway.Read(make([]byte, 1))
+	rejected := dial()
+	go func() { _, _ = l.Accept() }() // returns when the listener is closed
+	_, err = rejected.Read(make([]byte, 1))
 	is.Equal(err, io.EOF)
 	is.Equal(l.TurnedAway.Load(), int64(1))
 }
--- a/engine/call.go
+++ b/engine/call.go
@@ -17,44 +17,51 @@
 	"woaddoor/exchange"
 )
 
-// Call is one request to one upstream.
+// Call describes one request to one upstream.
 type Call struct {
 	URL       string
 	Upstream  contract.UpstreamID
 	RequestID contract.RequestID
-	// Version is the version that the body names, and that the answer has to.
+	// Version is the model version that the body requests. The response must name
+	// the same version.
 	Version contract.VersionID
 	Body    []byte
-	// ContentType of the body. Empty means JSON.
+	// ContentType is the media type of the body. Empty means application/json.
 	ContentType string
-	// AnyStatus takes an answer of any status for the upstream's own answer.
-	AnyStatus bool
-	// Permit is asked immediately before the first byte of the body is given
-	// out, and again after the last. An error stops the call. Nil permits.
+	// AcceptAnyStatus makes a response with any status count as the upstream's own
+	// response. Otherwise a status other than 200 fails the call. Plain sets it.
+	AcceptAnyStatus bool
+	// Permit is called immediately before the first byte of the body is sent, and
+	// again after the last byte was written. An error cancels the call. A nil
+	// function permits every call.
 	Permit func() error
-	// NotAfter is carried to the upstream. Zero means none.
+	// NotAfter is the time until which the upstream may start the request. It is
+	// sent as a header. A zero time sends no limit.
 	NotAfter time.Time
-	// LastEvent, when not empty, resumes the stream after that event.
+	// LastEvent is the id of the event after which the stream is resumed. Empty
+	// starts a new stream.
 	LastEvent string
 }
 
-// CallError is a call that gave no whole answer, with what is known of it.
+// CallError reports that a call returned no complete and valid response, and what
+// is known about whether the upstream executed the request.
 type CallError struct {
 	Outcome contract.Outcome
 	Err     error
-	// RetryAfter is when the upstream asked to come back; zero for no word. Unread says why
-	// such a word could not be understood.
+	// RetryAfter is how long the upstream asked clients to wait before the next request.
+	// Zero means that it did not ask for a pause. Unread is the error if its Retry-After
+	// header could not be parsed.
 	RetryAfter time.Duration
 	Unread     error
 }
 
-// Error returns the cause.
+// Error formats the wrapped error and the outcome.
 func (e *CallError) Error() string { return fmt.Sprintf("%v (%s)", e.Err, e.Outcome) }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// The ways in which an answer is not the one asked for.
+// Reasons for rejecting a response. Clients see these texts in problem documents.
 var (
 	ErrCrossed      = errors.New("answer belongs to another request")
 	ErrWrongVersion = errors.New("answer comes from another version")
@@ -63,84 +70,88 @@
 	ErrMalformed    = errors.New("answer is malformed")
 )
 
-// maxAnswer bounds a whole answer.
-const maxAnswer = 8 * contract.MiB
+// maxResponseBytes limits the size of a response that is not streamed.
+const maxResponseBytes = 8 * contract.MiB
 
-// Client calls upstreams.
+// Client sends requests to upstreams over pooled connections.
 type Client struct{ http *http.Client }
 
-// Connection limits of a Client.
+// Limits and timeouts of the connection pool of a Client.
 const (
-	dialTimeout  = 2 * time.Second
-	idlePerHost  = 64
-	idleConnLife = 90 * time.Second
+	dialTimeout         = 2 * time.Second
+	maxIdleConnsPerHost = 64
+	idleConnTimeout     = 90 * time.Second
 )
 
-// NewClient returns a client. Its transport opens connections as needed.
+// NewClient returns a client with a connection pool of its own.
 //
-// A request never carries an idempotency key to an upstream: with one, the
-// transport would take the request as safe to send again by itself.
+// The client never sends an Idempotency-Key header to an upstream: net/http treats
+// a request with one as safe to repeat and may send it twice.
 func NewClient() *Client {
 	transport := &http.Transport{
-		MaxIdleConnsPerHost: idlePerHost,
-		IdleConnTimeout:     idleConnLife,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
+		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}
-	return &Client{http: &http.Client{Transport: transport, CheckRedirect: refuseRedirect}}
+	return &Client{http: &http.Client{Transport: transport, CheckRedirect: stopAtRedirect}}
 }
 
-// refuseRedirect keeps a request where it was routed to.
-func refuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+// stopAtRedirect returns a redirect as the response instead of following it, because
+// a request must not leave the upstream that was selected for it.
+func stopAtRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// gatedBody gives out a body once, and only while it is permitted. The HTTP
-// library sends no complete request before it has read the body, so a body of
-// which no byte was given out proves that the request did not run.
-type gatedBody struct {
-	permit func() error
-	rest   *bytes.Reader
-	given  atomic.Bool
-	denied atomic.Pointer[error]
+// permittedBody is a request body that can be read once, and only if checkPermission
+// allows it. net/http cannot send a complete request before it has read the body, so
+// if no byte of the body was read, the request provably did not run.
+type permittedBody struct {
+	checkPermission func() error
+	reader          *bytes.Reader
+	started         atomic.Bool
+	denial          atomic.Pointer[error]
 }
 
-func (b *gatedBody) Read(p []byte) (int, error) {
-	if b.permit != nil && !b.given.Load() {
-		if err := b.permit(); err != nil {
-			b.denied.Store(&err)
+func (b *permittedBody) Read(p []byte) (int, error) {
+	if b.checkPermission != nil && !b.started.Load() {
+		if err := b.checkPermission(); err != nil {
+			b.denial.Store(&err)
 			return 0, err
 		}
 	}
-	b.given.Store(true)
-	return b.rest.Read(p)
+	b.started.Store(true)
+	return b.reader.Read(p)
 }
 
-func (b *gatedBody) Close() error { return nil }
+func (b *permittedBody) Close() error { return nil }
 
-// outcome returns what is known when no answer came.
-func (b *gatedBody) outcome() contract.Outcome {
-	if b.given.Load() {
+// outcome returns the outcome of a call that got no response.
+func (b *permittedBody) outcome() contract.Outcome {
+	if b.started.Load() {
 		return contract.Unknown
 	}
 	return contract.NotRun
 }
 
-// begun is an answer that has begun. Its end frees what the call holds.
-type begun struct {
+// openResponse is a response whose headers have arrived. close closes its body and
+// cancels the context of the call.
+type openResponse struct {
 	resp   *http.Response
 	cancel context.CancelCauseFunc
 }
 
-func (x *begun) close() {
-	x.resp.Body.Close()
-	x.cancel(nil)
+func (r *openResponse) close() {
+	r.resp.Body.Close()
+	r.cancel(nil)
 }
 
-// send sends the call and returns the head of the answer.
-func (c *Client) send(ctx context.Context, call Call, method, path string) (*begun, *CallError) {
+// send sends the call and returns the response once its headers have arrived and the
+// permission was checked again after the request was written.
+func (c *Client) send(ctx context.Context, call Call, method, path string) (*openResponse, *CallError) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	body := &gatedBody{permit: call.Permit, rest: bytes.NewReader(call.Body)}
-	wrote := make(chan error, 1)
+	body := &permittedBody{checkPermission: call.Permit, reader: bytes.NewReader(call.Body)}
+	writeChecked := make(chan error, 1)
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteRequest: func(httptrace.WroteRequestInfo) {
-		// A VM that was paused between the check and the write finds out here.
+		// The VM may have been paused between the first check and the write, so the
+		// permission is checked again.
 		var err error
 		if call.Permit != nil {
 			err = call.Permit()
@@ -149,37 +160,39 @@
 			cancel(err)
 		}
 		select {
-		case wrote <- err:
-		default: // a connection was tried anew
+		case writeChecked <- err:
+		default: // net/http has retried the request on a new connection
 		}
 	}})
-	x, failed := c.do(ctx, call, body, method, path)
-	if failed != nil {
+	resp, callErr := c.roundTrip(ctx, call, body, method, path)
+	if callErr != nil {
 		cancel(nil)
-		return nil, failed
+		return nil, callErr
 	}
-	// The answer may come before the check after the write has run; it is not
-	// used until it has.
+	// The response may arrive before WroteRequest has run. Wait for its check before
+	// using the response.
 	select {
-	case err := <-wrote:
+	case err := <-writeChecked:
 		if err == nil {
-			return &begun{x, cancel}, nil
+			return &openResponse{resp, cancel}, nil
 		}
 	case <-ctx.Done():
 	}
-	x.Body.Close()
+	resp.Body.Close()
 	cancel(nil)
 	return nil, &CallError{Outcome: contract.Unknown, Err: contract.Fail(contract.StepSend, string(call.Upstream), context.Cause(ctx))}
 }
 
-func (c *Client) do(ctx context.Context, call Call, body *gatedBody, method, path string) (*http.Response, *CallError) {
+// roundTrip sends the request, reads the headers of the response and checks them.
+func (c *Client) roundTrip(ctx context.Context, call Call, body *permittedBody, method, path string) (*http.Response, *CallError) {
 	req, err := http.NewRequestWithContext(ctx, method, call.URL+path, body)
 	if err != nil {
 		return nil, &CallError{Outcome: contract.NotRun, Err: err}
 	}
 	req.ContentLength = int64(len(call.Body))
 	if len(call.Body) == 0 {
-		// A call without a body is complete with its head: ask before that.
+		// A request without a body is complete once its headers are sent, so the
+		// permission is checked before.
 		req.Body = nil
 		if _, err := body.Read(nil); err != nil && err != io.EOF {
 			return nil, &CallError{Outcome: contract.NotRun, Err: err}
@@ -188,16 +201,16 @@
 	setHeaders(req, call)
 	resp, err := c.http.Do(req)
 	if err != nil {
-		if denied := body.denied.Load(); denied != nil {
-			err = *denied
+		if denial := body.denial.Load(); denial != nil {
+			err = *denial
 		} else if cause := context.Cause(ctx); cause != nil {
 			err = cause
 		}
 		return nil, &CallError{Outcome: body.outcome(), Err: contract.Fail(contract.StepSend, string(call.Upstream), err)}
 	}
-	if failed := checkHead(call, resp); failed != nil {
+	if callErr := checkResponseHead(call, resp); callErr != nil {
 		resp.Body.Close()
-		return nil, failed
+		return nil, callErr
 	}
 	return resp, nil
 }
@@ -213,19 +226,21 @@
 	}
 }
 
-// checkHead checks the status and that the answer is to this request.
+// checkResponseHead checks the status of the response and that it belongs to this
+// request.
 //
-// 429 and 503 are an engine's words for "refused before it was queued", by its
-// protocol, so they prove that nothing ran. Every other error proves nothing.
-func checkHead(call Call, resp *http.Response) *CallError {
+// By the engine protocol, 429 and 503 mean that the request was refused before it was
+// queued, so they prove that it did not run. So do 404 and 400. Any other error
+// status proves nothing.
+func checkResponseHead(call Call, resp *http.Response) *CallError {
 	fail := func(o contract.Outcome, err error) *CallError {
-		after, unread := exchange.RetryAfter(resp.Header, time.Now())
-		return &CallError{Outcome: o, Err: contract.Fail(contract.StepAnswer, string(call.Upstream), err), RetryAfter: after, Unread: unread}
+		retryAfter, parseErr := exchange.RetryAfter(resp.Header, time.Now())
+		return &CallError{Outcome: o, Err: contract.Fail(contract.StepAnswer, string(call.Upstream), err), RetryAfter: retryAfter, Unread: parseErr}
 	}
-	if got := resp.Header.Get(HeaderRequest); got != "" && got != string(call.RequestID) {
+	if echoed := resp.Header.Get(HeaderRequest); echoed != "" && echoed != string(call.RequestID) {
 		return fail(contract.Unknown, ErrCrossed)
 	}
-	if call.AnyStatus {
+	if call.AcceptAnyStatus {
 		return nil
 	}
 	switch resp.StatusCode {
@@ -239,43 +254,44 @@
 	return fail(contract.Unknown, fmt.Errorf("upstream answered with status %d", resp.StatusCode))
 }
 
-// Answer is a whole answer, as it came and as far as it is read.
+// Answer is a complete chat response: its body as received, and the decoded fields.
 type Answer struct {
 	Body       []byte
 	Completion Completion
 }
 
-// Chat sends a chat request and returns its whole answer. The answer is
-// checked: its length, that it belongs to the call, and its version.
+// Chat sends a chat request and returns the complete response. It rejects a response
+// that is too large, malformed or truncated, that belongs to another request, or that
+// comes from another model version.
 func (c *Client) Chat(ctx context.Context, call Call) (*Answer, error) {
-	x, failed := c.send(ctx, call, http.MethodPost, PathChat)
-	if failed != nil {
-		return nil, failed
+	open, callErr := c.send(ctx, call, http.MethodPost, PathChat)
+	if callErr != nil {
+		return nil, callErr
 	}
-	defer x.close()
-	resp := x.resp
+	defer open.close()
+	resp := open.resp
 	fail := func(o contract.Outcome, err error) error {
 		return &CallError{Outcome: o, Err: contract.Fail(contract.StepAnswer, string(call.Upstream), err)}
 	}
 	if resp.Header.Get(HeaderRequest) == "" {
 		return nil, fail(contract.Ran, ErrCrossed)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(maxAnswer)+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(maxResponseBytes)+1))
 	if err != nil {
 		return nil, fail(contract.Ran, errors.Join(ErrTruncated, err))
 	}
-	if contract.Bytes(len(body)) > maxAnswer {
+	if contract.Bytes(len(body)) > maxResponseBytes {
 		return nil, fail(contract.Ran, ErrTooLarge)
 	}
-	a := &Answer{Body: body}
-	if err := json.Unmarshal(body, &a.Completion); err != nil {
+	answer := &Answer{Body: body}
+	if err := json.Unmarshal(body, &answer.Completion); err != nil {
 		return nil, fail(contract.Ran, errors.Join(ErrMalformed, err))
 	}
-	if a.Completion.Model != string(call.Version) {
+	if answer.Completion.Model != string(call.Version) {
 		return nil, fail(contract.Ran, ErrWrongVersion)
 	}
-	if len(a.Completion.Choices) == 0 || a.Completion.Choices[0].FinishReason == "" {
+	if len(answer.Completion.Choices) == 0 || answer.Completion.Choices[0].FinishReason == "" {
 		return nil, fail(contract.Ran, ErrTruncated)
 	}
-	return a, nil
+	return answer, nil
 }
--- a/engine/control.go
+++ b/engine/control.go
@@ -11,27 +11,27 @@
 	"woaddoor/contract"
 )
 
-// maxReport bounds an engine's report.
-const maxReport = 64 * contract.KiB
+// maxControlResponseBytes limits how much is read of a response to a control request.
+const maxControlResponseBytes = 64 * contract.KiB
 
-// Load asks an upstream for its report.
+// Load requests the load report of an upstream.
 func (c *Client) Load(ctx context.Context, url string) (contract.Load, error) {
-	var l contract.Load
+	var load contract.Load
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url+PathLoad, nil)
 	if err != nil {
-		return l, err
+		return load, err
 	}
-	raw, err := c.ask(req)
+	raw, err := c.doControl(req)
 	if err != nil {
-		return l, contract.Fail(contract.StepLoad, url, err)
+		return load, contract.Fail(contract.StepLoad, url, err)
 	}
-	return l, contract.Fail(contract.StepLoad, url, json.Unmarshal(raw, &l))
+	return load, contract.Fail(contract.StepLoad, url, json.Unmarshal(raw, &load))
 }
 
-// Order gives an order to an engine. When it fails, the engine may still have
-// acted: what it holds is read with Load.
-func (c *Client) Order(ctx context.Context, url string, o Order) error {
-	body, err := json.Marshal(o)
+// Order sends an order to an engine. If it fails, the engine may still have carried
+// out the order: Load returns the versions that the engine has loaded.
+func (c *Client) Order(ctx context.Context, url string, order Order) error {
+	body, err := json.Marshal(order)
 	if err != nil {
 		return err
 	}
@@ -39,29 +39,32 @@
 	if err != nil {
 		return err
 	}
-	_, err = c.ask(req)
+	_, err = c.doControl(req)
 	return contract.Fail(contract.StepOrder, url, err)
 }
 
-// Cancel tells an engine that nobody waits for a request any more. It may lose
-// its race with the answer, so it proves nothing.
+// Cancel asks an engine to stop working on a request that no client waits for. The
+// engine may have finished the request by then, so success does not prove that the
+// request did not run.
 func (c *Client) Cancel(ctx context.Context, url string, id contract.RequestID) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url+PathCancel, nil)
 	if err != nil {
 		return err
 	}
 	req.Header.Set(HeaderRequest, string(id))
-	_, err = c.ask(req)
+	_, err = c.doControl(req)
 	return contract.Fail(contract.StepCancel, url, err)
 }
 
-func (c *Client) ask(req *http.Request) ([]byte, error) {
+// doControl sends a control request and returns the body of the response. A status
+// other than 200 is an error.
+func (c *Client) doControl(req *http.Request) ([]byte, error) {
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return nil, err
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, int64(maxReport)))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, int64(maxControlResponseBytes)))
 	if err != nil {
 		return nil, err
 	}
--- a/engine/engine_test.go
+++ b/engine/engine_test.go
@@ -17,18 +17,21 @@
 	standin "woaddoor/internal/standin/engine"
 )
 
-const v1 = contract.VersionID("m@1")
+const testVersion = contract.VersionID("m@1")
 
-const body = `{"model":"m@1","messages":[{"role":"user","content":"hello"}],"max_tokens":4}`
+const requestBody = `{"model":"m@1","messages":[{"role":"user","content":"hello"}],"max_tokens":4}`
 
-func setup(t *testing.T) (*standin.Engine, engine.Call) {
-	e := standin.New(standin.Options{Versions: []contract.VersionID{v1, "m@2"}})
+// newTestEngine starts a stand-in engine that has two model versions loaded, and returns
+// it with a chat call for the first one.
+func newTestEngine(t *testing.T) (*standin.Engine, engine.Call) {
+	e := standin.New(standin.Options{Versions: []contract.VersionID{testVersion, "m@2"}})
 	server := httptest.NewServer(e.Handler())
 	t.Cleanup(server.Close)
-	return e, engine.Call{URL: server.URL, Upstream: "a", RequestID: "r1", Version: v1, Body: []byte(body)}
+	return e, engine.Call{URL: server.URL, Upstream: "a", RequestID: "r1", Version: testVersion, Body: []byte(requestBody)}
 }
 
-func outcome(err error) contract.Outcome {
+// outcomeOf returns the outcome in a *engine.CallError, or Unknown for any other error.
+func outcomeOf(err error) contract.Outcome {
 	var ce *engine.CallError
 	if errors.As(err, &ce) {
 		return ce.Outcome
@@ -36,57 +39,57 @@
 	return contract.Unknown
 }
 
-// TestChatOutcomes runs each way in which a call can fail, and checks both what
-// is said of it and what really happened at the engine.
+// TestChatOutcomes makes calls fail in different ways, and checks the reported outcome
+// against how often the engine really executed the request.
 func TestChatOutcomes(t *testing.T) {
-	denied := errors.New("denied")
+	errDenied := errors.New("denied")
 	for name, c := range map[string]struct {
-		faults  standin.Faults
-		change  func(*engine.Call)
-		want    contract.Outcome
-		because error
-		runs    int
+		faults      standin.Faults
+		modify      func(*engine.Call)
+		wantOutcome contract.Outcome
+		wantErr     error
+		wantRuns    int
 	}{
-		"dies before":    {standin.Faults{DropBefore: 1}, nil, contract.Unknown, nil, 0},
-		"dies after":     {standin.Faults{DropAfter: 1}, nil, contract.Unknown, nil, 1},
-		"refused":        {standin.Faults{Refuse: 1}, nil, contract.NotRun, nil, 0},
-		"truncated":      {standin.Faults{TruncateAt: 1}, nil, contract.Ran, engine.ErrTruncated, 1},
-		"crossed":        {standin.Faults{Crossed: true}, nil, contract.Unknown, engine.ErrCrossed, 1},
-		"other version":  {standin.Faults{HeldVersion: "m@2"}, nil, contract.Ran, engine.ErrWrongVersion, 1},
-		"not permitted":  {standin.Faults{}, func(c *engine.Call) { c.Permit = func() error { return denied } }, contract.NotRun, denied, 0},
-		"nobody listens": {standin.Faults{}, func(c *engine.Call) { c.URL = "http://127.0.0.1:1" }, contract.NotRun, nil, 0},
+		"connection dropped before the run": {standin.Faults{DropBefore: 1}, nil, contract.Unknown, nil, 0},
+		"connection dropped after the run":  {standin.Faults{DropAfter: 1}, nil, contract.Unknown, nil, 1},
+		"refused by the engine":             {standin.Faults{Refuse: 1}, nil, contract.NotRun, nil, 0},
+		"truncated response":                {standin.Faults{TruncateAt: 1}, nil, contract.Ran, engine.ErrTruncated, 1},
+		"response to another request":       {standin.Faults{Crossed: true}, nil, contract.Unknown, engine.ErrCrossed, 1},
+		"response from another version":     {standin.Faults{HeldVersion: "m@2"}, nil, contract.Ran, engine.ErrWrongVersion, 1},
+		"not permitted":                     {standin.Faults{}, func(c *engine.Call) { c.Permit = func() error { return errDenied } }, contract.NotRun, errDenied, 0},
+		"connection refused":                {standin.Faults{}, func(c *engine.Call) { c.URL = "http://127.0.0.1:1" }, contract.NotRun, nil, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			e, call := setup(t)
+			e, call := newTestEngine(t)
 			e.SetFaults(c.faults)
-			if c.change != nil {
-				c.change(&call)
+			if c.modify != nil {
+				c.modify(&call)
 			}
 			_, err := engine.NewClient().Chat(t.Context(), call)
 			is.True(err != nil)
-			is.Equal(outcome(err), c.want)
-			if c.because != nil {
-				is.True(errors.Is(err, c.because))
+			is.Equal(outcomeOf(err), c.wantOutcome)
+			if c.wantErr != nil {
+				is.True(errors.Is(err, c.wantErr))
 			}
-			is.Equal(e.Runs("r1"), c.runs)
-			if outcome(err) == contract.NotRun {
-				is.Equal(e.Runs("r1"), 0) // "not run" is true
+			is.Equal(e.Runs("r1"), c.wantRuns)
+			if outcomeOf(err) == contract.NotRun {
+				is.Equal(e.Runs("r1"), 0) // the engine must not have run a request that is reported as NotRun
 			}
 		})
 	}
 }
 
-// TestTransportRepeats shows the naive way: with an idempotency key the HTTP
-// library sends a request a second time by itself when a kept connection dies
-// after the request was sent. The client's requests are sent once.
-func TestTransportRepeats(t *testing.T) {
+// TestRequestIsSentOnce checks that the client does not repeat a request whose reused
+// connection closes after the request was sent. It first shows that net/http does repeat
+// such a request if it carries an Idempotency-Key header.
+func TestRequestIsSentOnce(t *testing.T) {
 	is := is.New(t)
 	var runs atomic.Int32
-	var dying atomic.Bool
+	var abortNext atomic.Bool
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		runs.Add(1)
-		if dying.Swap(false) {
+		if abortNext.Swap(false) {
 			panic(http.ErrAbortHandler)
 		}
 		w.Header().Set(engine.HeaderRequest, r.Header.Get(engine.HeaderRequest))
@@ -103,46 +106,48 @@
 			return err
 		}
 		defer resp.Body.Close()
-		_, err = io.Copy(io.Discard, resp.Body) // so that the connection is kept
+		_, err = io.Copy(io.Discard, resp.Body) // so that the connection is reused
 		return err
 	}
 	is.NoErr(post()) // opens the connection
-	dying.Store(true)
+	abortNext.Store(true)
 	is.NoErr(post())
-	is.Equal(runs.Load(), int32(3)) // the second request ran twice
+	is.Equal(runs.Load(), int32(3)) // net/http has sent the second request twice
 
 	runs.Store(0)
 	c := engine.NewClient()
 	call := engine.Call{URL: server.URL, RequestID: "r", Body: []byte("{}")}
 	_, err := c.Plain(t.Context(), call, http.MethodPost, "/")
 	is.NoErr(err)
-	dying.Store(true)
+	abortNext.Store(true)
 	_, err = c.Plain(t.Context(), call, http.MethodPost, "/")
 	is.True(err != nil)
-	is.Equal(outcome(err), contract.Unknown)
+	is.Equal(outcomeOf(err), contract.Unknown)
 	is.Equal(runs.Load(), int32(2))
 }
 
-// TestPausedBetweenCheckAndWrite shows that a permission which lapses while
-// the request is being written cancels it.
-func TestPausedBetweenCheckAndWrite(t *testing.T) {
+// TestPermissionExpiresDuringWrite checks that a call is cancelled if its permission
+// expires while the request is written, as after a pause of the VM.
+func TestPermissionExpiresDuringWrite(t *testing.T) {
 	is := is.New(t)
-	_, call := setup(t)
-	asked := 0
-	lapsed := errors.New("lapsed")
+	_, call := newTestEngine(t)
+	checks := 0
+	errExpired := errors.New("permission expired")
 	call.Permit = func() error {
-		asked++
-		if asked > 1 {
-			return lapsed
+		checks++
+		if checks > 1 {
+			return errExpired
 		}
 		return nil
 	}
 	_, err := engine.NewClient().Chat(t.Context(), call)
-	is.True(errors.Is(err, lapsed))
-	is.Equal(outcome(err), contract.Unknown) // it may have been received
+	is.True(errors.Is(err, errExpired))
+	is.Equal(outcomeOf(err), contract.Unknown) // the engine may have received the request
 }
 
-func read(t *testing.T, s *engine.Stream) (int, error) {
+// countEvents reads the stream to its end or to an error, and returns the number of events
+// before that.
+func countEvents(t *testing.T, s *engine.Stream) (int, error) {
 	t.Helper()
 	defer s.Close()
 	for n := 0; ; n++ {
@@ -153,37 +158,39 @@
 	}
 }
 
+// TestStream checks that a stream is read to its end, that a truncated stream is detected,
+// and that it can be resumed after the last event received.
 func TestStream(t *testing.T) {
 	is := is.New(t)
-	e, call := setup(t)
-	call.Body = []byte(strings.Replace(body, `"max_tokens"`, `"stream":true,"max_tokens"`, 1))
+	e, call := newTestEngine(t)
+	call.Body = []byte(strings.Replace(requestBody, `"max_tokens"`, `"stream":true,"max_tokens"`, 1))
 	c := engine.NewClient()
 	s, err := c.Stream(t.Context(), call)
 	is.NoErr(err)
-	n, err := read(t, s)
+	n, err := countEvents(t, s)
 	is.NoErr(err)
-	is.Equal(n, 5) // four tokens and the usage
+	is.Equal(n, 5) // four tokens and one chunk with the usage
 	is.Equal(s.Usage().Completion, contract.Tokens(4))
 
-	// Cut off after two tokens: not whole, and resumed from there.
+	// The engine cuts off the stream after two tokens. It is resumed after the second.
 	call.RequestID = "r2"
 	e.SetFaults(standin.Faults{TruncateAt: 2})
 	s, err = c.Stream(t.Context(), call)
 	is.NoErr(err)
-	n, err = read(t, s)
+	n, err = countEvents(t, s)
 	is.Equal(n, 2)
 	is.True(errors.Is(err, engine.ErrTruncated))
 	call.LastEvent = "2"
 	s, err = c.Stream(t.Context(), call)
 	is.NoErr(err)
-	n, err = read(t, s)
+	n, err = countEvents(t, s)
 	is.NoErr(err)
 	is.Equal(n, 3)
-	is.Equal(e.Runs("r2"), 1) // resumed, not run anew
+	is.Equal(e.Runs("r2"), 1) // the engine has resumed the request instead of running it again
 }
 
-// FuzzStream checks that no bytes of an upstream make a stream panic, or count
-// as whole without the end marker and a finish reason.
+// FuzzStream checks that arbitrary bytes from an upstream neither make a stream panic nor
+// are accepted as a complete stream without the end marker and a finish reason.
 func FuzzStream(f *testing.F) {
 	chunk := `{"id":"x","model":"m@1","choices":[{"delta":{"content":"a"},"finish_reason":"stop"}]}`
 	f.Add("id: 1\ndata: " + chunk + "\n\ndata: [DONE]\n\n")
@@ -195,12 +202,12 @@
 			_, _ = w.Write([]byte(text))
 		}))
 		defer server.Close()
-		s, err := engine.NewClient().Stream(context.Background(), engine.Call{URL: server.URL, RequestID: "r", Version: v1, Body: []byte("{}")})
+		s, err := engine.NewClient().Stream(context.Background(), engine.Call{URL: server.URL, RequestID: "r", Version: testVersion, Body: []byte("{}")})
 		if err != nil {
 			return
 		}
-		if _, err := read(t, s); err == nil && (!strings.Contains(text, engine.StreamEnd) || !strings.Contains(text, "finish_reason")) {
-			t.Fatalf("taken for whole: %q", text)
+		if _, err := countEvents(t, s); err == nil && (!strings.Contains(text, engine.StreamEnd) || !strings.Contains(text, "finish_reason")) {
+			t.Fatalf("incomplete stream accepted as complete: %q", text)
 		}
 	})
 }
--- a/engine/plain.go
+++ b/engine/plain.go
@@ -8,31 +8,32 @@
 	"woaddoor/contract"
 )
 
-// PlainAnswer is the whole answer of a plain service.
+// PlainAnswer is the complete response of a plain HTTP service.
 type PlainAnswer struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Plain sends a call to a plain service and returns its whole answer. A
-// service need not give the request id back; when it does, it has to fit.
+// Plain sends a call to a plain HTTP service and returns its complete response,
+// whatever its status. A service need not echo the request id, but an id that it
+// echoes must match.
 func (c *Client) Plain(ctx context.Context, call Call, method, path string) (*PlainAnswer, error) {
-	call.AnyStatus = true
-	x, failed := c.send(ctx, call, method, path)
-	if failed != nil {
-		return nil, failed
+	call.AcceptAnyStatus = true
+	open, callErr := c.send(ctx, call, method, path)
+	if callErr != nil {
+		return nil, callErr
 	}
-	defer x.close()
+	defer open.close()
 	fail := func(err error) error {
 		return &CallError{Outcome: contract.Ran, Err: contract.Fail(contract.StepAnswer, string(call.Upstream), err)}
 	}
-	body, err := io.ReadAll(io.LimitReader(x.resp.Body, int64(maxAnswer)+1))
+	body, err := io.ReadAll(io.LimitReader(open.resp.Body, int64(maxResponseBytes)+1))
 	if err != nil {
 		return nil, fail(errors.Join(ErrTruncated, err))
 	}
-	if contract.Bytes(len(body)) > maxAnswer {
+	if contract.Bytes(len(body)) > maxResponseBytes {
 		return nil, fail(ErrTooLarge)
 	}
-	return &PlainAnswer{Status: x.resp.StatusCode, ContentType: x.resp.Header.Get("Content-Type"), Body: body}, nil
+	return &PlainAnswer{Status: open.resp.StatusCode, ContentType: open.resp.Header.Get("Content-Type"), Body: body}, nil
 }
--- a/engine/protocol.go
+++ b/engine/protocol.go
@@ -1,6 +1,6 @@
-// Package engine meets a model engine by the chat-completions protocol that
-// model clients and engines already speak, with server-sent events for
-// streams, and by the engine's own pages for load, orders and cache events.
+// Package engine is a client for model engines. It uses the chat-completions
+// protocol, with server-sent events for streams, and the engine's own endpoints
+// for load reports, orders, cancellation and cache events.
 package engine
 
 import (
@@ -9,7 +9,7 @@
 	"woaddoor/contract"
 )
 
-// Paths of an engine.
+// URL paths of an engine.
 const (
 	PathChat   = "/v1/chat/completions"
 	PathCancel = "/v1/cancel"
@@ -18,51 +18,51 @@
 	PathCache  = "/cache-events"
 )
 
-// Headers that go with a call.
+// HTTP headers of a call.
 const (
-	// HeaderRequest carries the request id; the engine gives it back, so that
-	// a crossed answer is seen.
+	// HeaderRequest carries the request id. The engine echoes it, so that a
+	// response to another request is detected.
 	HeaderRequest = "X-Request-Id"
-	// HeaderNotAfter carries the end of the permission to start the work, as
-	// RFC 3339 time, for engines that check it.
+	// HeaderNotAfter carries the time, in RFC 3339 format, until which the engine
+	// may start the request. Not every engine checks it.
 	HeaderNotAfter = "X-Not-After"
-	// HeaderLastEvent resumes a stream after an event, as in the standard of
-	// server-sent events.
+	// HeaderLastEvent resumes a stream after the event with the given id, as
+	// defined for server-sent events.
 	HeaderLastEvent = "Last-Event-ID"
 )
 
-// StreamEnd is the data of the event that ends a whole stream.
+// StreamEnd is the data of the event that marks the end of a complete stream.
 const StreamEnd = "[DONE]"
 
-// Request is the part of a chat request that the router reads. The rest is
-// passed on as it came.
+// Request holds the fields of a chat request that the router reads. All other fields
+// are forwarded unchanged.
 type Request struct {
 	Model    string    `json:"model"`
 	Messages []Message `json:"messages"`
 	Stream   bool      `json:"stream,omitempty"`
-	// MaxTokens bounds the answer; zero leaves it to the engine.
+	// MaxTokens is the maximum length of the response. Zero means the engine's default.
 	MaxTokens int `json:"max_tokens,omitempty"`
-	// Priority orders the engine's queue: lower goes first.
+	// Priority orders the engine's queue. Lower values are processed first.
 	Priority int `json:"priority,omitempty"`
-	// ContinueFinal makes the engine go on with the last message, which is an
-	// assistant's, in place of answering it.
-	ContinueFinal bool `json:"continue_final_message,omitempty"`
+	// ContinueFinalMessage makes the engine continue the last message, which must be
+	// an assistant message, instead of responding to it.
+	ContinueFinalMessage bool `json:"continue_final_message,omitempty"`
 }
 
-// Message is one message of a chat. Content is a text or a list of parts.
+// Message is one message of a chat. Content is a JSON string or a list of parts.
 type Message struct {
 	Role    string          `json:"role"`
 	Content json.RawMessage `json:"content"`
 }
 
-// Usage counts the tokens of a request.
+// Usage holds the token counts of a request.
 type Usage struct {
 	Prompt     contract.Tokens `json:"prompt_tokens"`
 	Completion contract.Tokens `json:"completion_tokens"`
 	Total      contract.Tokens `json:"total_tokens"`
 }
 
-// Completion is a whole answer.
+// Completion is the response to a chat request that is not streamed.
 type Completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -72,20 +72,20 @@
 	Usage   Usage    `json:"usage"`
 }
 
-// Choice is one answer of a Completion.
+// Choice is one of the alternative responses in a Completion.
 type Choice struct {
 	Index        int           `json:"index"`
 	Message      AnswerMessage `json:"message"`
 	FinishReason string        `json:"finish_reason"`
 }
 
-// AnswerMessage is the text of an answer, whole or a piece of it.
+// AnswerMessage is the text of a response, or one piece of it in a stream.
 type AnswerMessage struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
 
-// Chunk is one piece of a streamed answer.
+// Chunk is one piece of a streamed response.
 type Chunk struct {
 	ID      string        `json:"id"`
 	Object  string        `json:"object"`
@@ -95,14 +95,14 @@
 	Usage   *Usage        `json:"usage,omitempty"`
 }
 
-// ChunkChoice is the piece of one answer in a Chunk.
+// ChunkChoice is the piece of one choice in a Chunk.
 type ChunkChoice struct {
 	Index        int           `json:"index"`
 	Delta        AnswerMessage `json:"delta"`
 	FinishReason *string       `json:"finish_reason"`
 }
 
-// OrderKind is what an order asks for.
+// OrderKind is the action that an order requests.
 type OrderKind string
 
 // The kinds of orders.
@@ -111,16 +111,17 @@
 	OrderUnload OrderKind = "unload"
 )
 
-// Order asks an engine to change what it holds. Late and repeated orders are
-// harmless to routing, which goes by Load alone.
+// Order asks an engine to load or unload a model version. Late and repeated orders
+// do not affect routing, which relies only on the load reports of engines.
 type Order struct {
 	Kind    OrderKind              `json:"kind"`
 	Version contract.VersionID     `json:"version"`
 	Fencing contract.FencingNumber `json:"fencing"`
 }
 
-// CacheEvent says that an engine holds, or has dropped, the prefix with a key.
-// Events come late, and a gap in Seq means that some are lost.
+// CacheEvent reports that an engine has cached a prompt prefix, or, if Held is
+// false, that it has evicted it. Prefix is the key of the prompt prefix. Events
+// arrive late, and a gap in Seq means that some were lost.
 type CacheEvent struct {
 	Seq    uint64 `json:"seq"`
 	Prefix uint64 `json:"prefix"`
--- a/engine/stream.go
+++ b/engine/stream.go
@@ -15,84 +15,87 @@
 
 // Event is one event of a stream.
 type Event struct {
-	// ID is the place in the stream, as the engine numbers it.
+	// ID is the event id that the engine assigned. A stream can be resumed after it.
 	ID string
-	// Data is the event's data. It is valid until the next call of Next.
+	// Data is the raw data of the event. It is valid until the next call of Next.
 	Data []byte
-	// Chunk is the data as it was read and checked.
+	// Chunk is the decoded and checked data. It is empty if End is set.
 	Chunk Chunk
-	// End is true for the event that ends a whole stream.
+	// End is true for the event that marks the end of a complete stream.
 	End bool
 }
 
-// Stream is a streamed answer. It is whole only when Next has returned an
-// event with End set.
+// Stream is a streamed response. It is complete only if Next has returned an event
+// with End set.
 type Stream struct {
-	call     Call
-	exchange *begun
-	reader   *bufio.Reader
-	checked  string // the id that every chunk carries
-	usage    Usage
-	finished bool
-	data     []byte
-	first    bool
+	call            Call
+	open            *openResponse
+	reader          *bufio.Reader
+	completionID    string // the completion id of the first chunk
+	usage           Usage
+	sawFinishReason bool
+	data            []byte
+	sawFirstChunk   bool
 }
 
-// Sizes of a stream's buffers. A line longer than maxLine ends the stream.
+// Sizes of a stream's buffers. A line longer than maxLineBytes fails the stream.
 const (
-	streamBuffer = 4 * contract.KiB
-	maxLine      = 256 * contract.KiB
+	streamBufferBytes = 4 * contract.KiB
+	maxLineBytes      = 256 * contract.KiB
 )
 
-// Stream sends a chat request and returns its answer as a stream.
+// Stream sends a chat request and returns the response as a stream.
 func (c *Client) Stream(ctx context.Context, call Call) (*Stream, error) {
-	x, failed := c.send(ctx, call, http.MethodPost, PathChat)
-	if failed != nil {
-		return nil, failed
+	open, callErr := c.send(ctx, call, http.MethodPost, PathChat)
+	if callErr != nil {
+		return nil, callErr
 	}
-	if x.resp.Header.Get(HeaderRequest) == "" {
-		x.close()
+	if open.resp.Header.Get(HeaderRequest) == "" {
+		open.close()
 		return nil, &CallError{Outcome: contract.Ran, Err: contract.Fail(contract.StepAnswer, string(call.Upstream), ErrCrossed)}
 	}
-	return &Stream{call: call, exchange: x, reader: bufio.NewReaderSize(x.resp.Body, int(streamBuffer))}, nil
+	return &Stream{call: call, open: open, reader: bufio.NewReaderSize(open.resp.Body, int(streamBufferBytes))}, nil
 }
 
-// Close ends the stream; the engine sees the connection go.
-func (s *Stream) Close() { s.exchange.close() }
+// Close stops reading the stream and frees its resources. If the response has not
+// been read to its end, the engine sees the connection close.
+func (s *Stream) Close() { s.open.close() }
 
-// Usage returns the tokens that the stream has told of so far.
+// Usage returns the most recent token counts in the stream. They are zero until a
+// chunk carries them.
 func (s *Stream) Usage() Usage { return s.usage }
 
-// Next returns the next event. It fails with a *CallError when the stream ends
-// early, belongs to another request or comes from another version.
+// Next returns the next event. It returns a *CallError if the stream ends early or is
+// malformed, or if a chunk belongs to another completion or another model version.
 func (s *Stream) Next() (Event, error) {
-	e, err := s.read()
+	e, err := s.readEvent()
 	if err != nil {
 		return Event{}, s.fail(errors.Join(ErrTruncated, err))
 	}
 	if string(e.Data) == StreamEnd {
-		if !s.finished {
+		if !s.sawFinishReason {
 			return Event{}, s.fail(ErrTruncated)
 		}
 		e.End = true
 		return e, nil
 	}
-	if err := s.check(e.Data, &e.Chunk); err != nil {
+	if err := s.checkChunk(e.Data, &e.Chunk); err != nil {
 		return Event{}, s.fail(err)
 	}
 	return e, nil
 }
 
+// fail wraps err as a *CallError of the stream.
 func (s *Stream) fail(err error) error {
 	return &CallError{Outcome: contract.Ran, Err: contract.Fail(contract.StepStream, string(s.call.Upstream), err)}
 }
 
-// read reads the lines of one event.
-func (s *Stream) read() (Event, error) {
+// readEvent reads the lines of one event. It ignores fields other than "data" and "id".
+func (s *Stream) readEvent() (Event, error) {
 	e := Event{}
 	s.data = s.data[:0]
 	for {
-		line, err := s.line()
+		line, err := s.readLine()
 		if err != nil {
 			return Event{}, err
 		}
@@ -108,10 +111,12 @@
 	}
 }
 
-func (s *Stream) line() ([]byte, error) {
+// readLine returns the next line without its line ending. The slice is valid until the
+// next read.
+func (s *Stream) readLine() ([]byte, error) {
 	line, err := s.reader.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		return s.longLine(line)
+		return s.readLongLine(line)
 	}
 	if err != nil {
 		return nil, err
@@ -119,36 +124,38 @@
 	return bytes.TrimRight(line, "\r\n"), nil
 }
 
-// longLine reads a line that does not fit into the buffer.
-func (s *Stream) longLine(start []byte) ([]byte, error) {
-	whole := bytes.Clone(start)
+// readLongLine reads the rest of a line that does not fit into the reader's buffer.
+// start is the part that was read already.
+func (s *Stream) readLongLine(start []byte) ([]byte, error) {
+	line := bytes.Clone(start)
 	for {
-		more, err := s.reader.ReadSlice('\n')
-		whole = append(whole, more...)
+		part, err := s.reader.ReadSlice('\n')
+		line = append(line, part...)
 		if err == nil {
-			return bytes.TrimRight(whole, "\r\n"), nil
+			return bytes.TrimRight(line, "\r\n"), nil
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return nil, err
 		}
-		if contract.Bytes(len(whole)) > maxLine {
+		if contract.Bytes(len(line)) > maxLineBytes {
 			return nil, io.ErrShortBuffer
 		}
 	}
 }
 
-// check reads a chunk and compares it with the call and with the first chunk.
-func (s *Stream) check(data []byte, c *Chunk) error {
+// checkChunk decodes data into c, checks its model version against the call and its id
+// against the first chunk, and records its usage and finish reason.
+func (s *Stream) checkChunk(data []byte, c *Chunk) error {
 	if err := json.Unmarshal(data, c); err != nil {
 		return errors.Join(ErrMalformed, err)
 	}
 	if c.Model != string(s.call.Version) {
 		return ErrWrongVersion
 	}
-	if !s.first {
-		s.first, s.checked = true, c.ID
+	if !s.sawFirstChunk {
+		s.sawFirstChunk, s.completionID = true, c.ID
 	}
-	if c.ID != s.checked {
+	if c.ID != s.completionID {
 		return ErrCrossed
 	}
 	if c.Usage != nil {
@@ -156,7 +163,7 @@
 	}
 	for _, choice := range c.Choices {
 		if choice.FinishReason != nil && *choice.FinishReason != "" {
-			s.finished = true
+			s.sawFinishReason = true
 		}
 	}
 	return nil
--- a/link/client.go
+++ b/link/client.go
@@ -10,143 +10,152 @@
 	"woaddoor/contract"
 )
 
-// callTimeout bounds a call whose context has no earlier deadline.
-const callTimeout = 5 * time.Second
+// defaultCallTimeout bounds a call whose context has no earlier deadline.
+const defaultCallTimeout = 5 * time.Second
 
-// Call sends req to the endpoint at address and returns its answer.
+// Call sends req to the endpoint at address and returns its response.
 //
-// An error of type *RemoteError means that the peer refused; any other means
-// that nobody knows whether the peer acted. A connection that fails is
-// forgotten, and the next call makes another.
+// An error of type *RemoteError means that the peer returned an error. After any
+// other error it is unknown whether the peer handled the request. A connection
+// that fails is dropped, and the next call opens a new one.
 func Call[Req, Resp any](ctx context.Context, e *Endpoint, address string, kind Kind, req Req) (Resp, error) {
 	var resp Resp
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, defaultCallTimeout)
 	defer cancel()
 	body, err := Encode(req)
 	if err != nil {
 		return resp, contract.Fail(contract.StepLink, address, err)
 	}
-	got, err := e.exchange(ctx, address, envelope{Kind: kind, Body: body})
+	frame, err := e.roundTrip(ctx, address, requestFrame{Kind: kind, Body: body})
 	if err != nil {
 		return resp, contract.Fail(contract.StepLink, address, err)
 	}
-	if got.Error != "" {
-		return resp, contract.Fail(contract.StepLink, address, &RemoteError{Text: got.Error})
+	if frame.Error != "" {
+		return resp, contract.Fail(contract.StepLink, address, &RemoteError{Text: frame.Error})
 	}
-	err = Decode(got.Body, &resp)
+	err = Decode(frame.Body, &resp)
 	return resp, contract.Fail(contract.StepLink, address, err)
 }
 
-func (e *Endpoint) exchange(ctx context.Context, address string, req envelope) (answer, error) {
-	p, err := e.conn(ctx, address)
+// roundTrip sends a request to the peer at address, over an existing connection
+// if there is one, and reads the response.
+func (e *Endpoint) roundTrip(ctx context.Context, address string, req requestFrame) (responseFrame, error) {
+	pc, err := e.connect(ctx, address)
 	if err != nil {
-		return answer{}, err
+		return responseFrame{}, err
 	}
-	began := time.Now()
-	got, err := e.onStream(ctx, p.conn, req)
+	start := time.Now()
+	resp, err := e.roundTripOnStream(ctx, pc.conn, req)
 	if err != nil {
-		e.forget(ctx, address, p, began)
-		return got, err
+		e.dropIfBroken(ctx, address, pc, start)
+		return resp, err
 	}
-	p.heard.Store(time.Now().UnixNano())
-	return got, nil
+	pc.lastResponse.Store(time.Now().UnixNano())
+	return resp, nil
 }
 
-func (e *Endpoint) onStream(ctx context.Context, conn *quic.Conn, req envelope) (answer, error) {
+// roundTripOnStream sends a request on a new stream of conn and reads the response.
+func (e *Endpoint) roundTripOnStream(ctx context.Context, conn *quic.Conn, req requestFrame) (responseFrame, error) {
 	stream, err := conn.OpenStreamSync(ctx)
 	if err != nil {
-		return answer{}, err
+		return responseFrame{}, err
 	}
 	deadline, _ := ctx.Deadline()
 	_ = stream.SetDeadline(deadline)
-	// A caller that gave up frees the stream at once.
-	stop := context.AfterFunc(ctx, func() { stream.CancelRead(quic.StreamErrorCode(closeNormal)) })
+	// Release the stream as soon as the context is cancelled.
+	stop := context.AfterFunc(ctx, func() { stream.CancelRead(quic.StreamErrorCode(codeNormal)) })
 	defer stop()
 	raw, err := Encode(req)
 	if err != nil {
-		return answer{}, err
+		return responseFrame{}, err
 	}
 	if _, err := stream.Write(raw); err != nil {
-		return answer{}, err
+		return responseFrame{}, err
 	}
 	if err := stream.Close(); err != nil {
-		return answer{}, err
+		return responseFrame{}, err
 	}
-	e.sent(conn.RemoteAddr().String(), req.Kind, len(raw))
-	var got answer
-	err = readFrame(stream, &got)
-	e.traffic.received.Add(int64(len(got.Body)))
-	return got, err
+	e.countSent(conn.RemoteAddr().String(), req.Kind, len(raw))
+	var resp responseFrame
+	err = readFrame(stream, &resp)
+	e.traffic.receivedBytes.Add(int64(len(resp.Body)))
+	return resp, err
 }
 
-func (e *Endpoint) conn(ctx context.Context, address string) (*peerConn, error) {
+// connect returns the open connection to the peer at address, or dials a new one.
+func (e *Endpoint) connect(ctx context.Context, address string) (*peerConn, error) {
 	e.mu.Lock()
-	p, ok := e.conns[address]
+	existing, ok := e.conns[address]
 	closed := e.closed
 	e.mu.Unlock()
 	if closed {
 		return nil, net.ErrClosed
 	}
-	if ok && p.conn.Context().Err() == nil {
-		return p, nil
+	if ok && existing.conn.Context().Err() == nil {
+		return existing, nil
 	}
-	udp, err := net.ResolveUDPAddr("udp", address)
+	udpAddr, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return nil, err
 	}
-	dialed, err := e.transport.Dial(ctx, udp, e.identity.TLS(protocol), e.quicConfig())
+	dialed, err := e.transport.Dial(ctx, udpAddr, e.identity.TLS(alpnProtocol), e.quicConfig())
 	if err != nil {
 		return nil, err
 	}
-	e.traffic.dialed.Add(1)
-	return e.remember(address, dialed), nil
+	e.traffic.dials.Add(1)
+	return e.storeDialed(address, dialed), nil
 }
 
-// remember keeps the connection, or uses the one that another call made in the
-// meantime. The peer may have begun to use the one that is left: it ends when it
-// has been idle, or is closed at once where links are kept up.
-func (e *Endpoint) remember(address string, dialed *quic.Conn) *peerConn {
+// storeDialed registers a connection that this endpoint has dialed. If another call
+// has registered one in the meantime, the result depends on the mode. Without
+// shared connections the existing one is kept and the new one is closed. With
+// shared connections the new one replaces it, and the old one is left open until
+// its idle timeout, because the peer may have begun to use it.
+func (e *Endpoint) storeDialed(address string, dialed *quic.Conn) *peerConn {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if p, ok := e.conns[address]; ok && p.conn.Context().Err() == nil && !e.shared {
-		_ = dialed.CloseWithError(closeNormal, "twice")
-		return p
+	if pc, ok := e.conns[address]; ok && pc.conn.Context().Err() == nil && !e.sharedConns {
+		_ = dialed.CloseWithError(codeNormal, "twice")
+		return pc
 	}
-	p := &peerConn{conn: dialed}
-	e.conns[address] = p
-	if peer, err := e.peer(dialed); err == nil && e.shared {
+	pc := &peerConn{conn: dialed}
+	e.conns[address] = pc
+	if peer, err := e.peer(dialed); err == nil && e.sharedConns {
 		go e.serveStreams(dialed.Context(), peer, dialed)
 	}
-	return p
+	return pc
 }
 
-// accepted keeps a connection that a peer has opened for calls to it. It takes the
-// place of an older one: a peer that has started again does not know that.
-func (e *Endpoint) accepted(conn *quic.Conn) {
-	if !e.shared {
+// storeAccepted registers a connection that a peer has opened, so that calls to the
+// peer use it. It replaces an older connection, which a peer that has restarted
+// no longer knows. It does nothing unless connections are shared.
+func (e *Endpoint) storeAccepted(conn *quic.Conn) {
+	if !e.sharedConns {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	p := &peerConn{conn: conn}
-	p.heard.Store(time.Now().UnixNano())
-	e.conns[conn.RemoteAddr().String()] = p
+	pc := &peerConn{conn: conn}
+	pc.lastResponse.Store(time.Now().UnixNano())
+	e.conns[conn.RemoteAddr().String()] = pc
 }
 
-// forget drops a connection on which a call failed while it is itself broken,
-// or on which nothing came since the call began until its time was up: a peer
-// that has started again does not know the connection and says nothing. A call
-// that was only cancelled keeps it.
-func (e *Endpoint) forget(ctx context.Context, address string, p *peerConn, began time.Time) {
-	// The stream's own deadline may end the call a moment before the context's.
+// dropIfBroken removes a connection after a failed call, so that the next call dials a
+// new one. It does so if the connection is closed, or if the call reached its deadline
+// and no response has arrived on the connection since the call started: a peer that has
+// restarted does not know the connection and ignores its packets. A call that was only
+// cancelled leaves the connection in use.
+func (e *Endpoint) dropIfBroken(ctx context.Context, address string, pc *peerConn, start time.Time) {
+	// The call may fail on the stream's deadline slightly before the context is
+	// done, so compare the time with the deadline instead of checking ctx.Err.
 	deadline, ok := ctx.Deadline()
-	silent := ok && !time.Now().Before(deadline) && p.heard.Load() < began.UnixNano()
+	unresponsive := ok && !time.Now().Before(deadline) && pc.lastResponse.Load() < start.UnixNano()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.conns[address] != p || p.conn.Context().Err() == nil && !silent {
+	if e.conns[address] != pc || pc.conn.Context().Err() == nil && !unresponsive {
 		return
 	}
-	// The old connection is left to end when it has been idle: a peer that was
-	// only paused still gets what was sent on it, which may hold a vote.
+	// Leave the old connection open until its idle timeout: a peer that was only
+	// paused still receives what was sent on it, which may include a ticket vote.
 	delete(e.conns, address)
 }
--- a/link/fuzz_test.go
+++ b/link/fuzz_test.go
@@ -5,23 +5,23 @@
 	"testing"
 )
 
-// FuzzDecode checks that no bytes of a peer make the decoder panic or accept a
-// frame over its bound.
+// FuzzDecode checks that arbitrary bytes from a peer neither make the decoder panic
+// nor decode to a body that is larger than its frame.
 func FuzzDecode(f *testing.F) {
-	good, err := Encode(envelope{Kind: KindVote, Body: []byte{0xf6}})
+	valid, err := Encode(requestFrame{Kind: KindVote, Body: []byte{0xf6}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(good)
+	f.Add(valid)
 	f.Add([]byte{0xbf, 0xff})
 	f.Add([]byte{0x9a, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		var e envelope
-		if err := readFrame(bytes.NewReader(raw), &e); err != nil {
+		var frame requestFrame
+		if err := readFrame(bytes.NewReader(raw), &frame); err != nil {
 			return
 		}
-		if len(e.Body) > len(raw) {
-			t.Fatal("body is larger than its frame")
+		if len(frame.Body) > len(raw) {
+			t.Fatal("decoded body is larger than its frame")
 		}
 	})
 }
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -12,92 +12,100 @@
 	"woaddoor/keys"
 )
 
-type echo struct {
+// echoMessage is the request and the response of the KindVote handler in these tests.
+type echoMessage struct {
 	Text string `cbor:"1,keyasint"`
 }
 
-func endpoint(t *testing.T, dir, name string) *Endpoint {
+// newEndpoint starts an endpoint with the keys of the given name. Its KindVote handler
+// echoes the text of a message with the peer's name, or fails on the text "fail".
+func newEndpoint(t *testing.T, dir, name string) *Endpoint {
 	t.Helper()
 	is := is.New(t)
-	set, err := keys.Load(filepath.Join(dir, name+".pem"), filepath.Join(dir, keys.PinsFile), filepath.Join(dir, keys.SigningFile))
+	keySet, err := keys.Load(filepath.Join(dir, name+".pem"), filepath.Join(dir, keys.PinsFile), filepath.Join(dir, keys.SigningFile))
 	is.NoErr(err)
-	e, err := Listen("127.0.0.1:0", set)
+	e, err := Listen("127.0.0.1:0", keySet)
 	is.NoErr(err)
-	Handle(e, KindVote, func(_ context.Context, peer string, req echo) (echo, error) {
+	Handle(e, KindVote, func(_ context.Context, peer string, req echoMessage) (echoMessage, error) {
 		if req.Text == "fail" {
-			return echo{}, errors.New("asked to fail")
+			return echoMessage{}, errors.New("asked to fail")
 		}
-		return echo{Text: peer + " said " + req.Text}, nil
+		return echoMessage{Text: peer + ": " + req.Text}, nil
 	})
 	go func() { _ = e.Serve(context.Background()) }()
 	t.Cleanup(func() { _ = e.Close() })
 	return e
 }
 
-func TestCall(t *testing.T) {
+// TestCallReturnsResponseOrRemoteError checks that a call returns the response of the peer's
+// handler, and a *RemoteError if the handler fails or does not exist.
+func TestCallReturnsResponseOrRemoteError(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	is.NoErr(keys.Make(dir, []string{"a", "b"}))
-	a, b := endpoint(t, dir, "a"), endpoint(t, dir, "b")
+	a, b := newEndpoint(t, dir, "a"), newEndpoint(t, dir, "b")
 
-	got, err := Call[echo, echo](t.Context(), a, b.Address(), KindVote, echo{Text: "hello"})
+	got, err := Call[echoMessage, echoMessage](t.Context(), a, b.Address(), KindVote, echoMessage{Text: "hello"})
 	is.NoErr(err)
-	is.Equal(got.Text, "a said hello")
+	is.Equal(got.Text, "a: hello")
 
-	_, err = Call[echo, echo](t.Context(), a, b.Address(), KindVote, echo{Text: "fail"})
+	_, err = Call[echoMessage, echoMessage](t.Context(), a, b.Address(), KindVote, echoMessage{Text: "fail"})
 	var remote *RemoteError
-	is.True(errors.As(err, &remote)) // the peer's refusal is told from a lost call
+	is.True(errors.As(err, &remote)) // an error of the peer's handler differs from a lost call
 
-	_, err = Call[echo, echo](t.Context(), a, b.Address(), KindPull, echo{})
-	is.True(errors.As(err, &remote)) // a kind nobody answers
+	_, err = Call[echoMessage, echoMessage](t.Context(), a, b.Address(), KindPull, echoMessage{})
+	is.True(errors.As(err, &remote)) // the peer has no handler for this kind
 }
 
-// TestPeerWithoutPin shows that a peer with a key that is not ours gets nothing.
-func TestPeerWithoutPin(t *testing.T) {
+// TestUnpinnedPeerIsRejected checks that a peer whose key is not pinned gets no response,
+// not even an error from a handler.
+func TestUnpinnedPeerIsRejected(t *testing.T) {
 	is := is.New(t)
-	ours, theirs := t.TempDir(), t.TempDir()
-	is.NoErr(keys.Make(ours, []string{"a"}))
-	is.NoErr(keys.Make(theirs, []string{"a"}))
-	a := endpoint(t, ours, "a")
-	stranger := endpoint(t, theirs, "a")
+	pinnedDir, otherDir := t.TempDir(), t.TempDir()
+	is.NoErr(keys.Make(pinnedDir, []string{"a"}))
+	is.NoErr(keys.Make(otherDir, []string{"a"}))
+	a := newEndpoint(t, pinnedDir, "a")
+	unpinned := newEndpoint(t, otherDir, "a")
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
-	_, err := Call[echo, echo](ctx, stranger, a.Address(), KindVote, echo{Text: "hello"})
+	_, err := Call[echoMessage, echoMessage](ctx, unpinned, a.Address(), KindVote, echoMessage{Text: "hello"})
 	is.True(err != nil)
 	var remote *RemoteError
-	is.True(!errors.As(err, &remote)) // not even a refusal by the handler
+	is.True(!errors.As(err, &remote)) // the handler has not run
 }
 
-// TestPeerReplaced shows that a link outlives the replacement of its peer.
-func TestPeerReplaced(t *testing.T) {
+// TestCallToClosedPeerFails checks that a call over an existing connection fails once
+// the peer has closed its endpoint.
+func TestCallToClosedPeerFails(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	is.NoErr(keys.Make(dir, []string{"a", "b"}))
-	a, b := endpoint(t, dir, "a"), endpoint(t, dir, "b")
+	a, b := newEndpoint(t, dir, "a"), newEndpoint(t, dir, "b")
 	address := b.Address()
-	_, err := Call[echo, echo](t.Context(), a, address, KindVote, echo{Text: "one"})
+	_, err := Call[echoMessage, echoMessage](t.Context(), a, address, KindVote, echoMessage{Text: "one"})
 	is.NoErr(err)
 	is.NoErr(b.Close())
-	_, err = Call[echo, echo](t.Context(), a, address, KindVote, echo{Text: "two"})
+	_, err = Call[echoMessage, echoMessage](t.Context(), a, address, KindVote, echoMessage{Text: "two"})
 	is.True(err != nil)
 }
 
-// TestPeerRestartedSilently shows that a link to a VM that started again at the
-// same address, and that says nothing on links to its former life, is dialled
-// anew after one call has timed out, and not only when it is idle for long.
-func TestPeerRestartedSilently(t *testing.T) {
+// TestTimedOutCallDropsConnection checks that one timed-out call drops the connection to
+// a peer that was killed, so that the next call dials again. A peer that has restarted
+// at the same address ignores packets of its old connections; without the drop every
+// call would time out until the idle timeout.
+func TestTimedOutCallDropsConnection(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	is.NoErr(keys.Make(dir, []string{"a", "b"}))
-	a, b := endpoint(t, dir, "a"), endpoint(t, dir, "b")
+	a, b := newEndpoint(t, dir, "a"), newEndpoint(t, dir, "b")
 	address := b.Address()
-	_, err := Call[echo, echo](t.Context(), a, address, KindVote, echo{Text: "one"})
+	_, err := Call[echoMessage, echoMessage](t.Context(), a, address, KindVote, echoMessage{Text: "one"})
 	is.NoErr(err)
-	// The socket goes without a word, as that of a killed process does.
+	// Close the socket without notifying the peer, as happens when a process is killed.
 	is.NoErr(b.transport.Conn.Close())
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
-	_, err = Call[echo, echo](ctx, a, address, KindVote, echo{Text: "two"})
+	_, err = Call[echoMessage, echoMessage](ctx, a, address, KindVote, echoMessage{Text: "two"})
 	is.True(err != nil)
 	a.mu.Lock()
 	_, kept := a.conns[address]
--- a/link/message.go
+++ b/link/message.go
@@ -1,9 +1,11 @@
-// Package link carries typed messages between the system's processes, over
-// QUIC with mutual TLS by pinned keys.
+// Package link carries typed messages between the processes of woaddoor, over
+// QUIC with mutual TLS and pinned keys.
 //
-// A call is one stream: the request, its end, the answer, its end. A stream
-// that is lost costs only its own call. A call may be lost, or run and its
-// answer lost, or arrive late; each message's type says why that is harmless.
+// A call uses one QUIC stream: the caller writes the request and closes its side, and
+// the peer writes the response and closes its side. A failed stream affects only its
+// own call. A request can be lost, its response can be lost after the request was
+// handled, or it can arrive late. The documentation of each message type explains why
+// that is harmless.
 package link
 
 import (
@@ -15,88 +17,94 @@
 	"woaddoor/contract"
 )
 
-// Kind says what a message is. The numbers are part of the protocol.
+// Kind is the type of a message. Its numeric values are part of the wire protocol.
 type Kind uint8
 
-// The kinds of calls.
+// The kinds of messages.
 const (
-	// KindPull asks a control process for the newest configuration.
+	// KindPull requests the newest configuration from a control process.
 	KindPull Kind = iota + 1
-	// KindHeartbeat tells a control process who lives.
+	// KindHeartbeat sends a control process the list of live VMs.
 	KindHeartbeat
-	// KindVote asks an entry process for its vote on a ticket.
+	// KindVote requests a vote on a ticket from an entry process.
 	KindVote
-	// KindKeep asks an entry process to hold copies of bill records.
+	// KindKeep asks an entry process to store copies of bill records.
 	KindKeep
-	// KindFile asks a control process to file bill records.
+	// KindFile asks a control process to write bill records to the platform.
 	KindFile
-	// KindFiled tells an entry process that records are filed.
+	// KindFiled notifies an entry process that bill records have been written to the
+	// platform, so that it can delete its copies.
 	KindFiled
-	// KindSettled asks an entry process what became of a ticket.
+	// KindSettled notifies an entry process of the outcome of a ticket.
 	KindSettled
-	// KindWord tells a VM who lives and up to which revision the teller knows.
+	// KindWord is the periodic gossip message: it sends a VM the list of live VMs and
+	// the newest revisions that the sender knows.
 	KindWord
-	// KindChanges asks a VM for the objects changed after a revision.
+	// KindChanges requests from a VM the objects that changed after a revision.
 	KindChanges
-	// KindReads tells a VM which prompts the teller has sent to upstreams.
+	// KindReads sends a VM the prompts that the sender has sent to upstreams and what
+	// it has learned about these upstreams.
 	KindReads
-	// KindUsage tells the VM that acts for all what the teller has gathered of usage.
+	// KindUsage sends the lease holder the usage that the sender has aggregated.
 	KindUsage
 )
 
-// kindNames are the names of the kinds, for metrics.
+// kindNames maps each kind to its label in metrics.
 var kindNames = map[Kind]string{
 	KindPull: "pull", KindHeartbeat: "heartbeat", KindVote: "vote", KindKeep: "keep", KindFile: "file", KindFiled: "filed",
 	KindSettled: "settled", KindWord: "word", KindChanges: "changes", KindReads: "reads", KindUsage: "usage",
 }
 
-// String returns the name of the kind.
+// String returns the label of the kind in metrics.
 func (k Kind) String() string { return kindNames[k] }
 
-// maxFrame bounds a message: a whole configuration and what goes round it.
+// maxFrame bounds an encoded message. The largest one carries a complete configuration.
 const maxFrame = 2 * contract.MiB
 
-// envelope is the form of a request on the wire.
-type envelope struct {
+// requestFrame is the wire format of a request.
+type requestFrame struct {
 	Kind Kind            `cbor:"1,keyasint"`
 	Body cbor.RawMessage `cbor:"2,keyasint"`
 }
 
-// answer is the form of an answer on the wire.
-type answer struct {
+// responseFrame is the wire format of a response. Error is empty on success.
+type responseFrame struct {
 	Body  cbor.RawMessage `cbor:"1,keyasint"`
 	Error string          `cbor:"2,keyasint,omitempty"`
 }
 
-// RemoteError is an error that the peer answered with.
+// RemoteError is an error that the peer returned in its response.
 type RemoteError struct{ Text string }
 
-// Error returns the peer's words.
-func (e *RemoteError) Error() string { return "peer answered: " + e.Text }
+// Error returns the error text of the peer.
+func (e *RemoteError) Error() string { return "peer returned an error: " + e.Text }
 
-var decoding = newDecoding()
+// decMode bounds the nesting and the sizes of decoded messages, which are untrusted.
+var decMode = newDecMode()
 
-func newDecoding() cbor.DecMode {
+func newDecMode() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxNestedLevels: 16, MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 16}.DecMode()
 	if err != nil {
-		panic(err) // the options are constant: a fault shows at the first start
+		panic(err) // the options are constant, so an invalid one fails every start
 	}
 	return mode
 }
 
-// Decode reads a message of untrusted bytes.
-func Decode(raw []byte, into any) error { return decoding.Unmarshal(raw, into) }
+// Decode decodes a message from untrusted CBOR bytes.
+func Decode(raw []byte, into any) error { return decMode.Unmarshal(raw, into) }
 
-// Encode writes a message.
+// Encode encodes a message as CBOR.
 func Encode(v any) ([]byte, error) { return cbor.Marshal(v) }
 
+// readFrame reads r to its end and decodes the bytes, of which there may be at most
+// maxFrame.
 func readFrame(r io.Reader, into any) error {
 	raw, err := io.ReadAll(io.LimitReader(r, int64(maxFrame)+1))
 	if err != nil {
 		return err
 	}
 	if contract.Bytes(len(raw)) > maxFrame {
-		return fmt.Errorf("frame of more than %d bytes", maxFrame)
+		return fmt.Errorf("frame is larger than the limit of %d bytes", maxFrame)
 	}
 	return Decode(raw, into)
 }
--- a/link/server.go
+++ b/link/server.go
@@ -14,63 +14,64 @@
 	"woaddoor/contract"
 )
 
-// protocol is the name that TLS agrees on; it holds the protocol's version.
-const protocol = "woaddoor/1"
+// alpnProtocol is the protocol name for ALPN. It includes the protocol version.
+const alpnProtocol = "woaddoor/1"
 
-// Timings of a connection.
+// Timeouts, limits and close codes of a connection.
 const (
-	idleTimeout  = 15 * time.Second
-	keepAlive    = 4 * time.Second
-	handshake    = 2 * time.Second
-	maxStreams   = 4096
-	closeRefused = quic.ApplicationErrorCode(1)
-	closeNormal  = quic.ApplicationErrorCode(0)
+	idleTimeout      = 15 * time.Second
+	keepAlivePeriod  = 4 * time.Second
+	handshakeTimeout = 2 * time.Second
+	maxStreams       = 4096
+	codeRefused      = quic.ApplicationErrorCode(1)
+	codeNormal       = quic.ApplicationErrorCode(0)
 )
 
-// Option sets up an Endpoint in another way than usual.
+// Option changes a default of an Endpoint.
 type Option func(*Endpoint)
 
-// ShareLinks has both ends of a link make calls over it, whichever has opened it,
-// and ends links over which nothing was said for idleTimeout. Without it each end
-// opens its own, and a link once used stays up by probes: 57 VMs that each spoke to
-// all others once keep 3,192 links up with some 1,600 probes a second.
-func ShareLinks(e *Endpoint) { e.shared = true }
+// ShareLinks lets both ends of a connection make calls over it, whichever end opened it,
+// and closes connections that were idle for idleTimeout. Without it each end opens its own
+// connection and keeps it open with keep-alive packets: 57 VMs that have each called all
+// others once keep 3,192 connections open with about 1,600 keep-alive packets a second.
+func ShareLinks(e *Endpoint) { e.sharedConns = true }
 
 func (e *Endpoint) quicConfig() *quic.Config {
 	c := &quic.Config{
 		MaxIdleTimeout:       idleTimeout,
-		KeepAlivePeriod:      keepAlive,
-		HandshakeIdleTimeout: handshake,
+		KeepAlivePeriod:      keepAlivePeriod,
+		HandshakeIdleTimeout: handshakeTimeout,
 		MaxIncomingStreams:   maxStreams,
 		EnableDatagrams:      true,
 	}
-	if e.shared {
+	if e.sharedConns {
 		c.KeepAlivePeriod = 0
 	}
 	return c
 }
 
-// Identity is how a process shows itself to peers and knows them.
+// Identity provides the TLS credentials of a process and authenticates its peers.
 type Identity interface {
-	// TLS returns the settings of a link of a protocol.
+	// TLS returns the TLS configuration for a connection with the given ALPN protocol.
 	TLS(protocol string) *tls.Config
-	// Peer returns the name of a peer by what it shows and where it speaks
-	// from; an error refuses the link.
+	// Peer returns the name of a peer, given its certificates and its address. If it
+	// returns an error, the connection is rejected.
 	Peer(certificates [][]byte, from net.Addr) (string, error)
 }
 
-// Endpoint is one process's end of its links: it answers calls and makes them,
+// Endpoint is a process's side of its connections: it makes calls and serves them, all
 // over one UDP socket.
 type Endpoint struct {
 	identity  Identity
 	transport *quic.Transport
 	listener  *quic.Listener
 	handlers  map[Kind]handler
-	// Far tells whether a peer's address is one that is told apart in what was
-	// sent. It may be nil, and is not set once Serve runs.
-	Far     func(address string) bool
-	shared  bool
-	traffic traffic
+	// Far reports whether the peer at an address is in another data centre. Sent counts
+	// messages to such peers separately. Far may be nil, and must be set before Serve
+	// is called.
+	Far         func(address string) bool
+	sharedConns bool
+	traffic     traffic
 
 	// mu guards conns and closed.
 	mu     sync.Mutex
@@ -78,23 +79,26 @@
 	closed bool
 }
 
-// peerConn is a connection to a peer, opened by either end.
+// peerConn is a connection to a peer. Either end may have opened it.
 type peerConn struct {
 	conn *quic.Conn
-	// heard is when the last answer came on it, in nanoseconds since 1970.
-	heard atomic.Int64
+	// lastResponse is the time of the last response on conn, in nanoseconds since 1970.
+	// For a connection that the peer opened it starts at the time of acceptance.
+	lastResponse atomic.Int64
 }
 
+// handler decodes the body of a request from the named peer, handles it and returns the
+// response message.
 type handler func(ctx context.Context, peer string, body []byte) (any, error)
 
-// Listen opens an endpoint at a UDP address. Handlers are added with Handle
-// before Serve is called.
+// Listen opens an endpoint at a UDP address. Register its handlers with Handle before
+// calling Serve.
 func Listen(address string, identity Identity, options ...Option) (*Endpoint, error) {
-	udp, err := net.ResolveUDPAddr("udp", address)
+	udpAddr, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return nil, contract.Fail(contract.StepLink, address, err)
 	}
-	socket, err := net.ListenUDP("udp", udp)
+	socket, err := net.ListenUDP("udp", udpAddr)
 	if err != nil {
 		return nil, contract.Fail(contract.StepLink, address, err)
 	}
@@ -102,10 +106,10 @@
 		identity: identity, transport: &quic.Transport{Conn: socket},
 		handlers: make(map[Kind]handler), conns: make(map[string]*peerConn),
 	}
-	for _, set := range options {
-		set(e)
+	for _, apply := range options {
+		apply(e)
 	}
-	e.listener, err = e.transport.Listen(identity.TLS(protocol), e.quicConfig())
+	e.listener, err = e.transport.Listen(identity.TLS(alpnProtocol), e.quicConfig())
 	if err != nil {
 		socket.Close()
 		return nil, contract.Fail(contract.StepLink, address, err)
@@ -113,21 +117,22 @@
 	return e, nil
 }
 
-// Address returns the UDP address that the endpoint listens at.
+// Address returns the UDP address that the endpoint listens on.
 func (e *Endpoint) Address() string { return e.listener.Addr().String() }
 
-// Handle answers calls of a kind. It may not be called once Serve runs.
-func Handle[Req, Resp any](e *Endpoint, kind Kind, answer func(ctx context.Context, peer string, req Req) (Resp, error)) {
+// Handle registers the handler for requests of a kind. It must not be called after Serve.
+func Handle[Req, Resp any](e *Endpoint, kind Kind, serve func(ctx context.Context, peer string, req Req) (Resp, error)) {
 	e.handlers[kind] = func(ctx context.Context, peer string, body []byte) (any, error) {
 		var req Req
 		if err := Decode(body, &req); err != nil {
 			return nil, fmt.Errorf("malformed message: %w", err)
 		}
-		return answer(ctx, peer, req)
+		return serve(ctx, peer, req)
 	}
 }
 
-// Serve answers calls until ctx ends or the endpoint is closed.
+// Serve accepts connections and handles requests until ctx is done or the endpoint is
+// closed.
 func (e *Endpoint) Serve(ctx context.Context) error {
 	for {
 		conn, err := e.listener.Accept(ctx)
@@ -138,19 +143,20 @@
 	}
 }
 
-// serveConn answers on a connection that a peer has opened. Calls to the peer go
-// over it too: both ends listen at the address from which they dial.
+// serveConn authenticates the peer of an accepted connection and handles its requests.
+// With shared connections, calls to the peer use the connection too: every endpoint dials
+// from the address on which it listens, so the remote address identifies the peer.
 func (e *Endpoint) serveConn(ctx context.Context, conn *quic.Conn) {
 	peer, err := e.peer(conn)
 	if err != nil {
-		_ = conn.CloseWithError(closeRefused, err.Error())
+		_ = conn.CloseWithError(codeRefused, err.Error())
 		return
 	}
-	e.accepted(conn)
+	e.storeAccepted(conn)
 	e.serveStreams(ctx, peer, conn)
 }
 
-// peer returns the name of the peer of a connection.
+// peer authenticates the peer of a connection and returns its name.
 func (e *Endpoint) peer(conn *quic.Conn) (string, error) {
 	var raw [][]byte
 	for _, cert := range conn.ConnectionState().TLS.PeerCertificates {
@@ -159,9 +165,10 @@
 	return e.identity.Peer(raw, conn.RemoteAddr())
 }
 
-// serveStreams answers what a known peer sends on a connection until it ends.
+// serveStreams handles the requests and one-way messages of an authenticated peer until the
+// connection ends.
 func (e *Endpoint) serveStreams(ctx context.Context, peer string, conn *quic.Conn) {
-	go e.serveNotes(ctx, peer, conn)
+	go e.serveDatagrams(ctx, peer, conn)
 	for {
 		stream, err := conn.AcceptStream(ctx)
 		if err != nil {
@@ -171,46 +178,50 @@
 	}
 }
 
-func (e *Endpoint) serveStream(ctx context.Context, peer, from string, stream *quic.Stream) {
+// serveStream handles the request on one stream and writes the response.
+func (e *Endpoint) serveStream(ctx context.Context, peer, remoteAddr string, stream *quic.Stream) {
 	defer stream.Close()
-	var req envelope
+	var req requestFrame
 	if err := readFrame(stream, &req); err != nil {
-		stream.CancelWrite(quic.StreamErrorCode(closeRefused))
+		stream.CancelWrite(quic.StreamErrorCode(codeRefused))
 		return
 	}
-	e.traffic.received.Add(int64(len(req.Body)))
-	raw, err := Encode(e.answer(ctx, peer, req))
+	e.traffic.receivedBytes.Add(int64(len(req.Body)))
+	raw, err := Encode(e.dispatch(ctx, peer, req))
 	if err != nil {
-		stream.CancelWrite(quic.StreamErrorCode(closeRefused))
+		stream.CancelWrite(quic.StreamErrorCode(codeRefused))
 		return
 	}
-	e.sent(from, req.Kind, len(raw))
-	// A lost answer is the caller's to settle; there is nobody to tell here.
+	e.countSent(remoteAddr, req.Kind, len(raw))
+	// The caller detects a lost response itself, so the write error is ignored.
 	_, _ = stream.Write(raw)
 }
 
-func (e *Endpoint) answer(ctx context.Context, peer string, req envelope) answer {
-	h, ok := e.handlers[req.Kind]
+// dispatch calls the handler for the kind of req and returns its result, or its error, as a
+// response.
+func (e *Endpoint) dispatch(ctx context.Context, peer string, req requestFrame) responseFrame {
+	handle, ok := e.handlers[req.Kind]
 	if !ok {
-		return answer{Error: fmt.Sprintf("kind %d is not answered here", req.Kind)}
+		return responseFrame{Error: fmt.Sprintf("no handler for messages of kind %d", req.Kind)}
 	}
-	got, err := h(ctx, peer, req.Body)
+	resp, err := handle(ctx, peer, req.Body)
 	if err != nil {
-		return answer{Error: err.Error()}
+		return responseFrame{Error: err.Error()}
 	}
-	body, err := Encode(got)
+	body, err := Encode(resp)
 	if err != nil {
-		return answer{Error: err.Error()}
+		return responseFrame{Error: err.Error()}
 	}
-	return answer{Body: body}
+	return responseFrame{Body: body}
 }
 
-// Close ends all links of the endpoint at once.
+// Close closes all connections of the endpoint and its socket without waiting for calls in
+// progress.
 func (e *Endpoint) Close() error {
 	e.mu.Lock()
 	e.closed = true
 	for _, p := range e.conns {
-		_ = p.conn.CloseWithError(closeNormal, "closed")
+		_ = p.conn.CloseWithError(codeNormal, "closed")
 	}
 	e.mu.Unlock()
 	_ = e.listener.Close()
--- a/link/traffic.go
+++ b/link/traffic.go
@@ -2,64 +2,66 @@
 
 import "sync/atomic"
 
-// kinds bounds the numbers of kinds that are counted.
-const kinds = 32
+// maxKinds is one more than the highest Kind that is counted.
+const maxKinds = 32
 
-// traffic counts what an endpoint has sent, by kind of message, to peers that are
-// near and to those that are far.
+// traffic counts the messages that an endpoint has sent, by the location of the peer and
+// the kind of message, and the bytes that it has received.
 type traffic struct {
-	messages [2][kinds]atomic.Int64
-	bytes    [2][kinds]atomic.Int64
-	received atomic.Int64 // bytes of the bodies of messages
-	dialed   atomic.Int64
+	messages      [2][maxKinds]atomic.Int64
+	bytes         [2][maxKinds]atomic.Int64
+	receivedBytes atomic.Int64 // message bodies only
+	dials         atomic.Int64
 }
 
-func (e *Endpoint) sent(address string, k Kind, bytes int) {
-	to := near
+// countSent counts one message sent to the peer at address.
+func (e *Endpoint) countSent(address string, kind Kind, bytes int) {
+	location := sameDataCentre
 	if e.Far != nil && e.Far(address) {
-		to = far
+		location = otherDataCentre
 	}
-	if int(k) < kinds {
-		e.traffic.messages[to][k].Add(1)
-		e.traffic.bytes[to][k].Add(int64(bytes))
+	if int(kind) < maxKinds {
+		e.traffic.messages[location][kind].Add(1)
+		e.traffic.bytes[location][kind].Add(int64(bytes))
 	}
 }
 
-// Places of counters.
+// The locations of a peer relative to this endpoint, as indexes of the counters in traffic.
 const (
-	near = iota
-	far
+	sameDataCentre = iota
+	otherDataCentre
 )
 
-// Sent is how many messages of a kind an endpoint has sent to peers that are near,
-// or to those that are far, questions and answers together, and how many bytes they
-// had before encryption.
+// Sent is the number of messages of one kind, requests and responses together, that an
+// endpoint has sent to peers in its own data centre or, if Far is set, in other data
+// centres, and their total size in bytes before encryption.
 type Sent struct {
 	Kind            Kind
 	Far             bool
 	Messages, Bytes int64
 }
 
-// Sent returns what the endpoint has sent so far, kinds without any left out.
+// Sent returns the counts of the messages that the endpoint has sent so far. Kinds that
+// were never sent are omitted.
 func (e *Endpoint) Sent() []Sent {
-	var out []Sent
-	for k := range kinds {
-		for to := range e.traffic.messages {
-			if n := e.traffic.messages[to][k].Load(); n > 0 {
-				out = append(out, Sent{Kind(k), to == far, n, e.traffic.bytes[to][k].Load()})
+	var counts []Sent
+	for kind := range maxKinds {
+		for location := range e.traffic.messages {
+			if n := e.traffic.messages[location][kind].Load(); n > 0 {
+				counts = append(counts, Sent{Kind(kind), location == otherDataCentre, n, e.traffic.bytes[location][kind].Load()})
 			}
 		}
 	}
-	return out
+	return counts
 }
 
-// Traffic returns the bytes of messages sent and received so far.
+// Traffic returns the numbers of bytes sent and received so far.
 func (e *Endpoint) Traffic() (sent, received int64) {
 	for _, s := range e.Sent() {
 		sent += s.Bytes
 	}
-	return sent, e.traffic.received.Load()
+	return sent, e.traffic.receivedBytes.Load()
 }
 
-// Dialed returns how many links this endpoint has opened so far.
-func (e *Endpoint) Dialed() int64 { return e.traffic.dialed.Load() }
+// Dialed returns the number of connections that this endpoint has opened so far.
+func (e *Endpoint) Dialed() int64 { return e.traffic.dials.Load() }
--- a/logs/logs.go
+++ b/logs/logs.go
@@ -1,4 +1,4 @@
-// Package logs writes events, each as one line of key=value pairs.
+// Package logs writes log events, each as one line of key=value pairs (logfmt).
 package logs
 
 import (
@@ -14,48 +14,50 @@
 	"woaddoor/contract"
 )
 
-// New returns a logger that writes to w, with the fields at the start of each
-// line after time and event.
+// New returns a logger that writes to w and adds the fields to every line, directly after
+// the time and the event.
 func New(w io.Writer, fields ...zap.Field) *zap.Logger {
 	core := zapcore.NewCore(newEncoder(), zapcore.Lock(zapcore.AddSync(w)), zapcore.InfoLevel)
 	return zap.New(core).With(fields...)
 }
 
+// newEncoder returns the logfmt encoder that all loggers use.
 func newEncoder() zapcore.Encoder {
-	conf := zapcore.EncoderConfig{
+	config := zapcore.EncoderConfig{
 		TimeKey: "time", LevelKey: "level", MessageKey: "event", LineEnding: zapcore.DefaultLineEnding,
 		EncodeTime: zapcore.RFC3339NanoTimeEncoder, EncodeLevel: zapcore.LowercaseLevelEncoder,
 		EncodeDuration: zapcore.StringDurationEncoder,
 	}
-	return safeEncoder{zaplogfmt.NewEncoder(conf)}
+	return recoveringEncoder{zaplogfmt.NewEncoder(config)}
 }
 
-// safeEncoder writes a line also where a field cannot be encoded. The encoder panics on
-// a list of a named type of texts, and a panic within a request ends its connection: 43
-// requests that were refused while a data centre was evacuated got no answer.
-type safeEncoder struct{ zapcore.Encoder }
+// recoveringEncoder still writes a line if a field makes the wrapped encoder panic, as a
+// slice of a named string type does. A panic in a request handler closes the client's
+// connection: 43 requests that were refused during the evacuation of a data centre got no
+// response because of one.
+type recoveringEncoder struct{ zapcore.Encoder }
 
-// Clone returns an encoder with the same fields.
-func (e safeEncoder) Clone() zapcore.Encoder { return safeEncoder{e.Encoder.Clone()} }
+// Clone returns a copy of the encoder and its fields.
+func (e recoveringEncoder) Clone() zapcore.Encoder { return recoveringEncoder{e.Encoder.Clone()} }
 
-// EncodeEntry returns the line of an entry, without its fields where they cannot be
-// encoded.
-func (e safeEncoder) EncodeEntry(entry zapcore.Entry, fields []zapcore.Field) (line *buffer.Buffer, err error) {
+// EncodeEntry encodes an entry. If a field makes the encoder panic, the line carries the
+// panic message instead of the fields of the entry.
+func (e recoveringEncoder) EncodeEntry(entry zapcore.Entry, fields []zapcore.Field) (line *buffer.Buffer, err error) {
 	defer func() {
-		if why := recover(); why != nil {
-			line, err = e.Encoder.Clone().EncodeEntry(entry, []zapcore.Field{zap.String("fields_left_out", fmt.Sprint(why))})
+		if reason := recover(); reason != nil {
+			line, err = e.Encoder.Clone().EncodeEntry(entry, []zapcore.Field{zap.String("fields_left_out", fmt.Sprint(reason))})
 		}
 	}()
 	return e.Encoder.EncodeEntry(entry, fields)
 }
 
-// Failure returns the fields of an error: its text, and the step and the peer
-// at which it arose.
+// Failure returns the log fields for an error: its text, and the step and the peer if it
+// wraps a contract.StepError.
 func Failure(err error) []zap.Field {
 	fields := []zap.Field{zap.String("error", err.Error())}
-	var se *contract.StepError
-	if errors.As(err, &se) {
-		fields = append(fields, zap.String("step", string(se.Step)), zap.String("peer", se.Peer))
+	var stepErr *contract.StepError
+	if errors.As(err, &stepErr) {
+		fields = append(fields, zap.String("step", string(stepErr.Step)), zap.String("peer", stepErr.Peer))
 	}
 	return fields
 }
--- a/peek/peek.go
+++ b/peek/peek.go
@@ -1,4 +1,5 @@
-// Package peek looks at what has arrived on a connection without taking it.
+// Package peek checks whether unread bytes have arrived on a connection, without
+// consuming them.
 package peek
 
 import (
@@ -6,44 +7,43 @@
 	"syscall"
 )
 
-// State is what a look at a connection shows.
+// State is the state of a connection as seen by Look.
 type State uint8
 
-// The states.
+// The states of a connection.
 const (
-	// Quiet means that the connection is open and nothing waits to be read. So
-	// does one that cannot be looked at.
+	// Quiet means that the connection is open and has no unread bytes. A connection
+	// that cannot be inspected counts as Quiet too.
 	Quiet State = iota
-	// Waiting means that bytes have arrived that were not read yet.
-	Waiting
-	// Ended means that the connection has been closed, by either side.
-	Ended
+	// Readable means that bytes have arrived and have not been read yet.
+	Readable
+	// Closed means that either side has closed the connection.
+	Closed
 )
 
-// Look returns the state of a connection. It may be called while another goroutine
-// reads from it.
+// Look returns the state of c. It may be called while another goroutine reads from c.
 func Look(c net.Conn) State {
-	sc, ok := c.(syscall.Conn)
+	syscallConn, ok := c.(syscall.Conn)
 	if !ok {
 		return Quiet
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
-		return Ended
+		return Closed
 	}
-	state := Ended
+	state := Closed
 	err = raw.Control(func(fd uintptr) {
-		var one [1]byte
-		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		var buf [1]byte
+		n, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case err == syscall.EAGAIN || err == syscall.EINTR:
 			state = Quiet
 		case err == nil && n > 0:
-			state = Waiting
+			state = Readable
 		}
 	})
 	if err != nil {
-		return Ended
+		return Closed
 	}
 	return state
 }
--- a/peek/peek_test.go
+++ b/peek/peek_test.go
@@ -8,31 +8,31 @@
 	"github.com/matryer/is"
 )
 
-// TestLook shows what a look tells before and after bytes and the end arrive, and
-// that it takes nothing.
-func TestLook(t *testing.T) {
+// TestLookDoesNotConsume checks the state of a connection before and after a byte arrives
+// and after either side closes it, and that Look leaves the byte to be read.
+func TestLookDoesNotConsume(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer l.Close()
-	other, err := net.Dial("tcp", l.Addr().String())
+	remote, err := net.Dial("tcp", l.Addr().String())
 	is.NoErr(err)
 	c, err := l.Accept()
 	is.NoErr(err)
 	is.Equal(Look(c), Quiet)
-	_, err = io.WriteString(other, "x")
+	_, err = io.WriteString(remote, "x")
 	is.NoErr(err)
-	for Look(c) == Quiet { // loopback delivers at once
+	for Look(c) == Quiet { // busy-wait: loopback delivers almost at once
 	}
-	is.Equal(Look(c), Waiting)
+	is.Equal(Look(c), Readable)
 	got := make([]byte, 1)
 	_, err = io.ReadFull(c, got)
 	is.NoErr(err)
 	is.Equal(got, []byte("x"))
-	is.NoErr(other.Close())
-	for Look(c) == Quiet { // loopback delivers at once
+	is.NoErr(remote.Close())
+	for Look(c) == Quiet { // busy-wait: loopback delivers almost at once
 	}
-	is.Equal(Look(c), Ended)
+	is.Equal(Look(c), Closed)
 	is.NoErr(c.Close())
-	is.Equal(Look(c), Ended)
+	is.Equal(Look(c), Closed)
 }
