--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -17,28 +17,28 @@
 	"woaddoor/internal/standin/replica"
 )
 
-// callers send requests to VMs and check what comes back.
+// callers sends requests to the VMs and checks the answers.
 type callers struct {
-	fleet *fleet
-	ids   atomic.Int64
+	fleet  *fleet
+	lastID atomic.Int64
 
 	// mu guards the fields below.
-	mu     sync.Mutex
-	sent   []time.Time
-	served []time.Time
-	// revokedAt is when the key was taken away; zero while it was not.
+	mu       sync.Mutex
+	sentAt   []time.Time
+	servedAt []time.Time
+	// revokedAt is when keyRevoked was removed from the configuration; zero before that.
 	revokedAt time.Time
 }
 
-// callerWaits is how long a caller waits for an answer.
-const callerWaits = 3 * time.Second
+// callerTimeout is the deadline that callers state in their requests.
+const callerTimeout = 3 * time.Second
 
-// callEvery is the time between two requests of one caller.
-const callEvery = 40 * time.Millisecond
+// meanCallInterval is the mean time between two requests of one caller.
+const meanCallInterval = 40 * time.Millisecond
 
-// run sends requests until ctx ends, at a VM that says that it is ready, over connections
-// that are kept until the VM's process is gone.
-func (c *callers) run(ctx context.Context, random *rand.Rand) {
+// runNormal sends ordinary requests to randomly chosen VMs until ctx ends. It reuses connections,
+// and now and then closes the idle ones.
+func (c *callers) runNormal(ctx context.Context, random *rand.Rand) {
 	client := &http.Client{Transport: &http.Transport{}, Timeout: 6 * time.Second}
 	for ctx.Err() == nil {
 		v := c.fleet.vms[random.IntN(len(c.fleet.vms))]
@@ -46,100 +46,101 @@
 			client.CloseIdleConnections()
 		}
 		path := []string{"/safe/x", "/once/x", "/stream/x"}[random.IntN(3)]
-		c.call(client, v, path, fmt.Sprintf("%s %d", bodySound, random.IntN(1000)), keyKept)
-		time.Sleep(time.Duration(random.Int64N(2 * int64(callEvery))))
+		c.call(client, v, path, fmt.Sprintf("%s %d", bodyNormal, random.IntN(1000)), keyKept)
+		time.Sleep(time.Duration(random.Int64N(2 * int64(meanCallInterval))))
 	}
 }
 
-// deadlyEvery is the time between two deadly requests.
-const deadlyEvery = 400 * time.Millisecond
+// poisonInterval is the time between two poison requests.
+const poisonInterval = 400 * time.Millisecond
 
-// runDeadly sends a deadly content until ctx ends, at any VM.
-func (c *callers) runDeadly(ctx context.Context, random *rand.Rand) {
+// runPoison sends poison requests, which crash the upstream that runs them, to randomly chosen VMs
+// until ctx ends.
+func (c *callers) runPoison(ctx context.Context, random *rand.Rand) {
 	for ctx.Err() == nil {
 		v := c.fleet.vms[random.IntN(len(c.fleet.vms))]
-		go c.call(&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 6 * time.Second}, v, "/safe/review", bodyDeadly, keyKept)
-		time.Sleep(deadlyEvery)
+		go c.call(&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 6 * time.Second}, v, "/safe/review", bodyPoison, keyKept)
+		time.Sleep(poisonInterval)
 	}
 }
 
-// runRevoked asks with the key that is taken away.
-func (c *callers) runRevoked(ctx context.Context, random *rand.Rand) {
+// runRevokedKey sends requests with the key that is revoked during the run, until ctx ends.
+func (c *callers) runRevokedKey(ctx context.Context, random *rand.Rand) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 6 * time.Second}
 	for ctx.Err() == nil {
-		c.call(client, c.fleet.vms[random.IntN(len(c.fleet.vms))], "/safe/x", bodySound, keyRevoked)
-		time.Sleep(10 * callEvery)
+		c.call(client, c.fleet.vms[random.IntN(len(c.fleet.vms))], "/safe/x", bodyNormal, keyRevoked)
+		time.Sleep(10 * meanCallInterval)
 	}
 }
 
 // call sends one request and checks its answer.
 func (c *callers) call(client *http.Client, v *vm, path, body, key string) {
-	id := fmt.Sprintf("id-%d", c.ids.Add(1))
+	id := fmt.Sprintf("id-%d", c.lastID.Add(1))
 	req, err := replica.NewCall(context.Background(), v.callers.address(), objects.SampleHost, path, id, key, body)
 	if err != nil {
-		c.fleet.tally.fault("request cannot be made: " + err.Error())
+		c.fleet.recorder.recordFault("cannot create a request: " + err.Error())
 		return
 	}
-	replica.SetWait(req, callerWaits)
-	via := c.fleet.upstreams.words.sends(id, v.name)
-	req.Header.Set(headerVia, via)
-	began := time.Now()
-	inReach := v.inReach()
+	replica.SetWait(req, callerTimeout)
+	vmIncarnation := c.fleet.upstreams.signals.recordSend(id, v.name)
+	req.Header.Set(headerVMIncarnation, vmIncarnation)
+	sentAt := time.Now()
+	undisturbed := v.undisturbed()
 	c.mu.Lock()
-	c.sent = append(c.sent, began)
-	revoked := !c.revokedAt.IsZero() && began.Sub(c.revokedAt) > applyWithin+contact
+	c.sentAt = append(c.sentAt, sentAt)
+	revoked := !c.revokedAt.IsZero() && sentAt.Sub(c.revokedAt) > applyTimeout+settleTime
 	c.mu.Unlock()
 	resp, err := client.Do(req)
 	if err != nil {
-		return // a closed connection promises nothing
+		return // a failed connection makes no claim that could be checked
 	}
 	defer resp.Body.Close()
-	if life, err := strconv.Atoi(resp.Header.Get(headerLife)); err == nil {
-		c.fleet.upstreams.words.passed(via, life)
+	if incarnation, err := strconv.Atoi(resp.Header.Get(headerUpstreamIncarnation)); err == nil {
+		c.fleet.upstreams.signals.recordLeaving(vmIncarnation, incarnation)
 	}
-	raw, err := io.ReadAll(resp.Body)
+	responseBody, err := io.ReadAll(resp.Body)
 	if key == keyRevoked {
-		if revoked && inReach && v.inReach() {
-			c.fleet.tally.check(promiseSettings, resp.StatusCode != http.StatusOK, id, "served with a key that was taken away at "+v.name)
+		if revoked && undisturbed && v.undisturbed() {
+			c.fleet.recorder.check(guaranteeRevokedKey, resp.StatusCode != http.StatusOK, id, "served with a revoked key by "+v.name)
 		}
 		return
 	}
-	c.judge(id, path, resp, raw, err)
+	c.checkResponse(id, path, resp, responseBody, err)
 }
 
-// judge checks an answer.
-func (c *callers) judge(id, path string, resp *http.Response, raw []byte, err error) {
-	t := c.fleet.tally
+// checkResponse checks the answer to an ordinary or poison request.
+func (c *callers) checkResponse(id, path string, resp *http.Response, body []byte, err error) {
+	rec := c.fleet.recorder
 	switch {
 	case resp.StatusCode == http.StatusServiceUnavailable, resp.StatusCode == http.StatusTooManyRequests:
 		if !strings.HasPrefix(path, "/once/") {
-			return // what may run again may have run
+			return // a repeatable request may have run before this answer
 		}
-		time.Sleep(50 * time.Millisecond) // one that is sent late shows by then
-		t.check(promiseNotRun, c.fleet.upstreams.ran(id) == 0, id, fmt.Sprintf("ran, and the answer is %d", resp.StatusCode))
+		time.Sleep(50 * time.Millisecond) // leaves time for a delayed send to arrive
+		rec.check(guaranteeNotRun, c.fleet.upstreams.runCount(id) == 0, id, fmt.Sprintf("ran although the answer has status %d", resp.StatusCode))
 	case resp.StatusCode != http.StatusOK || err != nil:
-		return // a failure, or a stream that looks cut
+		return // an error, or a stream that is visibly incomplete
 	case strings.HasPrefix(path, "/stream/"):
-		why := checkEvents(id, raw)
-		t.check(promiseEvents, why == "", id, why)
-		c.count()
+		problem := checkEvents(id, body)
+		rec.check(guaranteeEventOrder, problem == "", id, problem)
+		c.recordServed()
 	default:
-		ok := string(raw) == answerTo(id) && replica.Sealed(resp)
-		t.check(promiseOwn, ok, id, fmt.Sprintf("got %q", raw))
-		c.count()
+		ok := string(body) == answerBody(id) && replica.Sealed(resp)
+		rec.check(guaranteeOwnAnswer, ok, id, fmt.Sprintf("got %q", body))
+		c.recordServed()
 	}
 }
 
-func (c *callers) count() {
+func (c *callers) recordServed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.served = append(c.served, time.Now())
+	c.servedAt = append(c.servedAt, time.Now())
 }
 
-// checkEvents returns what is wrong with a stream that looks whole.
-func checkEvents(id string, raw []byte) string {
+// checkEvents returns what is wrong with a stream that ended normally, or "".
+func checkEvents(id string, body []byte) string {
 	n := 0
-	lines := bufio.NewScanner(strings.NewReader(string(raw)))
+	lines := bufio.NewScanner(strings.NewReader(string(body)))
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
 		if !ok {
@@ -147,22 +148,22 @@
 		}
 		n++
 		if want := fmt.Sprintf("%s %d", id, n); data != want {
-			return fmt.Sprintf("event %q where %q is due", data, want)
+			return fmt.Sprintf("got event %q, want %q", data, want)
 		}
 	}
-	if n != eventsEach {
-		return fmt.Sprintf("looks whole after %d of %d events", n, eventsEach)
+	if n != eventsPerStream {
+		return fmt.Sprintf("the stream ended normally after %d of %d events", n, eventsPerStream)
 	}
 	return ""
 }
 
-// sentIn returns how many requests were sent in a span.
-func (c *callers) sentIn(from, to time.Time) int { return between(c, &c.sent, from, to) }
+// countSent returns how many requests were sent between two times.
+func (c *callers) countSent(from, to time.Time) int { return countBetween(c, &c.sentAt, from, to) }
 
-// servedIn returns how many requests were served in a span.
-func (c *callers) servedIn(from, to time.Time) int { return between(c, &c.served, from, to) }
+// countServed returns how many requests were served between two times.
+func (c *callers) countServed(from, to time.Time) int { return countBetween(c, &c.servedAt, from, to) }
 
-func between(c *callers, times *[]time.Time, from, to time.Time) int {
+func countBetween(c *callers, times *[]time.Time, from, to time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -12,267 +12,272 @@
 	"woaddoor/internal/standin/objects"
 )
 
-// fault is one fault of a plan, at a time after the start.
+// fault is one planned fault and its time after the start of the run.
 type fault struct {
-	at   time.Duration
-	name string
-	do   func()
+	after  time.Duration
+	name   string
+	inject func()
 }
 
-// group tells what brings a kind of fault about. Each is drawn apart, so that a seed goes on
-// to draw the same of one when another grows; its number is that of the stream that draws it.
-type group uint64
+// faultGroup says what causes a kind of fault. Each group has its own random stream, whose number
+// is the group's value, so that adding kinds to one group does not change the faults that a seed
+// draws from the others.
+type faultGroup uint64
 
 const (
-	byItself   group = iota + 2 // what fails
-	byWords                     // what upstreams say of themselves
-	byOperator                  // what the operator does
-	byLimits                    // how much upstreams say that they take
+	failureGroup  faultGroup = iota + 2 // processes and links fail
+	signalGroup                         // upstreams announce that they are leaving or ask for a back-off
+	operatorGroup                       // the operator changes something
+	limitGroup                          // upstreams advertise rate limits
 )
 
-// kind is a kind of fault. n draws whom one strikes, d how long it lasts.
-type kind struct {
-	group group
-	do    func(n int, d time.Duration)
+// faultKind is a kind of fault. The argument n selects the target, d is the duration.
+type faultKind struct {
+	group  faultGroup
+	inject func(n int, d time.Duration)
 }
 
-// kinds are the faults that a plan is drawn from.
-func (f *fleet) kinds() map[string]kind {
-	one := func(n int) *vm { return f.vms[n%len(f.vms)] }
-	return map[string]kind{
-		"vm-paused":   {byItself, func(n int, d time.Duration) { f.pause(one(n), d) }},
-		"vm-killed":   {byItself, func(n int, _ time.Duration) { f.kill(one(n)) }},
-		"vm-stopped":  {byItself, func(n int, _ time.Duration) { f.planned(one(n)) }},
-		"vm-reloaded": {byItself, func(n int, _ time.Duration) { one(n).signal(syscall.SIGHUP) }},
-		"vms-killed": {byItself, func(int, time.Duration) {
+// faultKinds returns the kinds of faults that a plan is drawn from, by name.
+func (f *fleet) faultKinds() map[string]faultKind {
+	vmAt := func(n int) *vm { return f.vms[n%len(f.vms)] }
+	return map[string]faultKind{
+		"vm-paused":   {failureGroup, func(n int, d time.Duration) { f.pause(vmAt(n), d) }},
+		"vm-killed":   {failureGroup, func(n int, _ time.Duration) { f.kill(vmAt(n)) }},
+		"vm-stopped":  {failureGroup, func(n int, _ time.Duration) { f.terminate(vmAt(n)) }},
+		"vm-reloaded": {failureGroup, func(n int, _ time.Duration) { vmAt(n).signal(syscall.SIGHUP) }},
+		"vms-killed": {failureGroup, func(int, time.Duration) {
 			for _, v := range f.vms {
 				f.kill(v)
 			}
 		}},
-		"callers-reset":  {byItself, func(n int, _ time.Duration) { one(n).callers.resetAll() }},
-		"callers-silent": {byItself, func(n int, _ time.Duration) { one(n).callers.silence() }},
-		"callers-slow": {byItself, func(n int, d time.Duration) {
-			one(n).callers.set(50*time.Millisecond, false)
-			time.AfterFunc(d, func() { one(n).callers.set(0, false) })
+		"callers-reset":  {failureGroup, func(n int, _ time.Duration) { vmAt(n).callers.resetOpen() }},
+		"callers-silent": {failureGroup, func(n int, _ time.Duration) { vmAt(n).callers.silenceOpen() }},
+		"callers-slow": {failureGroup, func(n int, d time.Duration) {
+			vmAt(n).callers.setFault(50*time.Millisecond, false)
+			time.AfterFunc(d, func() { vmAt(n).callers.setFault(0, false) })
 		}},
-		"store-down":    {byItself, func(_ int, d time.Duration) { f.storeFault(objects.Faults{Down: true}, d) }},
-		"store-silent":  {byItself, func(_ int, d time.Duration) { f.storeFault(objects.Faults{Silent: true}, d) }},
-		"store-loses":   {byItself, func(int, time.Duration) { f.store.SetFaults(objects.Faults{LoseAnswers: 3}) }},
-		"store-forgets": {byItself, func(int, time.Duration) { f.store.Compact() }},
-		"store-cut": {byItself, func(_ int, d time.Duration) {
-			f.excuse(d)
-			f.storeLink.set(0, true)
-			time.AfterFunc(d, func() { f.storeLink.set(0, false) })
+		"store-down":    {failureGroup, func(_ int, d time.Duration) { f.injectStoreFault(objects.Faults{Down: true}, d) }},
+		"store-silent":  {failureGroup, func(_ int, d time.Duration) { f.injectStoreFault(objects.Faults{Silent: true}, d) }},
+		"store-loses":   {failureGroup, func(int, time.Duration) { f.store.SetFaults(objects.Faults{LoseAnswers: 3}) }},
+		"store-forgets": {failureGroup, func(int, time.Duration) { f.store.Compact() }},
+		"store-cut": {failureGroup, func(_ int, d time.Duration) {
+			f.exemptAll(d)
+			f.storeLink.setFault(0, true)
+			time.AfterFunc(d, func() { f.storeLink.setFault(0, false) })
 		}},
-		"store-links-silent": {byItself, func(int, time.Duration) { f.excuse(0); f.storeLink.silence() }},
-		"upstream-ends": {byItself, func(n int, d time.Duration) {
-			if p := f.upstreams.some(n); p != nil {
-				f.upstreams.end(p, d)
+		"store-links-silent": {failureGroup, func(int, time.Duration) { f.exemptAll(0); f.storeLink.silenceOpen() }},
+		"upstream-ends": {failureGroup, func(n int, d time.Duration) {
+			if slot := f.upstreams.pick(n); slot != nil {
+				f.upstreams.kill(slot, d)
 			}
 		}},
-		"upstreams-fail": {byItself, func(_ int, d time.Duration) {
+		"upstreams-fail": {failureGroup, func(_ int, d time.Duration) {
 			f.upstreams.setFailing(true)
 			time.AfterFunc(d, func() { f.upstreams.setFailing(false) })
 		}},
-		"upstream-leaves": {byWords, func(n int, d time.Duration) {
-			if p := f.upstreams.some(n); p != nil {
-				f.upstreams.leave(p, d)
+		"upstream-leaves": {signalGroup, func(n int, d time.Duration) {
+			if slot := f.upstreams.pick(n); slot != nil {
+				f.upstreams.startDrain(slot, d)
 			}
 		}},
-		"upstream-rests": {byWords, func(n int, d time.Duration) {
-			if p := f.upstreams.some(n); p != nil {
-				f.rests([]*place{p}, n, 2*d)
+		"upstream-rests": {signalGroup, func(n int, d time.Duration) {
+			if slot := f.upstreams.pick(n); slot != nil {
+				f.backOff([]*upstreamSlot{slot}, n, 2*d)
 			}
 		}},
-		"upstream-limited": {byLimits, func(n int, d time.Duration) {
-			if p := f.upstreams.some(n); p != nil {
-				f.upstreams.limit(p, limitsNamed[n%len(limitsNamed)], contact+limitWindow+2*d)
+		"upstream-limited": {limitGroup, func(n int, d time.Duration) {
+			if slot := f.upstreams.pick(n); slot != nil {
+				f.upstreams.advertiseLimit(slot, limitValues[n%len(limitValues)], settleTime+limitWindow+2*d)
 			}
 		}},
-		"upstreams-rest": {byWords, func(n int, d time.Duration) { f.rests(f.upstreams.places, n, d/2) }},
-		"configurations": {byOperator, func(n int, d time.Duration) { f.storm(2+n%10, d) }},
-		"evacuated":      {byOperator, func(n int, d time.Duration) { f.evacuate(dataCentre(n), d) }},
-		"upstream-mute": {byItself, func(n int, d time.Duration) {
-			if p := f.upstreams.some(n); p != nil {
-				f.upstreams.setMute(p, true)
-				time.AfterFunc(d, func() { f.upstreams.setMute(p, false) })
+		"upstreams-rest": {signalGroup, func(n int, d time.Duration) { f.backOff(f.upstreams.slots, n, d/2) }},
+		"configurations": {operatorGroup, func(n int, d time.Duration) { f.writeConfigurations(2+n%10, d) }},
+		"evacuated":      {operatorGroup, func(n int, d time.Duration) { f.evacuate(dataCentre(n), d) }},
+		"upstream-mute": {failureGroup, func(n int, d time.Duration) {
+			if slot := f.upstreams.pick(n); slot != nil {
+				f.upstreams.setHanging(slot, true)
+				time.AfterFunc(d, func() { f.upstreams.setHanging(slot, false) })
 			}
 		}},
-		"upstream-link-cut": {byItself, func(n int, d time.Duration) {
+		"upstream-link-cut": {failureGroup, func(n int, d time.Duration) {
 			links := f.upstreams.links()
-			l := links[n%len(links)]
-			l.set(0, true)
-			time.AfterFunc(d, func() { l.set(0, false) })
+			link := links[n%len(links)]
+			link.setFault(0, true)
+			time.AfterFunc(d, func() { link.setFault(0, false) })
 		}},
-		"upstream-links-reset":  {byItself, func(n int, _ time.Duration) { links := f.upstreams.links(); links[n%len(links)].resetAll() }},
-		"upstream-links-silent": {byItself, func(n int, _ time.Duration) { links := f.upstreams.links(); links[n%len(links)].silence() }},
+		"upstream-links-reset":  {failureGroup, func(n int, _ time.Duration) { links := f.upstreams.links(); links[n%len(links)].resetOpen() }},
+		"upstream-links-silent": {failureGroup, func(n int, _ time.Duration) { links := f.upstreams.links(); links[n%len(links)].silenceOpen() }},
 	}
 }
 
-// namesOf returns the names of a group of kinds, in order: a plan is drawn from them.
-func namesOf(kinds map[string]kind, g group) []string {
+// kindNames returns the names of the kinds in a group, sorted so that a seed always draws the same
+// ones.
+func kindNames(kinds map[string]faultKind, group faultGroup) []string {
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(kinds)) {
-		if kinds[name].group == g {
+		if kinds[name].group == group {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// plan draws faults by the seed: who, what and when. They come in series and overlap.
+// plan draws the faults for a seed: kind, target and time. Faults may overlap.
 func (f *fleet) plan(seed uint64, length time.Duration) []fault {
-	var out []fault
-	for _, g := range []group{byItself, byWords, byOperator, byLimits} {
-		out = append(out, f.draw(g, seed, length)...)
+	var faults []fault
+	for _, g := range []faultGroup{failureGroup, signalGroup, operatorGroup, limitGroup} {
+		faults = append(faults, f.drawFaults(g, seed, length)...)
 	}
-	out = append(out, f.always(seed, length)...)
-	slices.SortStableFunc(out, func(a, b fault) int { return cmp.Compare(a.at, b.at) })
-	return out
+	faults = append(faults, f.fixedFaults(seed, length)...)
+	slices.SortStableFunc(faults, func(a, b fault) int { return cmp.Compare(a.after, b.after) })
+	return faults
 }
 
-// always are faults without which a promise may go unchecked: words of upstreams that a seed
-// may not draw, or of ones that end right after.
-func (f *fleet) always(seed uint64, length time.Duration) []fault {
-	kinds := f.kinds()
-	var out []fault
-	for k, name := range []string{"evacuated", "upstream-leaves", "upstream-rests", "upstream-leaves"} {
-		n := int(seed%1000) + 5*k
-		out = append(out, fault{length * time.Duration(k+1) / 8, fmt.Sprintf("%s n=%d for 1s", name, n), func() { kinds[name].do(n, time.Second) }})
+// fixedFaults returns the faults that every run includes. Without them a guarantee could go
+// unchecked, because a seed may not draw the kind, or may draw it only for upstreams that end
+// right afterwards.
+func (f *fleet) fixedFaults(seed uint64, length time.Duration) []fault {
+	kinds := f.faultKinds()
+	var faults []fault
+	for i, name := range []string{"evacuated", "upstream-leaves", "upstream-rests", "upstream-leaves"} {
+		n := int(seed%1000) + 5*i
+		faults = append(faults, fault{length * time.Duration(i+1) / 8, fmt.Sprintf("%s n=%d for 1s", name, n), func() { kinds[name].inject(n, time.Second) }})
 	}
-	// The last one comes when the faults are over: none of them takes its upstream away.
-	for k, at := range []time.Duration{length / 16, length * 3 / 16, length * 5 / 16, length} {
+	// The last one comes after all other faults, so that none of them ends its upstream.
+	for i, after := range []time.Duration{length / 16, length * 3 / 16, length * 5 / 16, length} {
 		const name = "upstream-limited"
-		n := int(seed%1000) + 3*k
-		out = append(out, fault{at, fmt.Sprintf("%s n=%d for 2s", name, n), func() { kinds[name].do(n, 2*time.Second) }})
+		n := int(seed%1000) + 3*i
+		faults = append(faults, fault{after, fmt.Sprintf("%s n=%d for 2s", name, n), func() { kinds[name].inject(n, 2*time.Second) }})
 	}
-	return out
+	return faults
 }
 
-// draw draws faults of a group by a seed.
-func (f *fleet) draw(g group, seed uint64, length time.Duration) []fault {
-	random := rand.New(rand.NewPCG(seed, uint64(g)))
-	kinds := f.kinds()
-	names := namesOf(kinds, g)
-	var out []fault
-	for at := time.Second; at < length; at += time.Duration(random.Int64N(int64(faultEvery))) {
+// drawFaults draws the faults of one group for a seed.
+func (f *fleet) drawFaults(group faultGroup, seed uint64, length time.Duration) []fault {
+	random := rand.New(rand.NewPCG(seed, uint64(group)))
+	kinds := f.faultKinds()
+	names := kindNames(kinds, group)
+	var faults []fault
+	for after := time.Second; after < length; after += time.Duration(random.Int64N(int64(maxFaultInterval))) {
 		name := names[random.IntN(len(names))]
-		n, d := random.IntN(1000), time.Duration(200+random.IntN(2500))*time.Millisecond
-		out = append(out, fault{at, fmt.Sprintf("%s n=%d for %v", name, n, d), func() { kinds[name].do(n, d) }})
+		n, duration := random.IntN(1000), time.Duration(200+random.IntN(2500))*time.Millisecond
+		faults = append(faults, fault{after, fmt.Sprintf("%s n=%d for %v", name, n, duration), func() { kinds[name].inject(n, duration) }})
 	}
-	return out
+	return faults
 }
 
-// faultEvery is the longest time between two faults of a plan.
-const faultEvery = 3 * time.Second
+// maxFaultInterval is the upper bound on the time between two faults of a group.
+const maxFaultInterval = 3 * time.Second
 
-// excuse notes that a fault of the store excuses all VMs of what takes time.
-func (f *fleet) excuse(d time.Duration) {
+// exemptAll exempts all VMs from the time limits while a fault of the store lasts.
+func (f *fleet) exemptAll(duration time.Duration) {
 	for _, v := range f.vms {
-		v.troubled(d)
+		v.exempt(duration)
 	}
 }
 
-func (f *fleet) storeFault(x objects.Faults, d time.Duration) {
-	f.excuse(d)
-	f.store.SetFaults(x)
-	time.AfterFunc(d, func() { f.store.SetFaults(objects.Faults{}) })
+func (f *fleet) injectStoreFault(storeFaults objects.Faults, duration time.Duration) {
+	f.exemptAll(duration)
+	f.store.SetFaults(storeFaults)
+	time.AfterFunc(duration, func() { f.store.SetFaults(objects.Faults{}) })
 }
 
-// rests has upstreams turn requests away and ask for rests of 1 to 3 s, for a time.
-func (f *fleet) rests(places []*place, n int, d time.Duration) {
-	f.upstreams.setRest(places, time.Duration(1+n%3)*time.Second)
-	time.AfterFunc(d, func() { f.upstreams.setRest(places, 0) })
+// backOff makes upstreams reject requests and ask for back-offs of 1 to 3 s, for the duration d.
+func (f *fleet) backOff(slots []*upstreamSlot, n int, d time.Duration) {
+	f.upstreams.setBackoff(slots, time.Duration(1+n%3)*time.Second)
+	time.AfterFunc(d, func() { f.upstreams.setBackoff(slots, 0) })
 }
 
-// storm writes a number of configurations within a time, each like the one before.
-func (f *fleet) storm(n int, d time.Duration) {
+// writeConfigurations writes n versions of the configuration spread over the duration d. They
+// differ only in their version number.
+func (f *fleet) writeConfigurations(n int, d time.Duration) {
 	for k := range n {
-		time.AfterFunc(d*time.Duration(k)/time.Duration(n), f.configure)
+		time.AfterFunc(d*time.Duration(k)/time.Duration(n), f.writeConfiguration)
 	}
 }
 
-// configure writes the next version of the configuration.
-func (f *fleet) configure() {
+// writeConfiguration writes the next version of the configuration.
+func (f *fleet) writeConfiguration() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.version++
-	f.store.PutService(deployment(f.version, f.keys...))
+	f.store.PutService(newDeployment(f.version, f.keys...))
 }
 
-// evacuate has the operator empty a data centre, for longer than the bound.
+// evacuate makes the operator evacuate a data centre, for longer than evacuationTimeout.
 func (f *fleet) evacuate(dc string, d time.Duration) {
-	if !f.upstreams.evacuate(dc) {
-		return // it is under way
+	if !f.upstreams.startEvacuation(dc) {
+		return // already under way
 	}
 	f.store.Evacuate(dc)
-	time.AfterFunc(evacuateWithin+contact+d, func() {
-		f.upstreams.takeBack(dc)
+	time.AfterFunc(evacuationTimeout+settleTime+d, func() {
+		f.upstreams.endEvacuation(dc)
 		f.store.TakeBack(dc)
 	})
 }
 
-// pause stops a VM's process and wakes it again.
+// pause suspends a VM's process and resumes it after the duration d.
 func (f *fleet) pause(v *vm, d time.Duration) {
-	v.troubled(d)
+	v.exempt(d)
 	v.signal(syscall.SIGSTOP)
-	f.upstreams.words.begins(v.name)
+	f.upstreams.signals.startIncarnation(v.name)
 	time.AfterFunc(d, func() {
-		f.upstreams.words.begins(v.name)
+		f.upstreams.signals.startIncarnation(v.name)
 		v.signal(syscall.SIGCONT)
 	})
 }
 
-// restartAfter is how long a process that has ended stays away.
-const restartAfter = 300 * time.Millisecond
+// restartDelay is the time between the exit of a process and its restart.
+const restartDelay = 300 * time.Millisecond
 
-// kill ends a VM's process at once; it is started again.
+// kill kills a VM's process, which is then restarted.
 func (f *fleet) kill(v *vm) {
-	v.troubled(restartAfter)
+	v.exempt(restartDelay)
 	v.signal(syscall.SIGCONT)
 	v.signal(syscall.SIGKILL)
 	f.restart(v)
 }
 
-// planned stops a VM's process as planned; it is killed after its grace, and started again.
-func (f *fleet) planned(v *vm) {
-	v.troubled(grace)
+// terminate asks a VM's process to shut down, kills it once the grace period is over, and restarts
+// it.
+func (f *fleet) terminate(v *vm) {
+	v.exempt(gracePeriod)
 	v.mu.Lock()
-	if v.stopped {
+	if v.terminating {
 		v.mu.Unlock()
 		return
 	}
-	v.stopped = true
-	command, ended := v.command, v.ended
+	v.terminating = true
+	command, exited := v.command, v.exited
 	v.mu.Unlock()
-	_ = command.Process.Signal(syscall.SIGTERM) // it may have ended
-	time.AfterFunc(grace, func() {
+	_ = command.Process.Signal(syscall.SIGTERM) // fails if it has already exited
+	time.AfterFunc(gracePeriod, func() {
 		select {
-		case <-ended:
+		case <-exited:
 		default:
-			_ = command.Process.Kill() // beyond its grace
+			_ = command.Process.Kill() // the grace period is over
 		}
 	})
 	f.restart(v)
 }
 
-// restart starts a VM again once its present process has ended, unless it was already.
+// restart starts a VM again once its current process has exited, unless that has happened already.
 func (f *fleet) restart(v *vm) {
 	v.mu.Lock()
-	ended := v.ended
+	exited := v.exited
 	v.mu.Unlock()
 	go func() {
-		<-ended
-		time.Sleep(restartAfter)
+		<-exited
+		time.Sleep(restartDelay)
 		v.mu.Lock()
-		again := v.ended != ended
+		restarted := v.exited != exited
 		v.mu.Unlock()
-		if again {
+		if restarted {
 			return
 		}
-		v.troubled(0)
+		v.exempt(0)
 		if err := f.startVM(v); err != nil {
-			f.tally.fault("VM does not start again: " + err.Error())
+			f.recorder.recordFault("a VM cannot be restarted: " + err.Error())
 		}
 	}()
 }
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -18,64 +18,67 @@
 	"woaddoor/internal/standin/replica"
 )
 
-// Bounds that the fleet's settings state.
+// Time limits and budgets, most of which the fleet's settings state.
 const (
-	contact      = 3 * time.Second // how long a VM is in reach until all bounds hold
-	grace        = 4 * time.Second
+	settleTime   = 3 * time.Second // how long a VM must be undisturbed before all guarantees apply to it
+	gracePeriod  = 4 * time.Second
 	retryRatio   = 0.02
 	retrySlack   = 10.0
-	budgetWindow = 10 * time.Second
-	applyWithin  = 2 * time.Second
-	// evacuateWithin is how soon a data centre that is evacuated gets nothing more.
-	evacuateWithin = 3 * time.Second
-	recoverIn      = 12 * time.Second
+	retryWindow  = 10 * time.Second
+	applyTimeout = 2 * time.Second
+	// evacuationTimeout is how soon after its evacuation begins a data centre must receive no more
+	// requests.
+	evacuationTimeout = 3 * time.Second
+	recoveryTime      = 12 * time.Second // how soon after the last fault requests must be served again
 )
 
-// Keys of the workspace: one that it keeps, and one that is taken away.
+// Keys of the workspace: one stays valid, and one is revoked during the run.
 const (
 	keyKept    = "key-kept"
 	keyRevoked = "key-revoked"
 )
 
-// fleet is the real programs, the stand-ins, and the links between them.
+// fleet holds the real programs, the stand-ins, and the links between them.
 type fleet struct {
 	folder    string
 	store     *objects.Store
 	storeLink *proxy
 	upstreams *upstreams
 	vms       []*vm
-	tally     *tally
+	recorder  *recorder
 
-	// mu guards the fields below: the newest configuration.
+	// mu guards the fields below, which describe the newest configuration.
 	mu      sync.Mutex
 	version int
 	keys    []string
 }
 
-// vm is one woaddoor-vm, which is started again under its addresses.
+// vm is a woaddoor-vm process, which is restarted on the same addresses after each stop.
 type vm struct {
 	name, settings string
-	callers        *proxy // the link from callers
+	callers        *proxy // the link that callers connect through
 	ready, metrics string
 
 	// mu guards the fields below.
 	mu      sync.Mutex
 	command *exec.Cmd
-	ended   chan struct{}
-	// trouble is until when a fault of this VM excuses what takes time.
-	trouble time.Time
-	stopped bool // on purpose, by SIGTERM
+	exited  chan struct{}
+	// exemptUntil is the end of the time in which a fault exempts this VM from the time limits.
+	exemptUntil time.Time
+	terminating bool // has received SIGTERM
 }
 
-// deployment is what the operator declares, with keys of the workspace.
-func deployment(version int, keys ...string) objects.Service {
+// newDeployment returns the configuration that the operator declares, with the given workspace
+// keys.
+func newDeployment(version int, keys ...string) objects.Service {
 	return objects.Service{Version: version, Workspace: "w1", Keys: keys, Attempts: 3}
 }
 
-// newFleet starts vms VMs and twice as many upstreams in three data centres.
-func newFleet(folder string, vms int, seed uint64, t *tally) (*fleet, error) {
-	f := &fleet{folder: folder, store: objects.New(), tally: t, keys: []string{keyKept, keyRevoked}}
-	f.configure()
+// newFleet starts the given number of VMs, and twice as many upstreams spread over three data
+// centres.
+func newFleet(folder string, vms int, seed uint64, rec *recorder) (*fleet, error) {
+	f := &fleet{folder: folder, store: objects.New(), recorder: rec, keys: []string{keyKept, keyRevoked}}
+	f.writeConfiguration()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -84,9 +87,9 @@
 	if f.storeLink, err = newProxy("127.0.0.1:0", listener.Addr().String()); err != nil {
 		return nil, err
 	}
-	f.upstreams = newUpstreams(f.store, t, seed)
+	f.upstreams = newUpstreams(f.store, rec, seed)
 	for n := range 2 * vms {
-		if err := f.upstreams.start(dataCentre(n)); err != nil {
+		if err := f.upstreams.addSlot(dataCentre(n)); err != nil {
 			return nil, err
 		}
 	}
@@ -95,23 +98,23 @@
 
 func dataCentre(n int) string { return "d" + string(rune('a'+n%3)) }
 
-// Ports of VMs are below those that the system gives to connections of its own choice: one
-// that was free a moment ago could be taken by any connection before the VM has it.
+// The ports of VMs are below the range from which the system picks ephemeral ports. Any connection
+// could take such a port between the check that it is free and the start of the VM.
 const (
 	lowPort   = 12_000
 	highPort  = 32_000
 	portTries = 1000
 )
 
-// errNoPorts means that no free ports were found.
-var errNoPorts = errors.New("no free ports on loopback")
+// errNoPorts is returned when not enough free ports are found within portTries.
+var errNoPorts = errors.New("not enough free ports on loopback")
 
-// free returns n addresses on loopback that are free for TCP and UDP.
-func free(n int) ([]string, error) {
-	var out []string
+// freeAddresses returns n loopback addresses that are free for both TCP and UDP.
+func freeAddresses(n int) ([]string, error) {
+	var addresses []string
 	for range portTries {
-		if len(out) == n {
-			return out, nil
+		if len(addresses) == n {
+			return addresses, nil
 		}
 		address := fmt.Sprintf("127.0.0.1:%d", lowPort+rand.IntN(highPort-lowPort))
 		l, err := net.Listen("tcp", address)
@@ -119,34 +122,34 @@
 			continue // taken
 		}
 		defer l.Close()
-		u, err := net.ListenPacket("udp", address)
+		packetConn, err := net.ListenPacket("udp", address)
 		if err != nil {
 			continue
 		}
-		defer u.Close()
-		out = append(out, address)
+		defer packetConn.Close()
+		addresses = append(addresses, address)
 	}
 	return nil, errNoPorts
 }
 
 func (f *fleet) startVMs(n int) error {
-	const each = 4 // callers, ready, links, metrics
-	addresses, err := free(each * n)
+	const portsPerVM = 4 // callers, ready, links, metrics
+	addresses, err := freeAddresses(portsPerVM * n)
 	if err != nil {
 		return err
 	}
 	var seeds []string
-	for k := range min(n, 3) {
-		seeds = append(seeds, addresses[each*k+2])
+	for i := range min(n, 3) {
+		seeds = append(seeds, addresses[portsPerVM*i+2])
 	}
-	for k := range n {
-		a := addresses[each*k : each*k+each]
+	for i := range n {
+		a := addresses[portsPerVM*i : portsPerVM*i+portsPerVM]
 		_, metricsPort, _ := net.SplitHostPort(a[3])
-		v := &vm{name: fmt.Sprintf("vm%d", k), settings: filepath.Join(f.folder, fmt.Sprintf("vm%d.ini", k)), ready: a[1], metrics: "127.0.0.1:" + metricsPort}
-		text := fmt.Sprintf("[vm]\nname = %s\ndata-centre = %s\n\n[listen]\ncallers = %s\nready = %s\nlinks = %s\nseeds = %s\nmetrics-port = %s\n\n"+
+		v := &vm{name: fmt.Sprintf("vm%d", i), settings: filepath.Join(f.folder, fmt.Sprintf("vm%d.ini", i)), ready: a[1], metrics: "127.0.0.1:" + metricsPort}
+		ini := fmt.Sprintf("[vm]\nname = %s\ndata-centre = %s\n\n[listen]\ncallers = %s\nready = %s\nlinks = %s\nseeds = %s\nmetrics-port = %s\n\n"+
 			"[store]\naddress = %s\n\n[bounds]\ngrace = %v\napply = %v\ndrain = %v\nevacuation = %v\nretry-ratio = %v\nretry-slack = %v\nretry-window = %v\n",
-			v.name, dataCentre(k), a[0], a[1], a[2], strings.Join(seeds, ","), metricsPort, f.storeLink.address(), grace, applyWithin, drainWithin, evacuateWithin, retryRatio, retrySlack, budgetWindow)
-		if err := os.WriteFile(v.settings, []byte(text), 0o600); err != nil {
+			v.name, dataCentre(i), a[0], a[1], a[2], strings.Join(seeds, ","), metricsPort, f.storeLink.address(), gracePeriod, applyTimeout, drainTimeout, evacuationTimeout, retryRatio, retrySlack, retryWindow)
+		if err := os.WriteFile(v.settings, []byte(ini), 0o600); err != nil {
 			return err
 		}
 		if v.callers, err = newProxy("127.0.0.1:0", a[0]); err != nil {
@@ -160,64 +163,64 @@
 	return nil
 }
 
-// startVM starts the process of a VM; its lines are added to its log.
+// startVM starts a VM's process, which appends its output to the VM's log file.
 func (f *fleet) startVM(v *vm) error {
 	log, err := os.OpenFile(filepath.Join(f.folder, v.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	c := exec.Command(filepath.Join("bin", "woaddoor-vm"), "run", "--settings", v.settings)
-	c.Stdout, c.Stderr = log, log
-	if err := c.Start(); err != nil {
+	command := exec.Command(filepath.Join("bin", "woaddoor-vm"), "run", "--settings", v.settings)
+	command.Stdout, command.Stderr = log, log
+	if err := command.Start(); err != nil {
 		return err
 	}
-	f.upstreams.words.begins(v.name)
-	f.upstreams.words.knows(v)
-	ended := make(chan struct{})
+	f.upstreams.signals.startIncarnation(v.name)
+	f.upstreams.signals.registerVM(v)
+	exited := make(chan struct{})
 	v.mu.Lock()
-	v.command, v.ended, v.stopped = c, ended, false
+	v.command, v.exited, v.terminating = command, exited, false
 	v.mu.Unlock()
 	go func() {
-		_ = c.Wait() // how it ended is told by its log
+		_ = command.Wait() // the VM's log shows how it ended
 		_ = log.Close()
-		close(ended)
+		close(exited)
 	}()
 	return nil
 }
 
-// signal sends a signal to the VM's present process.
+// signal sends a signal to the VM's current process.
 func (v *vm) signal(s syscall.Signal) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	_ = v.command.Process.Signal(s) // it may have ended
+	_ = v.command.Process.Signal(s) // fails if it has already exited
 }
 
-// awaitEnd waits until the present process has ended.
-func (v *vm) awaitEnd() {
+// waitExit waits until the current process has exited.
+func (v *vm) waitExit() {
 	v.mu.Lock()
-	ended := v.ended
+	exited := v.exited
 	v.mu.Unlock()
-	<-ended
+	<-exited
 }
 
-// troubled notes that a fault of the VM excuses what takes time, until contact after it
-// has ended.
-func (v *vm) troubled(d time.Duration) {
+// exempt exempts the VM from the time limits while a fault of the given duration lasts, and for
+// settleTime after it.
+func (v *vm) exempt(duration time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if until := time.Now().Add(d + contact); until.After(v.trouble) {
-		v.trouble = until
+	if until := time.Now().Add(duration + settleTime); until.After(v.exemptUntil) {
+		v.exemptUntil = until
 	}
 }
 
-// inReach tells whether no fault of the VM excuses anything.
-func (v *vm) inReach() bool {
+// undisturbed reports that no fault currently exempts the VM from the time limits.
+func (v *vm) undisturbed() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return time.Now().After(v.trouble)
+	return time.Now().After(v.exemptUntil)
 }
 
-// isReady tells whether the VM takes connections, as a balancer asks.
+// isReady reports whether the VM's readiness page says that it accepts connections.
 func (v *vm) isReady() bool {
 	client := http.Client{Timeout: time.Second}
 	resp, err := client.Get("http://" + v.ready + replica.PathReady)
@@ -228,11 +231,11 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// stop ends all that was started.
+// stop kills all VM processes.
 func (f *fleet) stop() {
 	for _, v := range f.vms {
 		v.signal(syscall.SIGCONT)
 		v.signal(syscall.SIGKILL)
-		v.awaitEnd()
+		v.waitExit()
 	}
 }
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -10,92 +10,99 @@
 	"woaddoor/internal/standin/replica"
 )
 
-// Bounds on what comes to an upstream that names a limit, from all VMs together.
+// Limits on the requests that reach an upstream that advertises a rate limit, from all VMs
+// together.
 const (
-	// limitLeeway is how long after an answer has named it to a VM that VM's sends count.
+	// limitLeeway is how long after a VM first receives an advertised limit its requests do not
+	// yet count against it.
 	limitLeeway = 500 * time.Millisecond
+	// limitWindow is the time over which arrivals are counted. At most limitFactor times the
+	// advertised rate over it, and limitSlack more, may arrive.
 	limitWindow = 4 * time.Second
-	limitTimes  = 1.5
-	limitMore   = 5
+	limitFactor = 1.5
+	limitSlack  = 5
 )
 
-// limitsNamed are what upstreams name, in requests a second.
-var limitsNamed = []float64{2, 0, 8, 0.4}
+// limitValues are the limits that upstreams advertise, in requests per second.
+var limitValues = []float64{2, 0, 8, 0.4}
 
-// limits are those that upstreams name, and what came to them all the same.
-type limits struct {
-	words *words
+// limitTracker records the rate limits that upstreams advertise and checks the requests that
+// arrive afterwards.
+type limitTracker struct {
+	signals *signalTracker
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// spans are by the lives of upstreams.
-	spans map[int]*limitSpan
+	// advertised holds the current limits by upstream incarnation.
+	advertised map[int]*advertisedLimit
 }
 
-// limitSpan is one limit that a life names.
-type limitSpan struct {
-	perSecond float64
-	since     time.Time // when an answer first named it
-	told      map[string]time.Time
-	came      []limitArrival
+// advertisedLimit is a limit that one upstream incarnation advertises, and the requests that count
+// against it.
+type advertisedLimit struct {
+	perSecond   float64
+	firstSentAt time.Time // when an answer first carried it
+	sentToVM    map[string]time.Time
+	arrivals    []limitArrival
 }
 
-// limitArrival is a request that came by a life of a VM.
+// limitArrival is a request that a VM incarnation sent.
 type limitArrival struct {
-	at  time.Time
-	via string
+	at            time.Time
+	vmIncarnation string
 }
 
-// begin has a life name a limit from now on.
-func (l *limits) begin(life int, perSecond float64) {
+// start makes an upstream incarnation advertise a limit.
+func (l *limitTracker) start(incarnation int, perSecond float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.spans[life] = &limitSpan{perSecond: perSecond, told: make(map[string]time.Time)}
+	l.advertised[incarnation] = &advertisedLimit{perSecond: perSecond, sentToVM: make(map[string]time.Time)}
 }
 
-// end has a life name none any more.
-func (l *limits) end(life int) {
+// stop makes an upstream incarnation advertise no limit any more.
+func (l *limitTracker) stop(incarnation int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.spans, life)
+	delete(l.advertised, incarnation)
 }
 
-// answers returns the header by which a life names its limit in an answer to a VM; none when
-// it names none.
-func (l *limits) answers(via string, life int) []string {
+// headers returns the header that advertises an upstream incarnation's limit in an answer to a VM,
+// or nil if there is no limit.
+func (l *limitTracker) headers(vmIncarnation string, incarnation int) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.spans[life]
-	if s == nil {
+	limit := l.advertised[incarnation]
+	if limit == nil {
 		return nil
 	}
-	if s.since.IsZero() {
-		s.since = time.Now()
+	if limit.firstSentAt.IsZero() {
+		limit.firstSentAt = time.Now()
 	}
-	if s.told[via].IsZero() {
-		s.told[via] = time.Now()
+	if limit.sentToVM[vmIncarnation].IsZero() {
+		limit.sentToVM[vmIncarnation] = time.Now()
 	}
-	return []string{replica.Limit(s.perSecond)}
+	return []string{replica.Limit(limit.perSecond)}
 }
 
-// came checks a request that has come to a life over a link, which is nil once the upstream
-// has ended. What came by VMs that have started anew or were paused since does not count.
-func (l *limits) came(r *replica.Request, life int, link *proxy) {
-	via, now := r.Header.Get(headerVia), time.Now()
+// checkArrival checks a request that has reached an upstream incarnation through a link. The link
+// is nil once the upstream has ended. Requests from VMs that have been restarted or paused since
+// do not count.
+func (l *limitTracker) checkArrival(r *replica.Request, incarnation int, link *proxy) {
+	vmIncarnation, now := r.Header.Get(headerVMIncarnation), time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.spans[life]
-	if s == nil || s.told[via].IsZero() || now.Sub(s.told[via]) < limitLeeway {
+	limit := l.advertised[incarnation]
+	if limit == nil || limit.sentToVM[vmIncarnation].IsZero() || now.Sub(limit.sentToVM[vmIncarnation]) < limitLeeway {
 		return
 	}
-	s.came = append(s.came, limitArrival{now, via})
-	s.came = slices.DeleteFunc(s.came, func(a limitArrival) bool {
-		return now.Sub(a.at) >= limitWindow || !l.words.isPresent(a.via)
+	limit.arrivals = append(limit.arrivals, limitArrival{now, vmIncarnation})
+	limit.arrivals = slices.DeleteFunc(limit.arrivals, func(a limitArrival) bool {
+		return now.Sub(a.at) >= limitWindow || !l.signals.isCurrent(a.vmIncarnation)
 	})
-	if now.Sub(s.since) < contact || link == nil || !link.calmSince(now.Add(-limitWindow)) {
+	if now.Sub(limit.firstSentAt) < settleTime || link == nil || !link.undisturbedSince(now.Add(-limitWindow)) {
 		return
 	}
-	allowed := int(math.Ceil(limitTimes*s.perSecond*limitWindow.Seconds() + limitMore))
-	l.words.tally.check(promiseLimit, len(s.came) <= allowed, r.ID(),
-		fmt.Sprintf("the %d. within %v of VMs that were told of a limit of %g a second, %v after it was named; %d are allowed", len(s.came), limitWindow, s.perSecond, now.Sub(s.since), allowed))
+	allowed := int(math.Ceil(limitFactor*limit.perSecond*limitWindow.Seconds() + limitSlack))
+	l.signals.recorder.check(guaranteeRateLimit, len(limit.arrivals) <= allowed, r.ID(),
+		fmt.Sprintf("request %d within %v from VMs that have received the limit of %g per second, %v after it was first advertised; %d are allowed", len(limit.arrivals), limitWindow, limit.perSecond, now.Sub(limit.firstSentAt), allowed))
 }
--- a/internal/soak/main.go
+++ b/internal/soak/main.go
@@ -1,12 +1,12 @@
-// Command soak runs the real programs as separate processes on this machine, injects
-// faults from outside them, and checks the product's promises from what callers and
-// upstreams see. The seed decides every fault and its moment.
+// Command soak runs the real programs as separate processes on this machine, injects faults from
+// outside them, and checks the product's guarantees from what callers and upstreams observe. The
+// seed determines every fault and its time.
 //
 //	go run ./internal/soak --seed 7 --for 30s
 //
-// The store and the upstreams are the stand-ins of internal/standin, in this process;
-// each TCP link goes through a proxy that faults are put on. The links between VMs are UDP
-// and have no proxy: they fail with the processes.
+// The store and the upstreams are the stand-ins of internal/standin and run in this process. Each
+// TCP link goes through a proxy that can inject faults. Links between VMs use UDP and have no
+// proxy: they fail only when a VM process fails.
 package main
 
 import (
@@ -32,117 +32,119 @@
 	Seed uint64        `help:"Decides every fault and its moment; 0 draws one."`
 	For  time.Duration `help:"How long faults come." default:"30s"`
 	VMs  int           `help:"How many VMs." name:"vms" default:"6"`
-	// Callers is bounded apart: many VMs start and fail as many do with few callers.
+	// Callers is independent of VMs, so that a run can start and fail many VMs under the load of
+	// few callers.
 	Callers int    `help:"How many callers in all; 0 means three for each VM." default:"0"`
 	Folder  string `help:"Where logs go." default:"bench-out/soak"`
 }
 
 func main() {
-	var a arguments
-	parser := kong.Parse(&a, kong.Name("soak"), kong.Description("Runs real processes under faults and checks the product's promises."))
-	if a.VMs < 1 || a.For <= 0 || a.Callers < 0 {
-		parser.Fatalf("--vms is %d, --for is %v and --callers is %d: the first two have to be above 0, the last not below", a.VMs, a.For, a.Callers)
+	var args arguments
+	parser := kong.Parse(&args, kong.Name("soak"), kong.Description("Runs the real programs under injected faults and checks the product's guarantees."))
+	if args.VMs < 1 || args.For <= 0 || args.Callers < 0 {
+		parser.Fatalf("--vms is %d, --for is %v and --callers is %d: the first two must be positive, the last must not be negative", args.VMs, args.For, args.Callers)
 	}
-	a.Callers = cmp.Or(a.Callers, callersEach*a.VMs)
-	if a.Seed == 0 {
-		a.Seed = uint64(time.Now().UnixNano()) % 1_000_000
+	args.Callers = cmp.Or(args.Callers, callersPerVM*args.VMs)
+	if args.Seed == 0 {
+		args.Seed = uint64(time.Now().UnixNano()) % 1_000_000
 	}
-	failed, err := run(a)
+	failed, err := run(args)
 	parser.FatalIfErrorf(err)
 	if failed {
-		fmt.Printf("logs: %s; again: go run ./internal/soak --seed %d --for %v --vms %d --callers %d\n", a.Folder, a.Seed, a.For, a.VMs, a.Callers)
+		fmt.Printf("logs: %s; to repeat: go run ./internal/soak --seed %d --for %v --vms %d --callers %d\n", args.Folder, args.Seed, args.For, args.VMs, args.Callers)
 		os.Exit(1)
 	}
 }
 
-// callersEach is how many callers there are for each VM.
-const callersEach = 3
+// callersPerVM is the default number of callers for each VM.
+const callersPerVM = 3
 
-// run plays one seed and tells whether a promise was broken.
-func run(a arguments) (failed bool, err error) {
-	a.Folder = filepath.Join(a.Folder, strconv.FormatUint(a.Seed, 10))
-	if err := os.RemoveAll(a.Folder); err != nil {
+// run executes the soak for one seed and returns whether a guarantee was violated.
+func run(args arguments) (failed bool, err error) {
+	args.Folder = filepath.Join(args.Folder, strconv.FormatUint(args.Seed, 10))
+	if err := os.RemoveAll(args.Folder); err != nil {
 		return false, err
 	}
-	if err := os.MkdirAll(a.Folder, 0o700); err != nil {
+	if err := os.MkdirAll(args.Folder, 0o700); err != nil {
 		return false, err
 	}
-	t := newTally()
-	f, err := newFleet(a.Folder, a.VMs, a.Seed, t)
+	rec := newRecorder()
+	f, err := newFleet(args.Folder, args.VMs, args.Seed, rec)
 	if f != nil {
 		defer f.stop()
 	}
 	if err != nil {
 		return false, err
 	}
-	if err := f.awaitReady(); err != nil {
+	if err := f.waitReady(); err != nil {
 		return false, err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	play(ctx, f, a)
-	lines, failed := t.report()
-	fmt.Printf("seed %d, %v, %d VMs\n%s\n", a.Seed, a.For, a.VMs, strings.Join(lines, "\n"))
+	runScenario(ctx, f, args)
+	lines, failed := rec.report()
+	fmt.Printf("seed %d, %v, %d VMs\n%s\n", args.Seed, args.For, args.VMs, strings.Join(lines, "\n"))
 	return failed, nil
 }
 
-// play sends requests, brings about the faults, and checks what is checked at the end.
-func play(ctx context.Context, f *fleet, a arguments) {
-	c := &callers{fleet: f}
-	calling, stop := context.WithCancel(ctx)
+// runScenario sends requests, injects the planned faults, and checks the guarantees that can only
+// be checked at the end of a run.
+func runScenario(ctx context.Context, f *fleet, args arguments) {
+	clients := &callers{fleet: f}
+	callContext, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
-	begin := func(run func(context.Context, *rand.Rand), n uint64) {
+	start := func(run func(context.Context, *rand.Rand), n uint64) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			run(calling, rand.New(rand.NewPCG(a.Seed, 100+n)))
+			run(callContext, rand.New(rand.NewPCG(args.Seed, 100+n)))
 		}()
 	}
-	for n := range uint64(a.Callers) {
-		begin(c.run, n)
+	for n := range uint64(args.Callers) {
+		start(clients.runNormal, n)
 	}
-	begin(c.runDeadly, 1000)
-	begin(c.runRevoked, 1001)
-	began := time.Now()
-	for _, x := range f.plan(a.Seed, a.For) {
-		wait(ctx, began.Add(x.at))
+	start(clients.runPoison, 1000)
+	start(clients.runRevokedKey, 1001)
+	startedAt := time.Now()
+	for _, planned := range f.plan(args.Seed, args.For) {
+		sleepUntil(ctx, startedAt.Add(planned.after))
 		if ctx.Err() != nil {
 			break
 		}
-		if x.at > a.For/2 && c.revoke() {
-			f.tally.fault("a key is taken away")
+		if planned.after > args.For/2 && clients.revokeKey() {
+			f.recorder.recordFault("a key is revoked")
 		}
-		f.tally.fault(x.name)
-		x.do()
+		f.recorder.recordFault(planned.name)
+		planned.inject()
 	}
-	wait(ctx, time.Now().Add(longestFault+recoverIn))
-	if ctx.Err() != nil { // what holds at the end cannot be checked
-		f.tally.interrupt()
+	sleepUntil(ctx, time.Now().Add(maxFaultDuration+recoveryTime))
+	if ctx.Err() != nil { // interrupted: the checks at the end are not meaningful
+		f.recorder.markInterrupted()
 		stop()
 		wg.Wait()
 		return
 	}
-	ended := time.Now()
-	wait(ctx, ended.Add(backFor))
-	served, sent := c.servedIn(ended, time.Now()), c.sentIn(ended, time.Now())
-	f.tally.check(promiseBack, served > sent/2, "all", fmt.Sprintf("%d of %d served %v after the last fault", served, sent, recoverIn))
+	faultsEndedAt := time.Now()
+	sleepUntil(ctx, faultsEndedAt.Add(recoverySampleTime))
+	served, sent := clients.countServed(faultsEndedAt, time.Now()), clients.countSent(faultsEndedAt, time.Now())
+	f.recorder.check(guaranteeRecovery, served > sent/2, "all", fmt.Sprintf("%d of %d requests were served, counted from %v after the last fault", served, sent, recoveryTime))
 	for _, v := range f.vms {
-		f.checkSpace(v)
+		f.checkResources(v)
 	}
 	stop()
 	wg.Wait()
-	f.upstreams.checkHeld()
-	f.upstreams.checkBudget(c.sentIn)
+	f.upstreams.checkQuarantine()
+	f.upstreams.checkRetryBudget(clients.countSent)
 }
 
 const (
-	// longestFault is how long a fault lasts at the most, with the start of a process.
-	longestFault = grace + restartAfter + time.Second
-	// backFor is over how long requests are counted once all has to be well.
-	backFor = 3 * time.Second
+	// maxFaultDuration is the longest time that a fault lasts, including the restart of a process.
+	maxFaultDuration = gracePeriod + restartDelay + time.Second
+	// recoverySampleTime is how long requests are counted after the recovery time has passed.
+	recoverySampleTime = 3 * time.Second
 )
 
-func wait(ctx context.Context, until time.Time) {
+func sleepUntil(ctx context.Context, until time.Time) {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
 	select {
@@ -151,8 +153,9 @@
 	}
 }
 
-// revoke takes a key away, once, and tells whether it did.
-func (c *callers) revoke() bool {
+// revokeKey removes keyRevoked from the configuration the first time it is called, and returns
+// whether it did.
+func (c *callers) revokeKey() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.revokedAt.IsZero() {
@@ -161,13 +164,13 @@
 	c.fleet.mu.Lock()
 	c.fleet.keys = []string{keyKept}
 	c.fleet.mu.Unlock()
-	c.fleet.configure()
+	c.fleet.writeConfiguration()
 	c.revokedAt = time.Now()
 	return true
 }
 
-// awaitReady waits until all VMs take connections.
-func (f *fleet) awaitReady() error {
+// waitReady waits until every VM accepts connections.
+func (f *fleet) waitReady() error {
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(50 * time.Millisecond) {
 		ready := 0
 		for _, v := range f.vms {
@@ -184,31 +187,31 @@
 	}
 }
 
-// Bounds of a VM under the soak's load: several times what one holds at rest.
+// Limits for one VM under the soak's load, several times what an idle VM uses.
 const (
-	mostHeap       = 64 << 20
-	mostGoroutines = 2000
+	maxHeapBytes  = 64 << 20
+	maxGoroutines = 2000
 )
 
-var gauge = regexp.MustCompile(`(?m)^(goroutines|memory_heap_bytes) ([0-9]+)$`)
+var gaugePattern = regexp.MustCompile(`(?m)^(goroutines|memory_heap_bytes) ([0-9]+)$`)
 
-// checkSpace checks what a VM tells of its memory and goroutines.
-func (f *fleet) checkSpace(v *vm) {
+// checkResources checks the heap size and goroutine count that a VM reports in its metrics.
+func (f *fleet) checkResources(v *vm) {
 	client := http.Client{Timeout: 2 * time.Second}
 	resp, err := client.Get("http://" + v.metrics + "/metrics")
 	if err != nil {
-		f.tally.check(promiseSpace, false, v.name, err.Error())
+		f.recorder.check(guaranteeResources, false, v.name, err.Error())
 		return
 	}
 	defer resp.Body.Close()
-	page, err := io.ReadAll(resp.Body)
+	metrics, err := io.ReadAll(resp.Body)
 	if err != nil {
-		f.tally.check(promiseSpace, false, v.name, err.Error())
+		f.recorder.check(guaranteeResources, false, v.name, err.Error())
 		return
 	}
-	most := map[string]int{"goroutines": mostGoroutines, "memory_heap_bytes": mostHeap}
-	for _, m := range gauge.FindAllStringSubmatch(string(page), -1) {
-		n, _ := strconv.Atoi(m[2]) // digits by the pattern
-		f.tally.check(promiseSpace, n <= most[m[1]], v.name, fmt.Sprintf("%s is %d", m[1], n))
+	limits := map[string]int{"goroutines": maxGoroutines, "memory_heap_bytes": maxHeapBytes}
+	for _, match := range gaugePattern.FindAllStringSubmatch(string(metrics), -1) {
+		value, _ := strconv.Atoi(match[2]) // cannot fail: the pattern matches digits only
+		f.recorder.check(guaranteeResources, value <= limits[match[1]], v.name, fmt.Sprintf("%s is %d", match[1], value))
 	}
 }
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -7,34 +7,36 @@
 	"time"
 )
 
-// proxy is a TCP link on loopback that faults can be put on. Open connections keep to a
-// fault as new ones do, except for silence, which strikes the open ones alone and for good.
+// proxy is a TCP link on loopback that can inject faults. Delays and blocking apply to open and
+// new connections alike. Silencing applies only to the connections that are open at that time, and
+// lasts until they are closed.
 type proxy struct {
 	listener net.Listener
 	target   string
 
 	// mu guards the fields below.
-	mu    sync.Mutex
-	delay time.Duration // of each piece that passes
-	cut   bool          // bytes are held up, both ways
-	conns map[*linkConn]bool
-	// touched is when a fault was last put on the link or taken off.
-	touched time.Time
+	mu      sync.Mutex
+	delay   time.Duration // of each chunk that is forwarded
+	blocked bool          // bytes are held back in both directions
+	conns   map[*proxyConn]bool
+	// lastFaultAt is when a fault was last injected or cleared.
+	lastFaultAt time.Time
 }
 
-// linkConn is one connection through a proxy, both of its ends.
-type linkConn struct {
+// proxyConn is one connection through a proxy, with both of its ends.
+type proxyConn struct {
 	caller, target net.Conn
 	silent         bool // guarded by the proxy's mu
 }
 
-// newProxy opens a link to an address; at is its own, "127.0.0.1:0" for any.
-func newProxy(at, target string) (*proxy, error) {
-	l, err := net.Listen("tcp", at)
+// newProxy opens a link to the address target. It listens on listenAddress; "127.0.0.1:0" picks a
+// free port.
+func newProxy(listenAddress, target string) (*proxy, error) {
+	l, err := net.Listen("tcp", listenAddress)
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: l, target: target, conns: make(map[*linkConn]bool)}
+	p := &proxy{listener: l, target: target, conns: make(map[*proxyConn]bool)}
 	go p.accept()
 	return p, nil
 }
@@ -47,39 +49,39 @@
 		if err != nil {
 			return // closed
 		}
-		go p.link(c)
+		go p.handle(c)
 	}
 }
 
-// link carries one connection. A target that does not listen resets its caller, as a dead
-// port does.
-func (p *proxy) link(caller net.Conn) {
+// handle forwards one connection. If the target does not listen, it resets the caller's
+// connection, as a closed port would.
+func (p *proxy) handle(caller net.Conn) {
 	target, err := net.Dial("tcp", p.target)
 	if err != nil {
 		reset(caller)
 		return
 	}
-	c := &linkConn{caller: caller, target: target}
+	c := &proxyConn{caller: caller, target: target}
 	p.mu.Lock()
 	p.conns[c] = true
 	p.mu.Unlock()
 	var wg sync.WaitGroup
 	wg.Add(2)
-	go func() { defer wg.Done(); p.carry(c, target, caller) }()
-	go func() { defer wg.Done(); p.carry(c, caller, target) }()
+	go func() { defer wg.Done(); p.forward(c, target, caller) }()
+	go func() { defer wg.Done(); p.forward(c, caller, target) }()
 	wg.Wait()
 	p.mu.Lock()
 	delete(p.conns, c)
 	p.mu.Unlock()
 }
 
-// carry passes on bytes until one side ends, and ends both.
-func (p *proxy) carry(c *linkConn, to, from net.Conn) {
+// forward copies bytes in one direction until either side ends, and then closes both.
+func (p *proxy) forward(c *proxyConn, to, from net.Conn) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && !p.pass(c) {
-			_, _ = io.Copy(io.Discard, from) // silent for good: read, never passed on
+		if n > 0 && !p.waitToForward(c) {
+			_, _ = io.Copy(io.Discard, from) // silenced: read everything and forward nothing
 			break
 		}
 		if _, werr := to.Write(buf[:n]); werr != nil || err != nil {
@@ -90,68 +92,69 @@
 	_ = from.Close()
 }
 
-// heldLook is how often a cut link looks whether it carries again.
-const heldLook = 10 * time.Millisecond
+// blockedPollInterval is how often a blocked connection checks whether it may forward again.
+const blockedPollInterval = 10 * time.Millisecond
 
-// pass waits until a piece may pass, and tells whether it ever may.
-func (p *proxy) pass(c *linkConn) bool {
+// waitToForward waits until the next chunk may be forwarded. It returns false if the connection is
+// silenced.
+func (p *proxy) waitToForward(c *proxyConn) bool {
 	for {
 		p.mu.Lock()
-		silent, cut, delay := c.silent, p.cut, p.delay
+		silent, blocked, delay := c.silent, p.blocked, p.delay
 		p.mu.Unlock()
 		switch {
 		case silent:
 			return false
-		case !cut:
+		case !blocked:
 			time.Sleep(delay)
 			return true
 		}
-		time.Sleep(heldLook)
+		time.Sleep(blockedPollInterval)
 	}
 }
 
-// set puts delay and cut on the link.
-func (p *proxy) set(delay time.Duration, cut bool) {
+// setFault sets the link's delay and whether it is blocked.
+func (p *proxy) setFault(delay time.Duration, blocked bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.delay, p.cut, p.touched = delay, cut, time.Now()
+	p.delay, p.blocked, p.lastFaultAt = delay, blocked, time.Now()
 }
 
-// silence makes the open connections silent for good.
-func (p *proxy) silence() {
+// silenceOpen stops forwarding on all open connections for as long as they exist.
+func (p *proxy) silenceOpen() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.touched = time.Now()
+	p.lastFaultAt = time.Now()
 	for c := range p.conns {
 		c.silent = true
 	}
 }
 
-// resetAll resets the open connections.
-func (p *proxy) resetAll() {
+// resetOpen resets all open connections.
+func (p *proxy) resetOpen() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.touched = time.Now()
+	p.lastFaultAt = time.Now()
 	for c := range p.conns {
 		reset(c.caller)
 		reset(c.target)
 	}
 }
 
-// calmSince tells whether no fault has been on the link since a time.
-func (p *proxy) calmSince(t time.Time) bool {
+// undisturbedSince reports whether the link has had no fault since the given time.
+func (p *proxy) undisturbedSince(t time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.cut && p.delay == 0 && p.touched.Before(t)
+	return !p.blocked && p.delay == 0 && p.lastFaultAt.Before(t)
 }
 
-// close ends the link: new connections are refused.
+// close stops the link: it refuses new connections and resets the open ones.
 func (p *proxy) close() {
 	_ = p.listener.Close()
-	p.resetAll()
+	p.resetOpen()
 }
 
-// reset closes a connection without an orderly end.
+// reset closes a connection with a TCP reset instead of an orderly shutdown.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
--- /dev/null
+++ b/internal/soak/signals.go
@@ -0,0 +1,164 @@
+package main
+
+import (
+	"fmt"
+	"strings"
+	"sync"
+	"time"
+
+	"woaddoor/internal/standin/replica"
+)
+
+// Limits on the requests that reach an upstream after it has signalled that it wants no more.
+const (
+	// drainTimeout is how long a VM may go on sending to an upstream after the VM has relayed an
+	// answer in which that upstream announces that it is leaving.
+	drainTimeout = 2 * time.Second
+	// backoffLeeway is how long requests may still arrive after an upstream has asked for a
+	// back-off, and maxBackoffRequests is how many may arrive during the rest of it.
+	backoffLeeway      = 500 * time.Millisecond
+	maxBackoffRequests = 2
+)
+
+// Headers that only the soak uses: the incarnation of the VM that a request is sent to, and the
+// incarnation of the upstream that answers.
+const (
+	headerVMIncarnation       = "X-Via"
+	headerUpstreamIncarnation = "X-Life"
+)
+
+// signalTracker records the signals that upstreams send to VMs (leaving, back-off) and checks the
+// requests that arrive afterwards.
+type signalTracker struct {
+	recorder *recorder
+
+	// mu guards the fields below.
+	mu sync.Mutex
+	// vmIncarnations is the current incarnation of each VM by name. A pause starts a new one too.
+	vmIncarnations map[string]int
+	// sentAt is when callers sent their requests, by request id.
+	sentAt map[string]time.Time
+	// leavingSince is when a VM first relayed an answer in which an upstream announces that it is
+	// leaving.
+	leavingSince map[incarnationPair]time.Time
+	backoffs     map[incarnationPair][]*backoff
+	// undisturbed reports for each VM, by name, that no fault currently exempts it from the time
+	// limits.
+	undisturbed map[string]func() bool
+}
+
+// incarnationPair identifies an incarnation of an upstream and the incarnation of the VM that it
+// answered.
+type incarnationPair struct {
+	vm       string
+	upstream int
+}
+
+// backoff is one back-off that an upstream has asked for, and how many requests arrived during it.
+type backoff struct {
+	requestedAt time.Time
+	duration    time.Duration
+	arrivals    int
+}
+
+func newSignalTracker(rec *recorder) *signalTracker {
+	return &signalTracker{
+		recorder: rec, vmIncarnations: make(map[string]int), sentAt: make(map[string]time.Time), leavingSince: make(map[incarnationPair]time.Time),
+		backoffs: make(map[incarnationPair][]*backoff), undisturbed: make(map[string]func() bool),
+	}
+}
+
+// registerVM adds a VM to the VMs that checkEvacuated takes into account.
+func (s *signalTracker) registerVM(v *vm) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.undisturbed[v.name] = v.undisturbed
+}
+
+// startIncarnation records that a VM starts, pauses or resumes, each of which begins a new
+// incarnation.
+func (s *signalTracker) startIncarnation(vm string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.vmIncarnations[vm]++
+}
+
+// recordSend records that a caller sends a request, and returns the incarnation of the VM that it
+// goes to.
+func (s *signalTracker) recordSend(id, vm string) (vmIncarnation string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.sentAt[id] = time.Now()
+	return s.currentIncarnation(vm)
+}
+
+// isCurrent reports whether an incarnation is the current one of its VM.
+func (s *signalTracker) isCurrent(vmIncarnation string) bool {
+	vm, _, _ := strings.Cut(vmIncarnation, " ")
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return vmIncarnation == s.currentIncarnation(vm)
+}
+
+// currentIncarnation returns the name of a VM's current incarnation. The caller holds mu.
+func (s *signalTracker) currentIncarnation(vm string) string {
+	return fmt.Sprintf("%s %d", vm, s.vmIncarnations[vm])
+}
+
+// recordLeaving records that a caller has received an answer whose upstream announces that it is
+// leaving.
+func (s *signalTracker) recordLeaving(vmIncarnation string, incarnation int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	pair := incarnationPair{vmIncarnation, incarnation}
+	if s.leavingSince[pair].IsZero() {
+		s.leavingSince[pair] = time.Now()
+		s.recorder.check(guaranteeDrain, true, "", "")
+	}
+}
+
+// recordBackoff records that an upstream asks a VM for a back-off.
+func (s *signalTracker) recordBackoff(vmIncarnation string, incarnation int, duration time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	pair := incarnationPair{vmIncarnation, incarnation}
+	s.backoffs[pair] = append(s.backoffs[pair], &backoff{requestedAt: time.Now(), duration: duration})
+	s.recorder.check(guaranteeBackoff, true, "", "")
+}
+
+// checkEvacuated checks a request that has reached an upstream whose data centre has been under
+// evacuation for the given time.
+func (s *signalTracker) checkEvacuated(r *replica.Request, since time.Duration) {
+	vm, _, _ := strings.Cut(r.Header.Get(headerVMIncarnation), " ")
+	s.mu.Lock()
+	undisturbed := s.undisturbed[vm]
+	s.mu.Unlock()
+	if undisturbed != nil && undisturbed() {
+		s.recorder.check(guaranteeEvacuation, since <= evacuationTimeout, r.ID(), fmt.Sprintf("sent by %s, arrived %v after the evacuation of its data centre began", vm, since))
+	}
+}
+
+// checkArrival checks a request that has reached an upstream through a link. The link is nil once
+// the upstream has ended.
+func (s *signalTracker) checkArrival(r *replica.Request, incarnation int, link *proxy) {
+	vmIncarnation := r.Header.Get(headerVMIncarnation)
+	vm, _, _ := strings.Cut(vmIncarnation, " ")
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if vmIncarnation != s.currentIncarnation(vm) {
+		return // the VM has been restarted or paused since
+	}
+	now, pair := time.Now(), incarnationPair{vmIncarnation, incarnation}
+	if leavingSince, ok := s.leavingSince[pair]; ok {
+		delay := s.sentAt[r.ID()].Sub(leavingSince)
+		s.recorder.check(guaranteeDrain, delay <= drainTimeout, r.ID(), fmt.Sprintf("sent %v after %s had relayed that its upstream is leaving", delay, vmIncarnation))
+	}
+	for _, b := range s.backoffs[pair] {
+		elapsed := now.Sub(b.requestedAt)
+		if elapsed <= backoffLeeway || elapsed >= b.duration || link == nil || !link.undisturbedSince(b.requestedAt) {
+			continue
+		}
+		b.arrivals++
+		s.recorder.check(guaranteeBackoff, b.arrivals <= maxBackoffRequests, r.ID(), fmt.Sprintf("request %d of %s during a back-off of %v, %v after the upstream asked for it", b.arrivals, vmIncarnation, b.duration, elapsed))
+	}
+}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -10,9 +10,9 @@
 	"github.com/matryer/is"
 )
 
-// TestPlanIsDecidedByItsSeed checks that a seed draws the same faults at the same moments
-// each time, another seed others, and that every kind can be drawn.
-func TestPlanIsDecidedByItsSeed(t *testing.T) {
+// TestPlanIsReproducible checks that a seed always draws the same faults at the same times, that
+// another seed draws different ones, and that every kind can be drawn.
+func TestPlanIsReproducible(t *testing.T) {
 	is := is.New(t)
 	f := &fleet{}
 	type drawn struct {
@@ -20,40 +20,40 @@
 		name string
 	}
 	plan := func(seed uint64) (out []drawn) {
-		for _, x := range f.plan(seed, time.Minute) {
-			out = append(out, drawn{x.at, x.name})
+		for _, planned := range f.plan(seed, time.Minute) {
+			out = append(out, drawn{planned.after, planned.name})
 		}
 		return out
 	}
 	is.Equal(plan(7), plan(7))
 	is.True(!slices.Equal(plan(7), plan(8)))
 	total := 0
-	for _, g := range []group{byItself, byWords, byOperator, byLimits} {
-		total += len(namesOf(f.kinds(), g))
+	for _, g := range []faultGroup{failureGroup, signalGroup, operatorGroup, limitGroup} {
+		total += len(kindNames(f.faultKinds(), g))
 	}
-	is.Equal(total, len(f.kinds()))
+	is.Equal(total, len(f.faultKinds()))
 }
 
-// TestLink puts each fault on a link: held up while it is cut, silent for good on open
-// connections while new ones work, refused once it is closed.
-func TestLink(t *testing.T) {
+// TestProxyFaults checks each fault of a link: bytes are held back while it is blocked, silenced
+// connections stay silent while new ones work, and a closed link refuses connections.
+func TestProxyFaults(t *testing.T) {
 	is := is.New(t)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	echoServer, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	defer l.Close()
+	defer echoServer.Close()
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := echoServer.Accept()
 			if err != nil {
 				return
 			}
 			go func() { _, _ = io.Copy(c, c) }()
 		}
 	}()
-	p, err := newProxy("127.0.0.1:0", l.Addr().String())
+	link, err := newProxy("127.0.0.1:0", echoServer.Addr().String())
 	is.NoErr(err)
 	dial := func() net.Conn {
-		c, err := net.Dial("tcp", p.address())
+		c, err := net.Dial("tcp", link.address())
 		is.NoErr(err)
 		return c
 	}
@@ -67,18 +67,18 @@
 	first := dial()
 	defer first.Close()
 	is.True(echoes(first, 5*time.Second))
-	p.set(0, true)
+	link.setFault(0, true)
 	is.True(!echoes(first, 100*time.Millisecond))
-	p.set(0, false)
+	link.setFault(0, false)
 	second := dial()
 	defer second.Close()
 	is.True(echoes(second, 5*time.Second))
-	p.silence()
+	link.silenceOpen()
 	is.True(!echoes(second, 100*time.Millisecond))
 	third := dial()
 	defer third.Close()
 	is.True(echoes(third, 5*time.Second))
-	p.close()
-	_, err = net.Dial("tcp", p.address())
+	link.close()
+	_, err = net.Dial("tcp", link.address())
 	is.True(err != nil)
 }
--- a/internal/soak/upstreams.go
+++ b/internal/soak/upstreams.go
@@ -12,90 +12,93 @@
 	"woaddoor/internal/standin/replica"
 )
 
-// Bodies that upstreams do something about.
+// Request bodies that select the upstreams' behaviour.
 const (
-	bodyDeadly = "deadly" // ends the upstream that begins to run it
-	bodySound  = "sound"
+	bodyPoison = "deadly" // crashes the upstream that runs it
+	bodyNormal = "sound"
 )
 
-// Times of upstreams.
+// Timing and stream length of the upstreams.
 const (
-	endsAfter  = 40 * time.Millisecond
-	eventEvery = 15 * time.Millisecond
-	eventsEach = 6
+	poisonExitDelay = 40 * time.Millisecond
+	eventInterval   = 15 * time.Millisecond
+	eventsPerStream = 6
 )
 
-// upstreams are the stand-ins of a service, each behind a proxy, and what came to them.
+// upstreams runs the upstream stand-ins of one service, each behind a proxy, and records the
+// requests that reach them.
 type upstreams struct {
-	store *objects.Store
-	tally *tally
-	words *words
-	// limits are what upstreams name.
-	limits *limits
+	store    *objects.Store
+	recorder *recorder
+	signals  *signalTracker
+	// limits tracks the rate limits that upstreams advertise.
+	limits *limitTracker
 
 	// mu guards the fields below.
-	mu     sync.Mutex
-	random *rand.Rand
-	places []*place
-	lives  int
-	// runs counts how often a request was begun, arrivals all that came within a second
-	// after the start.
+	mu              sync.Mutex
+	random          *rand.Rand
+	slots           []*upstreamSlot
+	lastIncarnation int
+	// runs counts by request id how often a request began to run. arrivals lists every request
+	// that reached an upstream, rejected ones included.
 	runs     map[string]int
 	arrivals []arrival
-	// deadlyAt are when deadly requests came, endedAt when upstreams ended under them.
-	deadlyAt, endedAt []time.Time
-	harmless          bool
-	// failing has every answer that may run again fail.
+	// poisonArrivals is when poison requests arrived, and poisonExits when upstreams crashed while
+	// running one.
+	poisonArrivals, poisonExits []time.Time
+	ignorePoison                bool
+	// failing makes every repeatable request fail.
 	failing bool
-	// evacuated is since when data centres are evacuated.
-	evacuated map[string]time.Time
+	// evacuatedAt is when the evacuation of each evacuated data centre began.
+	evacuatedAt map[string]time.Time
 }
 
-// arrival is a request that came to an upstream.
+// arrival is a request that reached an upstream.
 type arrival struct {
 	at time.Time
 	id string
 }
 
-// place is where one upstream after the other stands.
-type place struct {
-	dataCentre string
-	number     int
-	id         string
-	replica    *replica.Replica
-	link       *proxy
-	mute       bool // it takes requests and says nothing
-	life       int
-	leaving    bool          // it says so in all its answers
-	rest       time.Duration // it turns most away and asks for this; zero for none
+// upstreamSlot is a position in the fleet that is held by one upstream incarnation after another.
+type upstreamSlot struct {
+	dataCentre  string
+	number      int
+	id          string
+	replica     *replica.Replica
+	link        *proxy
+	hanging     bool // accepts requests and never answers
+	incarnation int
+	leaving     bool          // announces it in all its answers
+	backoff     time.Duration // rejects most requests and asks for this back-off; zero for none
 }
 
-func newUpstreams(store *objects.Store, t *tally, seed uint64) *upstreams {
-	w := newWords(t)
-	return &upstreams{store: store, tally: t, words: w, limits: &limits{words: w, spans: make(map[int]*limitSpan)}, random: rand.New(rand.NewPCG(seed, 1)), runs: make(map[string]int), evacuated: make(map[string]time.Time)}
+func newUpstreams(store *objects.Store, rec *recorder, seed uint64) *upstreams {
+	signals := newSignalTracker(rec)
+	return &upstreams{store: store, recorder: rec, signals: signals, limits: &limitTracker{signals: signals, advertised: make(map[int]*advertisedLimit)}, random: rand.New(rand.NewPCG(seed, 1)), runs: make(map[string]int), evacuatedAt: make(map[string]time.Time)}
 }
 
-// start starts an upstream at a new place.
-func (u *upstreams) start(dataCentre string) error {
+// addSlot adds a slot in a data centre and starts an upstream in it.
+func (u *upstreams) addSlot(dataCentre string) error {
 	u.mu.Lock()
-	p := &place{dataCentre: dataCentre, number: len(u.places)}
-	u.places = append(u.places, p)
+	slot := &upstreamSlot{dataCentre: dataCentre, number: len(u.slots)}
+	u.slots = append(u.slots, slot)
 	u.mu.Unlock()
-	return u.begin(p)
+	return u.startIncarnation(slot)
 }
 
-// begin starts a life at a place, every other one under its former id.
-func (u *upstreams) begin(p *place) error {
+// startIncarnation starts a new upstream incarnation in a slot. Even-numbered slots reuse their
+// id, odd-numbered ones take a new id each time.
+func (u *upstreams) startIncarnation(slot *upstreamSlot) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.lives++
-	born := u.lives
-	p.id = fmt.Sprintf("u%d", p.number)
-	if p.number%2 == 1 {
-		p.id = fmt.Sprintf("u%d-%d", p.number, born)
+	u.lastIncarnation++
+	incarnation := u.lastIncarnation
+	slot.id = fmt.Sprintf("u%d", slot.number)
+	if slot.number%2 == 1 {
+		slot.id = fmt.Sprintf("u%d-%d", slot.number, incarnation)
 	}
-	p.mute, p.leaving, p.rest, p.life = false, false, 0, born
-	r, err := replica.Start(p.id, func(c *replica.Conn, got *replica.Request) bool { return u.serve(p, c, got) })
+	slot.hanging, slot.leaving, slot.backoff, slot.incarnation = false, false, 0, incarnation
+	r, err := replica.Start(slot.id, func(c *replica.Conn, got *replica.Request) bool { return u.serve(slot, c, got) })
 	if err != nil {
 		return err
 	}
@@ -104,141 +107,143 @@
 		r.Close()
 		return err
 	}
-	p.replica, p.link = r, link
-	u.list(p, born)
+	slot.replica, slot.link = r, link
+	u.putEntry(slot, incarnation)
 	return nil
 }
 
-// list writes the entry of a place's life. The caller holds mu.
-func (u *upstreams) list(p *place, born int) {
-	u.store.PutUpstream(objects.Upstream{ID: p.id, Address: p.link.address(), DataCentre: p.dataCentre, Born: born})
+// putEntry writes the store entry of a slot's current incarnation. The caller holds mu.
+func (u *upstreams) putEntry(slot *upstreamSlot, incarnation int) {
+	u.store.PutUpstream(objects.Upstream{ID: slot.id, Address: slot.link.address(), DataCentre: slot.dataCentre, Born: incarnation})
 }
 
-// end ends the life at a place, at once, and has another begin after a time; its entry
-// lapses meanwhile.
-func (u *upstreams) end(p *place, back time.Duration) {
+// kill ends a slot's upstream at once and starts another one after a delay. Until then its store
+// entry stays in place although nothing answers at its address.
+func (u *upstreams) kill(slot *upstreamSlot, restartAfter time.Duration) {
 	u.mu.Lock()
-	r, link, id := p.replica, p.link, p.id
-	if r == nil {
+	running, link, id := slot.replica, slot.link, slot.id
+	if running == nil {
 		u.mu.Unlock()
 		return
 	}
-	p.replica, p.link = nil, nil
+	slot.replica, slot.link = nil, nil
 	u.mu.Unlock()
 	link.close()
-	r.Close()
-	time.AfterFunc(back, func() {
+	running.Close()
+	time.AfterFunc(restartAfter, func() {
 		u.store.DeleteUpstream(id)
-		if err := u.begin(p); err != nil {
-			u.tally.fault("upstream does not come back: " + err.Error())
+		if err := u.startIncarnation(slot); err != nil {
+			u.recorder.recordFault("an upstream cannot be restarted: " + err.Error())
 		}
 	})
 }
 
-// serve answers one request.
-func (u *upstreams) serve(p *place, c *replica.Conn, r *replica.Request) bool {
+// serve handles one request and returns whether the connection stays open.
+func (u *upstreams) serve(slot *upstreamSlot, c *replica.Conn, r *replica.Request) bool {
 	u.mu.Lock()
 	u.arrivals = append(u.arrivals, arrival{time.Now(), r.ID()})
-	life, link := p.life, p.link
-	said := append(u.said(p), u.limits.answers(r.Header.Get(headerVia), life)...)
+	incarnation, link := slot.incarnation, slot.link
+	headers := append(u.signalHeaders(slot), u.limits.headers(r.Header.Get(headerVMIncarnation), incarnation)...)
 	chance := u.random.IntN(100)
-	if p.rest > 0 && chance < restsPart {
-		rest := p.rest
+	if slot.backoff > 0 && chance < backoffRejectPercent {
+		backoff := slot.backoff
 		u.mu.Unlock()
-		u.turnAway(c, r, life, link, append(said, replica.Rest(rest)), rest)
+		u.reject(c, r, incarnation, link, append(headers, replica.Rest(backoff)), backoff)
 		return true
 	}
 	u.runs[r.ID()]++
-	runs, mute, body := u.runs[r.ID()], p.mute, string(r.Payload)
-	deadly := body == bodyDeadly && !u.harmless
-	if body == bodyDeadly {
-		u.deadlyAt = append(u.deadlyAt, time.Now())
+	runs, hanging, body := u.runs[r.ID()], slot.hanging, string(r.Payload)
+	poison := body == bodyPoison && !u.ignorePoison
+	if body == bodyPoison {
+		u.poisonArrivals = append(u.poisonArrivals, time.Now())
 	}
 	fails := u.failing || u.random.IntN(50) == 0
-	evacuated, emptied := u.evacuated[p.dataCentre]
+	evacuatedAt, isEvacuated := u.evacuatedAt[slot.dataCentre]
 	u.mu.Unlock()
-	if emptied {
-		u.words.cameTo(r, time.Since(evacuated))
+	if isEvacuated {
+		u.signals.checkEvacuated(r, time.Since(evacuatedAt))
 	}
-	u.words.came(r, life, link)
-	u.limits.came(r, life, link)
+	u.signals.checkArrival(r, incarnation, link)
+	u.limits.checkArrival(r, incarnation, link)
 	if strings.HasPrefix(r.URL.Path, "/once/") {
-		u.tally.check(promiseOnce, runs == 1, r.ID(), fmt.Sprintf("runs for the %d. time", runs))
+		u.recorder.check(guaranteeAtMostOnce, runs == 1, r.ID(), fmt.Sprintf("is run number %d", runs))
 	}
 	switch {
-	case mute:
+	case hanging:
 		c.WaitGone(10 * time.Second)
 		return false
-	case deadly:
-		time.Sleep(endsAfter)
+	case poison:
+		time.Sleep(poisonExitDelay)
 		u.mu.Lock()
-		u.endedAt = append(u.endedAt, time.Now())
+		u.poisonExits = append(u.poisonExits, time.Now())
 		u.mu.Unlock()
-		u.end(p, 700*time.Millisecond)
+		u.kill(slot, 700*time.Millisecond)
 		return false
 	case strings.HasPrefix(r.URL.Path, "/stream/") && !fails:
-		return u.stream(c, r, chance, said)
-	case chance < losesPart: // it runs, and its answer is lost
+		return u.stream(c, r, chance, headers)
+	case chance < lostAnswerPercent: // the request runs, and its answer is lost
 		time.Sleep(10 * time.Millisecond)
 		return false
-	case chance < losesPart+crossedPart: // another's answer comes first, late
+	case chance < lostAnswerPercent+crossedAnswerPercent: // a late answer to another request precedes the right one
 		c.Whole(http.StatusOK, "id-of-another", "answer to another")
 	case fails && !strings.HasPrefix(r.URL.Path, "/once/"):
-		c.Whole(http.StatusInternalServerError, r.ID(), "failed", said...)
+		c.Whole(http.StatusInternalServerError, r.ID(), "failed", headers...)
 		return true
 	}
 	time.Sleep(10 * time.Millisecond)
-	c.Whole(http.StatusOK, r.ID(), answerTo(r.ID()), said...)
+	c.Whole(http.StatusOK, r.ID(), answerBody(r.ID()), headers...)
 	return true
 }
 
-// said returns what an upstream says of itself in an answer. The caller holds mu.
-func (u *upstreams) said(p *place) []string {
-	if !p.leaving {
+// signalHeaders returns the headers by which a leaving upstream announces this. The caller holds
+// mu.
+func (u *upstreams) signalHeaders(slot *upstreamSlot) []string {
+	if !slot.leaving {
 		return nil
 	}
-	return []string{replica.Leaving, fmt.Sprintf("%s: %d", headerLife, p.life)}
+	return []string{replica.Leaving, fmt.Sprintf("%s: %d", headerUpstreamIncarnation, slot.incarnation)}
 }
 
-// turnAway refuses a request and asks for a rest.
-func (u *upstreams) turnAway(c *replica.Conn, r *replica.Request, life int, link *proxy, said []string, rest time.Duration) {
-	u.words.came(r, life, link)
-	u.limits.came(r, life, link)
-	u.words.asks(r.Header.Get(headerVia), life, rest)
-	c.Shed(r.ID(), said...)
+// reject refuses a request and asks for a back-off.
+func (u *upstreams) reject(c *replica.Conn, r *replica.Request, incarnation int, link *proxy, headers []string, backoff time.Duration) {
+	u.signals.checkArrival(r, incarnation, link)
+	u.limits.checkArrival(r, incarnation, link)
+	u.signals.recordBackoff(r.Header.Get(headerVMIncarnation), incarnation, backoff)
+	c.Shed(r.ID(), headers...)
 }
 
-// Parts in a hundred of answers that are lost or broken off, and before which another's
-// comes.
+// Percentages of requests whose answer is lost or broken off, and of those whose answer is
+// preceded by the answer to another request.
 const (
-	losesPart   = 2
-	crossedPart = 2
-	// restsPart is the part that an upstream turns away which asks for rests.
-	restsPart = 70
+	lostAnswerPercent    = 2
+	crossedAnswerPercent = 2
+	// backoffRejectPercent is the percentage of requests that an upstream rejects while it asks
+	// for a back-off.
+	backoffRejectPercent = 70
 )
 
-// setFailing has every answer fail that may run again, or no more.
+// setFailing switches on or off that every repeatable request fails.
 func (u *upstreams) setFailing(failing bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.failing = failing
 }
 
-// answerTo is the whole answer to a request.
-func answerTo(id string) string { return "answer to " + id }
+// answerBody returns the full answer to a request.
+func answerBody(id string) string { return "answer to " + id }
 
-// stream answers with events, from where the caller has them. By chance it breaks off in
-// the midst of one, or goes on from one event before.
-func (u *upstreams) stream(c *replica.Conn, r *replica.Request, chance int, said []string) bool {
+// stream answers with events, starting after the last one that the caller has. At random it breaks
+// off in the middle of an event, or repeats the last event that the caller has.
+func (u *upstreams) stream(c *replica.Conn, r *replica.Request, chance int, headers []string) bool {
 	from := r.LastEvent()
-	c.BeginStream(r.ID(), said...)
+	c.BeginStream(r.ID(), headers...)
 	if from > 0 && chance >= 50 {
 		from--
 	}
-	for n := from + 1; n <= eventsEach; n++ {
+	for n := from + 1; n <= eventsPerStream; n++ {
 		c.Event(n, fmt.Sprintf("%s %d", r.ID(), n))
-		time.Sleep(eventEvery)
-		if chance < losesPart && n == eventsEach/2 {
+		time.Sleep(eventInterval)
+		if chance < lostAnswerPercent && n == eventsPerStream/2 {
 			c.Chunk(fmt.Sprintf("id: %d\ndata: ", n+1))
 			return false
 		}
@@ -247,129 +252,132 @@
 	return true
 }
 
-// ran tells how often a request has begun to run.
-func (u *upstreams) ran(id string) int {
+// runCount returns how often a request has begun to run.
+func (u *upstreams) runCount(id string) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.runs[id]
 }
 
-// some returns a place that an upstream stands at.
-func (u *upstreams) some(n int) *place {
+// pick returns a slot that has a running upstream, starting the search at index n; nil if there is
+// none.
+func (u *upstreams) pick(n int) *upstreamSlot {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for k := range u.places {
-		if p := u.places[(n+k)%len(u.places)]; p.replica != nil {
+	for k := range u.slots {
+		if p := u.slots[(n+k)%len(u.slots)]; p.replica != nil {
 			return p
 		}
 	}
 	return nil
 }
 
-// links returns the links to all upstreams.
+// links returns the proxies of all running upstreams.
 func (u *upstreams) links() []*proxy {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	var out []*proxy
-	for _, p := range u.places {
+	var links []*proxy
+	for _, p := range u.slots {
 		if p.link != nil {
-			out = append(out, p.link)
+			links = append(links, p.link)
 		}
 	}
-	return out
+	return links
 }
 
-// setMute has an upstream take requests and say nothing, or answer again.
-func (u *upstreams) setMute(p *place, mute bool) {
+// setHanging makes an upstream accept requests without ever answering, or answer again.
+func (u *upstreams) setHanging(slot *upstreamSlot, hanging bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	p.mute = mute
+	slot.hanging = hanging
 }
 
-// leave has an upstream say in its answers that it leaves, and end when it may. Its entry
-// says for a time beyond the bound that it is ready, as one of a store that is away.
-func (u *upstreams) leave(p *place, beyond time.Duration) {
-	listedAfter := drainWithin + time.Second + beyond
+// startDrain makes an upstream announce in its answers that it is leaving, and ends it after the
+// drain time. Its store entry goes on to say that it is ready for longer than drainTimeout, as it
+// would while the store is unreachable.
+func (u *upstreams) startDrain(slot *upstreamSlot, extra time.Duration) {
+	entryDelay := drainTimeout + time.Second + extra
 	u.mu.Lock()
-	p.leaving = true
-	life := p.life
+	slot.leaving = true
+	incarnation := slot.incarnation
 	u.mu.Unlock()
-	present := func() bool {
+	running := func() bool {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		return p.life == life && p.replica != nil
+		return slot.incarnation == incarnation && slot.replica != nil
 	}
-	time.AfterFunc(listedAfter, func() {
+	time.AfterFunc(entryDelay, func() {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		if p.life == life && p.replica != nil {
-			u.store.PutUpstream(objects.Upstream{ID: p.id, Address: p.link.address(), DataCentre: p.dataCentre, Born: life, Leaving: true})
+		if slot.incarnation == incarnation && slot.replica != nil {
+			u.store.PutUpstream(objects.Upstream{ID: slot.id, Address: slot.link.address(), DataCentre: slot.dataCentre, Born: incarnation, Leaving: true})
 		}
 	})
-	time.AfterFunc(listedAfter+drainWithin+time.Second, func() {
-		if present() {
-			u.end(p, 300*time.Millisecond)
+	time.AfterFunc(entryDelay+drainTimeout+time.Second, func() {
+		if running() {
+			u.kill(slot, 300*time.Millisecond)
 		}
 	})
 }
 
-// limit has an upstream name a limit for a time.
-func (u *upstreams) limit(p *place, perSecond float64, d time.Duration) {
+// advertiseLimit makes an upstream advertise a rate limit for the duration d.
+func (u *upstreams) advertiseLimit(slot *upstreamSlot, perSecond float64, d time.Duration) {
 	u.mu.Lock()
-	life := p.life
+	incarnation := slot.incarnation
 	u.mu.Unlock()
-	u.limits.begin(life, perSecond)
-	time.AfterFunc(d, func() { u.limits.end(life) })
+	u.limits.start(incarnation, perSecond)
+	time.AfterFunc(d, func() { u.limits.stop(incarnation) })
 }
 
-// evacuate notes that a data centre is evacuated, and tells whether it was not yet.
-func (u *upstreams) evacuate(dc string) bool {
+// startEvacuation records that a data centre is being evacuated. It returns false if it already
+// was.
+func (u *upstreams) startEvacuation(dc string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if _, already := u.evacuated[dc]; already {
+	if _, already := u.evacuatedAt[dc]; already {
 		return false
 	}
-	u.evacuated[dc] = time.Now()
-	u.tally.check(promiseEmptied, true, "", "")
+	u.evacuatedAt[dc] = time.Now()
+	u.recorder.check(guaranteeEvacuation, true, "", "")
 	return true
 }
 
-// takeBack notes that the evacuation of a data centre ends.
-func (u *upstreams) takeBack(dc string) {
+// endEvacuation records that the evacuation of a data centre has ended.
+func (u *upstreams) endEvacuation(dc string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	delete(u.evacuated, dc)
+	delete(u.evacuatedAt, dc)
 }
 
-// setRest has upstreams turn most of what they get away and ask for a rest, or no more.
-func (u *upstreams) setRest(places []*place, rest time.Duration) {
+// setBackoff makes upstreams reject most requests and ask for a back-off; zero ends that.
+func (u *upstreams) setBackoff(slots []*upstreamSlot, backoff time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for _, p := range places {
-		p.rest = rest
+	for _, slot := range slots {
+		slot.backoff = backoff
 	}
 }
 
-// checkHeld checks how often deadly requests came to upstreams later than contact after the
-// third had ended. No fault excuses more: what is held outlasts them.
-func (u *upstreams) checkHeld() {
+// checkQuarantine checks that few poison requests arrived later than settleTime after they had
+// crashed three upstreams. No fault exempts from this, because a quarantine entry outlasts faults.
+func (u *upstreams) checkQuarantine() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if len(u.endedAt) < 3 {
+	if len(u.poisonExits) < 3 {
 		return
 	}
-	late := 0
-	for _, at := range u.deadlyAt {
-		if at.Sub(u.endedAt[2]) > contact {
-			late++
+	lateArrivals := 0
+	for _, at := range u.poisonArrivals {
+		if at.Sub(u.poisonExits[2]) > settleTime {
+			lateArrivals++
 		}
 	}
-	u.tally.check(promiseHeld, late <= 3, bodyDeadly, fmt.Sprintf("came %d times later than %v after the third of %d ends", late, contact, len(u.endedAt)))
+	u.recorder.check(guaranteeQuarantine, lateArrivals <= 3, bodyPoison, fmt.Sprintf("arrived %d times later than %v after the third of %d upstream crashes", lateArrivals, settleTime, len(u.poisonExits)))
 }
 
-// checkBudget checks that no window of ten seconds has more repeated arrivals than the
-// budget allows, by the requests that callers sent.
-func (u *upstreams) checkBudget(sentIn func(from, to time.Time) int) {
+// checkRetryBudget checks that no window of ten seconds (retryWindow) contains more repeated
+// arrivals than the budget allows for the requests that callers sent.
+func (u *upstreams) checkRetryBudget(countSent func(from, to time.Time) int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	seen := make(map[string]bool, len(u.arrivals))
@@ -381,13 +389,13 @@
 		seen[a.id] = true
 	}
 	for i, last := range repeats {
-		n := 0
+		count := 0
 		for _, at := range repeats[:i+1] {
-			if last.Sub(at) < budgetWindow {
-				n++
+			if last.Sub(at) < retryWindow {
+				count++
 			}
 		}
-		allowed := retryRatio*float64(sentIn(last.Add(-2*budgetWindow), last)) + retrySlack
-		u.tally.check(promiseBudget, float64(n) <= allowed, "all", fmt.Sprintf("%d repeats in %v, %.0f are allowed", n, budgetWindow, allowed))
+		allowed := retryRatio*float64(countSent(last.Add(-2*retryWindow), last)) + retrySlack
+		u.recorder.check(guaranteeRetryBudget, float64(count) <= allowed, "all", fmt.Sprintf("%d repeated sends in %v, %.0f are allowed", count, retryWindow, allowed))
 	}
 }
