--- a/internal/layers/fields_test.go
+++ b/internal/layers/fields_test.go
@@ -9,10 +9,10 @@
 	"golang.org/x/tools/go/packages"
 )
 
-// heard are the types that hold what others say, decoded from what they send. A field of
+// receivedTypes are the types that hold what others say, decoded from what they send. A field of
 // theirs that nobody reads is a word that nobody hears: an engine's time to come back was
 // decoded for long, and engines that asked for a rest got none.
-var heard = map[string][]string{
+var receivedTypes = map[string][]string{
 	"woaddoor/relay":      {"Head", "Load", "Request", "Rest", "Sent", "Opinion"},
 	"woaddoor/upstream":   {"Entry", "Said"},
 	"woaddoor/engine":     {"CallError", "PlainAnswer"},
@@ -24,8 +24,8 @@
 	"woaddoor/quarantine": {"Held", "Told", "ToldEnd"},
 }
 
-// unheard are fields that are not read, and why.
-var unheard = map[string]string{
+// unreadFields are fields that are not read, and why.
+var unreadFields = map[string]string{
 	"route.Limits.Header":        "a listener is opened before a configuration is known; callers keep within it",
 	"route.Limits.HeaderTimeout": "as Header",
 	"route.Limits.Idling":        "as Header; idle connections are kept for longer than callers use them",
@@ -33,9 +33,9 @@
 	"route.Service.ID":           "it is the key under which the service stands",
 }
 
-// TestEveryWordIsHeard checks that each field of what others say is read somewhere in the
+// TestEveryReceivedFieldIsRead checks that each field of what others say is read somewhere in the
 // product, tests apart.
-func TestEveryWordIsHeard(t *testing.T) {
+func TestEveryReceivedFieldIsRead(t *testing.T) {
 	all, err := packages.Load(&packages.Config{
 		Dir:  "../..",
 		Mode: packages.NeedName | packages.NeedSyntax | packages.NeedTypes | packages.NeedTypesInfo | packages.NeedImports | packages.NeedDeps,
@@ -48,27 +48,27 @@
 		for _, e := range p.Errors {
 			t.Fatal(e)
 		}
-		for _, name := range heard[p.PkgPath] {
+		for _, name := range receivedTypes[p.PkgPath] {
 			addFields(t, fields, p, name)
 		}
 	}
 	read := make(map[types.Object]bool)
 	for _, p := range all {
 		for _, f := range p.Syntax {
-			noteReads(f, p.TypesInfo, read)
+			collectReads(f, p.TypesInfo, read)
 		}
 	}
 	for f, name := range fields {
-		if why := unheard[name]; !read[f] && why == "" {
+		if reason := unreadFields[name]; !read[f] && reason == "" {
 			t.Errorf("%s is told and never read", name)
-		} else if read[f] && why != "" {
-			t.Errorf("%s is read, and listed as not: %s", name, why)
+		} else if read[f] && reason != "" {
+			t.Errorf("%s is read, and listed as not: %s", name, reason)
 		}
 	}
 }
 
 // addFields adds the fields of a type by their names.
-func addFields(t *testing.T, to map[types.Object]string, p *packages.Package, name string) {
+func addFields(t *testing.T, fields map[types.Object]string, p *packages.Package, name string) {
 	t.Helper()
 	found := p.Types.Scope().Lookup(name)
 	if found == nil {
@@ -81,13 +81,13 @@
 		return
 	}
 	for i := range s.NumFields() {
-		to[s.Field(i)] = p.Name + "." + name + "." + s.Field(i).Name()
+		fields[s.Field(i)] = p.Name + "." + name + "." + s.Field(i).Name()
 	}
 }
 
-// noteReads notes which fields a file reads: those selected, but on the left of an
+// collectReads notes which fields a file reads: those selected, but on the left of an
 // assignment, and embedded ones on the way to what is selected.
-func noteReads(f *ast.File, info *types.Info, read map[types.Object]bool) {
+func collectReads(f *ast.File, info *types.Info, read map[types.Object]bool) {
 	var written []ast.Expr
 	ast.Inspect(f, func(n ast.Node) bool {
 		if a, ok := n.(*ast.AssignStmt); ok {
@@ -97,22 +97,22 @@
 		if !ok {
 			return true
 		}
-		s := info.Selections[sel]
-		if s == nil || slices.Contains(written, ast.Expr(sel)) {
+		selection := info.Selections[sel]
+		if selection == nil || slices.Contains(written, ast.Expr(sel)) {
 			return true
 		}
-		way := s.Index()
-		if s.Kind() != types.FieldVal {
-			way = way[:len(way)-1] // the last one is a method's
+		path := selection.Index()
+		if selection.Kind() != types.FieldVal {
+			path = path[:len(path)-1] // the last one is a method's
 		}
-		at := s.Recv()
-		for _, i := range way {
-			if p, ok := at.Underlying().(*types.Pointer); ok {
-				at = p.Elem()
+		current := selection.Recv()
+		for _, i := range path {
+			if p, ok := current.Underlying().(*types.Pointer); ok {
+				current = p.Elem()
 			}
-			field := at.Underlying().(*types.Struct).Field(i)
+			field := current.Underlying().(*types.Struct).Field(i)
 			read[field] = true
-			at = field.Type()
+			current = field.Type()
 		}
 		return true
 	})
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -11,60 +11,60 @@
 	"testing"
 )
 
-// decisions are the packages that decide, from typed events and a given time. Each
+// purePackages are the packages that decide, from typed events and a given time. Each
 // runs the same in a property test, in a measurement and in production.
-var decisions = []string{
+var purePackages = []string{
 	"bill", "cascade", "contract", "datacentre", "document", "lease", "permit", "reading",
 	"quarantine", "retry", "rollout", "scaling", "session", "stream", "ticket", "upstream", "usage", "vm", "workspace",
 }
 
-// allowed are the packages of the project that decisions may use: each other, and
+// allowedImports are the packages of the project that decisions may use: each other, and
 // the typed form of a configuration.
-var allowed = append([]string{"config", "sign"}, decisions...)
+var allowedImports = append([]string{"config", "sign"}, purePackages...)
 
-// forbidden are packages of the standard library and of others that do I/O, log,
+// forbiddenImports are packages of the standard library and of others that do I/O, log,
 // measure or run something at a later time.
-var forbidden = []string{
+var forbiddenImports = []string{
 	"context", "io", "log", "net", "os", "sync", "syscall",
 	"github.com/quic-go", "github.com/rcrowley/go-metrics", "go.uber.org/zap",
 }
 
-// TestDecisionsAreApart checks that no package that decides imports one that does
+// TestPurePackagesImportNoIO checks that no package that decides imports one that does
 // I/O, logs, or knows of goroutines: what it decides then depends on what it is given
 // alone.
-func TestDecisionsAreApart(t *testing.T) {
-	for _, pkg := range decisions {
+func TestPurePackagesImportNoIO(t *testing.T) {
+	for _, pkg := range purePackages {
 		for _, name := range imports(t, filepath.Join("..", "..", pkg)) {
-			if why := barred(name); why != "" {
-				t.Errorf("%s imports %s: %s", pkg, name, why)
+			if reason := forbiddenReason(name); reason != "" {
+				t.Errorf("%s imports %s: %s", pkg, name, reason)
 			}
 		}
 	}
 }
 
-// TestBarred checks that the check itself finds what it is for.
-func TestBarred(t *testing.T) {
-	for name, bar := range map[string]bool{
+// TestForbiddenReason checks that the check itself finds what it is for.
+func TestForbiddenReason(t *testing.T) {
+	for name, forbidden := range map[string]bool{
 		"time": false, "math/rand/v2": false, "woaddoor/contract": false, "woaddoor/config": false, "errors": false,
 		"net/http": true, "os": true, "sync/atomic": true, "context": true, "woaddoor/link": true, "woaddoor/engine": true, "go.uber.org/zap": true,
 	} {
-		if (barred(name) != "") != bar {
-			t.Errorf("%s: barred %v", name, !bar)
+		if (forbiddenReason(name) != "") != forbidden {
+			t.Errorf("%s: barred %v", name, !forbidden)
 		}
 	}
 }
 
-// barred returns why a package that decides may not import another, or "".
-func barred(name string) string {
-	if inner, ok := strings.CutPrefix(name, "woaddoor/"); ok {
-		for _, p := range allowed {
-			if inner == p {
+// forbiddenReason returns why a package that decides may not import another, or "".
+func forbiddenReason(name string) string {
+	if projectPackage, ok := strings.CutPrefix(name, "woaddoor/"); ok {
+		for _, p := range allowedImports {
+			if projectPackage == p {
 				return ""
 			}
 		}
 		return "it is not a package that decides"
 	}
-	for _, p := range forbidden {
+	for _, p := range forbiddenImports {
 		if name == p || strings.HasPrefix(name, p+"/") {
 			return "decisions do no I/O and know of no goroutines"
 		}
@@ -88,8 +88,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, i := range f.Imports {
-			name, err := strconv.Unquote(i.Path.Value)
+		for _, spec := range f.Imports {
+			name, err := strconv.Unquote(spec.Path.Value)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/mutants/main.go
+++ b/internal/mutants/main.go
@@ -189,19 +189,19 @@
 		if len(os.Args) > 1 && !strings.Contains(m.rule, os.Args[1]) {
 			continue
 		}
-		began := time.Now()
-		killed, err := try(m)
+		startedAt := time.Now()
+		killed, err := tryMutant(m)
 		if err != nil {
 			fmt.Printf("%-50s could not be tried: %v\n", m.rule, err)
 			survived++
 			continue
 		}
-		word := "fails without it"
+		result := "fails without it"
 		if !killed {
-			word = "PASSES WITHOUT IT"
+			result = "PASSES WITHOUT IT"
 			survived++
 		}
-		fmt.Printf("%-50s %s %s: %s (%v)\n", m.rule, m.pkg, m.test, word, time.Since(began).Round(time.Second))
+		fmt.Printf("%-50s %s %s: %s (%v)\n", m.rule, m.pkg, m.test, result, time.Since(startedAt).Round(time.Second))
 	}
 	fmt.Printf("%d rules; the test passes without, or could not be tried without, %d of them\n", len(mutants), survived)
 	if survived > 0 {
@@ -209,8 +209,8 @@
 	}
 }
 
-// try returns whether the test fails without the rule.
-func try(m mutant) (bool, error) {
+// tryMutant returns whether the test fails without the rule.
+func tryMutant(m mutant) (bool, error) {
 	dir, err := os.MkdirTemp("", "mutant")
 	if err != nil {
 		return false, err
@@ -230,14 +230,14 @@
 	if err := os.WriteFile(path, bytes.Replace(text, []byte(m.old), []byte(m.new), 1), 0o600); err != nil {
 		return false, err
 	}
-	if out, err := run(dir, "go", "build", "./..."); err != nil {
+	if out, err := runCommand(dir, "go", "build", "./..."); err != nil {
 		return false, fmt.Errorf("does not build: %s", out)
 	}
-	_, err = run(dir, "go", "test", m.pkg, "-run", m.test, "-count", "1", "-timeout", testTimeout.String())
+	_, err = runCommand(dir, "go", "test", m.pkg, "-run", m.test, "-count", "1", "-timeout", testTimeout.String())
 	return err != nil, nil
 }
 
-func run(dir, name string, args ...string) (string, error) {
+func runCommand(dir, name string, args ...string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout+time.Minute)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, name, args...)
@@ -247,7 +247,7 @@
 }
 
 // copyTree copies the project's source.
-func copyTree(to string) error {
+func copyTree(destination string) error {
 	return filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -256,15 +256,15 @@
 			if path != "." && (strings.HasPrefix(d.Name(), ".") || path == "bin" || path == "trial") {
 				return filepath.SkipDir
 			}
-			return os.MkdirAll(filepath.Join(to, path), 0o700)
+			return os.MkdirAll(filepath.Join(destination, path), 0o700)
 		}
 		if !strings.HasSuffix(path, ".go") && path != "go.mod" && path != "go.sum" {
 			return nil
 		}
-		raw, err := os.ReadFile(path)
+		source, err := os.ReadFile(path)
 		if err != nil {
 			return err
 		}
-		return os.WriteFile(filepath.Join(to, path), raw, 0o600)
+		return os.WriteFile(filepath.Join(destination, path), source, 0o600)
 	})
 }
--- a/internal/mutants/main_test.go
+++ b/internal/mutants/main_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestRulesAreFound checks that the line of each rule stands once in its file: a rule
+// TestMutatedLinesExistOnce checks that the line of each rule stands once in its file: a rule
 // whose line was rewritten is tried no more, and nobody sees it before all are.
-func TestRulesAreFound(t *testing.T) {
+func TestMutatedLinesExistOnce(t *testing.T) {
 	for _, m := range mutants {
 		text, err := os.ReadFile(filepath.Join("..", "..", m.file))
 		if err != nil {
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -81,7 +81,7 @@
 		c.fleet.recorder.recordFault("cannot create a request: " + err.Error())
 		return
 	}
-	replica.SetWait(req, callerTimeout)
+	replica.SetDeadline(req, callerTimeout)
 	vmIncarnation := c.fleet.upstreams.signals.recordSend(id, v.name)
 	req.Header.Set(headerVMIncarnation, vmIncarnation)
 	sentAt := time.Now()
@@ -125,7 +125,7 @@
 		rec.check(guaranteeEventOrder, problem == "", id, problem)
 		c.recordServed()
 	default:
-		ok := string(body) == answerBody(id) && replica.Sealed(resp)
+		ok := string(body) == answerBody(id) && replica.HasSignature(resp)
 		rec.check(guaranteeOwnAnswer, ok, id, fmt.Sprintf("got %q", body))
 		c.recordServed()
 	}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -201,7 +201,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.version++
-	f.store.PutService(newDeployment(f.version, f.keys...))
+	f.store.PutDeployment(newDeployment(f.version, f.keys...))
 }
 
 // evacuate makes the operator evacuate a data centre, for longer than evacuationTimeout.
@@ -209,10 +209,10 @@
 	if !f.upstreams.startEvacuation(dc) {
 		return // already under way
 	}
-	f.store.Evacuate(dc)
+	f.store.StartEvacuation(dc)
 	time.AfterFunc(evacuationTimeout+settleTime+d, func() {
 		f.upstreams.endEvacuation(dc)
-		f.store.TakeBack(dc)
+		f.store.EndEvacuation(dc)
 	})
 }
 
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -70,8 +70,8 @@
 
 // newDeployment returns the configuration that the operator declares, with the given workspace
 // keys.
-func newDeployment(version int, keys ...string) objects.Service {
-	return objects.Service{Version: version, Workspace: "w1", Keys: keys, Attempts: 3}
+func newDeployment(version int, keys ...string) objects.Deployment {
+	return objects.Deployment{Version: version, Workspace: "w1", Keys: keys, MaxAttempts: 3}
 }
 
 // newFleet starts the given number of VMs, and twice as many upstreams spread over three data
@@ -223,7 +223,7 @@
 // isReady reports whether the VM's readiness page says that it accepts connections.
 func (v *vm) isReady() bool {
 	client := http.Client{Timeout: time.Second}
-	resp, err := client.Get("http://" + v.ready + replica.PathReady)
+	resp, err := client.Get("http://" + v.ready + replica.ReadinessPath)
 	if err != nil {
 		return false
 	}
--- a/internal/soak/upstreams.go
+++ b/internal/soak/upstreams.go
@@ -114,7 +114,7 @@
 
 // putEntry writes the store entry of a slot's current incarnation. The caller holds mu.
 func (u *upstreams) putEntry(slot *upstreamSlot, incarnation int) {
-	u.store.PutUpstream(objects.Upstream{ID: slot.id, Address: slot.link.address(), DataCentre: slot.dataCentre, Born: incarnation})
+	u.store.PutUpstream(objects.Upstream{ID: slot.id, Address: slot.link.address(), DataCentre: slot.dataCentre, Incarnation: incarnation})
 }
 
 // kill ends a slot's upstream at once and starts another one after a delay. Until then its store
@@ -235,7 +235,7 @@
 // stream answers with events, starting after the last one that the caller has. At random it breaks
 // off in the middle of an event, or repeats the last event that the caller has.
 func (u *upstreams) stream(c *replica.Conn, r *replica.Request, chance int, headers []string) bool {
-	from := r.LastEvent()
+	from := r.LastEventID()
 	c.BeginStream(r.ID(), headers...)
 	if from > 0 && chance >= 50 {
 		from--
@@ -310,7 +310,7 @@
 		u.mu.Lock()
 		defer u.mu.Unlock()
 		if slot.incarnation == incarnation && slot.replica != nil {
-			u.store.PutUpstream(objects.Upstream{ID: slot.id, Address: slot.link.address(), DataCentre: slot.dataCentre, Born: incarnation, Leaving: true})
+			u.store.PutUpstream(objects.Upstream{ID: slot.id, Address: slot.link.address(), DataCentre: slot.dataCentre, Incarnation: incarnation, Leaving: true})
 		}
 	})
 	time.AfterFunc(entryDelay+drainTimeout+time.Second, func() {
--- a/internal/standin/duties/duties.go
+++ b/internal/standin/duties/duties.go
@@ -1,6 +1,6 @@
-// Package duties is a stand-in for the platform that takes the calls which one VM makes
-// for all, by its published protocol, without a look at the number that they carry. It
-// notes what breaks the protocol's promises, and shows faults that a test sets.
+// Package duties is a stand-in for the platform's API that receives usage reports and scale
+// orders, which one VM sends on behalf of all. It accepts every fencing token and records
+// violations of the protocol instead of rejecting them. Tests can inject faults.
 package duties
 
 import (
@@ -13,63 +13,64 @@
 	"time"
 )
 
-// Faults are what the platform does wrong until they are changed.
+// Faults are the faults of the platform, in effect until they are replaced.
 type Faults struct {
 	// Down answers every call with 503.
 	Down bool
-	// LoseAnswers carries out that many calls and cuts their connections.
+	// LoseAnswers is how many of the next calls are processed and then cut off without an answer.
 	LoseAnswers int
-	// Refuse answers every call with this status, if it is set.
+	// Refuse is the status that answers every call; zero for none.
 	Refuse int
 }
 
-// Report is the usage of a window as it was first reported.
-type Report struct {
+// UsageReport is the first report of the usage in a window.
+type UsageReport struct {
 	Counts map[string]int64
 	At     time.Time
 	Holder string
-	// Times is how often it came.
+	// Times is how often the window was reported.
 	Times int
 }
 
-// Order is how many upstreams were ordered last of one kind.
-type Order struct {
+// ScaleOrder is the latest ordered number of upstreams for a ScaleTarget.
+type ScaleOrder struct {
 	Count  int
 	Holder string
 }
 
-// Subject is what an order is for.
-type Subject struct {
+// ScaleTarget identifies the upstreams that a scale order applies to.
+type ScaleTarget struct {
 	Service, DataCentre string
 	Preemptible         bool
 }
 
-// Platform is the stand-in. It is an http.Handler. Lease is how long a VM may not act, then
-// another, then it again.
+// Platform is the stand-in, an http.Handler. LeaseDuration is the shortest time after which a VM
+// may act again on a subject when another VM has acted on it in between.
 type Platform struct {
-	Lease time.Duration
+	LeaseDuration time.Duration
 
-	mu      sync.Mutex
-	faults  Faults
-	reports map[int64]*Report
-	orders  map[Subject]Order
-	broken  []string
-	calls   int
-	// subjects are the calls of each duty and subject.
-	subjects map[string]*acted
+	mu         sync.Mutex
+	faults     Faults
+	reports    map[int64]*UsageReport
+	orders     map[ScaleTarget]ScaleOrder
+	violations []string
+	calls      int
+	// histories holds the calls by duty and subject.
+	histories map[string]*callHistory
 }
 
-// acted is who has acted for one duty and subject.
-type acted struct {
-	last    uint64
-	holder  string
-	numbers map[uint64]string
-	at      map[string]time.Time
+// callHistory records which VMs made calls for one duty and subject, and with which fencing
+// tokens.
+type callHistory struct {
+	maxToken     uint64
+	lastHolder   string
+	tokenHolders map[uint64]string
+	lastCalls    map[string]time.Time
 }
 
-// New returns a platform that has taken nothing.
+// New returns a platform that has received no calls.
 func New(lease time.Duration) *Platform {
-	return &Platform{Lease: lease, reports: make(map[int64]*Report), orders: make(map[Subject]Order), subjects: make(map[string]*acted)}
+	return &Platform{LeaseDuration: lease, reports: make(map[int64]*UsageReport), orders: make(map[ScaleTarget]ScaleOrder), histories: make(map[string]*callHistory)}
 }
 
 // SetFaults replaces the faults.
@@ -79,45 +80,45 @@
 	p.faults = f
 }
 
-// Reports returns the reports by window.
-func (p *Platform) Reports() map[int64]Report {
+// Reports returns the usage reports by window id.
+func (p *Platform) Reports() map[int64]UsageReport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make(map[int64]Report, len(p.reports))
+	reports := make(map[int64]UsageReport, len(p.reports))
 	for w, r := range p.reports {
-		out[w] = *r
+		reports[w] = *r
 	}
-	return out
+	return reports
 }
 
-// Orders returns what was ordered last.
-func (p *Platform) Orders() map[Subject]Order {
+// ScaleOrders returns the latest order for each target.
+func (p *Platform) ScaleOrders() map[ScaleTarget]ScaleOrder {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return maps.Clone(p.orders)
 }
 
-// Broken returns which promises were broken.
+// Broken returns a description of each violation of the protocol.
 func (p *Platform) Broken() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]string(nil), p.broken...)
+	return append([]string(nil), p.violations...)
 }
 
-// Calls returns how many calls came.
+// Calls returns how many calls were received.
 func (p *Platform) Calls() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP serves one call.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls++
 	holder := r.Header.Get("X-Duty-Holder")
-	number, err := strconv.ParseUint(r.Header.Get("X-Fencing-Token"), 10, 64)
+	token, err := strconv.ParseUint(r.Header.Get("X-Fencing-Token"), 10, 64)
 	if err != nil || holder == "" || r.Method != http.MethodPost {
 		w.WriteHeader(http.StatusBadRequest)
 		return
@@ -132,9 +133,9 @@
 	}
 	switch r.URL.Path {
 	case "/usage":
-		p.usage(w, r, holder, number)
+		p.serveUsage(w, r, holder, token)
 	case "/scale":
-		p.scale(w, r, holder, number)
+		p.serveScale(w, r, holder, token)
 	default:
 		w.WriteHeader(http.StatusNotFound)
 	}
@@ -144,7 +145,7 @@
 	}
 }
 
-func (p *Platform) usage(w http.ResponseWriter, r *http.Request, holder string, number uint64) {
+func (p *Platform) serveUsage(w http.ResponseWriter, r *http.Request, holder string, token uint64) {
 	var body struct {
 		WindowId int64
 		Counts   map[string]int64
@@ -153,19 +154,19 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	p.act("usage", holder, number)
-	had, ok := p.reports[body.WindowId]
+	p.recordCall("usage", holder, token)
+	report, ok := p.reports[body.WindowId]
 	if !ok {
-		p.reports[body.WindowId] = &Report{Counts: body.Counts, At: time.Now(), Holder: holder, Times: 1}
+		p.reports[body.WindowId] = &UsageReport{Counts: body.Counts, At: time.Now(), Holder: holder, Times: 1}
 		return
 	}
-	had.Times++
-	if !maps.Equal(had.Counts, body.Counts) {
-		p.breaks("window %d was reported as %v and as %v", body.WindowId, had.Counts, body.Counts)
+	report.Times++
+	if !maps.Equal(report.Counts, body.Counts) {
+		p.recordViolation("window %d was reported as %v and as %v", body.WindowId, report.Counts, body.Counts)
 	}
 }
 
-func (p *Platform) scale(w http.ResponseWriter, r *http.Request, holder string, number uint64) {
+func (p *Platform) serveScale(w http.ResponseWriter, r *http.Request, holder string, token uint64) {
 	var body struct {
 		Service, Zone string
 		DesiredCount  int
@@ -175,32 +176,33 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	p.act("scale "+body.Service+" "+body.Zone, holder, number)
-	p.orders[Subject{body.Service, body.Zone, body.Preemptible}] = Order{body.DesiredCount, holder}
+	p.recordCall("scale "+body.Service+" "+body.Zone, holder, token)
+	p.orders[ScaleTarget{body.Service, body.Zone, body.Preemptible}] = ScaleOrder{body.DesiredCount, holder}
 }
 
-// act notes a call for a duty and subject. The caller holds mu.
-func (p *Platform) act(subject, holder string, number uint64) {
-	a := p.subjects[subject]
-	if a == nil {
-		a = &acted{numbers: make(map[uint64]string), at: make(map[string]time.Time)}
-		p.subjects[subject] = a
+// recordCall records a call for a duty and subject, and any violation of the protocol by it. The
+// caller holds mu.
+func (p *Platform) recordCall(duty, holder string, token uint64) {
+	history := p.histories[duty]
+	if history == nil {
+		history = &callHistory{tokenHolders: make(map[uint64]string), lastCalls: make(map[string]time.Time)}
+		p.histories[duty] = history
 	}
 	now := time.Now()
-	if number < a.last {
-		p.breaks("%s: number %d of %s came after %d of %s", subject, number, holder, a.last, a.holder)
+	if token < history.maxToken {
+		p.recordViolation("%s: fencing token %d of %s came after %d of %s", duty, token, holder, history.maxToken, history.lastHolder)
 	}
-	if other := a.numbers[number]; other != "" && other != holder {
-		p.breaks("%s: number %d was used by %s and %s", subject, number, other, holder)
+	if other := history.tokenHolders[token]; other != "" && other != holder {
+		p.recordViolation("%s: fencing token %d was used by %s and %s", duty, token, other, holder)
 	}
-	if before, ok := a.at[holder]; ok && a.holder != holder && now.Sub(before) < p.Lease {
-		p.breaks("%s: %s acted, then %s, then %s again within %v", subject, holder, a.holder, holder, now.Sub(before))
+	if lastCall, ok := history.lastCalls[holder]; ok && history.lastHolder != holder && now.Sub(lastCall) < p.LeaseDuration {
+		p.recordViolation("%s: %s acted, then %s, then %s again within %v", duty, holder, history.lastHolder, holder, now.Sub(lastCall))
 	}
-	a.last, a.holder = max(a.last, number), holder
-	a.numbers[number], a.at[holder] = holder, now
+	history.maxToken, history.lastHolder = max(history.maxToken, token), holder
+	history.tokenHolders[token], history.lastCalls[holder] = holder, now
 }
 
-// breaks notes a broken promise. The caller holds mu.
-func (p *Platform) breaks(format string, args ...any) {
-	p.broken = append(p.broken, fmt.Sprintf(format, args...))
+// recordViolation records a violation of the protocol. The caller holds mu.
+func (p *Platform) recordViolation(format string, args ...any) {
+	p.violations = append(p.violations, fmt.Sprintf(format, args...))
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,7 +1,7 @@
-// Package engine is a stand-in for a model engine: it batches a bounded number
-// of requests, queues the rest by priority, caches prompt prefixes in limited
-// memory, streams, resumes and cancels, reports its load late, and takes
-// orders. Faults are set by the test and happen at a stated place, not by chance.
+// Package engine is a stand-in for a model engine. It runs a bounded number of requests at once,
+// queues the rest by priority, caches prompt prefixes in limited memory, streams, resumes and
+// cancels answers, reports its load with a lag, and accepts orders to load and unload versions.
+// Tests set the faults, which occur at fixed points and not at random.
 package engine
 
 import (
@@ -18,42 +18,44 @@
 	"woaddoor/engine"
 )
 
-// Options set up an engine.
+// Options configures an engine.
 type Options struct {
 	Versions []contract.VersionID
-	// Slots is how many requests are worked on at once. Zero means 8.
+	// Slots is how many requests run at once. Zero means 8.
 	Slots int
-	// PerToken is the time a token takes; Prefill that of a prompt which is
-	// not cached. Zero means none.
+	// PerToken is the time to generate one token, and Prefill the time to process a prompt whose
+	// prefix is not cached. Zero means none.
 	PerToken, Prefill time.Duration
-	// Prefixes is how many prompt prefixes are cached. Zero means 32.
-	Prefixes int
-	// ReportLag is how old the load in a report is. Zero means none.
+	// PrefixCacheSize is how many prompt prefixes are cached. Zero means 32.
+	PrefixCacheSize int
+	// ReportLag is how old the reported load is. Zero means none.
 	ReportLag time.Duration
-	// IgnoreFencing makes the engine take orders with an old number.
+	// IgnoreFencing makes the engine accept orders with an outdated fencing number.
 	IgnoreFencing bool
 }
 
-// Faults are what the engine does wrong. Each counts down or stays until it is
-// set anew, as its comment says.
+// Faults are the faults of the engine. Some apply to a number of requests and count down, the
+// others apply until they are replaced.
 type Faults struct {
-	// DropBefore closes that many connections before the request is read.
+	// DropBefore is how many of the next connections are closed before the request is read.
 	DropBefore int
-	// DropAfter runs that many requests and closes the connection unanswered.
+	// DropAfter is how many of the next requests run and are then cut off without an answer.
 	DropAfter int
-	// TruncateAt ends each stream or answer after so many tokens; zero: never.
+	// TruncateAt breaks off each stream after that many tokens, and any other answer half-way.
+	// Zero means never.
 	TruncateAt int
-	// StallAt stops each stream after so many tokens until the caller goes.
+	// StallAt stops each stream after that many tokens, until the caller disconnects. Zero means
+	// never.
 	StallAt int
-	// Refuse answers that many requests with 503.
+	// Refuse is how many of the next requests are answered with 503.
 	Refuse int
-	// Crossed answers with the id of another request.
+	// Crossed makes answers carry the id of another request.
 	Crossed bool
-	// HeldVersion is what the engine really runs, whatever it is asked for.
+	// HeldVersion is the version that runs, whichever version a request names.
 	HeldVersion contract.VersionID
-	// Silent keeps it from answering load reports.
+	// Silent makes the engine close calls for its load without an answer.
 	Silent bool
-	// SlowFactor multiplies every time. Zero means 1.
+	// SlowFactor multiplies PerToken and Prefill. Zero means 1.
 	SlowFactor int
 }
 
@@ -63,44 +65,44 @@
 	incarnation contract.Incarnation
 
 	// mu guards the fields below.
-	mu       sync.Mutex
-	faults   Faults
-	held     map[contract.VersionID]bool
-	fencing  contract.FencingNumber
-	draining bool
-	running  int
-	queue    waitQueue
-	arrivals int
-	prefixes []uint64 // least recently used first
-	events   []engine.CacheEvent
-	streams  map[string]*generation
-	runs     map[contract.RequestID]int
-	runsOf   map[contract.VersionID]int
-	hits     int
-	history  []sample
+	mu             sync.Mutex
+	faults         Faults
+	loadedVersions map[contract.VersionID]bool
+	fencing        contract.FencingNumber
+	draining       bool
+	running        int
+	queue          waitQueue
+	lastArrival    int
+	prefixes       []uint64 // least recently used first
+	cacheEvents    []engine.CacheEvent
+	generations    map[string]*generation
+	runs           map[contract.RequestID]int
+	runsByVersion  map[contract.VersionID]int
+	prefixHits     int
+	samples        []loadSample
 }
 
-// sample is the load at a time, kept so that reports can lag.
-type sample struct {
+// loadSample is the load at a point in time, kept so that reports can lag.
+type loadSample struct {
 	at               time.Time
 	running, waiting int
 }
 
-// New returns an engine.
+// New returns an engine that has loaded the versions of opts.
 func New(opts Options) *Engine {
 	if opts.Slots == 0 {
 		opts.Slots = 8
 	}
-	if opts.Prefixes == 0 {
-		opts.Prefixes = 32
+	if opts.PrefixCacheSize == 0 {
+		opts.PrefixCacheSize = 32
 	}
 	e := &Engine{
 		opts: opts, incarnation: contract.NewIncarnation(time.Now()),
-		held: make(map[contract.VersionID]bool), streams: make(map[string]*generation),
-		runs: make(map[contract.RequestID]int), runsOf: make(map[contract.VersionID]int),
+		loadedVersions: make(map[contract.VersionID]bool), generations: make(map[string]*generation),
+		runs: make(map[contract.RequestID]int), runsByVersion: make(map[contract.VersionID]int),
 	}
 	for _, v := range opts.Versions {
-		e.held[v] = true
+		e.loadedVersions[v] = true
 	}
 	return e
 }
@@ -112,54 +114,55 @@
 	e.faults = f
 }
 
-// Drain makes the engine say that it is leaving.
+// Drain makes the engine report that it is draining and refuse new requests.
 func (e *Engine) Drain() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.draining = true
 }
 
-// Runs returns how many times a request was run.
+// Runs returns how often a request was run.
 func (e *Engine) Runs(id contract.RequestID) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs[id]
 }
 
-// TotalRuns returns how many runs there were in all.
+// TotalRuns returns how often requests were run in all.
 func (e *Engine) TotalRuns() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	n := 0
-	for _, r := range e.runs {
-		n += r
+	total := 0
+	for _, count := range e.runs {
+		total += count
 	}
-	return n
+	return total
 }
 
 // Forget drops every generation, so that no stream can be resumed.
 func (e *Engine) Forget() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	clear(e.streams)
+	clear(e.generations)
 }
 
-// RunsOf returns how many runs there were on a version.
+// RunsOf returns how often requests were run on a version.
 func (e *Engine) RunsOf(v contract.VersionID) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.runsOf[v]
+	return e.runsByVersion[v]
 }
 
 // PrefixHits returns how many requests found their prefix cached.
 func (e *Engine) PrefixHits() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.hits
+	return e.prefixHits
 }
 
-// take counts a fault down and tells whether it happens. The caller holds mu.
-func take(n *int) bool {
+// countDown decrements the counter of a fault and returns whether the fault occurs. The caller
+// holds mu.
+func countDown(n *int) bool {
 	if *n == 0 {
 		return false
 	}
@@ -167,13 +170,13 @@
 	return true
 }
 
-// waiter is a request in the queue.
+// waiter is a request that waits in the queue for a slot.
 type waiter struct {
 	priority, arrival int
 	ready             chan struct{}
 }
 
-// waitQueue is a heap by priority, then arrival.
+// waitQueue is a heap ordered by priority, then by arrival.
 type waitQueue []*waiter
 
 func (q waitQueue) Len() int      { return len(q) }
@@ -185,55 +188,56 @@
 	return q[i].arrival < q[j].arrival
 }
 
-// Push adds a waiter; it is called by container/heap.
-func (q *waitQueue) Push(w any) { *q = append(*q, w.(*waiter)) }
+// Push implements heap.Interface.
+func (q *waitQueue) Push(waiterValue any) { *q = append(*q, waiterValue.(*waiter)) }
 
-// Pop removes the last waiter; it is called by container/heap.
+// Pop implements heap.Interface.
 func (q *waitQueue) Pop() any {
-	old := *q
-	w := old[len(old)-1]
-	*q = old[:len(old)-1]
-	return w
+	queue := *q
+	last := queue[len(queue)-1]
+	*q = queue[:len(queue)-1]
+	return last
 }
 
-// enter waits for a slot.
-func (e *Engine) enter(ctx context.Context, priority int) error {
+// acquireSlot waits until a slot is free or ctx ends.
+func (e *Engine) acquireSlot(ctx context.Context, priority int) error {
 	e.mu.Lock()
 	if e.running < e.opts.Slots {
 		e.running++
-		e.note()
+		e.recordLoad()
 		e.mu.Unlock()
 		return nil
 	}
-	e.arrivals++
-	w := &waiter{priority: priority, arrival: e.arrivals, ready: make(chan struct{})}
-	heap.Push(&e.queue, w)
-	e.note()
+	e.lastArrival++
+	waiting := &waiter{priority: priority, arrival: e.lastArrival, ready: make(chan struct{})}
+	heap.Push(&e.queue, waiting)
+	e.recordLoad()
 	e.mu.Unlock()
 	select {
-	case <-w.ready:
+	case <-waiting.ready:
 		return nil
 	case <-ctx.Done():
-		e.abandon(w)
+		e.cancelWait(waiting)
 		return ctx.Err()
 	}
 }
 
-// abandon takes a waiter out, or gives its slot on when it just got one.
-func (e *Engine) abandon(w *waiter) {
+// cancelWait removes a waiter from the queue. If the waiter has just been given a slot, it
+// releases that slot.
+func (e *Engine) cancelWait(waiting *waiter) {
 	e.mu.Lock()
-	i := slices.Index(e.queue, w)
+	i := slices.Index(e.queue, waiting)
 	if i >= 0 {
 		heap.Remove(&e.queue, i)
 	}
 	e.mu.Unlock()
 	if i < 0 {
-		e.leave()
+		e.releaseSlot()
 	}
 }
 
-// leave frees a slot or hands it to the next in the queue.
-func (e *Engine) leave() {
+// releaseSlot passes a slot on to the next waiter, or frees it if there is none.
+func (e *Engine) releaseSlot() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.queue) > 0 {
@@ -241,39 +245,39 @@
 	} else {
 		e.running--
 	}
-	e.note()
+	e.recordLoad()
 }
 
-// maxHistory bounds the samples kept for late reports.
-const maxHistory = 4096
+// maxSamples bounds the samples kept for lagged load reports.
+const maxSamples = 4096
 
-// note keeps a sample of the load. The caller holds mu.
-func (e *Engine) note() {
-	e.history = append(e.history, sample{time.Now(), e.running, len(e.queue)})
-	if len(e.history) > maxHistory {
-		e.history = slices.Delete(e.history, 0, maxHistory/2)
+// recordLoad adds a sample of the current load. The caller holds mu.
+func (e *Engine) recordLoad() {
+	e.samples = append(e.samples, loadSample{time.Now(), e.running, len(e.queue)})
+	if len(e.samples) > maxSamples {
+		e.samples = slices.Delete(e.samples, 0, maxSamples/2)
 	}
 }
 
-// report returns the load as it was ReportLag ago. The caller holds mu.
-func (e *Engine) report() contract.Load {
-	l := contract.Load{Incarnation: e.incarnation, Draining: e.draining, AgeMillis: e.opts.ReportLag.Milliseconds()}
-	for v := range e.held {
-		l.Versions = append(l.Versions, v)
+// laggedLoad returns the load as it was ReportLag ago. The caller holds mu.
+func (e *Engine) laggedLoad() contract.Load {
+	load := contract.Load{Incarnation: e.incarnation, Draining: e.draining, AgeMillis: e.opts.ReportLag.Milliseconds()}
+	for v := range e.loadedVersions {
+		load.Versions = append(load.Versions, v)
 	}
-	slices.Sort(l.Versions)
+	slices.Sort(load.Versions)
 	cutoff := time.Now().Add(-e.opts.ReportLag)
-	for _, s := range e.history {
+	for _, s := range e.samples {
 		if s.at.After(cutoff) {
 			break
 		}
-		l.Running, l.Waiting = s.running, s.waiting
+		load.Running, load.Waiting = s.running, s.waiting
 	}
-	return l
+	return load
 }
 
-// prefixOf returns the key of the part of a prompt that is cached.
-func prefixOf(messages []engine.Message) uint64 {
+// prefixHash returns the cache key of a prompt, which is the hash of its first message.
+func prefixHash(messages []engine.Message) uint64 {
 	h := fnv.New64a()
 	if len(messages) > 0 {
 		_, _ = h.Write(messages[0].Content)
@@ -281,69 +285,72 @@
 	return h.Sum64()
 }
 
-// cached notes the use of a prefix and tells whether it was cached.
-func (e *Engine) cached(prefix uint64) bool {
+// usePrefix marks a prefix as the most recently used, adds it to the cache if needed, and returns
+// whether it was cached.
+func (e *Engine) usePrefix(hash uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if i := slices.Index(e.prefixes, prefix); i >= 0 {
-		e.prefixes = append(slices.Delete(e.prefixes, i, i+1), prefix)
-		e.hits++
+	if i := slices.Index(e.prefixes, hash); i >= 0 {
+		e.prefixes = append(slices.Delete(e.prefixes, i, i+1), hash)
+		e.prefixHits++
 		return true
 	}
-	if len(e.prefixes) == e.opts.Prefixes {
-		e.event(e.prefixes[0], false)
+	if len(e.prefixes) == e.opts.PrefixCacheSize {
+		e.addCacheEvent(e.prefixes[0], false)
 		e.prefixes = slices.Delete(e.prefixes, 0, 1)
 	}
-	e.prefixes = append(e.prefixes, prefix)
-	e.event(prefix, true)
+	e.prefixes = append(e.prefixes, hash)
+	e.addCacheEvent(hash, true)
 	return false
 }
 
-// event publishes a cache event. The caller holds mu.
-func (e *Engine) event(prefix uint64, held bool) {
-	e.events = append(e.events, engine.CacheEvent{Seq: uint64(len(e.events) + 1), Prefix: prefix, Held: held})
+// addCacheEvent adds an event that a prefix was cached or evicted. The caller holds mu.
+func (e *Engine) addCacheEvent(hash uint64, held bool) {
+	e.cacheEvents = append(e.cacheEvents, engine.CacheEvent{Seq: uint64(len(e.cacheEvents) + 1), Prefix: hash, Held: held})
 }
 
-// pace sleeps for d times the slow factor.
-func (e *Engine) pace(ctx context.Context, d time.Duration) {
+// sleep waits for the duration times SlowFactor, or until ctx ends.
+func (e *Engine) sleep(ctx context.Context, duration time.Duration) {
 	e.mu.Lock()
 	if e.faults.SlowFactor > 1 {
-		d *= time.Duration(e.faults.SlowFactor)
+		duration *= time.Duration(e.faults.SlowFactor)
 	}
 	e.mu.Unlock()
-	if d == 0 {
+	if duration == 0 {
 		return
 	}
 	select {
-	case <-time.After(d):
+	case <-time.After(duration):
 	case <-ctx.Done():
 	}
 }
 
-// order takes an order, and tells whether its number was refused.
-func (e *Engine) order(o engine.Order) bool {
+// applyOrder loads or unloads a version. It returns false if the order's fencing number is
+// outdated.
+func (e *Engine) applyOrder(order engine.Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if o.Fencing < e.fencing && !e.opts.IgnoreFencing {
+	if order.Fencing < e.fencing && !e.opts.IgnoreFencing {
 		return false
 	}
-	e.fencing = max(e.fencing, o.Fencing)
-	if o.Kind == engine.OrderUnload {
-		delete(e.held, o.Version)
+	e.fencing = max(e.fencing, order.Fencing)
+	if order.Kind == engine.OrderUnload {
+		delete(e.loadedVersions, order.Version)
 	} else {
-		e.held[o.Version] = true
+		e.loadedVersions[order.Version] = true
 	}
 	return true
 }
 
-// words returns the answer to a prompt: always the same for the same prompt.
-func words(messages []engine.Message, n int) []string {
+// answerTokens returns the first n tokens of the answer to a prompt. They depend only on the
+// prompt and n.
+func answerTokens(messages []engine.Message, n int) []string {
 	raw, _ := json.Marshal(messages)
 	h := fnv.New32a()
 	_, _ = h.Write(raw)
-	out := make([]string, n)
-	for i := range out {
-		out[i] = "w" + strconv.Itoa(int(h.Sum32()%1000)+i) + " "
+	tokens := make([]string, n)
+	for i := range tokens {
+		tokens[i] = "w" + strconv.Itoa(int(h.Sum32()%1000)+i) + " "
 	}
-	return out
+	return tokens
 }
--- a/internal/standin/engine/generation.go
+++ b/internal/standin/engine/generation.go
@@ -9,62 +9,62 @@
 	"woaddoor/engine"
 )
 
-// generation is one request being worked on. It goes on for a while after its
-// connection is gone, so that a stream can be resumed.
+// generation is the run of one request. It continues after its connection has closed, so that a
+// stream can be resumed.
 type generation struct {
-	id, version string
-	created     int64
-	total       int
-	words       []string
-	prompt      int
-	ctx         context.Context
-	cancel      context.CancelFunc
+	id, version  string
+	created      int64
+	totalTokens  int
+	tokens       []string
+	promptTokens int
+	ctx          context.Context
+	cancel       context.CancelFunc
 
-	// mu guards done and more.
-	mu   sync.Mutex
-	done int
-	more chan struct{}
+	// mu guards generated and progress, the channel that is closed when a token is generated.
+	mu        sync.Mutex
+	generated int
+	progress  chan struct{}
 }
 
-// start notes a run of the request and keeps its generation for a resume.
-func (e *Engine) start(id, version string, req engine.Request, n int) *generation {
+// startGeneration counts a run of the request and keeps its generation, so that it can be resumed.
+func (e *Engine) startGeneration(id, version string, req engine.Request, tokens int) *generation {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &generation{
-		id: id, version: version, created: time.Now().Unix(), total: n,
-		words: words(req.Messages, n), ctx: ctx, cancel: cancel, more: make(chan struct{}),
+		id: id, version: version, created: time.Now().Unix(), totalTokens: tokens,
+		tokens: answerTokens(req.Messages, tokens), ctx: ctx, cancel: cancel, progress: make(chan struct{}),
 	}
 	for _, m := range req.Messages {
-		g.prompt += len(m.Content)/4 + 1
+		g.promptTokens += len(m.Content)/4 + 1
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.streams[id] = g
+	e.generations[id] = g
 	e.runs[contract.RequestID(id)]++
-	e.runsOf[contract.VersionID(version)]++
+	e.runsByVersion[contract.VersionID(version)]++
 	return g
 }
 
-// generate makes the tokens one after another and frees the slot.
+// generate generates the tokens one after another and then releases the slot.
 func (e *Engine) generate(g *generation) {
-	defer e.leave()
-	for range g.total {
-		e.pace(g.ctx, e.opts.PerToken)
+	defer e.releaseSlot()
+	for range g.totalTokens {
+		e.sleep(g.ctx, e.opts.PerToken)
 		if g.ctx.Err() != nil {
 			return
 		}
 		g.mu.Lock()
-		g.done++
-		close(g.more)
-		g.more = make(chan struct{})
+		g.generated++
+		close(g.progress)
+		g.progress = make(chan struct{})
 		g.mu.Unlock()
 	}
 }
 
-// await waits until n tokens are made, and returns how many are.
+// await waits until n tokens are generated, and returns how many there are.
 func (g *generation) await(ctx context.Context, n int) (int, error) {
 	for {
 		g.mu.Lock()
-		done, more := g.done, g.more
+		done, more := g.generated, g.progress
 		g.mu.Unlock()
 		if done >= n {
 			return done, nil
@@ -81,7 +81,7 @@
 
 func (g *generation) usage() engine.Usage {
 	return engine.Usage{
-		Prompt: contract.Tokens(g.prompt), Completion: contract.Tokens(g.total),
-		Total: contract.Tokens(g.prompt + g.total),
+		Prompt: contract.Tokens(g.promptTokens), Completion: contract.Tokens(g.totalTokens),
+		Total: contract.Tokens(g.promptTokens + g.totalTokens),
 	}
 }
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -15,10 +15,10 @@
 	"woaddoor/engine"
 )
 
-// defaultTokens is the length of an answer whose request does not bound it.
+// defaultTokens is the length of an answer if the request does not limit it.
 const defaultTokens = 8
 
-// Handler serves the engine's pages.
+// Handler serves the engine's HTTP API.
 func (e *Engine) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc(engine.PathChat, e.serveChat).Methods(http.MethodPost)
@@ -31,21 +31,21 @@
 
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	silent, l := e.faults.Silent, e.report()
+	silent, load := e.faults.Silent, e.laggedLoad()
 	e.mu.Unlock()
 	if silent {
 		panic(http.ErrAbortHandler)
 	}
-	_ = json.NewEncoder(w).Encode(l)
+	_ = json.NewEncoder(w).Encode(load)
 }
 
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
-	var o engine.Order
-	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
+	var order engine.Order
+	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !e.order(o) {
+	if !e.applyOrder(order) {
 		http.Error(w, "fencing number is old", http.StatusConflict)
 	}
 }
@@ -53,26 +53,26 @@
 func (e *Engine) serveCache(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	e.mu.Lock()
-	events := e.events[min(after, uint64(len(e.events))):]
+	events := e.cacheEvents[min(after, uint64(len(e.cacheEvents))):]
 	e.mu.Unlock()
 	_ = json.NewEncoder(w).Encode(events)
 }
 
 func (e *Engine) serveCancel(_ http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
-	g, ok := e.streams[r.Header.Get(engine.HeaderRequest)]
+	g, ok := e.generations[r.Header.Get(engine.HeaderRequest)]
 	e.mu.Unlock()
 	if ok {
 		g.cancel()
 	}
 }
 
-// serveChat takes a request through the faults that concern its start.
+// serveChat applies the faults that concern the start of a request, and then runs or resumes it.
 func (e *Engine) serveChat(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
-	drop, refuse := take(&e.faults.DropBefore), false
+	drop, refuse := countDown(&e.faults.DropBefore), false
 	if !drop {
-		refuse = take(&e.faults.Refuse) || e.draining
+		refuse = countDown(&e.faults.Refuse) || e.draining
 	}
 	e.mu.Unlock()
 	if drop {
@@ -84,30 +84,30 @@
 		return
 	}
 	id := r.Header.Get(engine.HeaderRequest)
-	w.Header().Set(engine.HeaderRequest, e.idFor(id))
+	w.Header().Set(engine.HeaderRequest, e.responseID(id))
 	if refuse {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "draining", http.StatusServiceUnavailable)
 		return
 	}
-	if late(r) {
+	if permissionExpired(r) {
 		http.Error(w, "permission has ended", http.StatusServiceUnavailable)
 		return
 	}
-	if last := r.Header.Get(engine.HeaderLastEvent); last != "" {
-		e.resume(w, r, id, last)
+	if lastEventID := r.Header.Get(engine.HeaderLastEvent); lastEventID != "" {
+		e.serveResume(w, r, id, lastEventID)
 		return
 	}
-	e.run(w, r, id, req)
+	e.serveGeneration(w, r, id, req)
 }
 
-// late tells whether the permission that the call carries has ended.
-func late(r *http.Request) bool {
-	end, err := time.Parse(time.RFC3339Nano, r.Header.Get(engine.HeaderNotAfter))
-	return err == nil && time.Now().After(end)
+// permissionExpired reports whether the deadline that the request carries has passed.
+func permissionExpired(r *http.Request) bool {
+	notAfter, err := time.Parse(time.RFC3339Nano, r.Header.Get(engine.HeaderNotAfter))
+	return err == nil && time.Now().After(notAfter)
 }
 
-func (e *Engine) idFor(id string) string {
+func (e *Engine) responseID(id string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.Crossed {
@@ -116,73 +116,73 @@
 	return id
 }
 
-// versionFor returns the version that really runs, "" when it is not held.
-func (e *Engine) versionFor(asked string) string {
+// selectVersion returns the version that runs, or "" if the requested one is not loaded.
+func (e *Engine) selectVersion(requested string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.HeldVersion != "" {
 		return string(e.faults.HeldVersion)
 	}
-	if !e.held[contract.VersionID(asked)] {
+	if !e.loadedVersions[contract.VersionID(requested)] {
 		return ""
 	}
-	return asked
+	return requested
 }
 
-func (e *Engine) run(w http.ResponseWriter, r *http.Request, id string, req engine.Request) {
-	version := e.versionFor(req.Model)
+func (e *Engine) serveGeneration(w http.ResponseWriter, r *http.Request, id string, req engine.Request) {
+	version := e.selectVersion(req.Model)
 	if version == "" {
 		http.Error(w, "version is not held", http.StatusNotFound)
 		return
 	}
-	if err := e.enter(r.Context(), req.Priority); err != nil {
+	if err := e.acquireSlot(r.Context(), req.Priority); err != nil {
 		return
 	}
-	n := req.MaxTokens
-	if n == 0 {
-		n = defaultTokens
+	tokens := req.MaxTokens
+	if tokens == 0 {
+		tokens = defaultTokens
 	}
-	g := e.start(id, version, req, n)
-	if !e.cached(prefixOf(req.Messages)) {
-		e.pace(r.Context(), e.opts.Prefill)
+	g := e.startGeneration(id, version, req, tokens)
+	if !e.usePrefix(prefixHash(req.Messages)) {
+		e.sleep(r.Context(), e.opts.Prefill)
 	}
 	go e.generate(g)
 	if req.Stream {
 		e.sendStream(w, r, g, 0)
 		return
 	}
-	e.sendWhole(w, r, g)
+	e.sendCompletion(w, r, g)
 }
 
-func (e *Engine) resume(w http.ResponseWriter, r *http.Request, id, last string) {
+func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request, id, lastEventID string) {
 	e.mu.Lock()
-	g, ok := e.streams[id]
+	g, ok := e.generations[id]
 	e.mu.Unlock()
-	n, err := strconv.Atoi(last)
+	tokensSent, err := strconv.Atoi(lastEventID)
 	if !ok || err != nil {
 		http.Error(w, "no such stream", http.StatusNotFound)
 		return
 	}
-	e.sendStream(w, r, g, n)
+	e.sendStream(w, r, g, tokensSent)
 }
 
-// sendWhole answers with the whole completion.
-func (e *Engine) sendWhole(w http.ResponseWriter, r *http.Request, g *generation) {
-	n, _ := g.await(r.Context(), g.total)
+// sendCompletion sends the whole answer once it is generated.
+func (e *Engine) sendCompletion(w http.ResponseWriter, r *http.Request, g *generation) {
+	generated, _ := g.await(r.Context(), g.totalTokens)
 	e.mu.Lock()
-	drop, cut := take(&e.faults.DropAfter), e.faults.TruncateAt
+	drop, truncate := countDown(&e.faults.DropAfter), e.faults.TruncateAt
 	e.mu.Unlock()
-	if drop || n < g.total {
+	if drop || generated < g.totalTokens {
 		panic(http.ErrAbortHandler)
 	}
 	body, _ := json.Marshal(engine.Completion{
 		ID: "chatcmpl-" + g.id, Object: "chat.completion", Created: g.created, Model: g.version,
-		Choices: []engine.Choice{{Message: engine.AnswerMessage{Role: "assistant", Content: strings.Join(g.words, "")}, FinishReason: "stop"}},
+		Choices: []engine.Choice{{Message: engine.AnswerMessage{Role: "assistant", Content: strings.Join(g.tokens, "")}, FinishReason: "stop"}},
 		Usage:   g.usage(),
 	})
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	if cut > 0 {
+	if truncate > 0 {
 		_, _ = w.Write(body[:len(body)/2])
 		w.(http.Flusher).Flush()
 		panic(http.ErrAbortHandler)
@@ -190,52 +190,52 @@
 	_, _ = w.Write(body)
 }
 
-// sendStream streams the tokens after from.
-func (e *Engine) sendStream(w http.ResponseWriter, r *http.Request, g *generation, from int) {
+// sendStream streams the tokens, starting at index firstToken.
+func (e *Engine) sendStream(w http.ResponseWriter, r *http.Request, g *generation, firstToken int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher := w.(http.Flusher)
-	for i := from; i < g.total; i++ {
+	for i := firstToken; i < g.totalTokens; i++ {
 		if n, err := g.await(r.Context(), i+1); err != nil || n <= i {
 			panic(http.ErrAbortHandler)
 		}
-		e.cutHere(r.Context(), i, from)
-		e.sendChunk(w, g, i)
+		e.applyStreamFaults(r.Context(), i, firstToken)
+		e.sendToken(w, g, i)
 		flusher.Flush()
 	}
 	usage := g.usage()
-	sendEvent(w, g.total+1, engine.Chunk{ID: "chatcmpl-" + g.id, Object: "chat.completion.chunk", Created: g.created, Model: g.version, Choices: []engine.ChunkChoice{}, Usage: &usage})
-	fmt.Fprintf(w, "id: %d\ndata: %s\n\n", g.total+2, engine.StreamEnd)
+	writeEvent(w, g.totalTokens+1, engine.Chunk{ID: "chatcmpl-" + g.id, Object: "chat.completion.chunk", Created: g.created, Model: g.version, Choices: []engine.ChunkChoice{}, Usage: &usage})
+	fmt.Fprintf(w, "id: %d\ndata: %s\n\n", g.totalTokens+2, engine.StreamEnd)
 	flusher.Flush()
 }
 
-// cutHere does what the faults ask for before token i is sent. A resumed
-// stream is not cut again at the same place.
-func (e *Engine) cutHere(ctx context.Context, i, from int) {
+// applyStreamFaults breaks off or stalls the stream if a fault asks for it before token i. A
+// resumed stream is not affected.
+func (e *Engine) applyStreamFaults(ctx context.Context, i, firstToken int) {
 	e.mu.Lock()
 	truncate, stall := e.faults.TruncateAt, e.faults.StallAt
 	e.mu.Unlock()
-	if truncate > 0 && i == truncate && from == 0 {
+	if truncate > 0 && i == truncate && firstToken == 0 {
 		panic(http.ErrAbortHandler)
 	}
-	if stall > 0 && i == stall && from == 0 {
+	if stall > 0 && i == stall && firstToken == 0 {
 		<-ctx.Done()
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (e *Engine) sendChunk(w http.ResponseWriter, g *generation, i int) {
+func (e *Engine) sendToken(w http.ResponseWriter, g *generation, i int) {
 	var finish *string
-	if i == g.total-1 {
+	if i == g.totalTokens-1 {
 		stop := "stop"
 		finish = &stop
 	}
-	sendEvent(w, i+1, engine.Chunk{
+	writeEvent(w, i+1, engine.Chunk{
 		ID: "chatcmpl-" + g.id, Object: "chat.completion.chunk", Created: g.created, Model: g.version,
-		Choices: []engine.ChunkChoice{{Delta: engine.AnswerMessage{Role: "assistant", Content: g.words[i]}, FinishReason: finish}},
+		Choices: []engine.ChunkChoice{{Delta: engine.AnswerMessage{Role: "assistant", Content: g.tokens[i]}, FinishReason: finish}},
 	})
 }
 
-func sendEvent(w http.ResponseWriter, id int, c engine.Chunk) {
+func writeEvent(w http.ResponseWriter, id int, c engine.Chunk) {
 	raw, _ := json.Marshal(c)
 	fmt.Fprintf(w, "id: %d\ndata: %s\n\n", id, raw)
 }
--- a/internal/standin/objects/store.go
+++ b/internal/standin/objects/store.go
@@ -1,6 +1,6 @@
-// Package objects is a stand-in for the store of the users' platform, by its
-// published protocol: objects by kind and name with revisions, conditional
-// writes, pages and watches. It shows faults that a test sets, and counts calls.
+// Package objects is a stand-in for the object store of the users' platform, with its published
+// protocol: objects by kind and name with revisions, conditional writes, paged lists and watches.
+// It counts calls, and tests can inject faults.
 package objects
 
 import (
@@ -15,14 +15,14 @@
 	"time"
 )
 
-// Object is one object as it is sent.
+// Object is an object in its JSON form.
 type Object struct {
 	Metadata Metadata        `json:"Metadata"`
 	Spec     json.RawMessage `json:"Spec"`
 	Status   json.RawMessage `json:"Status"`
 }
 
-// Metadata names an object and its newest change.
+// Metadata holds an object's name and the revision of its latest change.
 type Metadata struct {
 	Name       string   `json:"Name"`
 	Revision   int64    `json:"Revision"`
@@ -30,40 +30,40 @@
 	Finalizers []string `json:"Finalizers"`
 }
 
-// Faults are what the store does wrong until they are changed.
+// Faults are the faults of the store, in effect until they are replaced.
 type Faults struct {
 	// Down answers every call with 503.
 	Down bool
-	// Silent holds every call until the fault ends or the caller goes.
+	// Silent leaves every call unanswered until the fault is cleared or the caller disconnects.
 	Silent bool
-	// LoseAnswers carries out that many writes and cuts their connections.
+	// LoseAnswers is how many of the next writes are applied and then cut off without an answer.
 	LoseAnswers int
-	// DeafWatches holds watches for their whole wait though there are changes.
+	// DeafWatches makes watches wait until they time out, even if there are changes.
 	DeafWatches bool
-	// Refuse answers calls from these IP addresses with 429.
-	Refuse map[string]bool
+	// RateLimited is the set of IP addresses whose calls are answered with 429.
+	RateLimited map[string]bool
 }
 
-// Store is the stand-in. It is an http.Handler.
+// Store is the stand-in, an http.Handler.
 type Store struct {
-	// Page is how many objects a page holds. Zero means 500.
+	// Page is the number of objects on a page. Zero means 500.
 	Page int
 
-	mu       sync.Mutex
-	revision int64
-	objects  map[string]map[string]Object
-	log      []event
-	floor    int64 // history up to here is gone
-	changed  chan struct{}
-	faults   Faults
-	calls    map[string]int
+	mu          sync.Mutex
+	revision    int64
+	objects     map[string]map[string]Object
+	log         []event
+	compactedTo int64 // changes up to this revision are no longer in the log
+	changed     chan struct{}
+	faults      Faults
+	calls       map[string]int
 }
 
 type event struct {
-	kind    string
-	at      int64
-	deleted bool
-	object  Object
+	kind     string
+	revision int64
+	deleted  bool
+	object   Object
 }
 
 // New returns an empty store.
@@ -76,34 +76,34 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.wake()
+	s.notifyWatches()
 }
 
-// Calls returns how many calls of a method there were.
-func (s *Store) Calls(method string) int {
+// CallCount returns how many calls with an HTTP method were received.
+func (s *Store) CallCount(method string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[method]
 }
 
-// Put writes an object as the operator or an upstream would.
+// Put writes an object's spec, as the operator or an upstream would, and returns the new revision.
 func (s *Store) Put(kind, name string, spec any) int64 {
 	raw, err := json.Marshal(spec)
 	if err != nil {
-		panic(err) // a test's own value
+		panic(err) // only for a spec that JSON cannot encode
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o := s.objects[kind][name]
 	o.Spec = raw
-	return s.write(kind, name, o)
+	return s.putLocked(kind, name, o)
 }
 
 // Delete removes an object.
 func (s *Store) Delete(kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.remove(kind, name)
+	s.deleteLocked(kind, name)
 }
 
 // Get returns an object.
@@ -114,7 +114,7 @@
 	return o, ok
 }
 
-// Names returns the names of the objects of a kind, in order.
+// Names returns the sorted names of the objects of a kind.
 func (s *Store) Names(kind string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,21 +124,21 @@
 // Count returns how many objects of a kind there are.
 func (s *Store) Count(kind string) int { return len(s.Names(kind)) }
 
-// Compact forgets the history of changes.
+// Compact drops the log of changes, so that watches from older revisions fail with 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.log, s.floor = nil, s.revision
-	s.wake()
+	s.log, s.compactedTo = nil, s.revision
+	s.notifyWatches()
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// write stores an object under a new revision. The caller holds mu.
-func (s *Store) write(kind, name string, o Object) int64 {
+// putLocked stores an object under a new revision. The caller holds mu.
+func (s *Store) putLocked(kind, name string, o Object) int64 {
 	s.revision++
 	if s.objects[kind] == nil {
 		s.objects[kind] = make(map[string]Object)
@@ -152,11 +152,11 @@
 	}
 	s.objects[kind][name] = o
 	s.log = append(s.log, event{kind, s.revision, false, o})
-	s.wake()
+	s.notifyWatches()
 	return s.revision
 }
 
-func (s *Store) remove(kind, name string) {
+func (s *Store) deleteLocked(kind, name string) {
 	o, ok := s.objects[kind][name]
 	if !ok {
 		return
@@ -164,47 +164,48 @@
 	s.revision++
 	delete(s.objects[kind], name)
 	s.log = append(s.log, event{kind, s.revision, true, o})
-	s.wake()
+	s.notifyWatches()
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP serves one call.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if !s.enter(w, r) {
+	if !s.admit(w, r) {
 		return
 	}
 	path := strings.Split(strings.TrimPrefix(r.URL.Path, "/api/objects/"), "/")
 	switch {
 	case r.Method == http.MethodGet && r.URL.Query().Has("Watch"):
-		s.watch(w, r, path[0])
+		s.serveWatch(w, r, path[0])
 	case r.Method == http.MethodGet && len(path) == 1:
-		s.list(w, r, path[0])
+		s.serveList(w, r, path[0])
 	case r.Method == http.MethodGet && len(path) == 2:
-		s.read(w, path[0], path[1])
+		s.serveRead(w, path[0], path[1])
 	case r.Method == http.MethodPost, r.Method == http.MethodPut:
-		s.change(w, r, path)
+		s.serveWrite(w, r, path)
 	case r.Method == http.MethodDelete && len(path) == 2:
-		s.erase(w, path[0], path[1])
+		s.serveDelete(w, path[0], path[1])
 	default:
 		w.WriteHeader(http.StatusNotFound)
 	}
 }
 
-// enter counts a call and shows the faults that concern all.
-func (s *Store) enter(w http.ResponseWriter, r *http.Request) bool {
+// admit counts a call and applies the faults that concern every call. It returns false if the call
+// is finished.
+func (s *Store) admit(w http.ResponseWriter, r *http.Request) bool {
 	for {
 		s.mu.Lock()
-		f, changed := s.faults, s.changed
+		faults, changed := s.faults, s.changed
 		s.calls[r.Method]++
 		s.mu.Unlock()
 		host, _, _ := strings.Cut(r.RemoteAddr, ":")
 		switch {
-		case f.Refuse[host]:
+		case faults.RateLimited[host]:
 			w.WriteHeader(http.StatusTooManyRequests)
 			return false
-		case f.Down:
+		case faults.Down:
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return false
-		case !f.Silent:
+		case !faults.Silent:
 			return true
 		}
 		select {
@@ -215,13 +216,13 @@
 	}
 }
 
-func (s *Store) list(w http.ResponseWriter, r *http.Request, kind string) {
+func (s *Store) serveList(w http.ResponseWriter, r *http.Request, kind string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	after := r.URL.Query().Get("SinceRevision")
+	afterName := r.URL.Query().Get("SinceRevision")
 	names := make([]string, 0, len(s.objects[kind]))
 	for name := range s.objects[kind] {
-		if name > after {
+		if name > afterName {
 			names = append(names, name)
 		}
 	}
@@ -235,16 +236,16 @@
 	for _, name := range names[:min(size, len(names))] {
 		entries = append(entries, s.objects[kind][name])
 	}
-	answer(w, http.StatusOK, map[string]any{"Entries": entries, "HasMore": more, "Timestamp": s.revision})
+	writeJSON(w, http.StatusOK, map[string]any{"Entries": entries, "HasMore": more, "Timestamp": s.revision})
 }
 
-func (s *Store) read(w http.ResponseWriter, kind, name string) {
+func (s *Store) serveRead(w http.ResponseWriter, kind, name string) {
 	o, ok := s.Get(kind, name)
 	if !ok {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	answer(w, http.StatusOK, o)
+	writeJSON(w, http.StatusOK, o)
 }
 
 type change struct {
@@ -252,27 +253,27 @@
 	Object  Object
 }
 
-func (s *Store) watch(w http.ResponseWriter, r *http.Request, kind string) {
-	after, _ := strconv.ParseInt(r.URL.Query().Get("Watch"), 10, 64)
+func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request, kind string) {
+	afterRevision, _ := strconv.ParseInt(r.URL.Query().Get("Watch"), 10, 64)
 	ms, _ := strconv.Atoi(r.URL.Query().Get("WaitMs"))
 	end := time.After(time.Duration(ms) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		events, at, gone, changed := s.since(kind, after), s.revision, after < s.floor, s.changed
-		deaf := s.faults.DeafWatches
+		events, revision, compacted, changed := s.changesSince(kind, afterRevision), s.revision, afterRevision < s.compactedTo, s.changed
+		hold := s.faults.DeafWatches
 		s.mu.Unlock()
-		if gone {
+		if compacted {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
-		if len(events) > 0 && !deaf {
-			answer(w, http.StatusOK, map[string]any{"events": events, "Timestamp": at})
+		if len(events) > 0 && !hold {
+			writeJSON(w, http.StatusOK, map[string]any{"events": events, "Timestamp": revision})
 			return
 		}
 		select {
 		case <-changed:
 		case <-end:
-			answer(w, http.StatusOK, map[string]any{"events": []change{}, "Timestamp": after})
+			writeJSON(w, http.StatusOK, map[string]any{"events": []change{}, "Timestamp": afterRevision})
 			return
 		case <-r.Context().Done():
 			return
@@ -280,65 +281,65 @@
 	}
 }
 
-func (s *Store) since(kind string, after int64) []change {
-	var out []change
+func (s *Store) changesSince(kind string, afterRevision int64) []change {
+	var changes []change
 	for _, e := range s.log {
-		if e.kind == kind && e.at > after {
-			out = append(out, change{e.deleted, e.object})
+		if e.kind == kind && e.revision > afterRevision {
+			changes = append(changes, change{e.deleted, e.object})
 		}
 	}
-	return out
+	return changes
 }
 
-func (s *Store) change(w http.ResponseWriter, r *http.Request, path []string) {
-	var in Object
-	if err := json.NewDecoder(r.Body).Decode(&in); err != nil {
+func (s *Store) serveWrite(w http.ResponseWriter, r *http.Request, path []string) {
+	var received Object
+	if err := json.NewDecoder(r.Body).Decode(&received); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	kind, name := path[0], in.Metadata.Name
+	kind, name := path[0], received.Metadata.Name
 	if len(path) > 1 {
 		name = path[1]
 	}
-	old, had := s.objects[kind][name]
+	old, exists := s.objects[kind][name]
 	switch {
-	case r.Method == http.MethodPost && had, in.Metadata.Revision != 0 && in.Metadata.Revision != old.Metadata.Revision:
-		answer(w, http.StatusConflict, old)
+	case r.Method == http.MethodPost && exists, received.Metadata.Revision != 0 && received.Metadata.Revision != old.Metadata.Revision:
+		writeJSON(w, http.StatusConflict, old)
 		return
-	case r.Method == http.MethodPut && !had:
+	case r.Method == http.MethodPut && !exists:
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	next := old
+	updated := old
 	if len(path) > 2 {
-		next.Status = in.Status
+		updated.Status = received.Status
 	} else {
-		next.Spec = in.Spec
+		updated.Spec = received.Spec
 	}
-	s.write(kind, name, next)
+	s.putLocked(kind, name, updated)
 	if s.faults.LoseAnswers > 0 {
 		s.faults.LoseAnswers--
 		panic(http.ErrAbortHandler)
 	}
-	answer(w, http.StatusOK, s.objects[kind][name])
+	writeJSON(w, http.StatusOK, s.objects[kind][name])
 }
 
-func answer(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// erase removes an object for a caller.
-func (s *Store) erase(w http.ResponseWriter, kind, name string) {
+// serveDelete deletes an object at a client's request.
+func (s *Store) serveDelete(w http.ResponseWriter, kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, had := s.objects[kind][name]; !had {
+	if _, exists := s.objects[kind][name]; !exists {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	s.remove(kind, name)
+	s.deleteLocked(kind, name)
 	w.WriteHeader(http.StatusOK)
 }
--- a/internal/standin/replica/caller.go
+++ b/internal/standin/replica/caller.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// PathReady is where the balancer asks a VM whether it takes connections.
-const PathReady = "/api/readyz"
+// ReadinessPath is the path on which a load balancer asks a VM whether it accepts connections.
+const ReadinessPath = "/api/readyz"
 
-// NewCall returns a request as a caller of the platform sends it to a VM.
+// NewCall returns a request to a VM as a caller of the users' platform sends it.
 func NewCall(ctx context.Context, address, host, path, id, key, body string) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, strings.NewReader(body))
 	if err != nil {
@@ -25,20 +25,20 @@
 	return req, nil
 }
 
-// ID returns the id of a request.
+// ID returns the id of the request, which the upstream repeats in its answer.
 func (r *Request) ID() string { return r.Header.Get("X-Attempt-Id") }
 
-// SetWait tells how long the caller of a request waits.
-func SetWait(r *http.Request, wait time.Duration) {
+// SetDeadline sets the header that states how long the caller waits for the answer.
+func SetDeadline(r *http.Request, wait time.Duration) {
 	r.Header.Set("X-Deadline-Ms", strconv.FormatInt(wait.Milliseconds(), 10))
 }
 
-// Sealed tells whether an answer carries an upstream's signature.
-func Sealed(resp *http.Response) bool { return resp.Header.Get("X-Response-Signature") != "" }
+// HasSignature reports whether an answer carries an upstream's signature.
+func HasSignature(resp *http.Response) bool { return resp.Header.Get("X-Response-Signature") != "" }
 
-// LastEvent returns the number of the last event of a stream that the caller has, 0 for
-// none.
-func (r *Request) LastEvent() int {
+// LastEventID returns the number of the last stream event that the caller has received, or 0 if
+// there is none.
+func (r *Request) LastEventID() int {
 	n, err := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	if err != nil {
 		return 0
--- a/internal/standin/replica/replica.go
+++ b/internal/standin/replica/replica.go
@@ -1,6 +1,6 @@
-// Package replica is a stand-in for an upstream of the users' platform, by its
-// published protocol. It speaks raw TCP, so that it can also do what no HTTP
-// library lets a server do. A test sets what it does with each request.
+// Package replica is a stand-in for an upstream of the users' platform, with its published
+// protocol. It writes raw TCP, so that it can also violate HTTP in ways that no HTTP server
+// library allows. Tests set how it handles each request.
 package replica
 
 import (
@@ -13,19 +13,19 @@
 	"time"
 )
 
-// Request is a request as it came.
+// Request is a received request with its body.
 type Request struct {
 	*http.Request
 	Payload []byte
 }
 
-// Conn is the connection that a request came on.
+// Conn is the connection on which a request was received.
 type Conn struct {
 	net.Conn
 	replica *Replica
 }
 
-// Handler answers one request; it returns whether the connection is kept.
+// Handler handles one request and returns whether the connection stays open.
 type Handler func(c *Conn, r *Request) bool
 
 // Replica is the stand-in.
@@ -39,7 +39,7 @@
 	conns    []net.Conn
 }
 
-// Start starts a replica on loopback.
+// Start starts a replica on a free loopback port.
 func Start(id string, h Handler) (*Replica, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,10 +50,10 @@
 	return r, nil
 }
 
-// Address returns where the replica listens.
+// Address returns the address on which the replica listens.
 func (r *Replica) Address() string { return r.listener.Addr().String() }
 
-// Close ends the replica at once.
+// Close closes the replica's listener and all its connections.
 func (r *Replica) Close() {
 	_ = r.listener.Close()
 	r.mu.Lock()
@@ -63,19 +63,19 @@
 	}
 }
 
-// Deafen has new connections refused; those that are open go on.
+// Deafen closes the listener, so that new connections are refused. Open connections stay open.
 func (r *Replica) Deafen() { _ = r.listener.Close() }
 
-// Handle replaces what the replica does.
+// Handle replaces the handler.
 func (r *Replica) Handle(h Handler) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.handler = h
 }
 
-// Requests returns the requests that came so far for this replica. Those for another one,
-// which had its address before, are refused and not counted: a port of loopback may have
-// been that of another test's, or of another program's.
+// Requests returns the requests for this replica that it has received so far. Requests for another
+// replica that had its address before are refused and not included, because a loopback port may
+// have belonged to another test or program before.
 func (r *Replica) Requests() []*Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,16 +99,16 @@
 	defer c.Close()
 	reader := bufio.NewReader(c)
 	for {
-		got, err := http.ReadRequest(reader)
+		httpRequest, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		body, err := io.ReadAll(got.Body)
+		body, err := io.ReadAll(httpRequest.Body)
 		if err != nil {
 			return
 		}
-		req := &Request{got, body}
-		if expected := got.Header.Get("X-Expected-Instance"); expected != "" && expected != r.ID {
+		req := &Request{httpRequest, body}
+		if expected := httpRequest.Header.Get("X-Expected-Instance"); expected != "" && expected != r.ID {
 			fmt.Fprintf(c, "HTTP/1.1 421 Misdirected Request\r\nX-Instance-Id: %s\r\nContent-Length: 0\r\n\r\n", r.ID)
 			continue
 		}
@@ -122,10 +122,10 @@
 	}
 }
 
-// Signature is the seal of a replica on its answers.
+// Signature returns the signature that the replica puts on its answers.
 func (c *Conn) Signature() string { return "seal-" + c.replica.ID }
 
-// Whole answers with a body of known length, for the request with an id.
+// Whole sends a complete answer with a Content-Length, to the request with the given id.
 func (c *Conn) Whole(status int, id, body string, headers ...string) {
 	fmt.Fprintf(c, "HTTP/1.1 %d S\r\nX-Attempt-Id: %s\r\nX-Response-Signature: %s\r\nX-Instance-Load: 1,0,4\r\n", status, id, c.Signature())
 	for _, h := range headers {
@@ -134,7 +134,7 @@
 	fmt.Fprintf(c, "Content-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// Shed refuses a request without running it.
+// Shed rejects a request with 503 and states that it has not run.
 func (c *Conn) Shed(id string, headers ...string) {
 	fmt.Fprintf(c, "HTTP/1.1 503 S\r\nX-Attempt-Id: %s\r\nX-Not-Executed: 1\r\n", id)
 	for _, h := range headers {
@@ -143,17 +143,17 @@
 	fmt.Fprint(c, "Content-Length: 0\r\n\r\n")
 }
 
-// Leaving is the header by which an upstream says in an answer that it ends soon.
+// Leaving is the header line by which an upstream announces that it will end soon.
 const Leaving = "Server-Leaving: 1"
 
-// Rest is the header by which an upstream that refuses asks for a time of rest.
+// Rest returns the header line by which an upstream that rejects a request asks for a back-off.
 func Rest(d time.Duration) string { return fmt.Sprintf("Retry-After: %g", d.Seconds()) }
 
-// Limit is the header by which an upstream names how many requests a second it takes from
-// all VMs together.
+// Limit returns the header line by which an upstream advertises how many requests per second it
+// accepts from all VMs together.
 func Limit(perSecond float64) string { return fmt.Sprintf("Server-Limit: %g", perSecond) }
 
-// BeginStream writes the head of a stream in chunks.
+// BeginStream sends the status line and headers of a chunked event stream.
 func (c *Conn) BeginStream(id string, headers ...string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 S\r\nX-Attempt-Id: %s\r\nX-Response-Signature: %s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n", id, c.Signature())
 	for _, h := range headers {
@@ -162,20 +162,21 @@
 	fmt.Fprint(c, "\r\n")
 }
 
-// Event writes one event of a stream.
+// Event sends one event of a stream.
 func (c *Conn) Event(id int, data string) { c.Chunk(fmt.Sprintf("id: %d\ndata: %s\n\n", id, data)) }
 
-// Chunk writes bytes of a stream as they are.
+// Chunk sends text as one chunk of a stream.
 func (c *Conn) Chunk(text string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
 
-// EndStream writes the end of a stream.
+// EndStream sends the final chunk of a stream.
 func (c *Conn) EndStream() { fmt.Fprint(c, "0\r\n\r\n") }
 
-// WaitGone returns once the peer has closed the connection, or after a bound.
+// WaitGone waits until the peer closes the connection, at most for the given time, and returns
+// whether it did.
 func (c *Conn) WaitGone(bound time.Duration) bool {
 	_ = c.SetReadDeadline(time.Now().Add(bound))
-	var one [1]byte
-	_, err := c.Read(one[:])
+	var buf [1]byte
+	_, err := c.Read(buf[:])
 	ne, timeout := err.(net.Error)
 	return err != nil && !(timeout && ne.Timeout())
 }
--- a/internal/standin/replica/replica_test.go
+++ b/internal/standin/replica/replica_test.go
@@ -7,12 +7,12 @@
 	"github.com/matryer/is"
 )
 
-// TestRequestForAnother checks that a request for the replica that had the address before
-// is refused and not counted.
-func TestRequestForAnother(t *testing.T) {
+// TestRefusesRequestForAnotherReplica checks that a request for another replica, which had this
+// address before, is refused and not counted.
+func TestRefusesRequestForAnotherReplica(t *testing.T) {
 	is := is.New(t)
-	r, err := Start("u1", func(c *Conn, got *Request) bool {
-		c.Whole(http.StatusOK, got.ID(), "whole")
+	r, err := Start("u1", func(c *Conn, request *Request) bool {
+		c.Whole(http.StatusOK, request.ID(), "whole")
 		return true
 	})
 	is.NoErr(err)
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,5 +1,5 @@
-// Package service is a stand-in for a plain service and for the rating
-// service: it counts the runs of each call and shows faults that a test sets.
+// Package service is a stand-in for a plain HTTP service. It counts the runs of each call, and
+// tests can inject faults.
 package service
 
 import (
@@ -15,17 +15,17 @@
 	"woaddoor/engine"
 )
 
-// Faults are what the service does wrong.
+// Faults are the faults of the service, in effect until they are replaced.
 type Faults struct {
-	// DropAfter runs that many calls and closes the connection unanswered.
-	DropAfter int
-	// DropBefore closes that many connections before the call is read.
-	DropBefore int
-	// Delay holds each answer back.
+	// DropAfterRun is how many of the next calls run and are then cut off without an answer.
+	DropAfterRun int
+	// DropBeforeRead is how many of the next connections are closed before the call is read.
+	DropBeforeRead int
+	// Delay is the time by which each answer is delayed.
 	Delay time.Duration
 }
 
-// Service is the stand-in. The zero value is not usable: see New.
+// Service is the stand-in. Use New to create one.
 type Service struct {
 	incarnation contract.Incarnation
 
@@ -35,7 +35,7 @@
 	runs   map[string]int
 }
 
-// New returns a service.
+// New returns a service without faults.
 func New() *Service {
 	return &Service{incarnation: contract.NewIncarnation(time.Now()), runs: make(map[string]int)}
 }
@@ -47,18 +47,18 @@
 	s.faults = f
 }
 
-// Runs returns how many times a call with this body was run.
+// Runs returns how often a call with this body was run.
 func (s *Service) Runs(body string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[body]
 }
 
-// Handler serves every path, and the load report.
+// Handler serves the load report, and plain calls on every other path.
 func (s *Service) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc(engine.PathLoad, s.serveLoad).Methods(http.MethodGet)
-	r.PathPrefix("/").HandlerFunc(s.serve)
+	r.PathPrefix("/").HandlerFunc(s.serveCall)
 	return r
 }
 
@@ -66,11 +66,11 @@
 	_ = json.NewEncoder(w).Encode(contract.Load{Incarnation: s.incarnation})
 }
 
-func (s *Service) serve(w http.ResponseWriter, r *http.Request) {
+func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	f := s.faults
-	if f.DropBefore > 0 {
-		s.faults.DropBefore--
+	faults := s.faults
+	if faults.DropBeforeRead > 0 {
+		s.faults.DropBeforeRead--
 		s.mu.Unlock()
 		panic(http.ErrAbortHandler)
 	}
@@ -81,14 +81,14 @@
 	}
 	s.mu.Lock()
 	s.runs[string(body)]++
-	drop := s.faults.DropAfter > 0
+	drop := s.faults.DropAfterRun > 0
 	if drop {
-		s.faults.DropAfter--
+		s.faults.DropAfterRun--
 	}
 	s.mu.Unlock()
-	if f.Delay > 0 {
+	if faults.Delay > 0 {
 		select {
-		case <-time.After(f.Delay):
+		case <-time.After(faults.Delay):
 		case <-r.Context().Done():
 		}
 	}
--- a/internal/standin/store/http.go
+++ b/internal/standin/store/http.go
@@ -14,7 +14,7 @@
 	"woaddoor/store"
 )
 
-// Handler serves the view over HTTP, as store.Client expects it.
+// Handler serves the view over HTTP, with the protocol that store.Client speaks.
 func (v *View) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.SkipClean(true)
@@ -29,7 +29,7 @@
 	return strings.TrimPrefix(r.URL.Path, store.ObjectsPath)
 }
 
-func fail(w http.ResponseWriter, err error) {
+func writeError(w http.ResponseWriter, err error) {
 	status := http.StatusInternalServerError
 	switch {
 	case errors.Is(err, store.ErrNotFound):
@@ -40,8 +40,8 @@
 		status = http.StatusPreconditionFailed
 	case errors.Is(err, store.ErrTooMany):
 		status = http.StatusTooManyRequests
-	case errors.Is(err, errDown):
-		panic(http.ErrAbortHandler) // the connection is cut: no answer at all
+	case errors.Is(err, errUnreachable):
+		panic(http.ErrAbortHandler) // closes the connection without an answer
 	}
 	w.WriteHeader(status)
 }
@@ -63,7 +63,7 @@
 		o, err = v.Read(r.Context(), objectName(r))
 	}
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
 	w.Header().Set(store.HeaderETag, store.ETag(o.Version))
@@ -73,21 +73,21 @@
 func (v *View) servePut(w http.ResponseWriter, r *http.Request) {
 	value, err := io.ReadAll(io.LimitReader(r.Body, int64(2*contract.MiB)))
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
 	var version contract.ObjectVersion
 	if r.Header.Get(store.HeaderIfNone) == "*" {
 		version, err = v.Create(r.Context(), objectName(r), value)
 	} else {
-		var has contract.ObjectVersion
-		has, err = store.ParseETag(r.Header.Get(store.HeaderIfHas))
+		var oldVersion contract.ObjectVersion
+		oldVersion, err = store.ParseETag(r.Header.Get(store.HeaderIfHas))
 		if err == nil {
-			version, err = v.Update(r.Context(), objectName(r), value, has)
+			version, err = v.Update(r.Context(), objectName(r), value, oldVersion)
 		}
 	}
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
 	w.Header().Set(store.HeaderETag, store.ETag(version))
@@ -98,7 +98,7 @@
 	q := r.URL.Query()
 	names, err := v.List(r.Context(), q.Get(store.ParamPrefix), q.Get(store.ParamAfter))
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
 	_ = json.NewEncoder(w).Encode(names)
@@ -107,7 +107,7 @@
 func (v *View) serveVMs(w http.ResponseWriter, r *http.Request) {
 	vms, err := v.VMs(r.Context())
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
 	_ = json.NewEncoder(w).Encode(vms)
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -1,6 +1,6 @@
-// Package store is a stand-in for the platform's service: an object store
-// with versions, conditional updates and watches, and a VM list that lags.
-// It counts each call, limits their rate, and shows faults that a test sets.
+// Package store is a stand-in for the platform's store: objects with versions, conditional updates
+// and watches, and a VM list. It counts calls and limits the rate of writes, and tests can inject
+// faults.
 package store
 
 import (
@@ -15,52 +15,53 @@
 	"woaddoor/store"
 )
 
-// Faults are what the stand-in does wrong until they are changed.
+// Faults are the faults of the store, in effect until they are replaced.
 type Faults struct {
 	// Down makes every call fail before it takes effect.
 	Down bool
-	// LoseReplies makes that many writes take effect and then fail.
+	// LoseReplies is how many of the next writes take effect although the client sees a failure.
 	LoseReplies int
-	// LoseRepliesTo limits LoseReplies to objects whose name begins so.
+	// LoseRepliesTo limits LoseReplies to objects whose name has this prefix.
 	LoseRepliesTo string
-	// Slow delays each call.
-	Slow time.Duration
-	// StaleReads answers reads and watches from the state at the time the
-	// fault was set, as a lagging replica would.
+	// Latency is the time by which each call is delayed.
+	Latency time.Duration
+	// StaleReads answers reads and watches from the state at the time when the fault was set, as a
+	// lagging replica would.
 	StaleReads bool
-	// FrozenList answers with the VM list as it was when the fault was set.
-	FrozenList bool
+	// FreezeVMList answers with the VM list as it was when the fault was set.
+	FreezeVMList bool
 }
 
-// Counts are the calls answered so far.
+// Counts are the numbers of calls received so far. Lists includes the calls for the VM list.
 type Counts struct{ Reads, Writes, Watches, Lists int }
 
-// Store is the stand-in. The zero value is not usable: see New.
+// Store is the stand-in. Use New to create one.
 type Store struct {
 	// mu guards all fields.
-	mu      sync.Mutex
-	objects map[string]store.Object
-	stale   map[string]store.Object
-	version contract.ObjectVersion
-	changed chan struct{}
-	vms     []contract.VMEntry
-	oldVMs  []contract.VMEntry
-	faults  Faults
-	counts  Counts
-	// cut holds the clients, by name, that cannot reach the platform.
-	cut map[string]bool
-	// writesPerSecond limits writes; zero means no limit.
+	mu           sync.Mutex
+	objects      map[string]store.Object
+	staleObjects map[string]store.Object
+	version      contract.ObjectVersion
+	changed      chan struct{}
+	vms          []contract.VMEntry
+	frozenVMs    []contract.VMEntry
+	faults       Faults
+	counts       Counts
+	// disconnected holds the names of the clients that cannot reach the store.
+	disconnected map[string]bool
+	// writesPerSecond limits writes; zero means no limit. windowWrites counts the writes of the
+	// one-second window that began at windowStart.
 	writesPerSecond int
-	window          time.Time
-	inWindow        int
+	windowStart     time.Time
+	windowWrites    int
 }
 
-// errDown is what a client sees of an outage.
-var errDown = errors.New("platform stand-in: no answer")
+// errUnreachable is the error of a call that gets no answer.
+var errUnreachable = errors.New("store stand-in: no answer")
 
 // New returns an empty store.
 func New() *Store {
-	return &Store{objects: make(map[string]store.Object), changed: make(chan struct{}), cut: make(map[string]bool)}
+	return &Store{objects: make(map[string]store.Object), changed: make(chan struct{}), disconnected: make(map[string]bool)}
 }
 
 // SetFaults replaces the faults.
@@ -68,34 +69,34 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f.StaleReads && !s.faults.StaleReads {
-		s.stale = make(map[string]store.Object, len(s.objects))
+		s.staleObjects = make(map[string]store.Object, len(s.objects))
 		for k, v := range s.objects {
-			s.stale[k] = v
+			s.staleObjects[k] = v
 		}
 	}
-	if f.FrozenList && !s.faults.FrozenList {
-		s.oldVMs = slices.Clone(s.vms)
+	if f.FreezeVMList && !s.faults.FreezeVMList {
+		s.frozenVMs = slices.Clone(s.vms)
 	}
 	s.faults = f
-	s.wake()
+	s.notifyWatches()
 }
 
-// Cut separates a client, by its name, from the platform, or joins it again.
+// Cut disconnects a client, by its name, from the store, or reconnects it.
 func (s *Store) Cut(client string, cut bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cut[client] = cut
-	s.wake()
+	s.disconnected[client] = cut
+	s.notifyWatches()
 }
 
-// LimitWrites sets the number of writes a second; zero means no limit.
+// LimitWrites sets the maximum number of writes per second; zero means no limit.
 func (s *Store) LimitWrites(perSecond int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.writesPerSecond = perSecond
 }
 
-// Counts returns the calls answered so far.
+// Counts returns the numbers of calls received so far.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,43 +110,44 @@
 	s.vms = vms
 }
 
-// wake lets waiting watches look again. The caller holds mu.
-func (s *Store) wake() {
+// notifyWatches wakes the waiting watches, so that they check for changes. The caller holds mu.
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// View returns the store as one named client sees it.
+// View returns the store as the named client sees it.
 func (s *Store) View(client string) *View { return &View{store: s, client: client} }
 
-// View is the store as one client sees it: a cut concerns only its client.
+// View is the store as one client sees it. Cut affects the views of its client only.
 type View struct {
 	store  *Store
 	client string
 }
 
-// enter begins a call: it waits out slowness and fails in an outage.
-func (v *View) enter(ctx context.Context) error {
+// beginCall delays a call by the set latency, and fails if the store is unreachable for the
+// client.
+func (v *View) beginCall(ctx context.Context) error {
 	s := v.store
 	s.mu.Lock()
-	slow, down := s.faults.Slow, s.faults.Down || s.cut[v.client]
+	latency, unreachable := s.faults.Latency, s.faults.Down || s.disconnected[v.client]
 	s.mu.Unlock()
-	if slow > 0 {
+	if latency > 0 {
 		select {
-		case <-time.After(slow):
+		case <-time.After(latency):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
-	if down {
-		return errDown
+	if unreachable {
+		return errUnreachable
 	}
 	return nil
 }
 
 // Read returns an object.
 func (v *View) Read(ctx context.Context, name string) (store.Object, error) {
-	if err := v.enter(ctx); err != nil {
+	if err := v.beginCall(ctx); err != nil {
 		return store.Object{}, err
 	}
 	s := v.store
@@ -155,20 +157,21 @@
 	return s.lookup(name)
 }
 
-// lookup returns an object as reads see it. The caller holds mu.
+// lookup returns an object for a read or watch, from the stale state if that fault is set. The
+// caller holds mu.
 func (s *Store) lookup(name string) (store.Object, error) {
-	from := s.objects
+	objects := s.objects
 	if s.faults.StaleReads {
-		from = s.stale
+		objects = s.staleObjects
 	}
-	o, ok := from[name]
+	o, ok := objects[name]
 	if !ok {
 		return store.Object{}, store.ErrNotFound
 	}
 	return o, nil
 }
 
-// Create writes a new object.
+// Create writes a new object. It fails with store.ErrExists if there is one of that name.
 func (v *View) Create(ctx context.Context, name string, value []byte) (contract.ObjectVersion, error) {
 	return v.write(ctx, name, value, func(_ store.Object, exists bool) error {
 		if exists {
@@ -178,7 +181,8 @@
 	})
 }
 
-// Update replaces an object of a known version.
+// Update replaces an object. It fails with store.ErrConflict if the object does not have the given
+// version.
 func (v *View) Update(ctx context.Context, name string, value []byte, version contract.ObjectVersion) (contract.ObjectVersion, error) {
 	return v.write(ctx, name, value, func(o store.Object, exists bool) error {
 		if !exists || o.Version != version {
@@ -189,18 +193,18 @@
 }
 
 func (v *View) write(ctx context.Context, name string, value []byte, condition func(store.Object, bool) error) (contract.ObjectVersion, error) {
-	if err := v.enter(ctx); err != nil {
+	if err := v.beginCall(ctx); err != nil {
 		return 0, err
 	}
 	s := v.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Writes++
-	if s.overLimit() {
+	if s.exceedsWriteLimit() {
 		return 0, store.ErrTooMany
 	}
 	if contract.Bytes(len(value)) > contract.MiB {
-		return 0, errors.New("value over a megabyte")
+		return 0, errors.New("value is larger than 1 MiB")
 	}
 	old, exists := s.objects[name]
 	if err := condition(old, exists); err != nil {
@@ -208,29 +212,29 @@
 	}
 	s.version++
 	s.objects[name] = store.Object{Name: name, Version: s.version, Value: slices.Clone(value)}
-	s.wake()
+	s.notifyWatches()
 	if s.faults.LoseReplies > 0 && strings.HasPrefix(name, s.faults.LoseRepliesTo) {
 		s.faults.LoseReplies--
-		return 0, errDown
+		return 0, errUnreachable
 	}
 	return s.version, nil
 }
 
-// overLimit counts a write against the limit. The caller holds mu.
-func (s *Store) overLimit() bool {
+// exceedsWriteLimit counts a write and reports whether it exceeds the limit. The caller holds mu.
+func (s *Store) exceedsWriteLimit() bool {
 	if s.writesPerSecond == 0 {
 		return false
 	}
-	if now := time.Now(); now.Sub(s.window) >= time.Second {
-		s.window, s.inWindow = now, 0
+	if now := time.Now(); now.Sub(s.windowStart) >= time.Second {
+		s.windowStart, s.windowWrites = now, 0
 	}
-	s.inWindow++
-	return s.inWindow > s.writesPerSecond
+	s.windowWrites++
+	return s.windowWrites > s.writesPerSecond
 }
 
-// List returns names under a prefix.
+// List returns a page of the sorted object names that have a prefix and come after a given name.
 func (v *View) List(ctx context.Context, prefix, after string) ([]string, error) {
-	if err := v.enter(ctx); err != nil {
+	if err := v.beginCall(ctx); err != nil {
 		return nil, err
 	}
 	s := v.store
@@ -247,7 +251,8 @@
 	return names[:min(len(names), store.ListPage)], nil
 }
 
-// Watch waits for another version of an object.
+// Watch waits until an object has a version other than the given one. If there is none within the
+// wait time, it fails with store.ErrUnchanged.
 func (v *View) Watch(ctx context.Context, name string, after contract.ObjectVersion, wait time.Duration) (store.Object, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -255,7 +260,7 @@
 	v.store.counts.Watches++
 	v.store.mu.Unlock()
 	for {
-		if err := v.enter(ctx); err != nil {
+		if err := v.beginCall(ctx); err != nil {
 			return store.Object{}, err
 		}
 		v.store.mu.Lock()
@@ -280,15 +285,15 @@
 
 // VMs returns the VM list.
 func (v *View) VMs(ctx context.Context) ([]contract.VMEntry, error) {
-	if err := v.enter(ctx); err != nil {
+	if err := v.beginCall(ctx); err != nil {
 		return nil, err
 	}
 	s := v.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Lists++
-	if s.faults.FrozenList {
-		return slices.Clone(s.oldVMs), nil
+	if s.faults.FreezeVMList {
+		return slices.Clone(s.frozenVMs), nil
 	}
 	return slices.Clone(s.vms), nil
 }
--- a/internal/standin/store/store_test.go
+++ b/internal/standin/store/store_test.go
@@ -10,8 +10,9 @@
 	"woaddoor/store"
 )
 
-// TestClient runs the real client against the stand-in, over HTTP.
-func TestClient(t *testing.T) {
+// TestClientOverHTTP checks reads, writes, watches and lists of the real client against the
+// stand-in, over HTTP.
+func TestClientOverHTTP(t *testing.T) {
 	is := is.New(t)
 	st := New()
 	server := httptest.NewServer(st.View("a").Handler())
@@ -40,8 +41,9 @@
 	is.Equal(names, []string{"woaddoor/x"})
 }
 
-// TestLostReply shows a write that takes effect though its reply is lost.
-func TestLostReply(t *testing.T) {
+// TestLostReplyAndDisconnect checks that a write takes effect although its reply is lost, and that
+// a disconnected client cannot read.
+func TestLostReplyAndDisconnect(t *testing.T) {
 	is := is.New(t)
 	st := New()
 	server := httptest.NewServer(st.View("a").Handler())
--- a/internal/standin/wire/wire.go
+++ b/internal/standin/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire is a stand-in for the network between VMs: each VM is reached
-// through a relay of its own, which drops what a test has cut.
+// Package wire is a stand-in for the network between VMs. Each VM is reached through its own UDP
+// relay, which drops the packets of pairs of VMs that a test has cut.
 package wire
 
 import (
@@ -7,102 +7,104 @@
 	"sync"
 )
 
-// Net is the network.
+// Net is the network between the VMs.
 type Net struct {
 	// mu guards the fields below.
 	mu sync.Mutex
-	// owner names the VM that sends from a real address.
-	owner map[string]string
-	// apart holds the cut pairs, both ways round.
-	apart map[[2]string]bool
+	// vmByAddress maps the address of a VM's process to the VM's name.
+	vmByAddress map[string]string
+	// cutPairs holds the pairs of VMs that are cut, in both orders.
+	cutPairs map[[2]string]bool
 }
 
-// New returns a network in which everyone reaches everyone.
-func New() *Net { return &Net{owner: make(map[string]string), apart: make(map[[2]string]bool)} }
+// New returns a network in which every VM reaches every other VM.
+func New() *Net {
+	return &Net{vmByAddress: make(map[string]string), cutPairs: make(map[[2]string]bool)}
+}
 
-// Cut separates two VMs, or joins them again.
+// Cut disconnects two VMs from each other, or reconnects them.
 func (n *Net) Cut(a, b string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.apart[[2]string{a, b}], n.apart[[2]string{b, a}] = cut, cut
+	n.cutPairs[[2]string{a, b}], n.cutPairs[[2]string{b, a}] = cut, cut
 }
 
-func (n *Net) dropped(from *net.UDPAddr, to string) bool {
+func (n *Net) isCut(from *net.UDPAddr, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.apart[[2]string{n.owner[from.String()], to}]
+	return n.cutPairs[[2]string{n.vmByAddress[from.String()], to}]
 }
 
-// maxPacket is larger than any packet of a link.
-const maxPacket = 2048
+// maxPacketSize is larger than any packet that the VMs send to each other.
+const maxPacketSize = 2048
 
-// Relay opens the address through which a VM is reached, and returns it. real
-// is the address at which the VM's process listens.
-func (n *Net) Relay(vm, real string) (string, error) {
-	target, err := net.ResolveUDPAddr("udp", real)
+// Relay starts a relay for a VM and returns the address through which other VMs reach it.
+// vmAddress is the address on which the VM's process listens.
+func (n *Net) Relay(vm, vmAddress string) (string, error) {
+	target, err := net.ResolveUDPAddr("udp", vmAddress)
 	if err != nil {
 		return "", err
 	}
 	n.mu.Lock()
-	n.owner[real] = vm
+	n.vmByAddress[vmAddress] = vm
 	n.mu.Unlock()
-	front, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	listener, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return "", err
 	}
-	r := &relay{net: n, vm: vm, front: front, target: target, backs: make(map[string]*net.UDPConn)}
-	go r.forward()
-	return front.LocalAddr().String(), nil
+	r := &relay{net: n, vm: vm, listener: listener, target: target, sockets: make(map[string]*net.UDPConn)}
+	go r.forwardToVM()
+	return listener.LocalAddr().String(), nil
 }
 
-// relay carries the packets to one VM, and its answers back.
+// relay forwards packets to one VM, and its answers back to the senders.
 type relay struct {
-	net    *Net
-	vm     string
-	front  *net.UDPConn
-	target *net.UDPAddr
-	backs  map[string]*net.UDPConn // a socket towards the VM for each peer
+	net      *Net
+	vm       string
+	listener *net.UDPConn
+	target   *net.UDPAddr
+	sockets  map[string]*net.UDPConn // one socket to the VM for each peer, by the peer's address
 }
 
-func (r *relay) forward() {
-	buf := make([]byte, maxPacket)
+func (r *relay) forwardToVM() {
+	buf := make([]byte, maxPacketSize)
 	for {
-		size, from, err := r.front.ReadFromUDP(buf)
+		size, from, err := r.listener.ReadFromUDP(buf)
 		if err != nil {
 			return
 		}
-		if r.net.dropped(from, r.vm) {
+		if r.net.isCut(from, r.vm) {
 			continue
 		}
-		back, err := r.back(from)
+		socket, err := r.socketFor(from)
 		if err == nil {
-			_, _ = back.Write(buf[:size])
+			_, _ = socket.Write(buf[:size])
 		}
 	}
 }
 
-func (r *relay) back(peer *net.UDPAddr) (*net.UDPConn, error) {
-	if back, ok := r.backs[peer.String()]; ok {
-		return back, nil
+func (r *relay) socketFor(peer *net.UDPAddr) (*net.UDPConn, error) {
+	if socket, ok := r.sockets[peer.String()]; ok {
+		return socket, nil
 	}
-	back, err := net.DialUDP("udp", nil, r.target)
+	socket, err := net.DialUDP("udp", nil, r.target)
 	if err != nil {
 		return nil, err
 	}
-	r.backs[peer.String()] = back
-	go r.answer(back, peer)
-	return back, nil
+	r.sockets[peer.String()] = socket
+	go r.forwardToPeer(socket, peer)
+	return socket, nil
 }
 
-func (r *relay) answer(back *net.UDPConn, peer *net.UDPAddr) {
-	buf := make([]byte, maxPacket)
+func (r *relay) forwardToPeer(socket *net.UDPConn, peer *net.UDPAddr) {
+	buf := make([]byte, maxPacketSize)
 	for {
-		size, err := back.Read(buf)
+		size, err := socket.Read(buf)
 		if err != nil {
-			continue // a refused packet while the process is being replaced
+			continue // the packet was refused, because the process is being restarted
 		}
-		if !r.net.dropped(peer, r.vm) {
-			_, _ = r.front.WriteToUDP(buf[:size], peer)
+		if !r.net.isCut(peer, r.vm) {
+			_, _ = r.listener.WriteToUDP(buf[:size], peer)
 		}
 	}
 }
--- a/internal/trial/main.go
+++ b/internal/trial/main.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	if err := begin(ctx, dir, f); err != nil {
+	if err := applyConfiguration(ctx, dir, f); err != nil {
 		return err
 	}
 	p, err := startPlatform(ctx, dir)
@@ -55,15 +55,15 @@
 	if err != nil {
 		return err
 	}
-	hints(dir, f)
+	printHints(dir, f)
 	<-ctx.Done()
 	fmt.Println("stopping")
 	stopAll(f)
 	return nil
 }
 
-// begin applies the configuration and sends the first requests.
-func begin(ctx context.Context, dir string, f *fleet.Fleet) error {
+// applyConfiguration applies the configuration and sends the first requests.
+func applyConfiguration(ctx context.Context, dir string, f *fleet.Fleet) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	file := filepath.Join(dir, "site.ini")
@@ -71,12 +71,12 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return err
 	}
-	op := f.Operator()
-	root, err := op.Apply(ctx, file, []byte(text), -1, history.Author{Who: "trial", Why: "first configuration", At: time.Now()})
+	operator := f.Operator()
+	root, err := operator.Apply(ctx, file, []byte(text), -1, history.Author{Who: "trial", Why: "first configuration", At: time.Now()})
 	if err != nil {
 		return err
 	}
-	if _, err := op.Wait(ctx, root, func(w datacentre.Force) {
+	if _, err := operator.Wait(ctx, root, func(w datacentre.Force) {
 		fmt.Printf("revision %d: in force on %d VMs, pending on %d\n", w.Revision, len(w.InForce), len(w.Pending))
 	}); err != nil {
 		return err
@@ -84,14 +84,14 @@
 	if err := f.Serving(ctx, "chat-small"); err != nil {
 		return err
 	}
-	return requests(ctx, f)
+	return sendRequests(ctx, f)
 }
 
-// sent is the number of requests that requests sends, besides one a VM to see
+// requestCount is the number of requests that requests sends, besides one a VM to see
 // that it serves.
-const sent = 3
+const requestCount = 3
 
-func requests(ctx context.Context, f *fleet.Fleet) error {
+func sendRequests(ctx context.Context, f *fleet.Fleet) error {
 	show := func(what string, r fleet.Reply) {
 		fmt.Printf("\n%s: status %d on VM %s, upstream %s, version %s\n%.300s\n", what, r.Status,
 			r.Header.Get("Woaddoor-Vm"), r.Header.Get("Woaddoor-Upstream"), r.Header.Get("Woaddoor-Version"), r.Body)
@@ -111,23 +111,23 @@
 		return err
 	}
 	show("plain call", plain)
-	return bills(ctx, f)
+	return showBills(ctx, f)
 }
 
-// bills shows the bills and the audit trail, once they are filed.
-func bills(ctx context.Context, f *fleet.Fleet) error {
-	op := f.Operator()
+// showBills shows the bills and the audit trail, once they are filed.
+func showBills(ctx context.Context, f *fleet.Fleet) error {
+	operator := f.Operator()
 	if err := fleet.Until(ctx, func() bool {
-		sums, err := op.Bills(ctx)
+		sums, err := operator.Bills(ctx)
 		filed := 0
-		for _, b := range sums {
-			filed += b.Requests
+		for _, sum := range sums {
+			filed += sum.Requests
 		}
-		return err == nil && filed == len(f.VMs)+sent
+		return err == nil && filed == len(f.VMs)+requestCount
 	}); err != nil {
 		return err
 	}
-	sums, err := op.Bills(ctx)
+	sums, err := operator.Bills(ctx)
 	if err != nil {
 		return err
 	}
@@ -135,7 +135,7 @@
 	for _, s := range sums {
 		fmt.Printf("bill of %s: %d requests, %d millionths\n", s.Workspace, s.Requests, s.Amount)
 	}
-	changes, err := op.History(ctx, 5)
+	changes, err := operator.History(ctx, 5)
 	if err != nil {
 		return err
 	}
@@ -145,7 +145,7 @@
 	return nil
 }
 
-func hints(dir string, f *fleet.Fleet) {
+func printHints(dir string, f *fleet.Fleet) {
 	fmt.Printf("\nThe fleet is up. Try:\n")
 	fmt.Printf("  export WOADDOOR_PLATFORM=%s\n", f.OperatorURL)
 	fmt.Printf("  bin/woaddoor status; bin/woaddoor history; bin/woaddoor bill; bin/woaddoor show\n")
--- a/internal/trial/platform.go
+++ b/internal/trial/platform.go
@@ -17,28 +17,28 @@
 	"woaddoor/internal/standin/replica"
 )
 
-// platformTrial is one woaddoor-vm before stand-ins of the users' platform.
-type platformTrial struct {
+// platformSetup is one woaddoor-vm before stand-ins of the users' platform.
+type platformSetup struct {
 	vm       *exec.Cmd
-	callers  string
+	callerAddress  string
 	upstream *replica.Replica
 	store    *http.Server
 }
 
-// trialKey is the key of the trial's workspace.
-const trialKey = "trial-key"
+// workspaceKey is the key of the trial's workspace.
+const workspaceKey = "trial-key"
 
 // startPlatform starts a stand-in store, an upstream and a woaddoor-vm, and
 // sends one stream through them.
-func startPlatform(ctx context.Context, dir string) (*platformTrial, error) {
-	p := &platformTrial{}
+func startPlatform(ctx context.Context, dir string) (*platformSetup, error) {
+	p := &platformSetup{}
 	if err := p.start(dir); err != nil {
 		return p, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		status, body, err := p.send(ctx)
+		status, body, err := p.sendStream(ctx)
 		if err == nil && status == http.StatusOK {
 			fmt.Printf("\nstream on the users' platform: status %d\n%s", status, body)
 			fmt.Printf("Its log is %s; bin/woaddoor changes %[1]s tells what it knows.\n", filepath.Join(dir, "platform-vm.log"))
@@ -49,7 +49,7 @@
 	return p, errors.New("the VM of the users' platform did not serve in time")
 }
 
-func (p *platformTrial) start(dir string) error {
+func (p *platformSetup) start(dir string) error {
 	upstream, err := replica.Start("u1", func(c *replica.Conn, r *replica.Request) bool {
 		c.BeginStream(r.ID())
 		c.Event(1, "hello")
@@ -63,7 +63,7 @@
 	p.upstream = upstream
 	store := objects.New()
 	store.PutSample(objects.Sample{
-		Prefix: "/chat/", Attempts: 2, Resumable: true, Workspace: "norte", Key: trialKey, Address: upstream.Address(), DataCentre: "avellaneda",
+		Prefix: "/chat/", Attempts: 2, Resumable: true, Workspace: "norte", Key: workspaceKey, Address: upstream.Address(), DataCentre: "avellaneda",
 	})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -75,19 +75,19 @@
 }
 
 // startVM writes the settings and starts the process.
-func (p *platformTrial) startVM(dir, store string) error {
-	var free [3]string
-	for i := range free {
+func (p *platformSetup) startVM(dir, store string) error {
+	var addresses [3]string
+	for i := range addresses {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
-		free[i] = l.Addr().String()
+		addresses[i] = l.Addr().String()
 		defer l.Close()
 	}
-	p.callers = free[0]
+	p.callerAddress = addresses[0]
 	settings := fmt.Sprintf("[vm]\nname = vm1\ndata-centre = avellaneda\n\n[listen]\ncallers = %s\nready = %s\nlinks = %s\n\n[store]\naddress = %s\n",
-		free[0], free[1], free[2], store)
+		addresses[0], addresses[1], addresses[2], store)
 	path := filepath.Join(dir, "platform-vm.ini")
 	if err := os.WriteFile(path, []byte(settings), 0o600); err != nil {
 		return err
@@ -101,8 +101,8 @@
 	return p.vm.Start()
 }
 
-func (p *platformTrial) send(ctx context.Context) (int, string, error) {
-	req, err := replica.NewCall(ctx, p.callers, objects.SampleHost, "/chat/x", "1", trialKey, "hello")
+func (p *platformSetup) sendStream(ctx context.Context) (int, string, error) {
+	req, err := replica.NewCall(ctx, p.callerAddress, objects.SampleHost, "/chat/x", "1", workspaceKey, "hello")
 	if err != nil {
 		return 0, "", err
 	}
@@ -116,7 +116,7 @@
 }
 
 // stop ends what startPlatform started.
-func (p *platformTrial) stop() {
+func (p *platformSetup) stop() {
 	if p.vm != nil && p.vm.Process != nil {
 		_ = p.vm.Process.Signal(syscall.SIGTERM) // it may have ended by itself
 		_ = p.vm.Wait()
