--- a/internal/layers/fields_test.go
+++ b/internal/layers/fields_test.go
@@ -9,9 +9,9 @@
 	"golang.org/x/tools/go/packages"
 )
 
-// receivedTypes are the types that hold what others say, decoded from what they send. A field of
-// theirs that nobody reads is a word that nobody hears: an engine's time to come back was
-// decoded for long, and engines that asked for a rest got none.
+// receivedTypes lists, by package, the types that are decoded from what other processes send. A
+// field that is never read is received and ignored: a Retry-After time of engines was once decoded
+// without effect, and engines that asked for a back-off did not get one.
 var receivedTypes = map[string][]string{
 	"woaddoor/relay":      {"Head", "Load", "Request", "Rest", "Sent", "Opinion"},
 	"woaddoor/upstream":   {"Entry", "Said"},
@@ -24,17 +24,17 @@
 	"woaddoor/quarantine": {"Held", "Told", "ToldEnd"},
 }
 
-// unreadFields are fields that are not read, and why.
+// unreadFields lists the fields that are deliberately not read, and why.
 var unreadFields = map[string]string{
-	"route.Limits.Header":        "a listener is opened before a configuration is known; callers keep within it",
-	"route.Limits.HeaderTimeout": "as Header",
-	"route.Limits.Idling":        "as Header; idle connections are kept for longer than callers use them",
-	"relay.Load.Slots":           "the upstream's entry says the same, and does not change",
-	"route.Service.ID":           "it is the key under which the service stands",
+	"route.Limits.Header":        "a listener is opened before a configuration is known; callers stay within the limit",
+	"route.Limits.HeaderTimeout": "as for Header",
+	"route.Limits.Idling":        "as for Header; idle connections are kept for longer than callers use them",
+	"relay.Load.Slots":           "the upstream's entry holds the same number, which does not change",
+	"route.Service.ID":           "services are stored under this key",
 }
 
-// TestEveryReceivedFieldIsRead checks that each field of what others say is read somewhere in the
-// product, tests apart.
+// TestEveryReceivedFieldIsRead checks that the product reads each field of the received types
+// somewhere outside tests.
 func TestEveryReceivedFieldIsRead(t *testing.T) {
 	all, err := packages.Load(&packages.Config{
 		Dir:  "../..",
@@ -60,14 +60,14 @@
 	}
 	for f, name := range fields {
 		if reason := unreadFields[name]; !read[f] && reason == "" {
-			t.Errorf("%s is told and never read", name)
+			t.Errorf("%s is received and never read", name)
 		} else if read[f] && reason != "" {
-			t.Errorf("%s is read, and listed as not: %s", name, reason)
+			t.Errorf("%s is read, but listed as unread: %s", name, reason)
 		}
 	}
 }
 
-// addFields adds the fields of a type by their names.
+// addFields adds the fields of a struct type, each with its qualified name.
 func addFields(t *testing.T, fields map[types.Object]string, p *packages.Package, name string) {
 	t.Helper()
 	found := p.Types.Scope().Lookup(name)
@@ -77,7 +77,7 @@
 	}
 	s, ok := found.Type().Underlying().(*types.Struct)
 	if !ok {
-		t.Errorf("%s.%s is no struct", p.PkgPath, name)
+		t.Errorf("%s.%s is not a struct", p.PkgPath, name)
 		return
 	}
 	for i := range s.NumFields() {
@@ -85,8 +85,8 @@
 	}
 }
 
-// collectReads notes which fields a file reads: those selected, but on the left of an
-// assignment, and embedded ones on the way to what is selected.
+// collectReads records which fields a file reads: those that are selected other than on the left
+// of an assignment, and the embedded fields on the path to a selected one.
 func collectReads(f *ast.File, info *types.Info, read map[types.Object]bool) {
 	var written []ast.Expr
 	ast.Inspect(f, func(n ast.Node) bool {
@@ -103,7 +103,7 @@
 		}
 		path := selection.Index()
 		if selection.Kind() != types.FieldVal {
-			path = path[:len(path)-1] // the last one is a method's
+			path = path[:len(path)-1] // the last index is that of a method
 		}
 		current := selection.Recv()
 		for _, i := range path {
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -1,4 +1,5 @@
-// Package layers checks what the product's packages may import. It holds tests alone.
+// Package layers checks what the product's packages may import, and that they use what they
+// decode. It contains only tests.
 package layers
 
 import (
@@ -11,27 +12,26 @@
 	"testing"
 )
 
-// purePackages are the packages that decide, from typed events and a given time. Each
-// runs the same in a property test, in a measurement and in production.
+// purePackages are the packages that make decisions from typed events and a given time, without
+// side effects. Each runs the same in a property test, in a measurement and in production.
 var purePackages = []string{
 	"bill", "cascade", "contract", "datacentre", "document", "lease", "permit", "reading",
 	"quarantine", "retry", "rollout", "scaling", "session", "stream", "ticket", "upstream", "usage", "vm", "workspace",
 }
 
-// allowedImports are the packages of the project that decisions may use: each other, and
-// the typed form of a configuration.
+// allowedImports are the packages of the project that a pure package may import: the other pure
+// packages, the typed form of a configuration, and the signing of contents.
 var allowedImports = append([]string{"config", "sign"}, purePackages...)
 
-// forbiddenImports are packages of the standard library and of others that do I/O, log,
-// measure or run something at a later time.
+// forbiddenImports are packages, of the standard library and others, that do I/O, log, measure or
+// schedule work for later.
 var forbiddenImports = []string{
 	"context", "io", "log", "net", "os", "sync", "syscall",
 	"github.com/quic-go", "github.com/rcrowley/go-metrics", "go.uber.org/zap",
 }
 
-// TestPurePackagesImportNoIO checks that no package that decides imports one that does
-// I/O, logs, or knows of goroutines: what it decides then depends on what it is given
-// alone.
+// TestPurePackagesImportNoIO checks that no pure package imports a package that does I/O, logs or
+// synchronizes goroutines. Its decisions then depend only on its inputs.
 func TestPurePackagesImportNoIO(t *testing.T) {
 	for _, pkg := range purePackages {
 		for _, name := range imports(t, filepath.Join("..", "..", pkg)) {
@@ -42,19 +42,19 @@
 	}
 }
 
-// TestForbiddenReason checks that the check itself finds what it is for.
+// TestForbiddenReason checks that the import rules accept and reject the right packages.
 func TestForbiddenReason(t *testing.T) {
 	for name, forbidden := range map[string]bool{
 		"time": false, "math/rand/v2": false, "woaddoor/contract": false, "woaddoor/config": false, "errors": false,
 		"net/http": true, "os": true, "sync/atomic": true, "context": true, "woaddoor/link": true, "woaddoor/engine": true, "go.uber.org/zap": true,
 	} {
 		if (forbiddenReason(name) != "") != forbidden {
-			t.Errorf("%s: barred %v", name, !forbidden)
+			t.Errorf("%s: forbidden is %v", name, !forbidden)
 		}
 	}
 }
 
-// forbiddenReason returns why a package that decides may not import another, or "".
+// forbiddenReason returns why a pure package must not import another package, or "" if it may.
 func forbiddenReason(name string) string {
 	if projectPackage, ok := strings.CutPrefix(name, "woaddoor/"); ok {
 		for _, p := range allowedImports {
@@ -62,17 +62,17 @@
 				return ""
 			}
 		}
-		return "it is not a package that decides"
+		return "it is not a pure package"
 	}
 	for _, p := range forbiddenImports {
 		if name == p || strings.HasPrefix(name, p+"/") {
-			return "decisions do no I/O and know of no goroutines"
+			return "pure packages do no I/O and do not synchronize goroutines"
 		}
 	}
 	return ""
 }
 
-// imports returns what the files of a folder import, tests left out.
+// imports returns the imports of the Go files in a folder, tests excluded.
 func imports(t *testing.T, dir string) []string {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
--- a/internal/mutants/main_test.go
+++ b/internal/mutants/main_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// TestMutatedLinesExistOnce checks that the line of each rule stands once in its file: a rule
-// whose line was rewritten is tried no more, and nobody sees it before all are.
+// TestMutatedLinesExistOnce checks that the quoted code of each rule occurs exactly once in its
+// file. A rule whose code has been rewritten can no longer be tested, which would otherwise show
+// only when all mutants are run.
 func TestMutatedLinesExistOnce(t *testing.T) {
 	for _, m := range mutants {
 		text, err := os.ReadFile(filepath.Join("..", "..", m.file))
@@ -17,7 +18,7 @@
 			continue
 		}
 		if n := bytes.Count(text, []byte(m.old)); n != 1 {
-			t.Errorf("%s: %s holds %q %d times", m.rule, m.file, m.old, n)
+			t.Errorf("%s: %s contains %q %d times, want once", m.rule, m.file, m.old, n)
 		}
 	}
 }
--- a/internal/trial/main.go
+++ b/internal/trial/main.go
@@ -1,6 +1,6 @@
-// Command trial starts a small fleet of the real programs on loopback, with
-// stand-ins for what is outside, applies a configuration, sends a chat, a
-// stream and a plain call, and stays up until it is interrupted.
+// Command trial starts a small fleet of the real programs on loopback, with stand-ins for external
+// systems, applies a configuration, sends a chat, a stream and a plain call, and keeps running
+// until it is interrupted.
 package main
 
 import (
@@ -62,7 +62,8 @@
 	return nil
 }
 
-// applyConfiguration applies the configuration and sends the first requests.
+// applyConfiguration applies the first configuration, waits until it is in force, and sends the
+// first requests.
 func applyConfiguration(ctx context.Context, dir string, f *fleet.Fleet) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -87,8 +88,8 @@
 	return sendRequests(ctx, f)
 }
 
-// requestCount is the number of requests that requests sends, besides one a VM to see
-// that it serves.
+// requestCount is how many requests sendRequests sends. Fleet.Serving has sent one more through
+// each VM by then.
 const requestCount = 3
 
 func sendRequests(ctx context.Context, f *fleet.Fleet) error {
@@ -114,7 +115,8 @@
 	return showBills(ctx, f)
 }
 
-// showBills shows the bills and the audit trail, once they are filed.
+// showBills waits until all requests are filed, and prints the bills and the latest changes of the
+// configuration.
 func showBills(ctx context.Context, f *fleet.Fleet) error {
 	operator := f.Operator()
 	if err := fleet.Until(ctx, func() bool {
@@ -151,11 +153,11 @@
 	fmt.Printf("  bin/woaddoor status; bin/woaddoor history; bin/woaddoor bill; bin/woaddoor show\n")
 	fmt.Printf("  curl -s %s/v1/chat/completions -H 'Authorization: Bearer %s' -d '%s'\n", f.VMs[1].Callers, fleet.KeyNorte, fleet.ChatBody("chat-small", "hello", 8, false))
 	fmt.Printf("  bin/woaddoor withdraw chat-small@1 --why trial\n")
-	fmt.Printf("  kill -9 %d   # the control process of %s; requests still are served\n", f.VMs[1].Control.PID(), f.VMs[1].Name)
+	fmt.Printf("  kill -9 %d   # the control process of %s; requests are still served\n", f.VMs[1].Control.PID(), f.VMs[1].Name)
 	fmt.Printf("Logs and settings are in %s. Interrupt once to stop.\n", dir)
 }
 
-// stopAll asks every process for a planned stop and waits for its end.
+// stopAll shuts down every process and waits until it has exited.
 func stopAll(f *fleet.Fleet) {
 	for _, vm := range f.VMs {
 		vm.Entry.Terminate()
--- a/internal/trial/platform.go
+++ b/internal/trial/platform.go
@@ -17,19 +17,20 @@
 	"woaddoor/internal/standin/replica"
 )
 
-// platformSetup is one woaddoor-vm before stand-ins of the users' platform.
+// platformSetup is one woaddoor-vm with stand-ins for the store and an upstream of the users'
+// platform.
 type platformSetup struct {
-	vm       *exec.Cmd
-	callerAddress  string
-	upstream *replica.Replica
-	store    *http.Server
+	vm            *exec.Cmd
+	callerAddress string
+	upstream      *replica.Replica
+	store         *http.Server
 }
 
-// workspaceKey is the key of the trial's workspace.
+// workspaceKey is the key of the workspace whose requests the trial sends.
 const workspaceKey = "trial-key"
 
-// startPlatform starts a stand-in store, an upstream and a woaddoor-vm, and
-// sends one stream through them.
+// startPlatform starts a stand-in store, an upstream and a woaddoor-vm, and sends one stream
+// through them.
 func startPlatform(ctx context.Context, dir string) (*platformSetup, error) {
 	p := &platformSetup{}
 	if err := p.start(dir); err != nil {
@@ -41,12 +42,12 @@
 		status, body, err := p.sendStream(ctx)
 		if err == nil && status == http.StatusOK {
 			fmt.Printf("\nstream on the users' platform: status %d\n%s", status, body)
-			fmt.Printf("Its log is %s; bin/woaddoor changes %[1]s tells what it knows.\n", filepath.Join(dir, "platform-vm.log"))
+			fmt.Printf("Its log is %s; bin/woaddoor changes %[1]s lists the configuration changes in it.\n", filepath.Join(dir, "platform-vm.log"))
 			return p, nil
 		}
-		time.Sleep(50 * time.Millisecond) // until the VM knows its configuration
+		time.Sleep(50 * time.Millisecond) // the VM may not have its configuration yet
 	}
-	return p, errors.New("the VM of the users' platform did not serve in time")
+	return p, errors.New("the VM for the users' platform did not serve a request within the start timeout")
 }
 
 func (p *platformSetup) start(dir string) error {
@@ -70,11 +71,11 @@
 		return err
 	}
 	p.store = &http.Server{Handler: store}
-	go func() { _ = p.store.Serve(listener) }() // ends with stop
+	go func() { _ = p.store.Serve(listener) }() // returns when stop closes the server
 	return p.startVM(dir, listener.Addr().String())
 }
 
-// startVM writes the settings and starts the process.
+// startVM writes the VM's settings and starts its process.
 func (p *platformSetup) startVM(dir, store string) error {
 	var addresses [3]string
 	for i := range addresses {
@@ -115,10 +116,10 @@
 	return resp.StatusCode, string(body), err
 }
 
-// stop ends what startPlatform started.
+// stop ends everything that startPlatform has started.
 func (p *platformSetup) stop() {
 	if p.vm != nil && p.vm.Process != nil {
-		_ = p.vm.Process.Signal(syscall.SIGTERM) // it may have ended by itself
+		_ = p.vm.Process.Signal(syscall.SIGTERM) // fails if it has already exited
 		_ = p.vm.Wait()
 	}
 	if p.store != nil {
