--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -76,7 +76,7 @@
 // call sends one request and checks its answer.
 func (c *callers) call(client *http.Client, v *vm, path, body, key string) {
 	id := fmt.Sprintf("id-%d", c.lastID.Add(1))
-	req, err := replica.NewCall(context.Background(), v.callers.address(), objects.SampleHost, path, id, key, body)
+	req, err := replica.NewCall(context.Background(), v.callerLink.address(), objects.SampleHost, path, id, key, body)
 	if err != nil {
 		c.fleet.recorder.recordFault("cannot create a request: " + err.Error())
 		return
@@ -139,20 +139,20 @@
 
 // checkEvents returns what is wrong with a stream that ended normally, or "".
 func checkEvents(id string, body []byte) string {
-	n := 0
+	events := 0
 	lines := bufio.NewScanner(strings.NewReader(string(body)))
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
 		if !ok {
 			continue
 		}
-		n++
-		if want := fmt.Sprintf("%s %d", id, n); data != want {
+		events++
+		if want := fmt.Sprintf("%s %d", id, events); data != want {
 			return fmt.Sprintf("got event %q, want %q", data, want)
 		}
 	}
-	if n != eventsPerStream {
-		return fmt.Sprintf("the stream ended normally after %d of %d events", n, eventsPerStream)
+	if events != eventsPerStream {
+		return fmt.Sprintf("the stream ended normally after %d of %d events", events, eventsPerStream)
 	}
 	return ""
 }
@@ -166,11 +166,11 @@
 func countBetween(c *callers, times *[]time.Time, from, to time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := 0
+	count := 0
 	for _, at := range *times {
 		if !at.Before(from) && !at.After(to) {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -50,11 +50,11 @@
 				f.kill(v)
 			}
 		}},
-		"callers-reset":  {failureGroup, func(n int, _ time.Duration) { vmAt(n).callers.resetOpen() }},
-		"callers-silent": {failureGroup, func(n int, _ time.Duration) { vmAt(n).callers.silenceOpen() }},
+		"callers-reset":  {failureGroup, func(n int, _ time.Duration) { vmAt(n).callerLink.resetOpen() }},
+		"callers-silent": {failureGroup, func(n int, _ time.Duration) { vmAt(n).callerLink.silenceOpen() }},
 		"callers-slow": {failureGroup, func(n int, d time.Duration) {
-			vmAt(n).callers.setFault(50*time.Millisecond, false)
-			time.AfterFunc(d, func() { vmAt(n).callers.setFault(0, false) })
+			vmAt(n).callerLink.setFault(50*time.Millisecond, false)
+			time.AfterFunc(d, func() { vmAt(n).callerLink.setFault(0, false) })
 		}},
 		"store-down":    {failureGroup, func(_ int, d time.Duration) { f.injectStoreFault(objects.Faults{Down: true}, d) }},
 		"store-silent":  {failureGroup, func(_ int, d time.Duration) { f.injectStoreFault(objects.Faults{Silent: true}, d) }},
@@ -200,19 +200,19 @@
 func (f *fleet) writeConfiguration() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.version++
-	f.store.PutDeployment(newDeployment(f.version, f.keys...))
+	f.configVersion++
+	f.store.PutDeployment(newDeployment(f.configVersion, f.workspaceKeys...))
 }
 
 // evacuate makes the operator evacuate a data centre, for longer than evacuationTimeout.
-func (f *fleet) evacuate(dc string, d time.Duration) {
-	if !f.upstreams.startEvacuation(dc) {
+func (f *fleet) evacuate(dataCentre string, d time.Duration) {
+	if !f.upstreams.startEvacuation(dataCentre) {
 		return // already under way
 	}
-	f.store.StartEvacuation(dc)
+	f.store.StartEvacuation(dataCentre)
 	time.AfterFunc(evacuationTimeout+settleTime+d, func() {
-		f.upstreams.endEvacuation(dc)
-		f.store.EndEvacuation(dc)
+		f.upstreams.endEvacuation(dataCentre)
+		f.store.EndEvacuation(dataCentre)
 	})
 }
 
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -48,16 +48,16 @@
 	recorder  *recorder
 
 	// mu guards the fields below, which describe the newest configuration.
-	mu      sync.Mutex
-	version int
-	keys    []string
+	mu            sync.Mutex
+	configVersion int
+	workspaceKeys []string
 }
 
 // vm is a woaddoor-vm process, which is restarted on the same addresses after each stop.
 type vm struct {
-	name, settings string
-	callers        *proxy // the link that callers connect through
-	ready, metrics string
+	name, settingsPath           string
+	callerLink                   *proxy // the link that callers connect through
+	readyAddress, metricsAddress string
 
 	// mu guards the fields below.
 	mu      sync.Mutex
@@ -77,7 +77,7 @@
 // newFleet starts the given number of VMs, and twice as many upstreams spread over three data
 // centres.
 func newFleet(folder string, vms int, seed uint64, rec *recorder) (*fleet, error) {
-	f := &fleet{folder: folder, store: objects.New(), recorder: rec, keys: []string{keyKept, keyRevoked}}
+	f := &fleet{folder: folder, store: objects.New(), recorder: rec, workspaceKeys: []string{keyKept, keyRevoked}}
 	f.writeConfiguration()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -143,16 +143,16 @@
 		seeds = append(seeds, addresses[portsPerVM*i+2])
 	}
 	for i := range n {
-		a := addresses[portsPerVM*i : portsPerVM*i+portsPerVM]
-		_, metricsPort, _ := net.SplitHostPort(a[3])
-		v := &vm{name: fmt.Sprintf("vm%d", i), settings: filepath.Join(f.folder, fmt.Sprintf("vm%d.ini", i)), ready: a[1], metrics: "127.0.0.1:" + metricsPort}
+		vmAddresses := addresses[portsPerVM*i : portsPerVM*i+portsPerVM]
+		_, metricsPort, _ := net.SplitHostPort(vmAddresses[3])
+		v := &vm{name: fmt.Sprintf("vm%d", i), settingsPath: filepath.Join(f.folder, fmt.Sprintf("vm%d.ini", i)), readyAddress: vmAddresses[1], metricsAddress: "127.0.0.1:" + metricsPort}
 		ini := fmt.Sprintf("[vm]\nname = %s\ndata-centre = %s\n\n[listen]\ncallers = %s\nready = %s\nlinks = %s\nseeds = %s\nmetrics-port = %s\n\n"+
 			"[store]\naddress = %s\n\n[bounds]\ngrace = %v\napply = %v\ndrain = %v\nevacuation = %v\nretry-ratio = %v\nretry-slack = %v\nretry-window = %v\n",
-			v.name, dataCentre(i), a[0], a[1], a[2], strings.Join(seeds, ","), metricsPort, f.storeLink.address(), gracePeriod, applyTimeout, drainTimeout, evacuationTimeout, retryRatio, retrySlack, retryWindow)
-		if err := os.WriteFile(v.settings, []byte(ini), 0o600); err != nil {
+			v.name, dataCentre(i), vmAddresses[0], vmAddresses[1], vmAddresses[2], strings.Join(seeds, ","), metricsPort, f.storeLink.address(), gracePeriod, applyTimeout, drainTimeout, evacuationTimeout, retryRatio, retrySlack, retryWindow)
+		if err := os.WriteFile(v.settingsPath, []byte(ini), 0o600); err != nil {
 			return err
 		}
-		if v.callers, err = newProxy("127.0.0.1:0", a[0]); err != nil {
+		if v.callerLink, err = newProxy("127.0.0.1:0", vmAddresses[0]); err != nil {
 			return err
 		}
 		if err := f.startVM(v); err != nil {
@@ -169,7 +169,7 @@
 	if err != nil {
 		return err
 	}
-	command := exec.Command(filepath.Join("bin", "woaddoor-vm"), "run", "--settings", v.settings)
+	command := exec.Command(filepath.Join("bin", "woaddoor-vm"), "run", "--settings", v.settingsPath)
 	command.Stdout, command.Stderr = log, log
 	if err := command.Start(); err != nil {
 		return err
@@ -223,7 +223,7 @@
 // isReady reports whether the VM's readiness page says that it accepts connections.
 func (v *vm) isReady() bool {
 	client := http.Client{Timeout: time.Second}
-	resp, err := client.Get("http://" + v.ready + replica.ReadinessPath)
+	resp, err := client.Get("http://" + v.readyAddress + replica.ReadinessPath)
 	if err != nil {
 		return false
 	}
--- a/internal/soak/main.go
+++ b/internal/soak/main.go
@@ -92,11 +92,11 @@
 func runScenario(ctx context.Context, f *fleet, args arguments) {
 	clients := &callers{fleet: f}
 	callContext, stop := context.WithCancel(ctx)
-	var wg sync.WaitGroup
+	var running sync.WaitGroup
 	start := func(run func(context.Context, *rand.Rand), n uint64) {
-		wg.Add(1)
+		running.Add(1)
 		go func() {
-			defer wg.Done()
+			defer running.Done()
 			run(callContext, rand.New(rand.NewPCG(args.Seed, 100+n)))
 		}()
 	}
@@ -121,7 +121,7 @@
 	if ctx.Err() != nil { // interrupted: the checks at the end are not meaningful
 		f.recorder.markInterrupted()
 		stop()
-		wg.Wait()
+		running.Wait()
 		return
 	}
 	faultsEndedAt := time.Now()
@@ -132,7 +132,7 @@
 		f.checkResources(v)
 	}
 	stop()
-	wg.Wait()
+	running.Wait()
 	f.upstreams.checkQuarantine()
 	f.upstreams.checkRetryBudget(clients.countSent)
 }
@@ -162,7 +162,7 @@
 		return false
 	}
 	c.fleet.mu.Lock()
-	c.fleet.keys = []string{keyKept}
+	c.fleet.workspaceKeys = []string{keyKept}
 	c.fleet.mu.Unlock()
 	c.fleet.writeConfiguration()
 	c.revokedAt = time.Now()
@@ -198,7 +198,7 @@
 // checkResources checks the heap size and goroutine count that a VM reports in its metrics.
 func (f *fleet) checkResources(v *vm) {
 	client := http.Client{Timeout: 2 * time.Second}
-	resp, err := client.Get("http://" + v.metrics + "/metrics")
+	resp, err := client.Get("http://" + v.metricsAddress + "/metrics")
 	if err != nil {
 		f.recorder.check(guaranteeResources, false, v.name, err.Error())
 		return
--- a/internal/soak/upstreams.go
+++ b/internal/soak/upstreams.go
@@ -39,10 +39,10 @@
 	random          *rand.Rand
 	slots           []*upstreamSlot
 	lastIncarnation int
-	// runs counts by request id how often a request began to run. arrivals lists every request
-	// that reached an upstream, rejected ones included.
-	runs     map[string]int
-	arrivals []arrival
+	// runCounts is how often each request, by id, began to run. arrivals lists every request that
+	// reached an upstream, rejected ones included.
+	runCounts map[string]int
+	arrivals  []arrival
 	// poisonArrivals is when poison requests arrived, and poisonExits when upstreams crashed while
 	// running one.
 	poisonArrivals, poisonExits []time.Time
@@ -74,7 +74,7 @@
 
 func newUpstreams(store *objects.Store, rec *recorder, seed uint64) *upstreams {
 	signals := newSignalTracker(rec)
-	return &upstreams{store: store, recorder: rec, signals: signals, limits: &limitTracker{signals: signals, advertised: make(map[int]*advertisedLimit)}, random: rand.New(rand.NewPCG(seed, 1)), runs: make(map[string]int), evacuatedAt: make(map[string]time.Time)}
+	return &upstreams{store: store, recorder: rec, signals: signals, limits: &limitTracker{signals: signals, advertised: make(map[int]*advertisedLimit)}, random: rand.New(rand.NewPCG(seed, 1)), runCounts: make(map[string]int), evacuatedAt: make(map[string]time.Time)}
 }
 
 // addSlot adds a slot in a data centre and starts an upstream in it.
@@ -151,8 +151,8 @@
 		u.reject(c, r, incarnation, link, append(headers, replica.Rest(backoff)), backoff)
 		return true
 	}
-	u.runs[r.ID()]++
-	runs, hanging, body := u.runs[r.ID()], slot.hanging, string(r.Payload)
+	u.runCounts[r.ID()]++
+	runs, hanging, body := u.runCounts[r.ID()], slot.hanging, string(r.Payload)
 	poison := body == bodyPoison && !u.ignorePoison
 	if body == bodyPoison {
 		u.poisonArrivals = append(u.poisonArrivals, time.Now())
@@ -240,11 +240,11 @@
 	if from > 0 && chance >= 50 {
 		from--
 	}
-	for n := from + 1; n <= eventsPerStream; n++ {
-		c.Event(n, fmt.Sprintf("%s %d", r.ID(), n))
+	for number := from + 1; number <= eventsPerStream; number++ {
+		c.Event(number, fmt.Sprintf("%s %d", r.ID(), number))
 		time.Sleep(eventInterval)
-		if chance < lostAnswerPercent && n == eventsPerStream/2 {
-			c.Chunk(fmt.Sprintf("id: %d\ndata: ", n+1))
+		if chance < lostAnswerPercent && number == eventsPerStream/2 {
+			c.Chunk(fmt.Sprintf("id: %d\ndata: ", number+1))
 			return false
 		}
 	}
@@ -256,7 +256,7 @@
 func (u *upstreams) runCount(id string) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.runs[id]
+	return u.runCounts[id]
 }
 
 // pick returns a slot that has a running upstream, starting the search at index n; nil if there is
@@ -331,22 +331,22 @@
 
 // startEvacuation records that a data centre is being evacuated. It returns false if it already
 // was.
-func (u *upstreams) startEvacuation(dc string) bool {
+func (u *upstreams) startEvacuation(dataCentre string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if _, already := u.evacuatedAt[dc]; already {
+	if _, already := u.evacuatedAt[dataCentre]; already {
 		return false
 	}
-	u.evacuatedAt[dc] = time.Now()
+	u.evacuatedAt[dataCentre] = time.Now()
 	u.recorder.check(guaranteeEvacuation, true, "", "")
 	return true
 }
 
 // endEvacuation records that the evacuation of a data centre has ended.
-func (u *upstreams) endEvacuation(dc string) {
+func (u *upstreams) endEvacuation(dataCentre string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	delete(u.evacuatedAt, dc)
+	delete(u.evacuatedAt, dataCentre)
 }
 
 // setBackoff makes upstreams reject most requests and ask for a back-off; zero ends that.
--- a/internal/standin/duties/duties.go
+++ b/internal/standin/duties/duties.go
@@ -44,22 +44,22 @@
 	Preemptible         bool
 }
 
-// Platform is the stand-in, an http.Handler. LeaseDuration is the shortest time after which a VM
-// may act again on a subject when another VM has acted on it in between.
+// Platform is the stand-in, an http.Handler. LeaseDuration is the shortest time between two calls
+// of a VM for the same target if another VM made one in between.
 type Platform struct {
 	LeaseDuration time.Duration
 
-	mu         sync.Mutex
-	faults     Faults
-	reports    map[int64]*UsageReport
-	orders     map[ScaleTarget]ScaleOrder
-	violations []string
-	calls      int
-	// histories holds the calls by duty and subject.
+	mu          sync.Mutex
+	faults      Faults
+	reports     map[int64]*UsageReport
+	scaleOrders map[ScaleTarget]ScaleOrder
+	violations  []string
+	calls       int
+	// histories holds the earlier calls by kind of call and what they apply to.
 	histories map[string]*callHistory
 }
 
-// callHistory records which VMs made calls for one duty and subject, and with which fencing
+// callHistory records which VMs made calls of one kind for the same target, and with which fencing
 // tokens.
 type callHistory struct {
 	maxToken     uint64
@@ -70,7 +70,7 @@
 
 // New returns a platform that has received no calls.
 func New(lease time.Duration) *Platform {
-	return &Platform{LeaseDuration: lease, reports: make(map[int64]*UsageReport), orders: make(map[ScaleTarget]ScaleOrder), histories: make(map[string]*callHistory)}
+	return &Platform{LeaseDuration: lease, reports: make(map[int64]*UsageReport), scaleOrders: make(map[ScaleTarget]ScaleOrder), histories: make(map[string]*callHistory)}
 }
 
 // SetFaults replaces the faults.
@@ -95,7 +95,7 @@
 func (p *Platform) ScaleOrders() map[ScaleTarget]ScaleOrder {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return maps.Clone(p.orders)
+	return maps.Clone(p.scaleOrders)
 }
 
 // Broken returns a description of each violation of the protocol.
@@ -177,11 +177,11 @@
 		return
 	}
 	p.recordCall("scale "+body.Service+" "+body.Zone, holder, token)
-	p.orders[ScaleTarget{body.Service, body.Zone, body.Preemptible}] = ScaleOrder{body.DesiredCount, holder}
+	p.scaleOrders[ScaleTarget{body.Service, body.Zone, body.Preemptible}] = ScaleOrder{body.DesiredCount, holder}
 }
 
-// recordCall records a call for a duty and subject, and any violation of the protocol by it. The
-// caller holds mu.
+// recordCall records a call, and any violation of the protocol by it. duty names the kind of call
+// and what it applies to. The caller holds mu.
 func (p *Platform) recordCall(duty, holder string, token uint64) {
 	history := p.histories[duty]
 	if history == nil {
