--- a/internal/layers/fields_test.go
+++ b/internal/layers/fields_test.go
@@ -9,10 +9,10 @@
 	"golang.org/x/tools/go/packages"
 )
 
-// heard are the types that hold what others say, decoded from what they send. A field of
-// theirs that nobody reads is a word that nobody hears: an engine's time to come back was
-// decoded for long, and engines that asked for a rest got none.
-var heard = map[string][]string{
+// receivedTypes lists, by package, the types that are decoded from what other processes send. A
+// field that is never read is received and ignored: a Retry-After time of engines was once decoded
+// without effect, and engines that asked for a back-off did not get one.
+var receivedTypes = map[string][]string{
 	"woaddoor/relay":      {"Head", "Load", "Request", "Rest", "Sent", "Opinion"},
 	"woaddoor/upstream":   {"Entry", "Said"},
 	"woaddoor/engine":     {"CallError", "PlainAnswer"},
@@ -24,18 +24,18 @@
 	"woaddoor/quarantine": {"Held", "Told", "ToldEnd"},
 }
 
-// unheard are fields that are not read, and why.
-var unheard = map[string]string{
-	"route.Limits.Header":        "a listener is opened before a configuration is known; callers keep within it",
-	"route.Limits.HeaderTimeout": "as Header",
-	"route.Limits.Idling":        "as Header; idle connections are kept for longer than callers use them",
-	"relay.Load.Slots":           "the upstream's entry says the same, and does not change",
-	"route.Service.ID":           "it is the key under which the service stands",
+// unreadFields lists the fields that are deliberately not read, and why.
+var unreadFields = map[string]string{
+	"route.Limits.Header":        "a listener is opened before a configuration is known; callers stay within the limit",
+	"route.Limits.HeaderTimeout": "as for Header",
+	"route.Limits.Idling":        "as for Header; idle connections are kept for longer than callers use them",
+	"relay.Load.Slots":           "the upstream's entry holds the same number, which does not change",
+	"route.Service.ID":           "services are stored under this key",
 }
 
-// TestEveryWordIsHeard checks that each field of what others say is read somewhere in the
-// product, tests apart.
-func TestEveryWordIsHeard(t *testing.T) {
+// TestEveryReceivedFieldIsRead checks that the product reads each field of the received types
+// somewhere outside tests.
+func TestEveryReceivedFieldIsRead(t *testing.T) {
 	all, err := packages.Load(&packages.Config{
 		Dir:  "../..",
 		Mode: packages.NeedName | packages.NeedSyntax | packages.NeedTypes | packages.NeedTypesInfo | packages.NeedImports | packages.NeedDeps,
@@ -48,27 +48,27 @@
 		for _, e := range p.Errors {
 			t.Fatal(e)
 		}
-		for _, name := range heard[p.PkgPath] {
+		for _, name := range receivedTypes[p.PkgPath] {
 			addFields(t, fields, p, name)
 		}
 	}
 	read := make(map[types.Object]bool)
 	for _, p := range all {
 		for _, f := range p.Syntax {
-			noteReads(f, p.TypesInfo, read)
+			collectReads(f, p.TypesInfo, read)
 		}
 	}
 	for f, name := range fields {
-		if why := unheard[name]; !read[f] && why == "" {
-			t.Errorf("%s is told and never read", name)
-		} else if read[f] && why != "" {
-			t.Errorf("%s is read, and listed as not: %s", name, why)
+		if reason := unreadFields[name]; !read[f] && reason == "" {
+			t.Errorf("%s is received and never read", name)
+		} else if read[f] && reason != "" {
+			t.Errorf("%s is read, but listed as unread: %s", name, reason)
 		}
 	}
 }
 
-// addFields adds the fields of a type by their names.
-func addFields(t *testing.T, to map[types.Object]string, p *packages.Package, name string) {
+// addFields adds the fields of a struct type, each with its qualified name.
+func addFields(t *testing.T, fields map[types.Object]string, p *packages.Package, name string) {
 	t.Helper()
 	found := p.Types.Scope().Lookup(name)
 	if found == nil {
@@ -77,17 +77,17 @@
 	}
 	s, ok := found.Type().Underlying().(*types.Struct)
 	if !ok {
-		t.Errorf("%s.%s is no struct", p.PkgPath, name)
+		t.Errorf("%s.%s is not a struct", p.PkgPath, name)
 		return
 	}
 	for i := range s.NumFields() {
-		to[s.Field(i)] = p.Name + "." + name + "." + s.Field(i).Name()
+		fields[s.Field(i)] = p.Name + "." + name + "." + s.Field(i).Name()
 	}
 }
 
-// noteReads notes which fields a file reads: those selected, but on the left of an
-// assignment, and embedded ones on the way to what is selected.
-func noteReads(f *ast.File, info *types.Info, read map[types.Object]bool) {
+// collectReads records which fields a file reads: those that are selected other than on the left
+// of an assignment, and the embedded fields on the path to a selected one.
+func collectReads(f *ast.File, info *types.Info, read map[types.Object]bool) {
 	var written []ast.Expr
 	ast.Inspect(f, func(n ast.Node) bool {
 		if a, ok := n.(*ast.AssignStmt); ok {
@@ -97,22 +97,22 @@
 		if !ok {
 			return true
 		}
-		s := info.Selections[sel]
-		if s == nil || slices.Contains(written, ast.Expr(sel)) {
+		selection := info.Selections[sel]
+		if selection == nil || slices.Contains(written, ast.Expr(sel)) {
 			return true
 		}
-		way := s.Index()
-		if s.Kind() != types.FieldVal {
-			way = way[:len(way)-1] // the last one is a method's
+		path := selection.Index()
+		if selection.Kind() != types.FieldVal {
+			path = path[:len(path)-1] // the last index is that of a method
 		}
-		at := s.Recv()
-		for _, i := range way {
-			if p, ok := at.Underlying().(*types.Pointer); ok {
-				at = p.Elem()
+		current := selection.Recv()
+		for _, i := range path {
+			if p, ok := current.Underlying().(*types.Pointer); ok {
+				current = p.Elem()
 			}
-			field := at.Underlying().(*types.Struct).Field(i)
+			field := current.Underlying().(*types.Struct).Field(i)
 			read[field] = true
-			at = field.Type()
+			current = field.Type()
 		}
 		return true
 	})
--- a/internal/mutants/main.go
+++ b/internal/mutants/main.go
@@ -1,6 +1,6 @@
-// Command mutants takes each safety rule out of a copy of the project, one at a
-// time, and checks that the test named for it then fails. A test that passes
-// without its rule proves nothing.
+// Command mutants removes each safety rule from a copy of the project, one at a time, and
+// checks that the test named for the rule then fails. A test that passes without its rule
+// does not check that rule.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// mutant is one rule taken out: old is replaced by new in file.
+// mutant removes one rule: it replaces old by new in file, which test in pkg must detect.
 type mutant struct {
 	rule      string
 	file      string
@@ -24,129 +24,129 @@
 }
 
 var mutants = []mutant{
-	{"a permission ends", "permit/permit.go", "if !now.Before(s.NotAfter(id)) {", "if false {", "./permit", "TestWithdrawnVersionDuringPartition"},
-	{"freshness counts from the held document alone", "document/replica.go", "		r.freshAt = freshAt\n		return true", "		r.freshAt = freshAt.Add(time.Hour)\n		return true", "./permit", "TestWithdrawnVersionDuringPartition"},
-	{"only allowed versions", "permit/permit.go", "if !w.Allow[id] {", "if false {", "./permit", "TestCheck"},
-	{"a revision never falls", "document/replica.go", "if d.Revision < r.held.Revision {", "if r.held = d; false {", "./document", "TestReplicaNeverReverts"},
-	{"a patch fits its base", "document/patch.go", "if p.From != old.Revision || p.FromHash != old.Hash() {", "if false {", "./document", "TestPatchRejectsWrongBase"},
-	{"the clock sees a suspension", "clock/clock.go", "max(mono.Sub(s.lastMono), wall.Sub(s.lastWall), 0)", "max(mono.Sub(s.lastMono), 0)", "./clock", "TestSuspensionAdvancesClock"},
-	{"a token is of its workspace", "session/session.go", "if t.Workspace != w {", "if false {", "./session", "TestRejectsForgedToken"},
-	{"a signature has to fit", "sign/sign.go", "err != nil || !hmac.Equal(got, k.mac(content))", "err != nil || len(got) == 0", "./session", "TestRejectsForgedToken"},
-	{"a replaced arbiter has no vote", "ticket/register.go", "a.VM == r.self.VM && a.Incarnation == r.self.Incarnation", "a.VM == r.self.VM", "./ticket", "TestReplacedArbiterCannotVote"},
-	{"a ticket is of its workspace", "ticket/ticket.go", "if t.Workspace != w {", "if false {", "./ticket", "TestTicketIsBoundToWorkspace"},
-	{"an arbiter votes once", "ticket/register.go", "return Vote{For: e.vote, Result: e.result}, nil", "e.vote = c\n\t\treturn Vote{For: e.vote, Result: e.result}, nil", "./ticket", "TestSplitVoteFailsBothClaims"},
-	{"a majority runs", "ticket/ticket.go", "return len(t.Arbiters)/2 + 1 }", "return max(len(t.Arbiters)/2, 1) }", "./ticket", "TestSplitVoteFailsBothClaims"},
-	{"not run needs its proof", "ticket/claim.go", "if c.votes[Nobody] >= c.ticket.BlockingQuorum() {", "if c.votes[Nobody] >= 1 {", "./ticket", "TestNotRunRequiresBlockingQuorum"},
-	{"expired tickets are not voted on", "ticket/register.go", "if now.Unix() >= t.Expires {", "if false {", "./ticket", "TestAtMostOnce|TestFullRegisterRefusesVotes"},
-	{"bills are a union", "bill/bill.go", "if !exists || precedes(r, old) {", "if r.ID += ID(r.At.String() + string(r.Origin.VM)); !exists || precedes(r, old) {", "./bill", "TestDeliveredAnswerBilledOnce"},
-	{"workspaces are billed apart", "bill/bill.go", "return recordKey{r.Workspace, r.ID}", "return recordKey{\"\", r.ID}", "./bill", "TestSameIdempotencyKeyInTwoWorkspaces"},
-	{"an unfiled copy is kept", "bill/holder.go", "if e.record.Origin == h.self || now.Sub(e.heldSince) >= h.peerDelay {", "if e.record.Origin == h.self {", "./bill", "TestDeliveredAnswerBilledOnce"},
-	{"a body is given out once", "engine/call.go", "req, err := http.NewRequestWithContext(ctx, method, call.URL+path, body)", "req, err := http.NewRequestWithContext(ctx, method, call.URL+path, bytes.NewReader(call.Body))\n\treq.Header.Set(\"Idempotency-Key\", \"k\")\n\tbody.started.Store(true)", "./engine", "TestRequestIsSentOnce"},
-	{"an answer is to its request", "engine/call.go", `echoed != "" && echoed != string(call.RequestID)`, `echoed == "never"`, "./engine", "TestChatOutcomes"},
-	{"an answer is of its version", "engine/call.go", "if answer.Completion.Model != string(call.Version) {", "if false {", "./engine", "TestChatOutcomes"},
-	{"the permission is asked again after the write", "engine/call.go", "			cancel(err)\n", "			_ = err\n", "./engine", "TestPermissionExpiresDuringWrite"},
-	{"a stream needs its end", "engine/stream.go", "		if !s.sawFinishReason {", "		if false {", "./engine", "FuzzStream"},
-	{"leaving is for good in a life", "upstream/announcement.go", "return s.leavingIncarnation != 0 && s.leavingIncarnation >= s.incarnation ||", "return s.load.Draining ||", "./upstream", "TestLeavingUpstreamGetsNoWork"},
-	{"an upstream that leaves by its answers gets nothing", "upstream/announcement.go", "|| s.announced.isLeaving()", "", "./platform", "TestLeavingHeaderStopsRequests"},
-	{"an upstream that rests gets nothing", "upstream/announcement.go", "!s.isLeaving() && !s.announced.isResting(now)", "!s.isLeaving()", "./platform", "TestRetryAfterIsHonoured"},
-	{"a word outlasts the list", "upstream/listed.go", "	s.announced = t.announcements[e.Life()]\n", "", "./upstream", "TestAnnouncementPersists"},
-	{"a rest is not shortened", "upstream/announcement.go", "until.After(a.restUntil)", "said.Rest > 0", "./upstream", "TestAnnouncementPersists"},
-	{"the last resort goes by the word", "upstream/listed.go", "if !q.allows(s) || !s.acceptsWork(now) ||", "if !q.allows(s) ||", "./upstream", "TestNoPickWhenAllRestOrLeave"},
-	{"the word is asked again before the first byte", "relay/notices.go", "r.table.Takes(e.Life(), r.opts.Now()) && r.claimLimit", "r.claimLimit", "./relay", "TestLeavingAnnouncedWhileConnecting"},
-	{"an answer's load is of the life that answered", "relay/send.go", "if current && h.Load != nil {", "if h.Load != nil {", "./relay", "TestLoadOfEarlierIncarnationIgnored"},
-	{"a limit that an upstream has named is kept", "upstream/listed.go", "t.withinColdBound(s, now) && t.withinLimit(s, now)", "t.withinColdBound(s, now)", "./upstream", "TestLimitHoldsAcrossVMs"},
-	{"owners alone send what a limit allows", "upstream/limit_table.go", "if isLocal && rank < owners {", "if isLocal {", "./upstream", "TestLimitHoldsAcrossVMs"},
-	{"a part of a limit is paced", "upstream/limit_table.go", "return probeDelay == 0 && s.announced.limit.limiter.wait(share, now) == 0", "return probeDelay == 0 && s.announced.limit.limiter.wait(share, now) >= 0", "./upstream", "TestLimitHoldsAcrossVMs"},
-	{"more than a limit goes to an upstream only where others are busy", "upstream/cost.go", "	cost += t.limitCost(s, now)\n", "", "./upstream", "TestOverLimitOnlyWhenOthersAreBusy"},
-	{"a repeat in the place of a waiting caller is dear", "relay/models.go", "if r.table.CountLimited() > 0 && r.retrySchedule(j.service).Awaited(now) {", "if false {", "./relay", "TestNoEscalationWhileRefusedCallersWait"},
+	{"a permission expires", "permit/permit.go", "if !now.Before(s.NotAfter(id)) {", "if false {", "./permit", "TestWithdrawnVersionDuringPartition"},
+	{"freshness depends only on the held document", "document/replica.go", "		r.freshAt = freshAt\n		return true", "		r.freshAt = freshAt.Add(time.Hour)\n		return true", "./permit", "TestWithdrawnVersionDuringPartition"},
+	{"only allowed versions are used", "permit/permit.go", "if !w.Allow[id] {", "if false {", "./permit", "TestCheck"},
+	{"a document's revision never decreases", "document/replica.go", "if d.Revision < r.held.Revision {", "if r.held = d; false {", "./document", "TestReplicaNeverReverts"},
+	{"a patch applies only to its base", "document/patch.go", "if p.From != old.Revision || p.FromHash != old.Hash() {", "if false {", "./document", "TestPatchRejectsWrongBase"},
+	{"the clock detects that the VM was suspended", "clock/clock.go", "max(mono.Sub(s.lastMono), wall.Sub(s.lastWall), 0)", "max(mono.Sub(s.lastMono), 0)", "./clock", "TestSuspensionAdvancesClock"},
+	{"a session token is valid only in its workspace", "session/session.go", "if t.Workspace != w {", "if false {", "./session", "TestRejectsForgedToken"},
+	{"a signature must match", "sign/sign.go", "err != nil || !hmac.Equal(got, k.mac(content))", "err != nil || len(got) == 0", "./session", "TestRejectsForgedToken"},
+	{"an arbiter that has restarted has no vote", "ticket/register.go", "a.VM == r.self.VM && a.Incarnation == r.self.Incarnation", "a.VM == r.self.VM", "./ticket", "TestReplacedArbiterCannotVote"},
+	{"a ticket is valid only in its workspace", "ticket/ticket.go", "if t.Workspace != w {", "if false {", "./ticket", "TestTicketIsBoundToWorkspace"},
+	{"an arbiter votes once per ticket", "ticket/register.go", "return Vote{For: e.vote, Result: e.result}, nil", "e.vote = c\n\t\treturn Vote{For: e.vote, Result: e.result}, nil", "./ticket", "TestSplitVoteFailsBothClaims"},
+	{"a claim needs a majority of the arbiters", "ticket/ticket.go", "return len(t.Arbiters)/2 + 1 }", "return max(len(t.Arbiters)/2, 1) }", "./ticket", "TestSplitVoteFailsBothClaims"},
+	{"not-run is reported only with proof", "ticket/claim.go", "if c.votes[Nobody] >= c.ticket.BlockingQuorum() {", "if c.votes[Nobody] >= 1 {", "./ticket", "TestNotRunRequiresBlockingQuorum"},
+	{"arbiters do not vote on expired tickets", "ticket/register.go", "if now.Unix() >= t.Expires {", "if false {", "./ticket", "TestAtMostOnce|TestFullRegisterRefusesVotes"},
+	{"bills are the union of all copies", "bill/bill.go", "if !exists || precedes(r, old) {", "if r.ID += ID(r.At.String() + string(r.Origin.VM)); !exists || precedes(r, old) {", "./bill", "TestDeliveredAnswerBilledOnce"},
+	{"workspaces are billed separately", "bill/bill.go", "return recordKey{r.Workspace, r.ID}", "return recordKey{\"\", r.ID}", "./bill", "TestSameIdempotencyKeyInTwoWorkspaces"},
+	{"a copy of an unfiled record is kept", "bill/holder.go", "if e.record.Origin == h.self || now.Sub(e.heldSince) >= h.peerDelay {", "if e.record.Origin == h.self {", "./bill", "TestDeliveredAnswerBilledOnce"},
+	{"a request body is sent once", "engine/call.go", "req, err := http.NewRequestWithContext(ctx, method, call.URL+path, body)", "req, err := http.NewRequestWithContext(ctx, method, call.URL+path, bytes.NewReader(call.Body))\n\treq.Header.Set(\"Idempotency-Key\", \"k\")\n\tbody.started.Store(true)", "./engine", "TestRequestIsSentOnce"},
+	{"an answer must carry its request's id", "engine/call.go", `echoed != "" && echoed != string(call.RequestID)`, `echoed == "never"`, "./engine", "TestChatOutcomes"},
+	{"an answer must come from the requested version", "engine/call.go", "if answer.Completion.Model != string(call.Version) {", "if false {", "./engine", "TestChatOutcomes"},
+	{"the permission is checked again after the write", "engine/call.go", "			cancel(err)\n", "			_ = err\n", "./engine", "TestPermissionExpiresDuringWrite"},
+	{"a stream needs its end marker", "engine/stream.go", "		if !s.sawFinishReason {", "		if false {", "./engine", "FuzzStream"},
+	{"leaving is final for an incarnation", "upstream/announcement.go", "return s.leavingIncarnation != 0 && s.leavingIncarnation >= s.incarnation ||", "return s.load.Draining ||", "./upstream", "TestLeavingUpstreamGetsNoWork"},
+	{"an upstream whose answers say it is leaving gets nothing", "upstream/announcement.go", "|| s.announced.isLeaving()", "", "./platform", "TestLeavingHeaderStopsRequests"},
+	{"an upstream in back-off gets nothing", "upstream/announcement.go", "!s.isLeaving() && !s.announced.isResting(now)", "!s.isLeaving()", "./platform", "TestRetryAfterIsHonoured"},
+	{"an upstream's signals outlast a new list", "upstream/listed.go", "	s.announced = t.announcements[e.Life()]\n", "", "./upstream", "TestAnnouncementPersists"},
+	{"a back-off is not shortened", "upstream/announcement.go", "until.After(a.restUntil)", "said.Rest > 0", "./upstream", "TestAnnouncementPersists"},
+	{"the last resort respects upstreams' signals", "upstream/listed.go", "if !q.allows(s) || !s.acceptsWork(now) ||", "if !q.allows(s) ||", "./upstream", "TestNoPickWhenAllRestOrLeave"},
+	{"signals are checked again before the first byte", "relay/notices.go", "r.table.Takes(e.Life(), r.opts.Now()) && r.claimLimit", "r.claimLimit", "./relay", "TestLeavingAnnouncedWhileConnecting"},
+	{"a load report applies to the answering incarnation", "relay/send.go", "if current && h.Load != nil {", "if h.Load != nil {", "./relay", "TestLoadOfEarlierIncarnationIgnored"},
+	{"a rate limit named by an upstream is respected", "upstream/listed.go", "t.withinColdBound(s, now) && t.withinLimit(s, now)", "t.withinColdBound(s, now)", "./upstream", "TestLimitHoldsAcrossVMs"},
+	{"only owners send within a rate limit", "upstream/limit_table.go", "if isLocal && rank < owners {", "if isLocal {", "./upstream", "TestLimitHoldsAcrossVMs"},
+	{"a share of a rate limit is paced", "upstream/limit_table.go", "return probeDelay == 0 && s.announced.limit.limiter.wait(share, now) == 0", "return probeDelay == 0 && s.announced.limit.limiter.wait(share, now) >= 0", "./upstream", "TestLimitHoldsAcrossVMs"},
+	{"a limit is exceeded only when other upstreams are busy", "upstream/cost.go", "	cost += t.limitCost(s, now)\n", "", "./upstream", "TestOverLimitOnlyWhenOthersAreBusy"},
+	{"escalating while callers wait has a cost", "relay/models.go", "if r.table.CountLimited() > 0 && r.retrySchedule(j.service).Awaited(now) {", "if false {", "./relay", "TestNoEscalationWhileRefusedCallersWait"},
 	{"an answer to an earlier request lifts no limit", "upstream/limit.go", "|| sentAt.Before(l.learnedAt)", "", "./upstream", "TestLimitFromReorderedAnswers"},
-	{"older news of a limit is passed over", "upstream/limit.go", "case update.Version < l.version:", "case false:", "./upstream", "TestLimitMergeConverges"},
-	{"a lower limit counts what was sent before", "upstream/limiter.go", "if over := len(l.sentAt) - s.maxPerWindow; over >= 0 {", "if over := len(l.sentAt) - s.maxPerWindow; over < -1<<30 {", "./upstream", "TestLimiter"},
-	{"an upstream that nobody asks is asked", "upstream/pick.go", "best := t.dueForProbe(q, now)", "best := (*state)(nil)", "./upstream", "TestNonOwnersProbeLimitedUpstream"},
-	{"a limit is asked again before the first byte", "relay/notices.go", "&& r.claimLimit(j, e)", "", "./relay", "TestLimitNamedWhileConnecting"},
-	{"what was not sent is given back", "relay/selection.go", "		r.releaseLimitClaim(j)\n", "", "./relay", "TestUnsentRequestReleasesLimitClaim"},
+	{"outdated news of a rate limit is ignored", "upstream/limit.go", "case update.Version < l.version:", "case false:", "./upstream", "TestLimitMergeConverges"},
+	{"a lower rate limit counts earlier sends", "upstream/limiter.go", "if over := len(l.sentAt) - s.maxPerWindow; over >= 0 {", "if over := len(l.sentAt) - s.maxPerWindow; over < -1<<30 {", "./upstream", "TestLimiter"},
+	{"an upstream without recent news of its limit is probed", "upstream/pick.go", "best := t.dueForProbe(q, now)", "best := (*state)(nil)", "./upstream", "TestNonOwnersProbeLimitedUpstream"},
+	{"a rate limit is checked again before the first byte", "relay/notices.go", "&& r.claimLimit(j, e)", "", "./relay", "TestLimitNamedWhileConnecting"},
+	{"a reservation that is not used is returned", "relay/selection.go", "		r.releaseLimitClaim(j)\n", "", "./relay", "TestUnsentRequestReleasesLimitClaim"},
 	{"limit changes reach other data centres", "site/reports.go", "return !r.remote })", "return true })", "./site", "TestRemoteDataCentreReceivesLimitChanges"},
 	{"gossip reconciles limits", "site/gossip.go", "	p.reconcileLimits(reply)\n", "", "./site", "TestGossipReconcilesLimits"},
 	{"limits that both VMs know are not sent", "site/gossip.go", "known && limit.Version > version ||", "known && version > 0 ||", "./site", "TestLimitsToSend"},
-	{"old news of a limit stands for no answer", "upstream/limit.go", "update.Limit != l.Limit || !fresh:", "update.Limit != l.Limit:", "./upstream", "TestStaleLimitUpdateDoesNotDelayProbe"},
-	{"other VMs are told of rests", "upstream/cost.go", "if now.Before(s.othersRestUntil) {", "if false {", "./upstream", "TestRestGossip"},
-	{"a retry that nobody takes is not paid for", "relay/selection.go", "if !r.hasCandidate(j, now) {", "if false {", "./relay", "TestNoRetryBudgetUsedWithoutUpstream"},
-	{"a ready answer is kept where no other could come", "relay/models.go", "if !option.available {", "if false {", "./relay", "TestNoEscalationWithoutUpstream"},
-	{"silence takes an upstream out", "upstream/table.go", "now.Sub(s.reportedAt) >= t.opts.ReportTimeout", "false", "./upstream", "TestLeavingUpstreamGetsNoWork"},
-	{"routing goes by what an engine holds", "upstream/table.go", `v == "" || slices.Contains(s.load.Versions, v)`, `true`, "./upstream", "TestPickRequiresLoadedVersion"},
-	{"a former holder stops before its lease ends", "lease/lease.go", "!now.Before(h.expiresAt.Add(-h.opts.Margin))", "false", "./lease", "TestPausedHolderMakesNoCalls|TestFormerHolderCallsNeverArriveLast"},
-	{"a taker waits out orders under way", "lease/lease.go", "if ignoresFencing && now.Sub(h.acquiredAt) < h.opts.TakeoverDelay {", "if false {", "./lease", "TestPausedHolderMakesNoCalls"},
-	{"a lease is waited out by its taker", "lease/lease.go", "return h.unchangedSince.Add(h.opts.Length)", "return h.unchangedSince", "./lease", "TestOnlyOneVMActsUnderFaults"},
-	{"who gave a lease up waits", "lease/lease.go", "!slices.Contains(o.Resigned, h.opts.Self.VM)", "true", "./lease", "TestResignedVMWaitsFullLease"},
+	{"outdated news of a limit does not replace an answer", "upstream/limit.go", "update.Limit != l.Limit || !fresh:", "update.Limit != l.Limit:", "./upstream", "TestStaleLimitUpdateDoesNotDelayProbe"},
+	{"other VMs learn of back-offs", "upstream/cost.go", "if now.Before(s.othersRestUntil) {", "if false {", "./upstream", "TestRestGossip"},
+	{"a retry without an upstream costs no budget", "relay/selection.go", "if !r.hasCandidate(j, now) {", "if false {", "./relay", "TestNoRetryBudgetUsedWithoutUpstream"},
+	{"a ready answer is kept if no other could come", "relay/models.go", "if !option.available {", "if false {", "./relay", "TestNoEscalationWithoutUpstream"},
+	{"a silent upstream is taken out", "upstream/table.go", "now.Sub(s.reportedAt) >= t.opts.ReportTimeout", "false", "./upstream", "TestLeavingUpstreamGetsNoWork"},
+	{"routing respects the versions an engine has loaded", "upstream/table.go", `v == "" || slices.Contains(s.load.Versions, v)`, `true`, "./upstream", "TestPickRequiresLoadedVersion"},
+	{"a former lease holder stops before its lease ends", "lease/lease.go", "!now.Before(h.expiresAt.Add(-h.opts.Margin))", "false", "./lease", "TestPausedHolderMakesNoCalls|TestFormerHolderCallsNeverArriveLast"},
+	{"a new lease holder waits for orders in progress", "lease/lease.go", "if ignoresFencing && now.Sub(h.acquiredAt) < h.opts.TakeoverDelay {", "if false {", "./lease", "TestPausedHolderMakesNoCalls"},
+	{"a lease is taken only after it has expired", "lease/lease.go", "return h.unchangedSince.Add(h.opts.Length)", "return h.unchangedSince", "./lease", "TestOnlyOneVMActsUnderFaults"},
+	{"a VM that resigned a lease waits", "lease/lease.go", "!slices.Contains(o.Resigned, h.opts.Self.VM)", "true", "./lease", "TestResignedVMWaitsFullLease"},
 	{"a lease is taken and renewed with its record", "lease/lease.go", "	if h.recordUnknown {\n		return Proposal{}, false // a write would overwrite the unknown record\n	}\n", "", "./lease", "TestTakeoverKeepsRecord|TestPeerUpdateBlocksActingUntilRead"},
-	{"nothing is done by a record that is not known", "lease/lease.go", "if h.recordUnknown || h.expiresAt.IsZero() ||", "if h.expiresAt.IsZero() ||", "./lease", "TestPeerUpdateBlocksActingUntilRead"},
+	{"an unknown lease record is not acted on", "lease/lease.go", "if h.recordUnknown || h.expiresAt.IsZero() ||", "if h.expiresAt.IsZero() ||", "./lease", "TestPeerUpdateBlocksActingUntilRead"},
 	{"a record made for an older object is not written", "lease/lease.go", "		h.pendingRecord = nil // derived from an older object\n", "", "./lease", "TestLostReplyKeepsStoredRecord"},
-	{"numbers outlast the lease's object", "lease/lease.go", "	h.latest.Version, h.unchangedSince, h.expiresAt, h.recordUnknown = 0, now, time.Time{}, false\n", "	h.latest, h.unchangedSince, h.expiresAt, h.recordUnknown = Seen{}, now, time.Time{}, false\n", "./lease", "TestFencingContinuesAfterObjectIsLost"},
-	{"the clock does not follow the time of day", "clock/clock.go", "t := start.Add(read() - readAtStart)", "t := time.Now().Add(0 * (read() - readAtStart))", "./clock", "TestBootClockIgnoresWallClock"},
-	{"what is fixed is what is reported", "leader/record.go", "if len(raw) == 0 {", "if true {", "./leader", "TestSuccessorReportsRecordedCounts"},
-	{"a report waits for those that gather", "usage/closing.go", "now.Sub(end) >= t.minCloseDelay() && !reportedAt.Before(end)", "now.Sub(end) >= t.minCloseDelay()", "./leader", "TestSilentCollectorDelaysWindow"},
-	{"a report that is turned down is given up", "platform/client.go", "s.status < http.StatusInternalServerError && s.status != http.StatusRequestTimeout", "s.status < 0", "./platform", "TestRejectedReportsAreGivenUp"},
-	{"parts are no sums", "usage/usage.go", "		if n > c[w] {\n			c[w] = n\n", "		if n > 0 {\n			c[w] += n\n", "./usage", "TestSumsConverge"},
-	{"an upstream that is gone leaves its pool", "upstream/list_change.go", "			t.removeFromPool(s)\n			delete(t.states, id)\n", "			delete(t.states, id)\n", "./upstream", "TestChangeListEqualsConfigureList"},
-	{"connections are split anew with the number of VMs", "relay/upstream_list.go", "		if r.connectionLimits[id] != limit {", "		if false && r.connectionLimits[id] != limit {", "./relay", "TestIncrementalListEqualsFullList"},
-	{"all VMs together keep an upstream's connections", "relay/upstream_list.go", "min(maxConnections/vms, minConnections), 1)", "minConnections)", "./relay", "TestConnectionsPerVM"},
+	{"fencing numbers outlast the lease object", "lease/lease.go", "	h.latest.Version, h.unchangedSince, h.expiresAt, h.recordUnknown = 0, now, time.Time{}, false\n", "	h.latest, h.unchangedSince, h.expiresAt, h.recordUnknown = Seen{}, now, time.Time{}, false\n", "./lease", "TestFencingContinuesAfterObjectIsLost"},
+	{"the clock ignores changes of the time of day", "clock/clock.go", "t := start.Add(read() - readAtStart)", "t := time.Now().Add(0 * (read() - readAtStart))", "./clock", "TestBootClockIgnoresWallClock"},
+	{"the fixed report is the one that is sent", "leader/record.go", "if len(raw) == 0 {", "if true {", "./leader", "TestSuccessorReportsRecordedCounts"},
+	{"a report waits for the VMs that gather usage", "usage/closing.go", "now.Sub(end) >= t.minCloseDelay() && !reportedAt.Before(end)", "now.Sub(end) >= t.minCloseDelay()", "./leader", "TestSilentCollectorDelaysWindow"},
+	{"a rejected report is given up", "platform/client.go", "s.status < http.StatusInternalServerError && s.status != http.StatusRequestTimeout", "s.status < 0", "./platform", "TestRejectedReportsAreGivenUp"},
+	{"partial counts merge by maximum, not by sum", "usage/usage.go", "		if n > c[w] {\n			c[w] = n\n", "		if n > 0 {\n			c[w] += n\n", "./usage", "TestSumsConverge"},
+	{"a removed upstream leaves its pool", "upstream/list_change.go", "			t.removeFromPool(s)\n			delete(t.states, id)\n", "			delete(t.states, id)\n", "./upstream", "TestChangeListEqualsConfigureList"},
+	{"connection limits follow the number of VMs", "relay/upstream_list.go", "		if r.connectionLimits[id] != limit {", "		if false && r.connectionLimits[id] != limit {", "./relay", "TestIncrementalListEqualsFullList"},
+	{"all VMs together respect an upstream's connections", "relay/upstream_list.go", "min(maxConnections/vms, minConnections), 1)", "minConnections)", "./relay", "TestConnectionsPerVM"},
 	{"a request stays in its regions", "relay/evacuation.go", "order[i].pools = r.allowedPools(j.Request, order[i].pools)", "_ = r.allowedPools(j.Request, order[i].pools)", "./relay", "TestSelectionStaysInAllowedRegions"},
-	{"a workspace's regions bind beside a route's", "relay/regions.go", "allows(q.Route.Regions, region) && allows(q.Regions, region)", "allows(q.Route.Regions, region)", "./relay", "TestSelectionStaysInAllowedRegions"},
+	{"both the workspace's and the route's regions apply", "relay/regions.go", "allows(q.Route.Regions, region) && allows(q.Regions, region)", "allows(q.Route.Regions, region)", "./relay", "TestSelectionStaysInAllowedRegions"},
 	{"hubs report collected usage to the lease holder", "site/usage.go", "	if _, err := link.Call[UsageReport, struct{}](ctx, p.endpoint, address, link.KindUsage, usageReport); err != nil {", "	if _, err := link.Call[UsageReport, struct{}](ctx, p.endpoint, address, link.KindUsage, UsageReport{}); err != nil {", "./platform", "TestUsageIsReported"},
-	{"upstreams are given away once others serve", "scaling/scaling.go", "required := s.target(dc) - (counts.Preemptible - counts.ColdPreemptible)", "required := s.target(dc) - s.targetPreemptible(dc)", "./scaling", "TestPreemptibleReplacesStandard"},
+	{"upstreams are released once others serve", "scaling/scaling.go", "required := s.target(dc) - (counts.Preemptible - counts.ColdPreemptible)", "required := s.target(dc) - s.targetPreemptible(dc)", "./scaling", "TestPreemptibleReplacesStandard"},
 	{"nothing is ordered during a release", "scaling/scaling.go", "if s.Released || s.Releasing && !s.lacksCapacity() {", "if s.Released {", "./scaling", "TestNoOrdersDuringRelease"},
-	{"the loss of data centres is provided for", "scaling/scaling.go", "s.preemptibleIsCheaper() && remaining > 0 {", "false {", "./scaling", "TestPreemptibleLossInTwoDataCentres"},
-	{"cheap upstreams stand beside others within the bound", "scaling/scaling.go", "return max(min(s.target(dc)-s.minStandard(), headroom), 0)", "return max(min(s.target(dc)-s.minStandard(), headroom+s.Limits.Max), 0)", "./scaling", "TestOrdersStayWithinLimits"},
-	{"a lost reply is settled by reading", "history/history.go", "if accepted.ID == record.ID {\n		return nil\n	}", "", "./history", "TestPublishWithLostReplies"},
+	{"capacity covers the loss of data centres", "scaling/scaling.go", "s.preemptibleIsCheaper() && remaining > 0 {", "false {", "./scaling", "TestPreemptibleLossInTwoDataCentres"},
+	{"preemptible upstreams stay within the bound", "scaling/scaling.go", "return max(min(s.target(dc)-s.minStandard(), headroom), 0)", "return max(min(s.target(dc)-s.minStandard(), headroom+s.Limits.Max), 0)", "./scaling", "TestOrdersStayWithinLimits"},
+	{"a lost reply is resolved by reading", "history/history.go", "if accepted.ID == record.ID {\n		return nil\n	}", "", "./history", "TestPublishWithLostReplies"},
 	{"a withdrawn version stays withdrawn", "config/check.go", "if v.State != Withdrawn {", "if v.State != \"\" {", "./config", "TestNextSectionsKeepsVersionWithdrawn"},
-	{"an older file is refused", "operator/operator.go", "if contract.Revision(from) == p.BaseRevision {", "if true {", "./operator", "TestApplyRefusesStaleFile"},
+	{"an outdated file is rejected", "operator/operator.go", "if contract.Revision(from) == p.BaseRevision {", "if true {", "./operator", "TestApplyRefusesStaleFile"},
 	{"earlier configurations count for the stated end", "operator/operator.go", "end.After(latest)", "false", "./operator", "TestForceWaitsForOlderConfigurations"},
-	{"quiet workspaces have a reserve", "workspace/queue.go", "if q.running < q.opts.Capacity-q.reservedSlots() {", "if q.running < q.opts.Capacity {", "./workspace", "TestReserveAdmitsQuietWorkspace"},
-	{"no pools are not all pools", "relay/evacuation.go", "return len(c.pools) == 0", "return false", "./platform", "TestServiceWithoutUpstreamsRefuses"},
-	{"a held content is sent to none", "relay/quarantine.go", "!r.quarantineCases.Bars(j.contentPrint(), now)", "!r.quarantineCases.Bars(quarantine.Print{}, now)", "./platform", "TestCrashingRequestIsQuarantined"},
+	{"capacity is reserved for quiet workspaces", "workspace/queue.go", "if q.running < q.opts.Capacity-q.reservedSlots() {", "if q.running < q.opts.Capacity {", "./workspace", "TestReserveAdmitsQuietWorkspace"},
+	{"an empty set of pools does not mean all pools", "relay/evacuation.go", "return len(c.pools) == 0", "return false", "./platform", "TestServiceWithoutUpstreamsRefuses"},
+	{"a quarantined content is not sent", "relay/quarantine.go", "!r.quarantineCases.Bars(j.contentPrint(), now)", "!r.quarantineCases.Bars(quarantine.Print{}, now)", "./platform", "TestCrashingRequestIsQuarantined"},
 	{"VMs exchange request contents that crash upstreams", "site/receive.go", "exchange.HearSuspects(msg.Suspects, msg.Self.VM) || worse", "worse", "./platform", "TestQuarantineDuringStoreOutage"},
 	{"quarantined request contents survive the loss of all VMs", "site/held.go", "s.opts.Relay.SetHeld(h)", "_ = h", "./platform", "TestQuarantineSurvivesRestartOfAllVMs"},
 	{"simultaneous upstream crashes count as one", "quarantine/table.go", "if n == 0 || sentAfter || apart {", "if n == 0 || sentAfter || !apart {", "./quarantine", "TestUnrelatedCrashesDoNotHoldContent"},
 	{"an answer clears a request content", "quarantine/table.go", "	t.resetTo(c, c.Epoch+1, now)\n	return true\n", "	return true\n", "./quarantine", "TestUnrelatedCrashesDoNotHoldContent"},
-	{"a broken connection is no end", "relay/crashes.go", "if !exchange.NothingListens(err) {", "if false {", "./platform", "TestBrokenConnectionsAreNotCrashes"},
-	{"an upstream that had ended before was not ended by it", "relay/crashes.go", "!j.upstreamSeen && now.Sub(j.sentAt) < staleConnectionWindow || ", "", "./platform", "TestUnreachableUpstreamsAreNotCrashes"},
+	{"a broken connection is not a crash", "relay/crashes.go", "if !exchange.NothingListens(err) {", "if false {", "./platform", "TestBrokenConnectionsAreNotCrashes"},
+	{"an upstream that had crashed before is not counted", "relay/crashes.go", "!j.upstreamSeen && now.Sub(j.sentAt) < staleConnectionWindow || ", "", "./platform", "TestUnreachableUpstreamsAreNotCrashes"},
 	{"the last upstream is spared", "relay/selection.go", "if r.risksLastUpstream(j, id, pools, now) {", "if false {", "./platform", "TestCrashingRequestSparesLastUpstream"},
 	{"an evacuated data centre gets nothing", "relay/evacuation.go", "return ok && (moved == 1 || fraction < moved)", "return ok && moved < 0", "./platform", "TestEvacuation"},
 	{"an older list does not end an evacuation", "site/evacuations.go", "return !listed[name] && e.revision <= c.Revision", "return true", "./site", "TestOlderListKeepsEvacuation"},
 	{"a cold upstream has owners", "upstream/cold.go", "return t.ownerRank(s) < owners &&", "return owners > 0 &&", "./upstream", "TestColdOwnersStayWithinBound"},
-	{"an owner sends a whole number a second", "upstream/cold.go", "s.cold.recentSends(now) < each", "true", "./upstream", "TestColdOwnersStayWithinBound"},
-	{"owners have room for two views", "upstream/cold.go", "b.Most/disjointViews", "b.Most", "./upstream", "TestColdOwnerShares"},
-	{"the last resort spares the cold", "upstream/listed.go", "|| !s.hasFreeConnection() || !t.withinBounds(s, now) {", "|| !s.hasFreeConnection() {", "./upstream", "TestLastResortRespectsColdBound"},
-	{"a new life under an id is another upstream", "upstream/listed.go", "s != nil && s.born != e.Born", "false && s != nil", "./upstream", "TestRestartDiscardsOldState"},
-	{"word of an earlier life is dropped", "relay/relay.go", "return ok && e.Born == incarnation", "return ok", "./relay", "TestReportsOfEarlierIncarnationIgnored"},
-	{"an entry of another writer names no upstream", "platform/entries.go", "if r.err == nil && !slices.Contains(allowed, s) {", "if false {", "./platform", "TestDecodeInvalidUpstream"},
+	{"an owner sends a whole number per second", "upstream/cold.go", "s.cold.recentSends(now) < each", "true", "./upstream", "TestColdOwnersStayWithinBound"},
+	{"the cold limit has room for two views", "upstream/cold.go", "b.Most/disjointViews", "b.Most", "./upstream", "TestColdOwnerShares"},
+	{"the last resort spares cold upstreams", "upstream/listed.go", "|| !s.hasFreeConnection() || !t.withinBounds(s, now) {", "|| !s.hasFreeConnection() {", "./upstream", "TestLastResortRespectsColdBound"},
+	{"a new incarnation under an id is another upstream", "upstream/listed.go", "s != nil && s.born != e.Born", "false && s != nil", "./upstream", "TestRestartDiscardsOldState"},
+	{"news of an earlier incarnation is dropped", "relay/relay.go", "return ok && e.Born == incarnation", "return ok", "./relay", "TestReportsOfEarlierIncarnationIgnored"},
+	{"a malformed store entry defines no upstream", "platform/entries.go", "if r.err == nil && !slices.Contains(allowed, s) {", "if false {", "./platform", "TestDecodeInvalidUpstream"},
 	{"few VMs list the store for waiting requests", "site/election.go", "return requestRankStep * time.Duration(min(r.Local, requestRanks))", "return 0", "./site", "TestFewVMsListStoreForWaitingRequests"},
 	{"a list is not read to the end once a peer has sent it", "site/follow.go", "return f.relist\n", "return true\n", "./site", "TestListStopsOncePeerSentAll"},
 	{"a list is packed once for all requests", "site/receive.go", "ok && !request.Known {", "ok && false {", "./site", "TestFullDeltaIsPackedOnce"},
-	{"what is known of a VM does not go back", "entry/members.go", "	m.EntryIncarnation = max(m.EntryIncarnation, old.EntryIncarnation)\n", "", "./entry", "TestMergeMembersKeepsNewestState"},
-	{"a line that cannot be written ends no request", "logs/logs.go", "if reason := recover(); reason != nil {", "if reason := any(nil); reason != nil {", "./logs", "TestUnencodableField"},
+	{"a VM's known incarnation never decreases", "entry/members.go", "	m.EntryIncarnation = max(m.EntryIncarnation, old.EntryIncarnation)\n", "", "./entry", "TestMergeMembersKeepsNewestState"},
+	{"a log line that cannot be written fails no request", "logs/logs.go", "if reason := recover(); reason != nil {", "if reason := any(nil); reason != nil {", "./logs", "TestUnencodableField"},
 	{"escalations have a price", "cascade/price.go", "return maxPrice * max(0, used-freeBudgetShare)", "return 0 * max(0, used-freeBudgetShare)", "./cascade", "TestEscalationPriceImprovesBudgetUse"},
 	{"a malformed entry is dropped", "site/listing.go", "changed = l.dropMalformed(id) || changed", "", "./platform", "TestInvalidEntryDoesNotHideOthers"},
-	{"an answer is to the request of the platform's caller", "platform/dialect.go", `return id == string(r.ID) || id == "" && h.Get(headerSignature) == ""`, `return true || id == ""`, "./platform", "TestMismatchedResponses"},
+	{"an answer must match the platform caller's request", "platform/dialect.go", `return id == string(r.ID) || id == "" && h.Get(headerSignature) == ""`, `return true || id == ""`, "./platform", "TestMismatchedResponses"},
 	{"a success needs its upstream's signature", "relay/buffered.go", "h.Status < http.StatusMultipleChoices && !h.Sealed", "false", "./platform", "TestFailureStatuses"},
-	{"reserved headers are not passed on", "platform/headers.go", "hopByHopHeaders[name] || dropped[name] || connection[name]", "hopByHopHeaders[name] || dropped[name] && connection[name]", "./platform", "TestRequestForwarding"},
-	{"the upstream is named in each request", "platform/dialect.go", "	set(headerExpectedInstance, string(s.Upstream.ID))\n", "", "./platform", "TestReassignedUpstreamAddress"},
-	{"what may not run again is sent once", "retry/retry.go", "case !a.Repeatable && a.Outcome != contract.NotRun:", "case false:", "./platform", "TestUnrepeatableRequestIsSentOnce"},
-	{"what may not run again is not escalated", "relay/models.go", "return j.Route.Repeatable() && j.Route.MaxAttempts > 1 }", "return j.Route.MaxAttempts > 1 }", "./relay", "TestEscalationConditions"},
-	{"a larger answer after the deadline is none", "relay/models.go", "expected.Never = begins.After(j.Deadline)", "expected.Never = false", "./relay", "TestEscalationConditions"},
+	{"reserved headers are not forwarded", "platform/headers.go", "hopByHopHeaders[name] || dropped[name] || connection[name]", "hopByHopHeaders[name] || dropped[name] && connection[name]", "./platform", "TestRequestForwarding"},
+	{"each request names its upstream", "platform/dialect.go", "	set(headerExpectedInstance, string(s.Upstream.ID))\n", "", "./platform", "TestReassignedUpstreamAddress"},
+	{"a request that must not be repeated is sent once", "retry/retry.go", "case !a.Repeatable && a.Outcome != contract.NotRun:", "case false:", "./platform", "TestUnrepeatableRequestIsSentOnce"},
+	{"a request that must not be repeated is not escalated", "relay/models.go", "return j.Route.Repeatable() && j.Route.MaxAttempts > 1 }", "return j.Route.MaxAttempts > 1 }", "./relay", "TestEscalationConditions"},
+	{"no escalation that would begin after the deadline", "relay/models.go", "expected.Never = begins.After(j.Deadline)", "expected.Never = false", "./relay", "TestEscalationConditions"},
 	{"only own prefill rates are passed on", "reading/rates.go", "if !ok || rate.samples < minOwnSamples {", "if !ok {", "./reading", "TestRemoteRatesAreNotPassedOn"},
-	{"an engine that is not heard of is not idle", "upstream/group.go", "	if t.hearsOthers(s, dc) {", "	if true {", "./upstream", "TestUnheardEnginesAreNotIdle"},
-	{"what no engine would read in time is refused", "relay/models.go", "return retryAfter, true", "return retryAfter, false", "./relay", "TestQueueBeyondDeadlineIsRefused"},
-	{"a delivered event is not passed on again", "stream/events.go", "if e.hasID && id <= e.lastID {", "if false {", "./stream", "TestEventsDeliveredWholeAndOnce"},
-	{"a piece of an event is forgotten at a resume", "relay/streaming.go", "		s.events.Restart()\n", "", "./platform", "TestStreamResumes"},
-	{"silence is waited out where no other could answer", "relay/watchdog.go", "if !w.relay.hasAlternative(&w.job, hung) {", "if false {", "./platform", "TestSlowUpstreamWithoutAlternative"},
-	{"silence ends once another could answer", "relay/watchdog.go", "		w.timer.Reset(recheckInterval)\n", "", "./platform", "TestStalledStreamResumesOnNewUpstream"},
+	{"an engine without reports is not assumed idle", "upstream/group.go", "	if t.hearsOthers(s, dc) {", "	if true {", "./upstream", "TestUnheardEnginesAreNotIdle"},
+	{"a request that no engine can read in time is refused", "relay/models.go", "return retryAfter, true", "return retryAfter, false", "./relay", "TestQueueBeyondDeadlineIsRefused"},
+	{"a delivered event is not forwarded again", "stream/events.go", "if e.hasID && id <= e.lastID {", "if false {", "./stream", "TestEventsDeliveredWholeAndOnce"},
+	{"a partial event is dropped on resume", "relay/streaming.go", "		s.events.Restart()\n", "", "./platform", "TestStreamResumes"},
+	{"a silent stream is kept if no other upstream can answer", "relay/watchdog.go", "if !w.relay.hasAlternative(&w.job, hung) {", "if false {", "./platform", "TestSlowUpstreamWithoutAlternative"},
+	{"a silent stream ends once another can answer", "relay/watchdog.go", "		w.timer.Reset(recheckInterval)\n", "", "./platform", "TestStalledStreamResumesOnNewUpstream"},
 	{"an undone release stays out", "relay/selection.go", "excluded := maps.Clone(r.rolledBack[j.service])", "excluded := maps.Clone(map[string]bool{})", "./platform", "TestBadReleaseIsRolledBack"},
-	{"nothing is on trial in the first half", "rollout/canary.go", "trialStart = 0.52", "trialStart = 0.4", "./rollout", "TestSessionsNeverMoveBack"},
-	{"an order is planned by its share", "rollout/canary.go", "finalStart := 1 - finalLength", "finalStart := 0.7 + 0*finalLength", "./rollout", "TestUndetectedReleaseStaysWithinShare"},
-	{"who knows nothing of a trial does not end it", "rollout/canary.go", "	case c.lacksTrialResults():\n		return OrderOpen, false\n", "", "./rollout", "TestLateVMNeedsEvidenceToComplete"},
+	{"no trial runs in the first half", "rollout/canary.go", "trialStart = 0.52", "trialStart = 0.4", "./rollout", "TestSessionsNeverMoveBack"},
+	{"a trial is sized by its order's share", "rollout/canary.go", "finalStart := 1 - finalLength", "finalStart := 0.7 + 0*finalLength", "./rollout", "TestUndetectedReleaseStaysWithinShare"},
+	{"a VM without evidence does not end a trial", "rollout/canary.go", "	case c.lacksTrialResults():\n		return OrderOpen, false\n", "", "./rollout", "TestLateVMNeedsEvidenceToComplete"},
 	{"a completed release stays under the next order", "relay/rollouts.go", "		r.completedReleases[o.Service] = o.Release\n", "", "./platform", "TestCompletedReleaseKeepsSessions"},
-	{"slow answers are bad", "rollout/canary.go", "if a.Failed || slow {", "if a.Failed {", "./rollout", "TestSlowReleaseIsRejected"},
+	{"slow answers count as bad", "rollout/canary.go", "if a.Failed || slow {", "if a.Failed {", "./rollout", "TestSlowReleaseIsRejected"},
 	{"a stale delta does not restore an object", "site/ledger.go", "!exists && l.known && i.Revision <= l.revision && !(d.Full && d.At >= l.revision)", "false", "./site", "TestStaleDeltaDoesNotRestoreObject"},
 	{"removals between lists are unknown", "site/ledger.go", "		l.removalFloor = max(l.removalFloor, d.At) // objects created and removed before this list are unknown\n", "", "./site", "TestRemovalBetweenListsForcesFullDelta"},
 	{"lapsed entries are kept after an outage", "site/listing.go", "if !e.Leaving && now.Before(until) {", "if false {", "./site", "TestRemovedAndLapsedEntries"},
@@ -158,29 +158,29 @@
 	{"lost VMs stay in the count for a while", "site/hubs.go", "vms >= c.recentMax || now.Sub(c.recentMaxAt) > recentMaxPeriod", "true", "./site", "TestVMCountStaysHighAfterLoss"},
 	{"a VM does not receive its own reports", "site/reports.go", "return r.from != to && !(toHub && r.knownToHubs)", "return !(toHub && r.knownToHubs)", "./site", "TestReportsAreNotSentBack"},
 	{"hubs do not receive reports that all hubs have", "site/reports.go", "return r.from != to && !(toHub && r.knownToHubs)", "return r.from != to", "./site", "TestReportsAreNotSentBack"},
-	{"a hub's ages hold", "vm/hubs.go", "			s.lastHeard = now.Add(-max(m.Age, 0))\n", "", "./site", "TestLeafLearnsFromHubOfDeadVM"},
-	{"hubs tell each other of each VM", "rollout/canary.go", "if to == HearsHub {", "if false {", "./rollout", "TestHubsForwardAllEvidence"},
-	{"demand is that of the VMs heard of", "relay/relay.go", "if r.gossipGroup.VMs > 0 {", "if false {", "./relay", "TestSendingVMsFollowGossipGroup"},
+	{"a hub's ages are kept", "vm/hubs.go", "			s.lastHeard = now.Add(-max(m.Age, 0))\n", "", "./site", "TestLeafLearnsFromHubOfDeadVM"},
+	{"hubs tell each other about each VM", "rollout/canary.go", "if to == HearsHub {", "if false {", "./rollout", "TestHubsForwardAllEvidence"},
+	{"demand counts the VMs heard of", "relay/relay.go", "if r.gossipGroup.VMs > 0 {", "if false {", "./relay", "TestSendingVMsFollowGossipGroup"},
 	{"records at risk are copied again", "entry/bills.go", "		s.copyAtRisk(ctx)\n", "", "./internal/fleet", "TestStopWithRecordAtRisk"},
 	{"one of two watchers yields", "site/election.go", "(e.failing || e.activeWatcher.precedes(e.self))", "false", "./site", "TestWatcherYields"},
 	{"a watcher whose calls fail yields", "site/election.go", "(e.failing || e.activeWatcher.precedes(e.self))", "e.activeWatcher.precedes(e.self)", "./site", "TestWatcherYields"},
 	{"all VMs share the slack of the resend allowance", "retry/window.go", "w.opts.Slack/float64(max(vms, 1))", "w.opts.Slack", "./retry", "TestFleetStaysWithinRetryBudget"},
-	{"a dead link is forgotten", "link/client.go", "pc.conn.Context().Err() == nil && !unresponsive", "pc.conn.Context().Err() == nil && (unresponsive || !unresponsive)", "./link", "TestTimedOutCallDropsConnection"},
-	{"failures have room in the log", "logs/queue.go", "if level < zapcore.WarnLevel && len(b.lines) >= maxQueuedLines-reservedForWarnings {", "if false {", "./logs", "TestBlockedOutputDropsLines"},
+	{"a dead link is dropped", "link/client.go", "pc.conn.Context().Err() == nil && !unresponsive", "pc.conn.Context().Err() == nil && (unresponsive || !unresponsive)", "./link", "TestTimedOutCallDropsConnection"},
+	{"log space is reserved for failures", "logs/queue.go", "if level < zapcore.WarnLevel && len(b.lines) >= maxQueuedLines-reservedForWarnings {", "if false {", "./logs", "TestBlockedOutputDropsLines"},
 	{"a request that may have been executed is not retried", "retry/retry.go", "case !a.Repeatable && a.Outcome != contract.NotRun:", "case false:", "./retry", "TestRetryLimits"},
 	{"retries stay within their budget", "retry/retry.go", "if b.tokens < 1 {", "if false {", "./retry", "TestRetryLimits"},
-	{"no step on partial evidence", "rollout/stepper.go", "case s.CutOff:", "case false:", "./rollout", "TestNextDecision"},
-	{"evidence may come twice", "rollout/evidence.go", "merged[i].Counts.Good = max(merged[i].Counts.Good, c.Counts.Good)", "merged[i].Counts.Good += c.Counts.Good", "./rollout", "TestMergeToleratesDuplicatesAndReordering"},
-	{"a former life's word is dropped", "vm/vm.go", "if known && (m.Incarnation < previous.member.Incarnation) {", "if false {", "./vm", "TestIgnoresHeartbeatOfEarlierIncarnation"},
-	{"a request that has arrived is answered by a stop", "drain/drain.go", "> minIdle && !c.hasUnread()", "> minIdle", "./drain", "TestConnWithUnreadRequestStaysOpen"},
-	{"silent connections are not used again", "exchange/exchange.go", "c.reused && timedOut(ctx, err)", "false", "./exchange", "TestTimeoutDiscardsIdleConnections"},
-	{"a stop waits for streams", "entry/server.go", "!callers.Drain(ctx)", "ctx.Err() != nil", "./internal/fleet", "TestPlannedStop"},
-	{"a copy is kept before the end", "entry/bills.go", "peers := s.copyPeers()", "peers := s.copyPeers()[:0]", "./internal/fleet", "TestBilledThoughKilled"},
-	{"a near peer keeps copies too", "entry/bills.go", "[][]vm.Member{remote, local}", "[][]vm.Member{remote}", "./internal/fleet", "TestCutOff/both"},
-	{"arbiters hear of results", "entry/tickets.go", "s.settleAtArbiters(ctx, c, ticket.Result{Outcome: contract.Ran", "s.settleAtArbiters(ctx, &claim{settled: true}, ticket.Result{Outcome: contract.Ran", "./internal/fleet", "TestRulingAnswerFoundAgain"},
+	{"no roll-out step on partial evidence", "rollout/stepper.go", "case s.CutOff:", "case false:", "./rollout", "TestNextDecision"},
+	{"duplicated evidence counts once", "rollout/evidence.go", "merged[i].Counts.Good = max(merged[i].Counts.Good, c.Counts.Good)", "merged[i].Counts.Good += c.Counts.Good", "./rollout", "TestMergeToleratesDuplicatesAndReordering"},
+	{"news of a former incarnation is dropped", "vm/vm.go", "if known && (m.Incarnation < previous.member.Incarnation) {", "if false {", "./vm", "TestIgnoresHeartbeatOfEarlierIncarnation"},
+	{"a request received during shutdown is answered", "drain/drain.go", "> minIdle && !c.hasUnread()", "> minIdle", "./drain", "TestConnWithUnreadRequestStaysOpen"},
+	{"silent connections are not reused", "exchange/exchange.go", "c.reused && timedOut(ctx, err)", "false", "./exchange", "TestTimeoutDiscardsIdleConnections"},
+	{"a shutdown waits for streams", "entry/server.go", "!callers.Drain(ctx)", "ctx.Err() != nil", "./internal/fleet", "TestPlannedStop"},
+	{"a copy is stored before the answer ends", "entry/bills.go", "peers := s.copyPeers()", "peers := s.copyPeers()[:0]", "./internal/fleet", "TestBilledThoughKilled"},
+	{"a near peer stores copies too", "entry/bills.go", "[][]vm.Member{remote, local}", "[][]vm.Member{remote}", "./internal/fleet", "TestCutOff/both"},
+	{"arbiters learn of results", "entry/tickets.go", "s.settleAtArbiters(ctx, c, ticket.Result{Outcome: contract.Ran", "s.settleAtArbiters(ctx, &claim{settled: true}, ticket.Result{Outcome: contract.Ran", "./internal/fleet", "TestRulingAnswerFoundAgain"},
 }
 
-// testTimeout bounds one mutant's test.
+// testTimeout is the time limit for the test of one mutant.
 const testTimeout = 4 * time.Minute
 
 func main() {
@@ -189,28 +189,28 @@
 		if len(os.Args) > 1 && !strings.Contains(m.rule, os.Args[1]) {
 			continue
 		}
-		began := time.Now()
-		killed, err := try(m)
+		startedAt := time.Now()
+		killed, err := tryMutant(m)
 		if err != nil {
-			fmt.Printf("%-50s could not be tried: %v\n", m.rule, err)
+			fmt.Printf("%-50s cannot be tested: %v\n", m.rule, err)
 			survived++
 			continue
 		}
-		word := "fails without it"
+		result := "fails without it"
 		if !killed {
-			word = "PASSES WITHOUT IT"
+			result = "PASSES WITHOUT IT"
 			survived++
 		}
-		fmt.Printf("%-50s %s %s: %s (%v)\n", m.rule, m.pkg, m.test, word, time.Since(began).Round(time.Second))
+		fmt.Printf("%-50s %s %s: %s (%v)\n", m.rule, m.pkg, m.test, result, time.Since(startedAt).Round(time.Second))
 	}
-	fmt.Printf("%d rules; the test passes without, or could not be tried without, %d of them\n", len(mutants), survived)
+	fmt.Printf("%d rules; for %d of them the test passes without the rule or could not be run\n", len(mutants), survived)
 	if survived > 0 {
 		os.Exit(1)
 	}
 }
 
-// try returns whether the test fails without the rule.
-func try(m mutant) (bool, error) {
+// tryMutant removes the rule in a copy of the project and returns whether the test then fails.
+func tryMutant(m mutant) (bool, error) {
 	dir, err := os.MkdirTemp("", "mutant")
 	if err != nil {
 		return false, err
@@ -225,19 +225,19 @@
 		return false, err
 	}
 	if n := bytes.Count(text, []byte(m.old)); n != 1 {
-		return false, fmt.Errorf("%s holds %q %d times", m.file, m.old, n)
+		return false, fmt.Errorf("%s contains %q %d times, want once", m.file, m.old, n)
 	}
 	if err := os.WriteFile(path, bytes.Replace(text, []byte(m.old), []byte(m.new), 1), 0o600); err != nil {
 		return false, err
 	}
-	if out, err := run(dir, "go", "build", "./..."); err != nil {
+	if out, err := runCommand(dir, "go", "build", "./..."); err != nil {
 		return false, fmt.Errorf("does not build: %s", out)
 	}
-	_, err = run(dir, "go", "test", m.pkg, "-run", m.test, "-count", "1", "-timeout", testTimeout.String())
+	_, err = runCommand(dir, "go", "test", m.pkg, "-run", m.test, "-count", "1", "-timeout", testTimeout.String())
 	return err != nil, nil
 }
 
-func run(dir, name string, args ...string) (string, error) {
+func runCommand(dir, name string, args ...string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout+time.Minute)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, name, args...)
@@ -246,8 +246,8 @@
 	return string(out), err
 }
 
-// copyTree copies the project's source.
-func copyTree(to string) error {
+// copyTree copies the Go source and module files of the project to a folder.
+func copyTree(destination string) error {
 	return filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -256,15 +256,15 @@
 			if path != "." && (strings.HasPrefix(d.Name(), ".") || path == "bin" || path == "trial") {
 				return filepath.SkipDir
 			}
-			return os.MkdirAll(filepath.Join(to, path), 0o700)
+			return os.MkdirAll(filepath.Join(destination, path), 0o700)
 		}
 		if !strings.HasSuffix(path, ".go") && path != "go.mod" && path != "go.sum" {
 			return nil
 		}
-		raw, err := os.ReadFile(path)
+		source, err := os.ReadFile(path)
 		if err != nil {
 			return err
 		}
-		return os.WriteFile(filepath.Join(to, path), raw, 0o600)
+		return os.WriteFile(filepath.Join(destination, path), source, 0o600)
 	})
 }
