--- a/internal/bench/control.go
+++ b/internal/bench/control.go
@@ -23,26 +23,26 @@
 	"woaddoor/settings"
 )
 
-// cores is a fleet of control processes' servers in this one process, over
+// controlFleet is a fleet of control processes' servers in this one process, over
 // real links on loopback, with stand-ins for their entry processes.
-type cores struct {
-	store   *standin.Store
-	servers []*control.Server
-	entries []*link.Endpoint
-	own     []settings.Settings
-	cancel  context.CancelFunc
-	dir     string
+type controlFleet struct {
+	store    *standin.Store
+	servers  []*control.Server
+	entries  []*link.Endpoint
+	settings []settings.Settings
+	cancel   context.CancelFunc
+	dir      string
 }
 
 // settle is how long a fleet runs before it is measured, and observe for how
 // long it is.
 const (
-	settleFor  = 8 * time.Second
-	observeFor = 12 * time.Second
+	settleDuration  = 8 * time.Second
+	observeDuration = 12 * time.Second
 )
 
-func newCores(ctx context.Context, dcs, vms int) (*cores, error) {
-	c := &cores{store: standin.New()}
+func newControlFleet(ctx context.Context, dcs, vms int) (*controlFleet, error) {
+	c := &controlFleet{store: standin.New()}
 	var err error
 	if c.dir, err = os.MkdirTemp("", "woaddoor-cores"); err != nil {
 		return nil, err
@@ -62,7 +62,7 @@
 	}
 	ctx, c.cancel = context.WithCancel(ctx)
 	for i, name := range names {
-		if err := c.add(ctx, name, peers, i); err != nil {
+		if err := c.addServer(ctx, name, peers, i); err != nil {
 			return c, err
 		}
 	}
@@ -72,7 +72,7 @@
 // firstPort begins the UDP ports of the cores.
 const firstPort = 21_000 // below the range that systems give out
 
-func (c *cores) add(ctx context.Context, name string, peers []settings.Peer, i int) error {
+func (c *controlFleet) addServer(ctx context.Context, name string, peers []settings.Peer, i int) error {
 	set, err := keys.Load(filepath.Join(c.dir, name+".pem"), filepath.Join(c.dir, keys.PinsFile), filepath.Join(c.dir, keys.SigningFile))
 	if err != nil {
 		return err
@@ -82,7 +82,7 @@
 	s.Entry.Link, s.Entry.Advertise = peers[i].EntryLink, peers[i].EntryLink
 	for j, p := range peers {
 		// A VM's settings name a few of each data centre, not the fleet.
-		if j != i && (near(peers, i, j) || strings.HasSuffix(string(p.VM), "-0")) {
+		if j != i && (isLocalPeer(peers, i, j) || strings.HasSuffix(string(p.VM), "-0")) {
 			s.Peers = append(s.Peers, p)
 		}
 	}
@@ -92,19 +92,19 @@
 		return err
 	}
 	c.servers = append(c.servers, server)
-	c.own = append(c.own, s)
+	c.settings = append(c.settings, s)
 	go func() { _ = server.Run(ctx) }()
 	endpoint, err := link.Listen("127.0.0.1:0", set)
 	if err != nil {
 		return err
 	}
 	c.entries = append(c.entries, endpoint)
-	go c.entry(ctx, endpoint, &s)
+	go c.simulateEntry(ctx, endpoint, &s)
 	return nil
 }
 
-// near tells whether VM j is among the first four of VM i's data centre.
-func near(peers []settings.Peer, i, j int) bool {
+// isLocalPeer tells whether VM j is among the first four of VM i's data centre.
+func isLocalPeer(peers []settings.Peer, i, j int) bool {
 	rank := 0
 	for k := range j {
 		if peers[k].DataCentre == peers[i].DataCentre {
@@ -114,8 +114,8 @@
 	return peers[j].DataCentre == peers[i].DataCentre && rank < 4
 }
 
-// entry stands in for a VM's entry process: it pulls as one does.
-func (c *cores) entry(ctx context.Context, e *link.Endpoint, s *settings.Settings) {
+// simulateEntry stands in for a VM's entry process: it pulls as one does.
+func (c *controlFleet) simulateEntry(ctx context.Context, e *link.Endpoint, s *settings.Settings) {
 	have := contract.Revision(0)
 	for ctx.Err() == nil {
 		got, err := link.Call[protocol.PullRequest, protocol.PullAnswer](ctx, e, s.Control.Link, link.KindPull, protocol.PullRequest{
@@ -131,7 +131,7 @@
 	}
 }
 
-func (c *cores) stop() {
+func (c *controlFleet) stop() {
 	c.cancel()
 	for _, e := range c.entries {
 		_ = e.Close()
@@ -140,9 +140,9 @@
 	os.RemoveAll(c.dir)
 }
 
-// traffic returns the bytes of messages that each control server has sent and
+// trafficBytes returns the bytes of messages that each control server has sent and
 // received.
-func (c *cores) traffic() []int64 {
+func (c *controlFleet) trafficBytes() []int64 {
 	bytes := make([]int64, len(c.servers))
 	for i, s := range c.servers {
 		sent, received := s.Traffic()
@@ -151,8 +151,8 @@
 	return bytes
 }
 
-// growth returns the mean growth of bytes a VM, and the largest.
-func growth(a, b []int64) (mean, most float64) {
+// trafficGrowth returns the mean growth of bytes a VM, and the largest.
+func trafficGrowth(a, b []int64) (mean, most float64) {
 	for i := range a {
 		mean += float64(b[i]-a[i]) / float64(len(a))
 		most = max(most, float64(b[i]-a[i]))
@@ -168,25 +168,25 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func heap() float64 {
+func heapAndStackMiB() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapInuse+m.StackInuse) / (1 << 20)
 }
 
-const coreConfig = "[workspace w]\nkey-hash = 0000000000000000000000000000000000000000000000000000000000000000\nallow = m@1\n\n[model m]\nserve = m@1\n\n[version m@1]\nserve-without-word = %ds\n"
+const configTemplate = "[workspace w]\nkey-hash = 0000000000000000000000000000000000000000000000000000000000000000\nallow = m@1\n\n[model m]\nserve = m@1\n\n[version m@1]\nserve-without-word = %ds\n"
 
-// apply makes a change and returns how long it took until every control server
+// applyChange makes a change and returns how long it took until every control server
 // held it.
-func (c *cores) apply(ctx context.Context, n int) (time.Duration, error) {
+func (c *controlFleet) applyChange(ctx context.Context, n int) (time.Duration, error) {
 	op := c.operator()
 	base, err := history.Load(ctx, op.Store)
 	if err != nil {
 		return 0, err
 	}
 	began := time.Now()
-	root, err := op.Apply(ctx, "site.ini", fmt.Appendf(nil, coreConfig, 30+n), int64(base.Root.Revision), history.Author{Who: "bench", Why: "bench", At: began})
+	root, err := op.Apply(ctx, "site.ini", fmt.Appendf(nil, configTemplate, 30+n), int64(base.Root.Revision), history.Author{Who: "bench", Why: "bench", At: began})
 	if err != nil {
 		return 0, err
 	}
@@ -201,15 +201,15 @@
 	return time.Since(began), nil
 }
 
-// changes is how many changes are made at each size.
-const changes = 10
+// changesPerSize is how many changes are made at each size.
+const changesPerSize = 10
 
-// controlSlope measures the control's cost at several sizes of the fleet.
-func controlSlope(ctx context.Context, _ string) error {
-	fmt.Printf("### Control, by the size of the fleet\n\nControl servers in one process, over real links, at rest for %v; processor time includes both ends of each link and the stand-ins for entry processes; heap holds all of them.\n\n", observeFor)
+// measureControl measures the control's cost at several sizes of the fleet.
+func measureControl(ctx context.Context, _ string) error {
+	fmt.Printf("### Control, by the size of the fleet\n\nControl servers in one process, over real links, at rest for %v; processor time includes both ends of each link and the stand-ins for entry processes; heap holds all of them.\n\n", observeDuration)
 	fmt.Printf("| data centres x VMs | processor, %% of a core a VM | message bytes/s a VM | of the busiest VM | heap and stacks a VM, MiB | platform calls/s: reads | watches | lists | writes | change everywhere, median | longest | platform calls a change |\n|---|---|---|---|---|---|---|---|---|---|---|---|\n")
 	for _, size := range [][2]int{{3, 2}, {4, 6}, {8, 6}, {8, 12}, {16, 12}, {8, 25}} {
-		if err := slopeRow(ctx, size[0], size[1]); err != nil {
+		if err := measureControlSize(ctx, size[0], size[1]); err != nil {
 			return err
 		}
 	}
@@ -217,24 +217,24 @@
 	return nil
 }
 
-func slopeRow(ctx context.Context, dcs, vms int) error {
-	c, err := newCores(ctx, dcs, vms)
+func measureControlSize(ctx context.Context, dcs, vms int) error {
+	c, err := newControlFleet(ctx, dcs, vms)
 	if err != nil {
 		return err
 	}
 	defer c.stop()
-	if _, err := c.apply(ctx, 0); err != nil {
+	if _, err := c.applyChange(ctx, 0); err != nil {
 		return err
 	}
-	time.Sleep(settleFor)
+	time.Sleep(settleDuration)
 	n := float64(dcs * vms)
-	cpu0, bytes0, calls0, began := processCPU(), c.traffic(), c.store.Counts(), time.Now()
-	time.Sleep(observeFor)
+	cpu0, bytes0, calls0, began := processCPU(), c.trafficBytes(), c.store.Counts(), time.Now()
+	time.Sleep(observeDuration)
 	seconds := time.Since(began).Seconds()
-	cpu1, bytes1, calls1 := processCPU(), c.traffic(), c.store.Counts()
+	cpu1, bytes1, calls1 := processCPU(), c.trafficBytes(), c.store.Counts()
 	var took []time.Duration
-	for i := range changes {
-		d, err := c.apply(ctx, i+1)
+	for i := range changesPerSize {
+		d, err := c.applyChange(ctx, i+1)
 		if err != nil {
 			return err
 		}
@@ -242,17 +242,17 @@
 		time.Sleep(time.Second)
 	}
 	calls2 := c.store.Counts()
-	mean, most := growth(bytes0, bytes1)
-	rest := rate(calls0, calls1, seconds)
+	mean, most := trafficGrowth(bytes0, bytes1)
+	rest := ratesBetween(calls0, calls1, seconds)
 	// What changes cost beyond the calls at rest, which go on meanwhile.
-	busy := total(calls1, calls2) - rest.total*(float64(changes)+sumOf(took).Seconds())
+	busy := callsBetween(calls1, calls2) - rest.total*(float64(changesPerSize)+totalDuration(took).Seconds())
 	fmt.Printf("| %d x %d | %.2f | %.0f | %.0f | %.2f | %.1f | %.1f | %.1f | %.2f | %v | %v | %.1f |\n", dcs, vms,
-		100*(cpu1-cpu0).Seconds()/seconds/n, mean/seconds, most/seconds, heap()/n,
-		rest.reads, rest.watches, rest.lists, rest.writes, median(took).Round(time.Millisecond), at(took, 1).Round(time.Millisecond), busy/changes)
+		100*(cpu1-cpu0).Seconds()/seconds/n, mean/seconds, most/seconds, heapAndStackMiB()/n,
+		rest.reads, rest.watches, rest.lists, rest.writes, median(took).Round(time.Millisecond), quantile(took, 1).Round(time.Millisecond), busy/changesPerSize)
 	return nil
 }
 
-func sumOf(d []time.Duration) time.Duration {
+func totalDuration(d []time.Duration) time.Duration {
 	total := time.Duration(0)
 	for _, x := range d {
 		total += x
@@ -260,15 +260,15 @@
 	return total
 }
 
-type rates struct{ reads, watches, lists, writes, total float64 }
+type callRates struct{ reads, watches, lists, writes, total float64 }
 
-func rate(a, b standin.Counts, seconds float64) rates {
-	return rates{
+func ratesBetween(a, b standin.Counts, seconds float64) callRates {
+	return callRates{
 		float64(b.Reads-a.Reads) / seconds, float64(b.Watches-a.Watches) / seconds, float64(b.Lists-a.Lists) / seconds,
-		float64(b.Writes-a.Writes) / seconds, total(a, b) / seconds,
+		float64(b.Writes-a.Writes) / seconds, callsBetween(a, b) / seconds,
 	}
 }
 
-func total(a, b standin.Counts) float64 {
+func callsBetween(a, b standin.Counts) float64 {
 	return float64(b.Reads - a.Reads + b.Watches - a.Watches + b.Lists - a.Lists + b.Writes - a.Writes)
 }
--- a/internal/bench/entry.go
+++ b/internal/bench/entry.go
@@ -16,7 +16,7 @@
 
 // Sizes of the entry's measurements.
 const (
-	pairs        = 2000
+	requestPairs = 2000
 	cpuRequests  = 20_000
 	chunkStreams = 40
 	chunkTokens  = 4000
@@ -28,7 +28,7 @@
 	return d[len(d)/2]
 }
 
-func at(d []time.Duration, p float64) time.Duration {
+func quantile(d []time.Duration, p float64) time.Duration {
 	slices.Sort(d)
 	return d[min(int(p*float64(len(d))), len(d)-1)]
 }
@@ -50,8 +50,8 @@
 	return c.client.Do(req)
 }
 
-// whole sends a request and reads its whole answer.
-func (c caller) whole(ctx context.Context, tokens int, stream bool) (time.Duration, int64, error) {
+// roundTrip sends a request and reads its whole answer.
+func (c caller) roundTrip(ctx context.Context, tokens int, stream bool) (time.Duration, int64, error) {
 	began := time.Now()
 	resp, err := c.post(ctx, tokens, stream)
 	if err != nil {
@@ -65,53 +65,53 @@
 	return time.Since(began), n, err
 }
 
-func callers(f *fleet.Fleet) (direct, routed caller) {
+func newCallers(f *fleet.Fleet) (direct, routed caller) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2000}}
 	direct = caller{f.EngineURL("dc1-engine-1"), "", "chat-small@1", client}
 	routed = caller{f.VMs[0].Callers, fleet.KeyNorte, "chat-small", client}
 	return direct, routed
 }
 
-// added measures what the entry adds to a request, pair by pair.
-func added(ctx context.Context, binDir string) error {
-	f, stop, err := start(ctx, binDir, 2, 1, 0)
+// measureAddedLatency measures what the entry adds to a request, pair by pair.
+func measureAddedLatency(ctx context.Context, binDir string) error {
+	f, stop, err := startFleet(ctx, binDir, 2, 1, 0)
 	if err != nil {
 		return err
 	}
 	defer stop()
-	direct, routed := callers(f)
+	direct, routed := newCallers(f)
 	var d, r, diff []time.Duration
-	for range pairs {
-		a, _, err := direct.whole(ctx, 8, false)
+	for range requestPairs {
+		a, _, err := direct.roundTrip(ctx, 8, false)
 		if err != nil {
 			return err
 		}
-		b, _, err := routed.whole(ctx, 8, false)
+		b, _, err := routed.roundTrip(ctx, 8, false)
 		if err != nil {
 			return err
 		}
 		d, r, diff = append(d, a), append(r, b), append(diff, b-a)
 	}
 	pid := f.VMs[0].Entry.PID()
-	before := cpu(pid)
+	before := processorTime(pid)
 	began := time.Now()
-	if err := parallel(8, cpuRequests, func() error { _, _, err := routed.whole(ctx, 8, false); return err }); err != nil {
+	if err := runParallel(8, cpuRequests, func() error { _, _, err := routed.roundTrip(ctx, 8, false); return err }); err != nil {
 		return err
 	}
-	used, wall := cpu(pid)-before, time.Since(began)
-	fmt.Printf("### What the entry adds to a request\n\n%d pairs, one after the other; processor time over %d requests by 8 callers.\n\n", pairs, cpuRequests)
+	used, wall := processorTime(pid)-before, time.Since(began)
+	fmt.Printf("### What the entry adds to a request\n\n%d pairs, one after the other; processor time over %d requests by 8 callers.\n\n", requestPairs, cpuRequests)
 	fmt.Printf("| | p50 | p95 | p99 |\n|---|---|---|---|\n")
 	for _, row := range []struct {
 		name string
 		d    []time.Duration
 	}{{"direct", d}, {"through the entry", r}, {"added, pair by pair", diff}} {
-		fmt.Printf("| %s | %v | %v | %v |\n", row.name, median(row.d).Round(time.Microsecond), at(row.d, 0.95).Round(time.Microsecond), at(row.d, 0.99).Round(time.Microsecond))
+		fmt.Printf("| %s | %v | %v | %v |\n", row.name, median(row.d).Round(time.Microsecond), quantile(row.d, 0.95).Round(time.Microsecond), quantile(row.d, 0.99).Round(time.Microsecond))
 	}
 	fmt.Printf("\nprocessor time of the entry a request: %v; %.0f requests/s\n\n", (used / cpuRequests).Round(time.Microsecond), cpuRequests/wall.Seconds())
 	return nil
 }
 
-func parallel(callers, n int, do func() error) error {
+func runParallel(callers, n int, do func() error) error {
 	var wg sync.WaitGroup
 	errs := make(chan error, callers)
 	for range callers {
@@ -129,50 +129,50 @@
 	return <-errs
 }
 
-// chunks measures what the entry adds to a chunk of a stream, at several
+// measureChunks measures what the entry adds to a chunk of a stream, at several
 // numbers of streams at once.
-func chunks(ctx context.Context, binDir string) error {
-	f, stop, err := start(ctx, binDir, 2, 1, 0)
+func measureChunks(ctx context.Context, binDir string) error {
+	f, stop, err := startFleet(ctx, binDir, 2, 1, 0)
 	if err != nil {
 		return err
 	}
 	defer stop()
-	direct, routed := callers(f)
+	direct, routed := newCallers(f)
 	pid := f.VMs[0].Entry.PID()
 	fmt.Printf("### What the entry adds to a chunk\n\n%d streams of %d chunks for each row.\n\n| streams at once | processor time a chunk | wall time a chunk, direct | through the entry | chunks/s |\n|---|---|---|---|---|\n", chunkStreams, chunkTokens)
 	for _, width := range []int{1, 4, 8, 20} {
 		began := time.Now()
-		if err := parallel(width, chunkStreams, func() error { _, _, err := direct.whole(ctx, chunkTokens, true); return err }); err != nil {
+		if err := runParallel(width, chunkStreams, func() error { _, _, err := direct.roundTrip(ctx, chunkTokens, true); return err }); err != nil {
 			return err
 		}
 		straight := time.Since(began)
-		before := cpu(pid)
+		before := processorTime(pid)
 		began = time.Now()
-		if err := parallel(width, chunkStreams, func() error { _, _, err := routed.whole(ctx, chunkTokens, true); return err }); err != nil {
+		if err := runParallel(width, chunkStreams, func() error { _, _, err := routed.roundTrip(ctx, chunkTokens, true); return err }); err != nil {
 			return err
 		}
-		wall, used := time.Since(began), cpu(pid)-before
+		wall, used := time.Since(began), processorTime(pid)-before
 		n := chunkStreams / width * width * chunkTokens
-		fmt.Printf("| %d | %.1f us | %.1f us | %.1f us | %.0f |\n", width, us(used, n), us(straight, n), us(wall, n), float64(n)/wall.Seconds())
+		fmt.Printf("| %d | %.1f us | %.1f us | %.1f us | %.0f |\n", width, microsecondsEach(used, n), microsecondsEach(straight, n), microsecondsEach(wall, n), float64(n)/wall.Seconds())
 	}
 	fmt.Println()
 	return nil
 }
 
-func us(d time.Duration, n int) float64 { return float64(d.Microseconds()) / float64(n) }
+func microsecondsEach(d time.Duration, n int) float64 { return float64(d.Microseconds()) / float64(n) }
 
-// memory measures the entry's memory at rest and with many streams open.
-func memory(ctx context.Context, binDir string) error {
-	f, stop, err := start(ctx, binDir, 2, 1, 100*time.Millisecond)
+// measureMemory measures the entry's memory at rest and with many streams open.
+func measureMemory(ctx context.Context, binDir string) error {
+	f, stop, err := startFleet(ctx, binDir, 2, 1, 100*time.Millisecond)
 	if err != nil {
 		return err
 	}
 	defer stop()
-	_, routed := callers(f)
+	_, routed := newCallers(f)
 	pid, control := f.VMs[0].Entry.PID(), f.VMs[0].Control.PID()
 	fmt.Printf("### Memory\n\n| streams open | entry, MiB | control, MiB |\n|---|---|---|\n")
 	row := func(n int) {
-		fmt.Printf("| %d | %.1f | %.1f |\n", n, mib(pid), mib(control))
+		fmt.Printf("| %d | %.1f | %.1f |\n", n, residentMiB(pid), residentMiB(control))
 	}
 	row(0)
 	var open []*http.Response
@@ -198,4 +198,4 @@
 	return nil
 }
 
-func mib(pid int) float64 { return float64(resident(pid)) / float64(1<<20) }
+func residentMiB(pid int) float64 { return float64(residentBytes(pid)) / float64(1<<20) }
--- a/internal/bench/main.go
+++ b/internal/bench/main.go
@@ -18,8 +18,8 @@
 	Only string `help:"Run one measurement: added, chunks, memory, control, writes."`
 }
 
-// limit bounds a whole run.
-const limit = 20 * time.Minute
+// runTimeout bounds a whole run.
+const runTimeout = 20 * time.Minute
 
 type measurement struct {
 	name string
@@ -27,7 +27,7 @@
 }
 
 var measurements = []measurement{
-	{"added", added}, {"chunks", chunks}, {"memory", memory}, {"control", controlSlope}, {"writes", writes},
+	{"added", measureAddedLatency}, {"chunks", measureChunks}, {"memory", measureMemory}, {"control", measureControl}, {"writes", measurePlatformCalls},
 }
 
 func main() {
@@ -40,7 +40,7 @@
 }
 
 func run(a arguments) error {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), runTimeout)
 	defer cancel()
 	binDir, err := os.MkdirTemp("", "woaddoor-bench")
 	if err != nil {
--- a/internal/bench/writes.go
+++ b/internal/bench/platform_calls.go
@@ -9,44 +9,44 @@
 	"woaddoor/operator"
 )
 
-func (c *cores) operator() *operator.Operator {
+func (c *controlFleet) operator() *operator.Operator {
 	view := c.store.View("operator")
 	return &operator.Operator{Store: view, VMs: view, Now: time.Now}
 }
 
-// writes measures the calls to the platform by a running fleet of six VMs: at
+// measurePlatformCalls measures the calls to the platform by a running fleet of six VMs: at
 // rest, for requests, and for a replaced VM.
-func writes(ctx context.Context, binDir string) error {
-	f, stop, err := start(ctx, binDir, 3, 2, 0)
+func measurePlatformCalls(ctx context.Context, binDir string) error {
+	f, stop, err := startFleet(ctx, binDir, 3, 2, 0)
 	if err != nil {
 		return err
 	}
 	defer stop()
 	fmt.Printf("### Calls to the platform, six VMs in three data centres, real processes\n\n| what | reads | watches | lists | writes | requests |\n|---|---|---|---|---|---|\n")
 	row := func(what string, a, b store.Counts, seconds float64, requests int) {
-		r := rate(a, b, seconds)
+		r := ratesBetween(a, b, seconds)
 		fmt.Printf("| %s, a second | %.1f | %.1f | %.1f | %.2f | %.0f/s |\n", what, r.reads, r.watches, r.lists, r.writes, float64(requests)/seconds)
 	}
-	time.Sleep(settleFor)
+	time.Sleep(settleDuration)
 	a, began := f.Platform.Counts(), time.Now()
-	time.Sleep(observeFor)
+	time.Sleep(observeDuration)
 	row("at rest", a, f.Platform.Counts(), time.Since(began).Seconds(), 0)
-	_, routed := callers(f)
+	_, routed := newCallers(f)
 	for _, n := range []int{500, 2000, 8000} {
 		a, began = f.Platform.Counts(), time.Now()
-		if err := parallel(4, n, func() error { _, _, err := routed.whole(ctx, 4, false); return err }); err != nil {
+		if err := runParallel(4, n, func() error { _, _, err := routed.roundTrip(ctx, 4, false); return err }); err != nil {
 			return err
 		}
 		row(fmt.Sprintf("%d requests", n), a, f.Platform.Counts(), time.Since(began).Seconds(), n)
 	}
-	time.Sleep(settleFor)
+	time.Sleep(settleDuration)
 	a, began = f.Platform.Counts(), time.Now()
 	f.VMs[5].Entry.Kill()
 	f.VMs[5].Control.Kill()
 	if err := f.StartVM(f.VMs[5]); err != nil {
 		return err
 	}
-	time.Sleep(observeFor)
+	time.Sleep(observeDuration)
 	row("a VM replaced", a, f.Platform.Counts(), time.Since(began).Seconds(), 0)
 	fmt.Println()
 	return nil
--- a/internal/bench/process.go
+++ b/internal/bench/process.go
@@ -14,12 +14,12 @@
 	"woaddoor/internal/standin/engine"
 )
 
-// ticks is the kernel's unit of processor time in /proc, a hundredth of a
+// clockTick is the kernel's unit of processor time in /proc, a hundredth of a
 // second on all usual systems.
-const ticks = 10 * time.Millisecond
+const clockTick = 10 * time.Millisecond
 
-// cpu returns the processor time that a process has used.
-func cpu(pid int) time.Duration {
+// processorTime returns the processor time that a process has used.
+func processorTime(pid int) time.Duration {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
@@ -27,11 +27,11 @@
 	fields := strings.Fields(string(raw[strings.LastIndexByte(string(raw), ')')+2:]))
 	user, _ := strconv.Atoi(fields[11])
 	system, _ := strconv.Atoi(fields[12])
-	return time.Duration(user+system) * ticks
+	return time.Duration(user+system) * clockTick
 }
 
-// resident returns the memory of a process that is in use, in bytes.
-func resident(pid int) contract.Bytes {
+// residentBytes returns the memory of a process that is in use, in bytes.
+func residentBytes(pid int) contract.Bytes {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
@@ -45,16 +45,16 @@
 	return 0
 }
 
-// start starts a fleet of dcs data centres with vms VMs each.
-func start(ctx context.Context, binDir string, dcs, vms int, perToken time.Duration) (*fleet.Fleet, func(), error) {
+// startFleet starts a fleet of dcs data centres with vms VMs each.
+func startFleet(ctx context.Context, binDir string, dcs, vms int, perToken time.Duration) (*fleet.Fleet, func(), error) {
 	dir, err := os.MkdirTemp("", "woaddoor-fleet")
 	if err != nil {
 		return nil, nil, err
 	}
 	opts := &fleet.Options{
 		Dir: dir, BinDir: binDir, VMs: vms, Engines: 2,
-		Engine: engine.Options{Versions: []contract.VersionID{"chat-small@1", "chat-small@2", "chat-large@1"}, PerToken: perToken, Slots: 4096},
-		Entry:  "max-in-flight = 100000",
+		Engine:        engine.Options{Versions: []contract.VersionID{"chat-small@1", "chat-small@2", "chat-large@1"}, PerToken: perToken, Slots: 4096},
+		EntrySettings: "max-in-flight = 100000",
 	}
 	for i := range dcs {
 		opts.DataCentres = append(opts.DataCentres, contract.DataCentreID(fmt.Sprintf("dc%d", i+1)))
@@ -70,7 +70,7 @@
 	}
 	text := strings.ReplaceAll(f.Config(""), "slots = 8", "slots = 4096")
 	if _, err = f.Operator().Apply(ctx, "site.ini", []byte(text), -1, history.Author{Who: "bench", Why: "bench", At: time.Now()}); err == nil {
-		if err = f.Acquainted(ctx); err == nil {
+		if err = f.WaitForPeers(ctx); err == nil {
 			err = f.Serving(ctx, "chat-small")
 		}
 	}
--- a/internal/fleet/caller.go
+++ b/internal/fleet/caller.go
@@ -13,14 +13,14 @@
 	"woaddoor/ticket"
 )
 
-// Reply is an answer to a caller, whole.
+// Reply is a complete HTTP response, including the body.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   string
 }
 
-// Call sends a caller's request to a VM, with headers given as key, value.
+// Call sends an API request to a VM. headers alternates names and values.
 func (vm *VM) Call(ctx context.Context, key, method, path, body string, headers ...string) (Reply, error) {
 	req, err := http.NewRequestWithContext(ctx, method, vm.Callers+path, bytes.NewBufferString(body))
 	if err != nil {
@@ -39,25 +39,25 @@
 	return Reply{Status: resp.StatusCode, Header: resp.Header, Body: string(text)}, err
 }
 
-// Chat sends a chat request of one message.
+// Chat sends a non-streaming chat request with a single user message.
 func (vm *VM) Chat(ctx context.Context, key, model, text string, headers ...string) (Reply, error) {
 	return vm.Call(ctx, key, http.MethodPost, "/v1/chat/completions", ChatBody(model, text, 8, false), headers...)
 }
 
-// ChatBody returns the body of a chat request.
+// ChatBody returns the JSON body of a chat request.
 func ChatBody(model, text string, tokens int, stream bool) string {
 	return fmt.Sprintf(`{"model":%q,"messages":[{"role":"user","content":%q}],"max_tokens":%d,"stream":%v}`, model, text, tokens, stream)
 }
 
-// pollEvery is how often Until looks.
-const pollEvery = 50 * time.Millisecond
+// pollInterval is the time between two checks of Until.
+const pollInterval = 50 * time.Millisecond
 
-// Until waits until holds returns true, or ctx ends. Its verdict is that of
-// holds, not of the time it took.
+// Until polls holds until it returns true or ctx ends. It returns nil once holds
+// is true, even if ctx has ended meanwhile.
 func Until(ctx context.Context, holds func() bool) error {
 	for !holds() {
 		select {
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -65,13 +65,14 @@
 	return nil
 }
 
-// Acquainted waits until every VM knows the entry processes of its peers, so
-// that tickets have their arbiters and bill records their keepers.
-func (f *Fleet) Acquainted(ctx context.Context) error {
+// WaitForPeers waits until every VM knows the entry processes of its peers: those
+// that vote on tickets (arbiters) and those that hold copies of its bill records
+// (keepers).
+func (f *Fleet) WaitForPeers(ctx context.Context) error {
 	for _, vm := range f.VMs {
 		err := Until(ctx, func() bool {
 			st, err := vm.Status(ctx)
-			return err == nil && st.Arbiters == min(f.opts.VMs, ticket.MaxArbiters) && st.Keepers == f.keepers()
+			return err == nil && st.Arbiters == min(f.opts.VMs, ticket.MaxArbiters) && st.Keepers == f.expectedKeepers()
 		})
 		if err != nil {
 			return fmt.Errorf("%s does not know its peers: %w", vm.Name, err)
@@ -80,9 +81,9 @@
 	return nil
 }
 
-// keepers returns how many peers an entry process asks to keep a record, once
-// it knows them: one of its own data centre and one of another.
-func (f *Fleet) keepers() int {
+// expectedKeepers returns how many peers hold a copy of each bill record once
+// all peers are known: one in the VM's own data centre and one in another.
+func (f *Fleet) expectedKeepers() int {
 	n := 0
 	if f.opts.VMs > 1 {
 		n++
@@ -93,21 +94,21 @@
 	return n
 }
 
-// Status is what an entry process's status page shows, as far as tests read it.
+// Status holds the fields of an entry process's status page that tests read.
 type Status struct {
-	Revision    contract.Revision `json:"revision"`
-	Members     int               `json:"members"`
-	Arbiters    int               `json:"arbiters"`
-	Keepers     int               `json:"keepers"`
-	Age         time.Duration     `json:"age_nanoseconds"`
-	BillsHeld   int               `json:"bills_held"`
-	BillsAtRisk int               `json:"bills_at_risk"`
+	Revision         contract.Revision `json:"revision"`
+	Members          int               `json:"members"`
+	Arbiters         int               `json:"arbiters"`
+	Keepers          int               `json:"keepers"`
+	ConfigurationAge time.Duration     `json:"age_nanoseconds"`
+	BillsHeld        int               `json:"bills_held"`
+	BillsAtRisk      int               `json:"bills_at_risk"`
 }
 
-// Status reads the status page of the VM's entry process.
+// Status fetches the status page of the VM's entry process.
 func (vm *VM) Status(ctx context.Context) (Status, error) {
 	var st Status
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, vm.Health+"/status", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, vm.HealthURL+"/status", nil)
 	if err != nil {
 		return st, err
 	}
@@ -119,7 +120,7 @@
 	return st, json.NewDecoder(resp.Body).Decode(&st)
 }
 
-// Serving waits until every VM answers a chat.
+// Serving waits until every VM answers a chat request to model with status 200.
 func (f *Fleet) Serving(ctx context.Context, model string) error {
 	for _, vm := range f.VMs {
 		err := Until(ctx, func() bool {
--- a/internal/fleet/client_test.go
+++ b/internal/fleet/client_test.go
@@ -10,13 +10,13 @@
 	"github.com/openai/openai-go/v3/option"
 )
 
-// TestClientLibrary has a published client library of the chat-completions
-// protocol complete a chat, a stream and a list of models through the running
-// programs, and read a refusal.
-func TestClientLibrary(t *testing.T) {
+// TestOpenAIClientLibrary checks that the published OpenAI client library can
+// complete a chat, read a stream, list the models and decode a refusal through
+// the running programs.
+func TestOpenAIClientLibrary(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f, ctx := start(t, 1, 1, 0)
+	f, ctx := startFleet(t, 1, 1, 0)
 	client := openai.NewClient(option.WithBaseURL(f.VMs[0].Callers+"/v1"), option.WithAPIKey(KeyNorte), option.WithMaxRetries(0))
 	params := openai.ChatCompletionNewParams{
 		Model: "chat-small", Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("milk is out")},
--- a/internal/fleet/cutoff_test.go
+++ b/internal/fleet/cutoff_test.go
@@ -11,23 +11,23 @@
 	"woaddoor/contract"
 )
 
-// stableFor is longer than the 5 s for which chat-small@2 may be served without
-// word, and shorter than the 20 s of the other versions.
-const stableFor = 8 * time.Second
+// cutOffDuration is longer than the 5 s for which chat-small@2 may be served
+// without a recent configuration, and shorter than the 20 s of the other versions.
+const cutOffDuration = 8 * time.Second
 
 // TestCutOff checks each cell of the table in docs/design/cut-off.md: what a
-// data centre serves while it is cut off from the platform, from its peers, and
+// data centre serves while it is cut off from the platform, from its peers, or
 // from both.
 func TestCutOff(t *testing.T) {
 	t.Parallel()
-	f, ctx := start(t, 2, 2, 0)
-	near, far := f.VMs[0], f.VMs[2] // far is in dc2, which is cut off
+	f, ctx := startFleet(t, 2, 2, 0)
+	connected, isolated := f.VMs[0], f.VMs[2] // VMs[2] is in dc2, which is cut off
 	for _, c := range []struct {
 		name            string
 		platform, peers bool
-		// shortLived tells whether a version that may be served only briefly
-		// without word is still served; foreign whether a ticket of the other
-		// data centre can be claimed.
+		// shortLived is true when chat-small@2, which may be served for only 5 s
+		// without a recent configuration, is still served. foreign is true when a
+		// ticket issued in the other data centre can be claimed.
 		shortLived, foreign bool
 	}{
 		{"platform", true, false, true, true},
@@ -36,40 +36,40 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			session, err := far.Chat(ctx, KeyNorte, "chat-small", "hello", "Woaddoor-Session", "new")
+			session, err := isolated.Chat(ctx, KeyNorte, "chat-small", "hello", "Woaddoor-Session", "new")
 			is.NoErr(err)
-			foreign, err := near.Call(ctx, KeyMbio, http.MethodPost, "/v1/tickets", "")
+			foreign, err := connected.Call(ctx, KeyMbio, http.MethodPost, "/v1/tickets", "")
 			is.NoErr(err)
 			f.CutFromPlatform("dc2", c.platform)
 			f.CutFromPeers("dc2", c.peers)
-			for began := time.Now(); time.Since(began) < stableFor; {
-				is.Equal(chatStatus(ctx, t, far, "chat-small@1"), http.StatusOK)
+			for began := time.Now(); time.Since(began) < cutOffDuration; {
+				is.Equal(chatStatus(ctx, t, isolated, "chat-small@1"), http.StatusOK)
 			}
-			status := chatStatus(ctx, t, far, "chat-small@2")
+			status := chatStatus(ctx, t, isolated, "chat-small@2")
 			is.Equal(status == http.StatusOK, c.shortLived)
-			r, err := far.Chat(ctx, KeyNorte, "chat-small", "and then", "Woaddoor-Session", session.Header.Get("Woaddoor-Session"))
+			r, err := isolated.Chat(ctx, KeyNorte, "chat-small", "and then", "Woaddoor-Session", session.Header.Get("Woaddoor-Session"))
 			is.NoErr(err)
 			is.Equal(r.Status, http.StatusOK)
 
-			own, err := far.Call(ctx, KeyMbio, http.MethodPost, "/v1/tickets", "")
+			own, err := isolated.Call(ctx, KeyMbio, http.MethodPost, "/v1/tickets", "")
 			is.NoErr(err)
-			r, err = far.Call(ctx, KeyMbio, http.MethodPost, ruling, "own "+c.name, "Woaddoor-Ticket", own.Header.Get("Woaddoor-Ticket"))
+			r, err = isolated.Call(ctx, KeyMbio, http.MethodPost, rulingPath, "own "+c.name, "Woaddoor-Ticket", own.Header.Get("Woaddoor-Ticket"))
 			is.NoErr(err)
 			is.Equal(r.Status, http.StatusOK)
-			r, err = far.Call(ctx, KeyMbio, http.MethodPost, ruling, "foreign "+c.name, "Woaddoor-Ticket", foreign.Header.Get("Woaddoor-Ticket"))
+			r, err = isolated.Call(ctx, KeyMbio, http.MethodPost, rulingPath, "foreign "+c.name, "Woaddoor-Ticket", foreign.Header.Get("Woaddoor-Ticket"))
 			is.NoErr(err)
 			if c.foreign {
 				is.Equal(r.Status, http.StatusOK)
 			} else {
-				is.Equal(refused(t, r), refusal{string(contract.RefusedClaimed), "unknown"})
+				is.Equal(parseRefusal(t, r), refusal{string(contract.RefusedClaimed), "unknown"})
 				is.Equal(f.Boards.Runs("foreign "+c.name), 0)
 			}
-			is.Equal(chatStatus(ctx, t, near, "chat-small@2"), http.StatusOK) // the other side goes on
+			is.Equal(chatStatus(ctx, t, connected, "chat-small@2"), http.StatusOK) // the connected data centre still serves
 			f.CutFromPlatform("dc2", false)
 			f.CutFromPeers("dc2", false)
-			until(ctx, t, "healed", func() bool {
-				st, err := far.Status(ctx)
-				return err == nil && chatStatus(ctx, t, far, "chat-small@2") == http.StatusOK && st.Arbiters == 2 && st.Keepers == 2 && st.Age < 3*time.Second
+			waitUntil(ctx, t, "dc2 has reconnected and serves chat-small@2", func() bool {
+				st, err := isolated.Status(ctx)
+				return err == nil && chatStatus(ctx, t, isolated, "chat-small@2") == http.StatusOK && st.Arbiters == 2 && st.Keepers == 2 && st.ConfigurationAge < 3*time.Second
 			})
 		})
 	}
@@ -84,67 +84,71 @@
 	return r.Status
 }
 
-// TestPeersFound starts VMs whose settings name the first alone: they find each
-// other through it, as a replacement that no settings name has to.
-func TestPeersFound(t *testing.T) {
+// TestPeerDiscovery starts VMs whose settings list only the first VM, and checks
+// that they discover each other through it. A replacement VM that is listed in
+// no settings file depends on this.
+func TestPeerDiscovery(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
-	f, err := Start(&Options{Dir: t.TempDir(), BinDir: binDir, VMs: 4, Engines: 1, DataCentres: []contract.DataCentreID{"dc1"}, Peers: 1})
-	t.Cleanup(func() { f.end(t) })
+	f, err := Start(&Options{Dir: t.TempDir(), BinDir: binDir, VMs: 4, Engines: 1, DataCentres: []contract.DataCentreID{"dc1"}, ListedPeers: 1})
+	t.Cleanup(func() { f.stopAndCheckLogs(t) })
 	is.NoErr(err)
 	f.apply(ctx, t, f.Config(""))
-	is.NoErr(f.Acquainted(ctx)) // each knows two more arbiters than itself
+	is.NoErr(f.WaitForPeers(ctx)) // each VM knows two arbiters besides itself
 	f.VMs[0].Entry.Kill()
 	f.VMs[0].Control.Kill()
-	until(ctx, t, "the others go on without it", func() bool {
+	waitUntil(ctx, t, "the others drop the killed VM from their membership", func() bool {
 		st, err := f.VMs[3].Status(ctx)
 		return err == nil && st.Arbiters == 3 && st.Members == 3
 	})
 }
 
-// TestBothSidesChange cuts a data centre off from its peers, not from the
-// platform, and changes the configuration twice, racing: after healing every
-// VM has the winner's, and none went back on the way.
-func TestBothSidesChange(t *testing.T) {
+// TestChangesWhileCutOff changes the configuration twice while the two data
+// centres are cut off from each other, so that each receives a different change
+// first. After reconnection every VM has the second change, and no VM ever shows
+// a lower revision than before.
+func TestChangesWhileCutOff(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f, ctx := start(t, 2, 1, 0)
+	f, ctx := startFleet(t, 2, 1, 0)
 	highest := make(map[contract.VMID]contract.Revision)
-	watch := func() bool { // no VM ever shows a lower revision than before
-		same := true
+	// Reports whether all VMs have the same revision, and fails the test when
+	// one shows a lower revision than before.
+	checkRevisions := func() bool {
+		allEqual := true
 		for _, vm := range f.VMs {
 			st, err := vm.Status(ctx)
 			is.NoErr(err)
 			is.True(st.Revision >= highest[vm.Name])
 			highest[vm.Name] = st.Revision
-			same = same && st.Revision == highest[f.VMs[0].Name]
+			allEqual = allEqual && st.Revision == highest[f.VMs[0].Name]
 		}
-		return same
+		return allEqual
 	}
 	f.CutFromPeers("dc2", true)
 	f.CutFromPlatform("dc2", true)
-	watch()
+	checkRevisions()
 	f.apply(ctx, t, f.Config("[version chat-large@2]\n"))
-	until(ctx, t, "one side has it", func() bool { watch(); return highest[f.VMs[0].Name] == 2 })
-	f.VMs[0].Control.Freeze()
+	waitUntil(ctx, t, "dc1 has the first change", func() bool { checkRevisions(); return highest[f.VMs[0].Name] == 2 })
+	f.VMs[0].Control.Suspend()
 	f.CutFromPlatform("dc2", false)
 	f.apply(ctx, t, f.Config("[version chat-large@3]\n"))
-	until(ctx, t, "the other side has the next", func() bool { watch(); return highest[f.VMs[1].Name] == 3 })
-	f.VMs[0].Control.Wake()
+	waitUntil(ctx, t, "dc2 has the second change", func() bool { checkRevisions(); return highest[f.VMs[1].Name] == 3 })
+	f.VMs[0].Control.Resume()
 	f.CutFromPeers("dc2", false)
-	until(ctx, t, "all have the same", watch)
+	waitUntil(ctx, t, "all VMs have the same revision", checkRevisions)
 	is.Equal(highest[f.VMs[0].Name], contract.Revision(3))
 }
 
-// TestAllReplacedInTurn replaces every VM, one after another and then all at
-// once, under requests that go on: no VM ever shows an older configuration, and
-// at each moment of the first part some VM serves.
-func TestAllReplacedInTurn(t *testing.T) {
+// TestAllVMsReplaced restarts the VMs one after another, then all at once. During
+// the first part another VM answers while one restarts. After each restart the VM
+// has the latest configuration and serves.
+func TestAllVMsReplaced(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f, ctx := start(t, 1, 3, 0)
+	f, ctx := startFleet(t, 1, 3, 0)
 	f.apply(ctx, t, f.Config("[version chat-large@2]\n"))
 	for i, vm := range f.VMs {
 		vm.Entry.Kill()
@@ -152,7 +156,7 @@
 		is.NoErr(f.StartVM(vm))
 		other := f.VMs[(i+1)%len(f.VMs)]
 		is.Equal(chatStatus(ctx, t, other, "chat-small"), http.StatusOK)
-		until(ctx, t, "it serves again", func() bool {
+		waitUntil(ctx, t, "the restarted VM serves the latest configuration", func() bool {
 			st, err := vm.Status(ctx)
 			return err == nil && st.Revision == 2 && chatStatus(ctx, t, vm, "chat-small") == http.StatusOK
 		})
@@ -164,7 +168,7 @@
 	for _, vm := range f.VMs {
 		is.NoErr(f.StartVM(vm))
 	}
-	until(ctx, t, "all serve", func() bool {
+	waitUntil(ctx, t, "all VMs serve the latest configuration", func() bool {
 		for _, vm := range f.VMs {
 			r, err := vm.Chat(ctx, KeyNorte, "chat-small", "hello")
 			st, statusErr := vm.Status(ctx)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet runs the real programs on loopback, with stand-ins for what is
-// outside: for trials and for tests with real kills and cuts.
+// Package fleet starts the real programs on loopback, with in-process stand-ins
+// for the platform, the engines and the services. Tests and measurements use it
+// to kill real processes and to interrupt their network links.
 package fleet
 
 import (
@@ -25,27 +26,29 @@
 	"woaddoor/store"
 )
 
-// Options set up a Fleet.
+// Options configure a Fleet.
 type Options struct {
-	// Dir takes settings, keys and logs; BinDir holds the programs.
+	// Dir is where settings, keys and logs are written; BinDir holds the compiled programs.
 	Dir, BinDir string
-	// DataCentres are named; each gets VMs and Engines.
+	// DataCentres lists the names of the data centres. Each gets VMs virtual
+	// machines and Engines engines.
 	DataCentres []contract.DataCentreID
 	VMs         int
 	Engines     int
-	// Engine sets up each engine.
+	// Engine is the configuration of every engine.
 	Engine engine.Options
-	// Peers is how many VMs the settings name; zero means all.
-	Peers int
-	// Entry holds further lines for the [entry] section of the settings.
-	Entry string
+	// ListedPeers is the number of VMs listed in the [peers] section of each
+	// settings file; zero means all.
+	ListedPeers int
+	// EntrySettings holds extra lines for the [entry] section of the settings.
+	EntrySettings string
 }
 
-// Fleet is a running fleet.
+// Fleet is a set of running VMs with the stand-ins that they depend on.
 type Fleet struct {
 	opts     *Options
 	Platform *standin.Store
-	// OperatorURL is the platform as the operator reaches it.
+	// OperatorURL is the platform's address for the operator's commands.
 	OperatorURL string
 	Net         *wire.Net
 	VMs         []*VM
@@ -56,31 +59,31 @@
 	servers     []*http.Server
 }
 
-// VM is one VM with its two processes.
+// VM is one virtual machine: an entry process and a control process.
 type VM struct {
 	Name       contract.VMID
 	DataCentre contract.DataCentreID
-	Callers    string // URL
-	Health     string // URL of the entry process's health
+	Callers    string // URL for API requests
+	HealthURL  string // URL of the entry process's health and status pages
 	Entry      *Process
 	Control    *Process
 	settings   string
 }
 
-// Keys of the fleet's two workspaces.
+// API keys of the workspaces norte and mbio.
 const (
 	KeyNorte = "key-norte"
 	KeyMbio  = "key-mbio"
 )
 
-// Names of upstreams that every fleet has.
+// IDs of the service upstreams that every fleet has.
 const (
 	BoardsUpstream = contract.UpstreamID("boards-1")
 	RatingUpstream = contract.UpstreamID("rating-1")
 )
 
-// RaceVariable is the environment variable that, when set, has Build compile
-// the programs with the race detector.
+// RaceVariable is an environment variable. When it is set, Build compiles the
+// programs with the race detector.
 const RaceVariable = "WOADDOOR_RACE"
 
 // Build compiles the programs of the module into dir.
@@ -94,7 +97,8 @@
 	return cmd.Run()
 }
 
-// Start starts the stand-ins and the programs. Stop ends them.
+// Start starts the stand-ins and the programs. Call Stop on the returned fleet
+// even after an error: some processes may already be running.
 func Start(opts *Options) (*Fleet, error) {
 	f := &Fleet{
 		opts: opts, Platform: standin.New(), Net: wire.New(), Boards: service.New(), Rating: rating.New(),
@@ -103,7 +107,7 @@
 	if err := f.startStandIns(); err != nil {
 		return f, err
 	}
-	if err := f.layOut(); err != nil {
+	if err := f.createVMs(); err != nil {
 		return f, err
 	}
 	for _, vm := range f.VMs {
@@ -146,34 +150,35 @@
 	return err
 }
 
-// Ports are given out from a range below that of the system, in an order that
-// depends on the process, so that neither another fleet nor an outgoing
-// connection takes one between its choice and the start of its program.
+// Ports are allocated from a range below the system's ephemeral ports, starting
+// at a position derived from the process ID. Otherwise another fleet or an outgoing
+// connection could take a port after it is chosen and before its program starts.
+// endPort is exclusive.
 const (
-	portsFrom = 10_000
-	portsTo   = 20_000
+	firstPort = 10_000
+	endPort   = 20_000
 )
 
-var ports = struct {
+var portCursor = struct {
 	sync.Mutex
 	next int
-}{next: os.Getpid() * 131 % (portsTo - portsFrom)}
+}{next: os.Getpid() * 131 % (endPort - firstPort)}
 
-// freeAddress returns a loopback address that nothing listens at just now.
-func freeAddress(network string) (string, error) {
-	ports.Lock()
-	defer ports.Unlock()
-	for range portsTo - portsFrom {
-		ports.next = (ports.next + 1) % (portsTo - portsFrom)
-		address := fmt.Sprintf("127.0.0.1:%d", portsFrom+ports.next)
-		if free(network, address) {
+// allocateAddress returns a loopback address on which nothing currently listens.
+func allocateAddress(network string) (string, error) {
+	portCursor.Lock()
+	defer portCursor.Unlock()
+	for range endPort - firstPort {
+		portCursor.next = (portCursor.next + 1) % (endPort - firstPort)
+		address := fmt.Sprintf("127.0.0.1:%d", firstPort+portCursor.next)
+		if canListen(network, address) {
 			return address, nil
 		}
 	}
 	return "", errors.New("no free port on loopback")
 }
 
-func free(network, address string) bool {
+func canListen(network, address string) bool {
 	if network == "udp" {
 		c, err := net.ListenPacket("udp", address)
 		if err != nil {
@@ -188,16 +193,17 @@
 	return l.Close() == nil
 }
 
-// EngineURL returns the address of an engine.
+// EngineURL returns the base URL of an engine.
 func (f *Fleet) EngineURL(id contract.UpstreamID) string { return f.urls[id] }
 
-// Operator returns an operator of the fleet's platform.
+// Operator returns an operator client connected to the fleet's platform.
 func (f *Fleet) Operator() *operator.Operator {
 	client := store.NewClient(&store.Options{URL: f.OperatorURL})
 	return &operator.Operator{Store: client, VMs: client, Now: time.Now}
 }
 
-// StartVM starts both processes of a VM, anew when they ran before.
+// StartVM starts both processes of a VM. It also restarts a VM whose processes
+// have ended.
 func (f *Fleet) StartVM(vm *VM) error {
 	if err := f.StartControl(vm); err != nil {
 		return err
@@ -219,12 +225,13 @@
 	return err
 }
 
-// LogFile returns where a program of a VM logs.
+// LogFile returns the path of the log file of one of a VM's programs.
 func (f *Fleet) LogFile(program string, vm *VM) string {
 	return filepath.Join(f.opts.Dir, string(vm.Name)+"-"+program+".log")
 }
 
-// CutFromPeers separates data centre a from all others, or joins it again.
+// CutFromPeers blocks the links between data centre dc and all others when cut
+// is true, and restores them when cut is false.
 func (f *Fleet) CutFromPeers(dc contract.DataCentreID, cut bool) {
 	for _, a := range f.VMs {
 		for _, b := range f.VMs {
@@ -235,7 +242,8 @@
 	}
 }
 
-// CutFromPlatform separates a data centre from the platform, or joins it again.
+// CutFromPlatform blocks the platform for the VMs of a data centre when cut is
+// true, and restores access when cut is false.
 func (f *Fleet) CutFromPlatform(dc contract.DataCentreID, cut bool) {
 	for _, vm := range f.VMs {
 		if vm.DataCentre == dc {
@@ -244,7 +252,7 @@
 	}
 }
 
-// Stop ends every process and stand-in at once.
+// Stop kills every process and closes every stand-in.
 func (f *Fleet) Stop() {
 	for _, vm := range f.VMs {
 		for _, p := range []*Process{vm.Entry, vm.Control} {
@@ -258,7 +266,7 @@
 	}
 }
 
-// makeKeys makes the keys of all VMs.
+// makeKeys generates the key files of all VMs.
 func (f *Fleet) makeKeys(names []string) error {
 	return keys.Make(filepath.Join(f.opts.Dir, "keys"), names)
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -15,7 +15,7 @@
 	"woaddoor/internal/standin/engine"
 )
 
-// binDir holds the programs under test.
+// binDir is the directory of the compiled programs under test.
 var binDir string
 
 func TestMain(m *testing.M) {
@@ -34,15 +34,15 @@
 	os.Exit(code)
 }
 
-// patience bounds how long a test waits for something to come true. It is far
-// more than is needed, so that a busy machine changes no verdict.
-const patience = 60 * time.Second
+// waitTimeout bounds how long a test waits for a condition. It is far longer
+// than needed, so that a busy machine does not make a test fail.
+const waitTimeout = 60 * time.Second
 
-// start starts a fleet, applies its configuration and waits until it serves.
-func start(t *testing.T, dcs, vms int, perToken time.Duration) (*Fleet, context.Context) {
+// startFleet starts a fleet, applies its configuration and waits until it serves.
+func startFleet(t *testing.T, dcs, vms int, perToken time.Duration) (*Fleet, context.Context) {
 	t.Helper()
 	is := is.New(t)
-	ctx, cancel := context.WithTimeout(t.Context(), 2*patience)
+	ctx, cancel := context.WithTimeout(t.Context(), 2*waitTimeout)
 	t.Cleanup(cancel)
 	opts := &Options{
 		Dir: t.TempDir(), BinDir: binDir, VMs: vms, Engines: 2,
@@ -52,15 +52,15 @@
 		opts.DataCentres = append(opts.DataCentres, contract.DataCentreID(fmt.Sprintf("dc%d", i+1)))
 	}
 	f, err := Start(opts)
-	t.Cleanup(func() { f.end(t) })
+	t.Cleanup(func() { f.stopAndCheckLogs(t) })
 	is.NoErr(err)
 	f.apply(ctx, t, f.Config(""))
-	is.NoErr(f.Acquainted(ctx))
+	is.NoErr(f.WaitForPeers(ctx))
 	is.NoErr(f.Serving(ctx, "chat-small"))
 	return f, ctx
 }
 
-// apply makes a text the configuration, from whatever is accepted now.
+// apply replaces the accepted configuration with text.
 func (f *Fleet) apply(ctx context.Context, t *testing.T, text string) {
 	t.Helper()
 	is := is.New(t)
@@ -70,9 +70,9 @@
 	is.NoErr(err)
 }
 
-// end stops the fleet, fails the test for a data race in any program, and
-// shows the logs of a failed test.
-func (f *Fleet) end(t *testing.T) {
+// stopAndCheckLogs stops the fleet, fails the test if any program logged a data
+// race, and prints the logs of a failed test.
+func (f *Fleet) stopAndCheckLogs(t *testing.T) {
 	f.Stop()
 	for _, vm := range f.VMs {
 		for _, program := range programs {
@@ -83,14 +83,14 @@
 		}
 	}
 	if t.Failed() {
-		f.dump(t)
+		f.printLogTails(t)
 	}
 }
 
 var programs = []string{"woaddoor-entry", "woaddoor-control"}
 
-// dump shows the ends of all logs of a failed test.
-func (f *Fleet) dump(t *testing.T) {
+// printLogTails prints the last 6000 bytes of every log.
+func (f *Fleet) printLogTails(t *testing.T) {
 	const tail = 6000
 	for _, vm := range f.VMs {
 		for _, program := range programs {
@@ -102,12 +102,12 @@
 	}
 }
 
-// until fails the test when holds does not come true in time.
-func until(ctx context.Context, t *testing.T, what string, holds func() bool) {
+// waitUntil fails the test when holds does not become true within waitTimeout.
+func waitUntil(ctx context.Context, t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
 	if err := Until(ctx, holds); err != nil {
-		t.Fatalf("never came true: %s", what)
+		t.Fatalf("condition not reached: %s", what)
 	}
 }
--- a/internal/fleet/promises_test.go
+++ b/internal/fleet/guarantees_test.go
@@ -18,28 +18,29 @@
 	platform "woaddoor/internal/standin/store"
 )
 
-// refusal is the body of a refusal, as a caller reads it.
+// refusal holds the fields of a problem document that tests check. Type is the
+// last part of the document's type URN.
 type refusal struct {
 	Type    string `json:"type"`
 	Outcome string `json:"outcome"`
 }
 
-func refused(t *testing.T, r Reply) refusal {
+func parseRefusal(t *testing.T, r Reply) refusal {
 	t.Helper()
-	var p refusal
-	if err := json.Unmarshal([]byte(r.Body), &p); err != nil {
-		t.Fatalf("status %d, not a refusal: %q", r.Status, r.Body)
+	var parsed refusal
+	if err := json.Unmarshal([]byte(r.Body), &parsed); err != nil {
+		t.Fatalf("status %d, body is not a problem document: %q", r.Status, r.Body)
 	}
-	p.Type = p.Type[strings.LastIndex(p.Type, ":")+1:]
-	return p
+	parsed.Type = parsed.Type[strings.LastIndex(parsed.Type, ":")+1:]
+	return parsed
 }
 
-// TestControlKilled shows that every VM serves on with all control processes
-// dead, and knows what to refuse once its permissions have ended.
+// TestControlKilled checks that every VM keeps serving after all control
+// processes are killed, and refuses a version once its permission has expired.
 func TestControlKilled(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f, ctx := start(t, 1, 2, 0)
+	f, ctx := startFleet(t, 1, 2, 0)
 	for _, vm := range f.VMs {
 		vm.Control.Kill()
 	}
@@ -48,21 +49,21 @@
 		is.NoErr(err)
 		is.Equal(r.Status, http.StatusOK)
 	}
-	// chat-small@2 may be served for 5 s without word.
-	until(ctx, t, "refused for want of word", func() bool {
+	// chat-small@2 may be served for 5 s without a recent configuration.
+	waitUntil(ctx, t, "chat-small@2 is refused for lack of a recent configuration", func() bool {
 		r, err := f.VMs[0].Chat(ctx, KeyMbio, "chat-small@2", "hello")
-		return err == nil && r.Status == http.StatusServiceUnavailable && refused(t, r).Type == string(contract.RefusedNoWord)
+		return err == nil && r.Status == http.StatusServiceUnavailable && parseRefusal(t, r).Type == string(contract.RefusedNoWord)
 	})
 }
 
-// TestWithdrawnWhileCut cuts a data centre off from the platform and from its
-// peers, and withdraws a version. apply says that it is pending there; the cut
-// data centre serves what it may until its permission ends, then refuses.
-func TestWithdrawnWhileCut(t *testing.T) {
+// TestWithdrawalWhileCutOff cuts a data centre off from the platform and from its
+// peers, and withdraws a version. The withdrawal is reported as pending there.
+// The data centre serves the version until its permission expires, then refuses it.
+func TestWithdrawalWhileCutOff(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f, ctx := start(t, 2, 1, 0)
-	near, far := f.VMs[0], f.VMs[1]
+	f, ctx := startFleet(t, 2, 1, 0)
+	connected, isolated := f.VMs[0], f.VMs[1]
 	for _, vm := range f.VMs {
 		r, err := vm.Chat(ctx, KeyNorte, "chat-small@2", "hello")
 		is.NoErr(err)
@@ -72,23 +73,23 @@
 	f.CutFromPlatform("dc2", true)
 	root, err := f.Operator().Withdraw(ctx, "chat-small@2", history.Author{Who: "ana", Why: "bad", At: time.Now()})
 	is.NoErr(err)
-	until(ctx, t, "near VM refuses", func() bool {
-		r, err := near.Chat(ctx, KeyNorte, "chat-small@2", "hello")
+	waitUntil(ctx, t, "the connected VM refuses the version", func() bool {
+		r, err := connected.Chat(ctx, KeyNorte, "chat-small@2", "hello")
 		return err == nil && r.Status == http.StatusGone
 	})
 	var force datacentre.Force
-	until(ctx, t, "near VM is told in force", func() bool {
+	waitUntil(ctx, t, "the withdrawal is reported in force on the connected VM", func() bool {
 		force, err = f.Operator().Force(ctx, root)
-		return err == nil && slices.Contains(force.InForce, near.Name)
+		return err == nil && slices.Contains(force.InForce, connected.Name)
 	})
 	is.Equal(len(force.Pending), 1)
-	is.Equal(force.Pending[0].VM, far.Name)
-	is.True(!force.Everywhere(time.Now())) // truthfully pending
-	until(ctx, t, "cut VM refuses", func() bool {
-		r, err := far.Chat(ctx, KeyMbio, "chat-small@2", "hello")
+	is.Equal(force.Pending[0].VM, isolated.Name)
+	is.True(!force.Everywhere(time.Now())) // not yet in force on the VM that is cut off
+	waitUntil(ctx, t, "the VM that is cut off refuses the version", func() bool {
+		r, err := isolated.Chat(ctx, KeyMbio, "chat-small@2", "hello")
 		return err == nil && r.Status != http.StatusOK
 	})
-	// Once apply says that it is sure, no VM gives the version new work.
+	// After SureAt no VM sends new work to the withdrawn version.
 	runs := func() int {
 		n := 0
 		for _, e := range f.Engines {
@@ -96,33 +97,33 @@
 		}
 		return n
 	}
-	until(ctx, t, "sure", func() bool { return time.Now().After(force.SureAt) })
+	waitUntil(ctx, t, "SureAt has passed", func() bool { return time.Now().After(force.SureAt) })
 	before := runs()
 	for range 5 {
-		_, err := far.Chat(ctx, KeyMbio, "chat-small@2", "hello")
+		_, err := isolated.Chat(ctx, KeyMbio, "chat-small@2", "hello")
 		is.NoErr(err)
 	}
 	is.Equal(runs(), before)
 	f.CutFromPeers("dc2", false)
 	f.CutFromPlatform("dc2", false)
-	until(ctx, t, "healed VM has the withdrawal", func() bool {
-		r, err := far.Chat(ctx, KeyMbio, "chat-small@2", "hello")
+	waitUntil(ctx, t, "the reconnected VM has the withdrawal", func() bool {
+		r, err := isolated.Chat(ctx, KeyMbio, "chat-small@2", "hello")
 		return err == nil && r.Status == http.StatusGone
 	})
 }
 
-// TestFrozenThroughWithdrawal freezes a whole VM through the withdrawal and
-// past the end of its permission. Woken, it gives the version no new work, not
-// even for the request that reaches it first.
-func TestFrozenThroughWithdrawal(t *testing.T) {
+// TestSuspendedDuringWithdrawal suspends both processes of a VM during a
+// withdrawal and until its permission has expired. After it resumes it sends no
+// work to the version, not even for a request that arrived while it was suspended.
+func TestSuspendedDuringWithdrawal(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f, ctx := start(t, 1, 2, 0)
+	f, ctx := startFleet(t, 1, 2, 0)
 	vm := f.VMs[0]
-	vm.Entry.Freeze()
-	vm.Control.Freeze()
+	vm.Entry.Suspend()
+	vm.Control.Suspend()
 	answered := make(chan Reply, 1)
-	go func() { // arrives while the VM is frozen
+	go func() { // arrives while the VM is suspended
 		r, _ := vm.Chat(ctx, KeyMbio, "chat-small@2", "frozen")
 		answered <- r
 	}()
@@ -130,13 +131,13 @@
 	is.NoErr(err)
 	force, err := f.Operator().Force(ctx, root)
 	is.NoErr(err)
-	until(ctx, t, "the permission has ended", func() bool { return time.Now().After(force.SureAt) })
+	waitUntil(ctx, t, "the permission has expired", func() bool { return time.Now().After(force.SureAt) })
 	before := 0
 	for _, e := range f.Engines {
 		before += e.RunsOf("chat-small@2")
 	}
-	vm.Control.Wake()
-	vm.Entry.Wake()
+	vm.Control.Resume()
+	vm.Entry.Resume()
 	r := <-answered
 	is.True(r.Status != http.StatusOK)
 	after := 0
@@ -146,12 +147,13 @@
 	is.Equal(after, before)
 }
 
-// TestSessionThroughReplacement ramps a roll-out while every VM is replaced:
-// the session stays on its version, and another workspace cannot use its token.
-func TestSessionThroughReplacement(t *testing.T) {
+// TestSessionSurvivesReplacement changes the served version and restarts every VM.
+// The session stays on its old version until that is withdrawn, and another
+// workspace cannot use its token.
+func TestSessionSurvivesReplacement(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f, ctx := start(t, 1, 2, 0)
+	f, ctx := startFleet(t, 1, 2, 0)
 	first, err := f.VMs[0].Chat(ctx, KeyNorte, "chat-small", "hello", "Woaddoor-Session", "new")
 	is.NoErr(err)
 	token := first.Header.Get("Woaddoor-Session")
@@ -164,7 +166,7 @@
 	for _, vm := range f.VMs {
 		is.NoErr(f.StartVM(vm))
 	}
-	until(ctx, t, "new work goes to the new version", func() bool {
+	waitUntil(ctx, t, "new work goes to the new version", func() bool {
 		r, err := f.VMs[1].Chat(ctx, KeyNorte, "chat-small", "hello")
 		return err == nil && r.Header.Get("Woaddoor-Version") == "chat-small@2"
 	})
@@ -173,86 +175,89 @@
 	is.Equal(r.Header.Get("Woaddoor-Version"), "chat-small@1")
 	r, err = f.VMs[1].Chat(ctx, KeyMbio, "chat-small", "and then", "Woaddoor-Session", token)
 	is.NoErr(err)
-	is.Equal(refused(t, r), refusal{string(contract.RefusedSession), "not run"})
+	is.Equal(parseRefusal(t, r), refusal{string(contract.RefusedSession), "not run"})
 	_, err = f.Operator().Withdraw(ctx, "chat-small@1", history.Author{Who: "ana", Why: "bad", At: time.Now()})
 	is.NoErr(err)
-	until(ctx, t, "the session is told that its version is withdrawn", func() bool {
+	waitUntil(ctx, t, "the session is refused because its version is withdrawn", func() bool {
 		r, err := f.VMs[1].Chat(ctx, KeyNorte, "chat-small", "and then", "Woaddoor-Session", token)
 		return err == nil && r.Status == http.StatusGone
 	})
 }
 
-const ruling = "/services/boards/rulings"
+// rulingPath is the non-repeatable call of the boards service: a ruling must run
+// at most once.
+const rulingPath = "/services/boards/rulings"
 
 // TestRulingRunsOnce kills the first VM while the service works on a ruling.
-// Retries on the other VMs, in either data centre, do not run it again, and
-// none is told that it did not run.
+// Retries on the other VMs, in either data centre, do not run it again and
+// report its outcome as unknown.
 func TestRulingRunsOnce(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f, ctx := start(t, 2, 2, 0)
-	r, err := f.VMs[0].Call(ctx, KeyMbio, http.MethodPost, ruling, "run 7: valid")
+	f, ctx := startFleet(t, 2, 2, 0)
+	r, err := f.VMs[0].Call(ctx, KeyMbio, http.MethodPost, rulingPath, "run 7: valid")
 	is.NoErr(err)
-	is.Equal(refused(t, r), refusal{string(contract.RefusedTicketNeeded), "not run"})
+	is.Equal(parseRefusal(t, r), refusal{string(contract.RefusedTicketNeeded), "not run"})
 	ticket := r.Header.Get("Woaddoor-Ticket")
 	is.True(ticket != "")
 	f.Boards.SetFaults(service.Faults{Delay: time.Second})
 	go func() {
-		_, _ = f.VMs[0].Call(ctx, KeyMbio, http.MethodPost, ruling, "run 7: valid", "Woaddoor-Ticket", ticket)
+		_, _ = f.VMs[0].Call(ctx, KeyMbio, http.MethodPost, rulingPath, "run 7: valid", "Woaddoor-Ticket", ticket)
 	}()
-	until(ctx, t, "the ruling runs", func() bool { return f.Boards.Runs("run 7: valid") == 1 })
+	waitUntil(ctx, t, "the service has started the ruling", func() bool { return f.Boards.Runs("run 7: valid") == 1 })
 	f.VMs[0].Entry.Kill()
 	for _, vm := range f.VMs[1:] {
-		r, err := vm.Call(ctx, KeyMbio, http.MethodPost, ruling, "run 7: valid", "Woaddoor-Ticket", ticket)
+		r, err := vm.Call(ctx, KeyMbio, http.MethodPost, rulingPath, "run 7: valid", "Woaddoor-Ticket", ticket)
 		is.NoErr(err)
-		is.Equal(refused(t, r), refusal{string(contract.RefusedClaimed), "unknown"})
+		is.Equal(parseRefusal(t, r), refusal{string(contract.RefusedClaimed), "unknown"})
 	}
 	is.Equal(f.Boards.Runs("run 7: valid"), 1)
 }
 
-// TestRulingAnswerFoundAgain loses the answer between the router and its
-// caller: the retry, on another VM, gets the whole answer and nothing runs.
-func TestRulingAnswerFoundAgain(t *testing.T) {
+// TestRulingAnswerReplayed kills the VM that has answered a ruling and retries on
+// another VM, as a caller does whose answer was lost. The retry gets the recorded
+// answer, and the ruling does not run again.
+func TestRulingAnswerReplayed(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f, ctx := start(t, 1, 3, 0)
+	f, ctx := startFleet(t, 1, 3, 0)
 	r, err := f.VMs[0].Call(ctx, KeyMbio, http.MethodPost, "/v1/tickets", "")
 	is.NoErr(err)
 	ticket := r.Header.Get("Woaddoor-Ticket")
-	r, err = f.VMs[0].Call(ctx, KeyMbio, http.MethodPost, ruling, "run 8", "Woaddoor-Ticket", ticket)
+	r, err = f.VMs[0].Call(ctx, KeyMbio, http.MethodPost, rulingPath, "run 8", "Woaddoor-Ticket", ticket)
 	is.NoErr(err)
 	is.Equal(r.Body, "done run 8")
 	f.VMs[0].Entry.Kill()
-	r, err = f.VMs[1].Call(ctx, KeyMbio, http.MethodPost, ruling, "run 8", "Woaddoor-Ticket", ticket)
+	r, err = f.VMs[1].Call(ctx, KeyMbio, http.MethodPost, rulingPath, "run 8", "Woaddoor-Ticket", ticket)
 	is.NoErr(err)
 	is.Equal(r.Body, "done run 8")
 	is.Equal(r.Header.Get("Woaddoor-Replayed"), "yes")
 	is.Equal(f.Boards.Runs("run 8"), 1)
 }
 
-// TestNotRunIsProved kills the VM that issued a ticket before anything ran: a
-// survivor proves that it never ran, and keeps it from running later.
-func TestNotRunIsProved(t *testing.T) {
+// TestTicketOfKilledVMNeverRuns kills the VM that issued a ticket before the ticket
+// is used. A surviving VM refuses the ticket, so that its ruling never runs.
+func TestTicketOfKilledVMNeverRuns(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f, ctx := start(t, 1, 2, 0)
+	f, ctx := startFleet(t, 1, 2, 0)
 	r, err := f.VMs[0].Call(ctx, KeyMbio, http.MethodPost, "/v1/tickets", "")
 	is.NoErr(err)
 	ticket := r.Header.Get("Woaddoor-Ticket")
 	f.VMs[0].Entry.Kill()
-	r, err = f.VMs[1].Call(ctx, KeyMbio, http.MethodPost, ruling, "run 9", "Woaddoor-Ticket", ticket)
+	r, err = f.VMs[1].Call(ctx, KeyMbio, http.MethodPost, rulingPath, "run 9", "Woaddoor-Ticket", ticket)
 	is.NoErr(err)
-	is.Equal(refused(t, r).Type, string(contract.RefusedClaimed)) // its own vote came first
+	is.Equal(parseRefusal(t, r).Type, string(contract.RefusedClaimed)) // VM 1 voted for its own claim, and VM 0 cannot vote: no majority
 	is.Equal(f.Boards.Runs("run 9"), 0)
 }
 
-// TestBilledThoughKilled kills each VM right after its answers, with the
-// platform out, so that only the peers' copies are left. Every answer is billed
-// once, to its workspace.
-func TestBilledThoughKilled(t *testing.T) {
+// TestBillingSurvivesKill kills a VM right after its answers while the platform is
+// down, so that only the peers' copies are left. Every answer is billed once, to
+// its workspace.
+func TestBillingSurvivesKill(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f, ctx := start(t, 2, 1, 0)
+	f, ctx := startFleet(t, 2, 1, 0)
 	f.Platform.SetFaults(platform.Faults{Down: true})
 	const answers = 5
 	for i := range answers {
@@ -270,16 +275,17 @@
 	f.VMs[0].Entry.Kill()
 	f.VMs[0].Control.Kill()
 	f.Platform.SetFaults(platform.Faults{LoseReplies: 2})
-	// norte: 1 to see that each VM serves, 3 of its own, 1 under the key.
+	// norte: 1 for each of the 2 VMs to see that it serves, 3 without an
+	// idempotency key, 1 for all that share the key.
 	want := map[contract.WorkspaceID]int{"norte": 2 + 3 + 1, "mbio": 2 + 1}
-	until(ctx, t, "all is billed", func() bool {
+	waitUntil(ctx, t, "all requests are billed", func() bool {
 		sums, err := f.Operator().Bills(ctx)
 		if err != nil || len(sums) != len(want) {
 			return false
 		}
 		for _, s := range sums {
 			if s.Requests > want[s.Workspace] {
-				t.Fatalf("%s is billed %d requests of %d", s.Workspace, s.Requests, want[s.Workspace])
+				t.Fatalf("workspace %s is billed for %d requests, at most %d expected", s.Workspace, s.Requests, want[s.Workspace])
 			}
 			if s.Requests != want[s.Workspace] {
 				return false
@@ -289,12 +295,13 @@
 	})
 }
 
-// TestStopWithPlatformOut stops a VM while the platform is out: it ends though
-// its records cannot be filed, since a peer holds them, and the peer files them.
-func TestStopWithPlatformOut(t *testing.T) {
+// TestStopDuringPlatformOutage stops a VM while the platform is down. The VM exits
+// although it cannot file its bill records, because a peer holds copies. The peer
+// files them once the platform is back.
+func TestStopDuringPlatformOutage(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f, ctx := start(t, 1, 2, 0)
+	f, ctx := startFleet(t, 1, 2, 0)
 	f.Platform.SetFaults(platform.Faults{Down: true})
 	r, err := f.VMs[0].Chat(ctx, KeyMbio, "chat-large", "hello")
 	is.NoErr(err)
@@ -304,48 +311,49 @@
 	is.NoErr(f.VMs[0].Entry.Err())
 	f.VMs[0].Control.Kill()
 	f.Platform.SetFaults(platform.Faults{})
-	until(ctx, t, "the peer has filed it", func() bool {
+	waitUntil(ctx, t, "the peer has filed the bill record", func() bool {
 		sums, err := f.Operator().Bills(ctx)
 		return err == nil && len(sums) == 2 && sums[0].Workspace == "mbio" && sums[0].Requests == 1
 	})
 }
 
-// TestStopWithRecordAtRisk stops a VM that serves a workspace at risk, while the
-// platform is out and after its peer was frozen: once the peer wakes it holds the
-// record, and the VM ends. It waited for the platform.
+// TestStopWithRecordAtRisk stops a VM that holds the only copy of a bill record,
+// because the platform is down and its peer was suspended. Once the peer resumes,
+// it must receive a copy and the VM must exit. Without a new copy attempt the VM
+// waits for the platform.
 func TestStopWithRecordAtRisk(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f, ctx := start(t, 1, 2, 0)
+	f, ctx := startFleet(t, 1, 2, 0)
 	f.Platform.SetFaults(platform.Faults{Down: true})
-	f.VMs[1].Entry.Freeze()
+	f.VMs[1].Entry.Suspend()
 	r, err := f.VMs[0].Chat(ctx, KeyMbio, "chat-large", "hello")
 	is.NoErr(err)
 	is.Equal(r.Status, http.StatusOK)
 	st, err := f.VMs[0].Status(ctx)
 	is.NoErr(err)
 	is.Equal(st.BillsAtRisk, 1)
-	f.VMs[1].Entry.Wake()
+	f.VMs[1].Entry.Resume()
 	f.VMs[0].Entry.Terminate()
 	select {
 	case <-f.VMs[0].Entry.Done():
 	case <-ctx.Done():
-		t.Fatal("the VM does not end")
+		t.Fatal("the VM does not exit")
 	}
 	is.NoErr(f.VMs[0].Entry.Err())
 }
 
-// TestUnbilledIsRefused cuts the only VM off from the platform: a workspace
-// that is not served at risk is refused before anything runs, another is
-// served and the amount at risk is counted.
-func TestUnbilledIsRefused(t *testing.T) {
+// TestUnbillableRequestRefused stops the platform for the only VM. The workspace
+// with bill-at-risk = refuse is refused before anything runs. The workspace with
+// bill-at-risk = serve is served, and its bill record is counted as at risk.
+func TestUnbillableRequestRefused(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f, ctx := start(t, 1, 1, 0)
+	f, ctx := startFleet(t, 1, 1, 0)
 	f.Platform.SetFaults(platform.Faults{Down: true})
-	until(ctx, t, "what was kept lately no longer counts", func() bool {
+	waitUntil(ctx, t, "requests of norte are refused", func() bool {
 		r, err := f.VMs[0].Chat(ctx, KeyNorte, "chat-large", "hello")
-		return err == nil && r.Status == http.StatusServiceUnavailable && refused(t, r) == refusal{string(contract.RefusedBill), "not run"}
+		return err == nil && r.Status == http.StatusServiceUnavailable && parseRefusal(t, r) == refusal{string(contract.RefusedBill), "not run"}
 	})
 	before := f.Engines["dc1-engine-1"].TotalRuns() + f.Engines["dc1-engine-2"].TotalRuns()
 	r, err := f.VMs[0].Chat(ctx, KeyNorte, "chat-large", "hello")
@@ -359,21 +367,21 @@
 	is.NoErr(err)
 	is.True(st.BillsAtRisk >= 1)
 	f.Platform.SetFaults(platform.Faults{})
-	until(ctx, t, "nothing is at risk any more", func() bool {
+	waitUntil(ctx, t, "no bill record is at risk", func() bool {
 		st, err := f.VMs[0].Status(ctx)
 		return err == nil && st.BillsAtRisk == 0
 	})
 }
 
-// TestStartedWithoutPlatform replaces a VM while the platform is out: its peers
-// hand it the configuration, and it never holds an older one.
-func TestStartedWithoutPlatform(t *testing.T) {
+// TestStartDuringPlatformOutage restarts a VM while the platform is down. It gets
+// the latest configuration, including a withdrawal, from its peers.
+func TestStartDuringPlatformOutage(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f, ctx := start(t, 1, 3, 0)
+	f, ctx := startFleet(t, 1, 3, 0)
 	_, err := f.Operator().Withdraw(ctx, "chat-small@2", history.Author{Who: "ana", Why: "bad", At: time.Now()})
 	is.NoErr(err)
-	until(ctx, t, "withdrawn", func() bool {
+	waitUntil(ctx, t, "chat-small@2 is withdrawn", func() bool {
 		r, err := f.VMs[1].Chat(ctx, KeyNorte, "chat-small@2", "hello")
 		return err == nil && r.Status == http.StatusGone
 	})
@@ -381,7 +389,7 @@
 	f.VMs[0].Entry.Kill()
 	f.VMs[0].Control.Kill()
 	is.NoErr(f.StartVM(f.VMs[0]))
-	until(ctx, t, "the new VM serves", func() bool {
+	waitUntil(ctx, t, "the restarted VM serves", func() bool {
 		r, err := f.VMs[0].Chat(ctx, KeyNorte, "chat-small", "hello")
 		return err == nil && r.Status == http.StatusOK
 	})
@@ -390,40 +398,41 @@
 	is.Equal(r.Status, http.StatusGone)
 }
 
-// TestLeavingUpstream has one engine say that it is leaving, and one fall
-// silent, with the platform out: neither gets new work any more.
-func TestLeavingUpstream(t *testing.T) {
+// TestDrainingUpstream has one engine report that it is draining, then makes the
+// other stop answering load reports, while the platform is down. Neither gets new
+// work.
+func TestDrainingUpstream(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f, ctx := start(t, 1, 1, 0)
+	f, ctx := startFleet(t, 1, 1, 0)
 	f.Platform.SetFaults(platform.Faults{Down: true})
-	leaving, staying := f.Engines["dc1-engine-1"], f.Engines["dc1-engine-2"]
-	leaving.Drain()
-	until(ctx, t, "only the other engine works", func() bool {
-		before := leaving.TotalRuns()
+	draining, remaining := f.Engines["dc1-engine-1"], f.Engines["dc1-engine-2"]
+	draining.Drain()
+	waitUntil(ctx, t, "the draining engine gets no more requests", func() bool {
+		before := draining.TotalRuns()
 		for range 10 {
 			if r, err := f.VMs[0].Chat(ctx, KeyMbio, "chat-small", "hello"); err != nil || r.Status != http.StatusOK {
 				return false
 			}
 		}
-		return leaving.TotalRuns() == before
+		return draining.TotalRuns() == before
 	})
-	staying.SetFaults(standin.Faults{Silent: true})
-	until(ctx, t, "none is left", func() bool {
+	remaining.SetFaults(standin.Faults{Silent: true})
+	waitUntil(ctx, t, "no engine is available", func() bool {
 		r, err := f.VMs[0].Chat(ctx, KeyMbio, "chat-small", "hello")
 		return err == nil && r.Status == http.StatusServiceUnavailable
 	})
 	r, err := f.VMs[0].Chat(ctx, KeyMbio, "chat-small", "hello")
 	is.NoErr(err)
-	is.Equal(refused(t, r), refusal{string(contract.RefusedNoUpstream), "not run"})
+	is.Equal(parseRefusal(t, r), refusal{string(contract.RefusedNoUpstream), "not run"})
 	is.True(r.Header.Get("Retry-After") != "")
 }
 
-// TestWrongAnswerNeverDelivered has engines run another version, answer with
-// another request's id, and cut answers short: no caller sees one of them.
+// TestWrongAnswerNeverDelivered has an engine run another version, answer with
+// another request's ID, or truncate its answers. No such answer reaches a caller.
 func TestWrongAnswerNeverDelivered(t *testing.T) {
 	t.Parallel()
-	f, ctx := start(t, 1, 1, 0)
+	f, ctx := startFleet(t, 1, 1, 0)
 	for name, faults := range map[string]standin.Faults{
 		"other version": {HeldVersion: "chat-large@1"}, "crossed": {Crossed: true}, "truncated": {TruncateAt: 1},
 	} {
--- a/internal/fleet/hostile_test.go
+++ b/internal/fleet/hostile_test.go
@@ -12,34 +12,34 @@
 	"woaddoor/contract"
 )
 
-// TestHostileInput sends what a caller should not: each gets its clear refusal,
-// nothing runs, and no key is in any log.
+// TestHostileInput sends malformed, oversized and forged requests. Each gets a
+// specific refusal, no engine runs anything, and no API key appears in a log.
 func TestHostileInput(t *testing.T) {
 	t.Parallel()
-	f, ctx := start(t, 1, 1, 0)
+	f, ctx := startFleet(t, 1, 1, 0)
 	vm := f.VMs[0]
 	runs := func() int { return f.Engines["dc1-engine-1"].TotalRuns() + f.Engines["dc1-engine-2"].TotalRuns() }
 	before := runs()
 	const chat = "/v1/chat/completions"
-	good := ChatBody("chat-small", "hello", 4, false)
+	valid := ChatBody("chat-small", "hello", 4, false)
 	for name, c := range map[string]struct {
 		key, path, body string
 		headers         []string
 		status          int
 		kind            contract.RefusalKind
 	}{
-		"no key":            {"nobody", chat, good, nil, http.StatusUnauthorized, contract.RefusedKey},
+		"no key":            {"nobody", chat, valid, nil, http.StatusUnauthorized, contract.RefusedKey},
 		"not JSON":          {KeyNorte, chat, "{", nil, http.StatusBadRequest, contract.RefusedRequest},
 		"no messages":       {KeyNorte, chat, `{"model":"chat-small"}`, nil, http.StatusBadRequest, contract.RefusedRequest},
 		"wrong types":       {KeyNorte, chat, `{"model":7,"messages":"x"}`, nil, http.StatusBadRequest, contract.RefusedRequest},
 		"too large":         {KeyNorte, chat, strings.Repeat("x", 2<<20), nil, http.StatusRequestEntityTooLarge, contract.RefusedTooLarge},
-		"wrong unit":        {KeyNorte, chat, good, []string{"Woaddoor-Timeout", "30"}, http.StatusBadRequest, contract.RefusedRequest},
-		"endless timeout":   {KeyNorte, chat, good, []string{"Woaddoor-Timeout", "9000h"}, http.StatusBadRequest, contract.RefusedRequest},
-		"long idempotency":  {KeyNorte, chat, good, []string{"Idempotency-Key", strings.Repeat("k", 300)}, http.StatusBadRequest, contract.RefusedRequest},
-		"forged session":    {KeyNorte, chat, good, []string{"Woaddoor-Session", "a.b"}, http.StatusForbidden, contract.RefusedSession},
-		"forged ticket":     {KeyNorte, chat, good, []string{"Woaddoor-Repeatable", "no", "Woaddoor-Ticket", "a.b"}, http.StatusForbidden, contract.RefusedTicket},
-		"forged stream":     {KeyNorte, chat, good, []string{"Woaddoor-Stream", "a.b", "Last-Event-ID", "1"}, http.StatusForbidden, contract.RefusedStreamForbidden},
-		"no such service":   {KeyNorte, "/services/none/x", good, nil, http.StatusForbidden, contract.RefusedNotAllowed},
+		"wrong unit":        {KeyNorte, chat, valid, []string{"Woaddoor-Timeout", "30"}, http.StatusBadRequest, contract.RefusedRequest},
+		"endless timeout":   {KeyNorte, chat, valid, []string{"Woaddoor-Timeout", "9000h"}, http.StatusBadRequest, contract.RefusedRequest},
+		"long idempotency":  {KeyNorte, chat, valid, []string{"Idempotency-Key", strings.Repeat("k", 300)}, http.StatusBadRequest, contract.RefusedRequest},
+		"forged session":    {KeyNorte, chat, valid, []string{"Woaddoor-Session", "a.b"}, http.StatusForbidden, contract.RefusedSession},
+		"forged ticket":     {KeyNorte, chat, valid, []string{"Woaddoor-Repeatable", "no", "Woaddoor-Ticket", "a.b"}, http.StatusForbidden, contract.RefusedTicket},
+		"forged stream":     {KeyNorte, chat, valid, []string{"Woaddoor-Stream", "a.b", "Last-Event-ID", "1"}, http.StatusForbidden, contract.RefusedStreamForbidden},
+		"no such service":   {KeyNorte, "/services/none/x", valid, nil, http.StatusForbidden, contract.RefusedNotAllowed},
 		"version not there": {KeyNorte, chat, ChatBody("chat-small@77", "hello", 4, false), nil, http.StatusForbidden, contract.RefusedNotAllowed},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -47,13 +47,13 @@
 			r, err := vm.Call(ctx, c.key, http.MethodPost, c.path, c.body, c.headers...)
 			is.NoErr(err)
 			is.Equal(r.Status, c.status)
-			is.Equal(refused(t, r), refusal{string(c.kind), "not run"})
+			is.Equal(parseRefusal(t, r), refusal{string(c.kind), "not run"})
 			is.Equal(r.Header.Get("Content-Type"), "application/problem+json")
 		})
 	}
 	t.Run("large header", func(t *testing.T) {
 		is := is.New(t)
-		r, err := vm.Call(ctx, KeyNorte, http.MethodPost, chat, good, "X-Large", strings.Repeat("x", 1<<20))
+		r, err := vm.Call(ctx, KeyNorte, http.MethodPost, chat, valid, "X-Large", strings.Repeat("x", 1<<20))
 		is.True(err != nil || r.Status == http.StatusRequestHeaderFieldsTooLarge)
 	})
 	is := is.New(t)
--- a/internal/fleet/layout.go
+++ b/internal/fleet/layout.go
@@ -11,30 +11,32 @@
 	"woaddoor/keys"
 )
 
-// addresses are those of one VM.
-type addresses struct {
+// vmAddresses holds the network addresses of one VM. The links of its two
+// processes are advertised at relays, which tests can block.
+type vmAddresses struct {
 	callers, entryHealth, controlHealth string
 	entryLink, controlLink              string
 	entryAdvertised, controlAdvertised  string
 	platform                            string
 }
 
-// layOut gives each VM its addresses, its keys and its settings file.
-func (f *Fleet) layOut() error {
+// createVMs allocates each VM's addresses, generates its keys, writes its
+// settings file and registers it with the platform.
+func (f *Fleet) createVMs() error {
 	var names []string
-	var all []addresses
+	var addresses []vmAddresses
 	for _, dc := range f.opts.DataCentres {
 		for i := range f.opts.VMs {
 			name := fmt.Sprintf("%s-%d", dc, i+1)
-			a, err := f.address(name)
+			a, err := f.allocateAddresses(name)
 			if err != nil {
 				return err
 			}
 			names = append(names, name)
-			all = append(all, a)
+			addresses = append(addresses, a)
 			f.VMs = append(f.VMs, &VM{
 				Name: contract.VMID(name), DataCentre: dc,
-				Callers: "http://" + a.callers, Health: "http://" + a.entryHealth,
+				Callers: "http://" + a.callers, HealthURL: "http://" + a.entryHealth,
 				settings: filepath.Join(f.opts.Dir, name+".ini"),
 			})
 		}
@@ -44,8 +46,8 @@
 	}
 	var list []contract.VMEntry
 	for i, vm := range f.VMs {
-		list = append(list, contract.VMEntry{ID: vm.Name, DataCentre: vm.DataCentre, Address: all[i].controlAdvertised, State: contract.VMLive})
-		if err := os.WriteFile(vm.settings, []byte(f.settingsOf(vm, all, i)), 0o600); err != nil {
+		list = append(list, contract.VMEntry{ID: vm.Name, DataCentre: vm.DataCentre, Address: addresses[i].controlAdvertised, State: contract.VMLive})
+		if err := os.WriteFile(vm.settings, []byte(f.renderSettings(vm, addresses, i)), 0o600); err != nil {
 			return err
 		}
 	}
@@ -53,17 +55,17 @@
 	return nil
 }
 
-func (f *Fleet) address(name string) (addresses, error) {
-	var a addresses
+func (f *Fleet) allocateAddresses(name string) (vmAddresses, error) {
+	var a vmAddresses
 	var err error
-	for _, slot := range []struct {
+	for _, allocation := range []struct {
 		network string
 		into    *string
 	}{
 		{"tcp", &a.callers}, {"tcp", &a.entryHealth}, {"tcp", &a.controlHealth},
 		{"udp", &a.entryLink}, {"udp", &a.controlLink},
 	} {
-		if *slot.into, err = freeAddress(slot.network); err != nil {
+		if *allocation.into, err = allocateAddress(allocation.network); err != nil {
 			return a, err
 		}
 	}
@@ -77,47 +79,47 @@
 	return a, err
 }
 
-func (f *Fleet) settingsOf(vm *VM, all []addresses, i int) string {
-	a := all[i]
+func (f *Fleet) renderSettings(vm *VM, addresses []vmAddresses, i int) string {
+	own := addresses[i]
 	var b strings.Builder
 	fmt.Fprintf(&b, "[vm]\nname = %s\ndata-centre = %s\n\n", vm.Name, vm.DataCentre)
-	fmt.Fprintf(&b, "[entry]\ncallers = %s\nhealth = %s\nlink = %s\nadvertise = %s\n%s\n", a.callers, a.entryHealth, a.entryLink, a.entryAdvertised, f.opts.Entry)
-	fmt.Fprintf(&b, "[control]\nhealth = %s\nlink = %s\nadvertise = %s\n\n", a.controlHealth, a.controlLink, a.controlAdvertised)
+	fmt.Fprintf(&b, "[entry]\ncallers = %s\nhealth = %s\nlink = %s\nadvertise = %s\n%s\n", own.callers, own.entryHealth, own.entryLink, own.entryAdvertised, f.opts.EntrySettings)
+	fmt.Fprintf(&b, "[control]\nhealth = %s\nlink = %s\nadvertise = %s\n\n", own.controlHealth, own.controlLink, own.controlAdvertised)
 	fmt.Fprintf(&b, "[keys]\npair = keys/%s.pem\npins = keys/%s\nsigning = keys/%s\n\n", vm.Name, keys.PinsFile, keys.SigningFile)
-	fmt.Fprintf(&b, "[platform]\nurl = %s\n\n[peers]\n", a.platform)
+	fmt.Fprintf(&b, "[platform]\nurl = %s\n\n[peers]\n", own.platform)
 	for j, peer := range f.VMs {
-		if f.opts.Peers > 0 && j >= f.opts.Peers {
+		if f.opts.ListedPeers > 0 && j >= f.opts.ListedPeers {
 			break
 		}
-		fmt.Fprintf(&b, "%s = %s %s %s\n", peer.Name, peer.DataCentre, all[j].entryAdvertised, all[j].controlAdvertised)
+		fmt.Fprintf(&b, "%s = %s %s %s\n", peer.Name, peer.DataCentre, addresses[j].entryAdvertised, addresses[j].controlAdvertised)
 	}
 	return b.String()
 }
 
 // Config returns a configuration file for the fleet: two workspaces, two
-// models, a cascade, a service with a call that may not be repeated, and the
-// rating service. more holds further sections.
-func (f *Fleet) Config(more string) string {
+// models, a cascade, a service with a non-repeatable call, and the rating
+// service. extra holds additional sections.
+func (f *Fleet) Config(extra string) string {
 	var b strings.Builder
-	for _, w := range []struct{ name, key, bill string }{{"norte", KeyNorte, "refuse"}, {"mbio", KeyMbio, "serve"}} {
-		fmt.Fprintf(&b, "[workspace %s]\nkey-hash = %s\nallow = chat-small@1, chat-small@2, chat-large@1\nquality = 0.9\nbill-at-risk = %s\n\n", w.name, keys.HashKey(w.key), w.bill)
+	for _, workspace := range []struct{ name, key, bill string }{{"norte", KeyNorte, "refuse"}, {"mbio", KeyMbio, "serve"}} {
+		fmt.Fprintf(&b, "[workspace %s]\nkey-hash = %s\nallow = chat-small@1, chat-small@2, chat-large@1\nquality = 0.9\nbill-at-risk = %s\n\n", workspace.name, keys.HashKey(workspace.key), workspace.bill)
 	}
 	b.WriteString("[model chat-small]\nserve = chat-small@1\ninput-price = 100000\noutput-price = 400000\n\n")
 	b.WriteString("[model chat-large]\nserve = chat-large@1\ninput-price = 2000000\noutput-price = 8000000\n\n")
 	b.WriteString("[version chat-small@1]\nserve-without-word = 20s\n\n[version chat-small@2]\nserve-without-word = 5s\n\n[version chat-large@1]\nserve-without-word = 20s\n\n")
 	b.WriteString("[cascade chat]\nmodels = chat-small, chat-large\n\n")
 	for _, dc := range f.opts.DataCentres {
-		fmt.Fprintf(&b, "[pool engines-%s]\nkind = engine\ndata-centre = %s\nslots = 8\nupstreams = %s\n\n", dc, dc, f.upstreams(dc))
+		fmt.Fprintf(&b, "[pool engines-%s]\nkind = engine\ndata-centre = %s\nslots = 8\nupstreams = %s\n\n", dc, dc, f.engineList(dc))
 	}
 	first := f.opts.DataCentres[0]
 	fmt.Fprintf(&b, "[pool boards]\nkind = service\ndata-centre = %s\nupstreams = %s %s\n\n", first, BoardsUpstream, f.urls[BoardsUpstream])
 	fmt.Fprintf(&b, "[pool rating]\nkind = service\ndata-centre = %s\nupstreams = %s %s\n\n", first, RatingUpstream, f.urls[RatingUpstream])
 	b.WriteString("[service boards]\npools = boards\nnot-repeatable = POST /rulings*\nprice = 5\n\n[service rating]\npools = rating\n\n")
-	b.WriteString(more)
+	b.WriteString(extra)
 	return b.String()
 }
 
-func (f *Fleet) upstreams(dc contract.DataCentreID) string {
+func (f *Fleet) engineList(dc contract.DataCentreID) string {
 	var items []string
 	for id := range f.Engines {
 		if strings.HasPrefix(string(id), string(dc)+"-") {
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Process is one running program.
+// Process is a started program. It may have ended.
 type Process struct {
 	cmd  *exec.Cmd
 	done chan struct{}
@@ -36,27 +36,27 @@
 	return p, nil
 }
 
-// PID returns the process's id.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL and waits until the process has ended.
 func (p *Process) Kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.done
 }
 
-// Terminate asks for a planned stop.
+// Terminate sends SIGTERM, which requests a graceful shutdown.
 func (p *Process) Terminate() { _ = p.cmd.Process.Signal(syscall.SIGTERM) }
 
-// Freeze stops the process in its tracks, and returns once it stands still.
-func (p *Process) Freeze() {
+// Suspend sends SIGSTOP and waits until the kernel has stopped the process.
+func (p *Process) Suspend() {
 	_ = p.cmd.Process.Signal(syscall.SIGSTOP)
 	for !p.stopped() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// stopped tells whether the kernel has stopped the process, or it has ended.
+// stopped reports whether the process is suspended or has ended.
 func (p *Process) stopped() bool {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID()))
 	if err != nil {
@@ -66,11 +66,11 @@
 	return strings.HasPrefix(state, "T")
 }
 
-// Wake lets a frozen process go on.
-func (p *Process) Wake() { _ = p.cmd.Process.Signal(syscall.SIGCONT) }
+// Resume sends SIGCONT to a suspended process.
+func (p *Process) Resume() { _ = p.cmd.Process.Signal(syscall.SIGCONT) }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Err returns how the process ended, once it has.
+// Err returns the error of the process's exit. It is valid once Done is closed.
 func (p *Process) Err() error { return p.err }
--- a/internal/fleet/rollout_test.go
+++ b/internal/fleet/rollout_test.go
@@ -14,8 +14,8 @@
 	"woaddoor/internal/standin/engine"
 )
 
-// rolloutPlan moves chat-small to its second version with few answers a step,
-// so that a test sees it through.
+// rolloutPlan moves chat-small to its second version. Its rates are far apart, so
+// that a step needs few answers and a test can run the roll-out to its end.
 const rolloutPlan = `[rollout chat-small]
 from = chat-small@1
 to = chat-small@2
@@ -27,28 +27,29 @@
 ratings-within = 2m
 `
 
-// startRollout starts a fleet whose engines do not hold the new version yet,
-// and applies the plan.
+// startRollout starts a fleet whose engines have not loaded the new version yet,
+// and applies rolloutPlan.
 func startRollout(t *testing.T) (*Fleet, context.Context) {
 	t.Helper()
 	is := is.New(t)
-	ctx, cancel := context.WithTimeout(t.Context(), 2*patience)
+	ctx, cancel := context.WithTimeout(t.Context(), 2*waitTimeout)
 	t.Cleanup(cancel)
 	f, err := Start(&Options{
 		Dir: t.TempDir(), BinDir: binDir, VMs: 3, Engines: 2, DataCentres: []contract.DataCentreID{"dc1"},
 		Engine: engine.Options{Versions: []contract.VersionID{"chat-small@1", "chat-large@1"}, IgnoreFencing: true},
 	})
-	t.Cleanup(func() { f.end(t) })
+	t.Cleanup(func() { f.stopAndCheckLogs(t) })
 	is.NoErr(err)
 	f.apply(ctx, t, f.Config(""))
-	is.NoErr(f.Acquainted(ctx))
+	is.NoErr(f.WaitForPeers(ctx))
 	is.NoErr(f.Serving(ctx, "chat-small"))
 	f.apply(ctx, t, f.Config(rolloutPlan))
 	return f, ctx
 }
 
-// progress returns the states of the roll-out that were accepted, oldest first.
-func progress(ctx context.Context, t *testing.T, f *Fleet) []string {
+// acceptedStates returns the recorded states of the roll-out, oldest first, each
+// as "STATE STEP".
+func acceptedStates(ctx context.Context, t *testing.T, f *Fleet) []string {
 	t.Helper()
 	changes, err := f.Operator().History(ctx, 100)
 	if err != nil {
@@ -58,26 +59,27 @@
 	for i := len(changes) - 1; i >= 0; i-- {
 		for _, s := range changes[i].Sections {
 			if s.Name == "progress chat-small" && s.To != "" {
-				states = append(states, state(s.To))
+				states = append(states, formatState(s.To))
 			}
 		}
 	}
 	return states
 }
 
-func state(s document.Section) string {
+func formatState(s document.Section) string {
 	words := strings.Fields(strings.NewReplacer("state = ", "", "step = ", "", "to = ", "").Replace(string(s)))
 	return fmt.Sprintf("%s %s", words[0], words[1])
 }
 
-// drive sends chats over the living VMs until holds.
-func drive(ctx context.Context, t *testing.T, f *Fleet, what string, holds func() bool) (onNew int) {
+// sendChatsUntil sends chat requests through the second and third VM until holds
+// returns true. It returns how many were answered by the new version.
+func sendChatsUntil(ctx context.Context, t *testing.T, f *Fleet, what string, holds func() bool) (onNew int) {
 	t.Helper()
-	n := 0
-	until(ctx, t, what, func() bool {
+	sent := 0
+	waitUntil(ctx, t, what, func() bool {
 		for range 10 {
-			n++
-			r, err := f.VMs[1+n%2].Chat(ctx, KeyNorte, "chat-small", fmt.Sprint("hello ", n))
+			sent++
+			r, err := f.VMs[1+sent%2].Chat(ctx, KeyNorte, "chat-small", fmt.Sprint("hello ", sent))
 			if err == nil && r.Status == http.StatusOK && r.Header.Get("Woaddoor-Version") == "chat-small@2" {
 				onNew++
 			}
@@ -87,40 +89,40 @@
 	return onNew
 }
 
-// TestRolloutTakenOver has engines load a new version under a lease and ramps
-// it, while the VM that stepped first is killed. No step is skipped or
-// repeated, and each leaves its audit record.
-func TestRolloutTakenOver(t *testing.T) {
+// TestRolloutFailover kills one VM after the first step of a roll-out whose
+// engines load the new version under a lease. The others continue: no step is
+// skipped or repeated, and each step is in the change history.
+func TestRolloutFailover(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f, ctx := startRollout(t)
-	drive(ctx, t, f, "the ramp begins", func() bool { return len(progress(ctx, t, f)) > 0 })
+	sendChatsUntil(ctx, t, f, "the roll-out has begun", func() bool { return len(acceptedStates(ctx, t, f)) > 0 })
 	f.VMs[0].Entry.Kill()
 	f.VMs[0].Control.Kill()
-	drive(ctx, t, f, "the ramp ends", func() bool {
-		p := progress(ctx, t, f)
-		return strings.HasPrefix(p[len(p)-1], "done")
+	sendChatsUntil(ctx, t, f, "the roll-out is done", func() bool {
+		states := acceptedStates(ctx, t, f)
+		return strings.HasPrefix(states[len(states)-1], "done")
 	})
-	is.Equal(progress(ctx, t, f), []string{"ramping 0", "ramping 1", "done 1"})
+	is.Equal(acceptedStates(ctx, t, f), []string{"ramping 0", "ramping 1", "done 1"})
 	for _, e := range f.Engines {
 		is.True(e.RunsOf("chat-small@2") > 0)
 	}
 }
 
-// TestBadVersionHalted ramps a version whose answers are all rated bad: it is
-// halted on each VM at once, for good, and new work goes back to the old one.
+// TestBadVersionHalted rolls out a version whose answers are all rated bad. The
+// version is halted on every VM, and new work goes back to the old version.
 func TestBadVersionHalted(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f, ctx := startRollout(t)
 	f.Rating.SetScore("chat-small@2", 0)
-	exposed := drive(ctx, t, f, "the version is halted", func() bool {
-		p := progress(ctx, t, f)
-		return len(p) > 0 && strings.HasPrefix(p[len(p)-1], "halted")
+	answeredByNew := sendChatsUntil(ctx, t, f, "the version is halted", func() bool {
+		states := acceptedStates(ctx, t, f)
+		return len(states) > 0 && strings.HasPrefix(states[len(states)-1], "halted")
 	})
-	is.True(exposed > 0)
-	is.True(exposed < 100)
-	until(ctx, t, "the halt is in force", func() bool {
+	is.True(answeredByNew > 0)
+	is.True(answeredByNew < 100)
+	waitUntil(ctx, t, "the halt is in force", func() bool {
 		r, err := f.VMs[1].Chat(ctx, KeyNorte, "chat-small@2", "hello")
 		return err == nil && r.Status == http.StatusGone
 	})
--- a/internal/fleet/stream_test.go
+++ b/internal/fleet/stream_test.go
@@ -14,8 +14,9 @@
 	standin "woaddoor/internal/standin/engine"
 )
 
-// streamLines opens a stream and returns its lines, one at a time.
-func streamLines(ctx context.Context, t *testing.T, vm *VM, body string, headers ...string) (*http.Response, *bufio.Scanner) {
+// openStream sends a streaming chat request and returns a scanner over the lines
+// of the response. headers alternates names and values.
+func openStream(ctx context.Context, t *testing.T, vm *VM, body string, headers ...string) (*http.Response, *bufio.Scanner) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, vm.Callers+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
@@ -33,9 +34,10 @@
 	return resp, bufio.NewScanner(resp.Body)
 }
 
-// readStream reads events and returns the text, the last id, and whether the
-// end marker came; it stops early after n events when n is not zero.
-func readStream(lines *bufio.Scanner, n int) (text, lastID string, whole bool) {
+// readStream reads server-sent events until the end marker, or until n events
+// have been read if n is not zero. It returns the text, the last event ID, and
+// whether the end marker was read.
+func readStream(lines *bufio.Scanner, n int) (text, lastID string, complete bool) {
 	for events := 0; lines.Scan(); {
 		line := lines.Text()
 		if id, ok := strings.CutPrefix(line, "id: "); ok {
@@ -65,70 +67,70 @@
 	return text, lastID, false
 }
 
-// TestPlannedStop stops a VM, twice, in the middle of a stream: the stream ends
-// whole, and the process ends by itself after it.
+// TestPlannedStop sends SIGTERM twice to an entry process in the middle of a
+// stream. The stream still completes, and then the process exits without error.
 func TestPlannedStop(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f, ctx := start(t, 1, 2, 20*time.Millisecond)
+	f, ctx := startFleet(t, 1, 2, 20*time.Millisecond)
 	vm := f.VMs[0]
-	resp, lines := streamLines(ctx, t, vm, ChatBody("chat-small", "long", 200, true))
+	resp, lines := openStream(ctx, t, vm, ChatBody("chat-small", "long", 200, true))
 	is.Equal(resp.StatusCode, http.StatusOK)
 	_, _, _ = readStream(lines, 3)
 	vm.Entry.Terminate()
 	vm.Entry.Terminate()
-	until(ctx, t, "new requests are refused", func() bool {
+	waitUntil(ctx, t, "new requests are refused", func() bool {
 		r, err := vm.Chat(ctx, KeyNorte, "chat-small", "hello")
 		return err != nil || r.Status == http.StatusServiceUnavailable
 	})
-	_, _, whole := readStream(lines, 0)
-	is.True(whole)
+	_, _, complete := readStream(lines, 0)
+	is.True(complete)
 	<-vm.Entry.Done()
 	is.NoErr(vm.Entry.Err())
 }
 
-// TestStreamTakenUp kills a VM in the middle of a stream. The caller takes the
-// stream up at another VM, from its place, and has the whole answer, billed
-// once.
-func TestStreamTakenUp(t *testing.T) {
+// TestStreamResumedOnOtherVM kills a VM in the middle of a stream. The caller
+// resumes the stream at another VM after the last event it received, and gets the
+// complete answer.
+func TestStreamResumedOnOtherVM(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f, ctx := start(t, 1, 2, 20*time.Millisecond)
+	f, ctx := startFleet(t, 1, 2, 20*time.Millisecond)
 	body := ChatBody("chat-small", "long", 60, true)
 	whole, err := f.VMs[1].Call(ctx, KeyNorte, http.MethodPost, "/v1/chat/completions", strings.Replace(body, `"stream":true`, `"stream":false`, 1))
 	is.NoErr(err)
 
-	resp, lines := streamLines(ctx, t, f.VMs[0], body)
+	resp, lines := openStream(ctx, t, f.VMs[0], body)
 	token := resp.Header.Get("Woaddoor-Stream")
 	first, last, _ := readStream(lines, 10)
 	f.VMs[0].Entry.Kill()
-	_, lines = streamLines(ctx, t, f.VMs[1], "", "Woaddoor-Stream", token, "Last-Event-ID", last)
+	_, lines = openStream(ctx, t, f.VMs[1], "", "Woaddoor-Stream", token, "Last-Event-ID", last)
 	rest, _, ended := readStream(lines, 0)
 	is.True(ended)
-	is.True(strings.Contains(whole.Body, first+rest)) // not a token missing or twice
+	is.True(strings.Contains(whole.Body, first+rest)) // no token is missing or repeated
 
-	resp, _ = streamLines(ctx, t, f.VMs[1], "", "Woaddoor-Stream", token+"x", "Last-Event-ID", last)
+	resp, _ = openStream(ctx, t, f.VMs[1], "", "Woaddoor-Stream", token+"x", "Last-Event-ID", last)
 	is.Equal(resp.StatusCode, http.StatusForbidden)
 
-	// The engine has lost it: the caller is not told that it did not run.
+	// The engines have lost the stream: the refusal must not say that it did not run.
 	for _, e := range f.Engines {
 		e.Forget()
 	}
 	r, err := f.VMs[1].Call(ctx, KeyNorte, http.MethodPost, "/v1/chat/completions", "", "Woaddoor-Stream", token, "Last-Event-ID", last)
 	is.NoErr(err)
-	is.Equal(refused(t, r).Outcome, "ran")
+	is.Equal(parseRefusal(t, r).Outcome, "ran")
 }
 
-// TestStreamRecovered breaks streams at the engine: truncated, stalled and with
-// the engine gone for the stream. The caller has the whole text each time.
+// TestStreamRecovered truncates or stalls streams at the engines. The caller gets
+// the complete text each time.
 func TestStreamRecovered(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f, ctx := start(t, 1, 1, 5*time.Millisecond)
+	f, ctx := startFleet(t, 1, 1, 5*time.Millisecond)
 	body := ChatBody("chat-small", "long", 40, true)
-	_, lines := streamLines(ctx, t, f.VMs[0], body)
-	want, _, whole := readStream(lines, 0)
-	is.True(whole)
+	_, lines := openStream(ctx, t, f.VMs[0], body)
+	want, _, complete := readStream(lines, 0)
+	is.True(complete)
 	for name, faults := range map[string]standin.Faults{
 		"truncated": {TruncateAt: 7}, "stalled": {StallAt: 20},
 	} {
@@ -137,9 +139,9 @@
 			for _, e := range f.Engines {
 				e.SetFaults(faults)
 			}
-			_, lines := streamLines(ctx, t, f.VMs[0], body)
-			got, _, whole := readStream(lines, 0)
-			is.True(whole)
+			_, lines := openStream(ctx, t, f.VMs[0], body)
+			got, _, complete := readStream(lines, 0)
+			is.True(complete)
 			is.Equal(got, want)
 		})
 	}
--- a/internal/layers/fields_test.go
+++ b/internal/layers/fields_test.go
@@ -9,10 +9,10 @@
 	"golang.org/x/tools/go/packages"
 )
 
-// heard are the types that hold what others say, decoded from what they send. A field of
+// decodedTypes are the types that hold what others say, decoded from what they send. A field of
 // theirs that nobody reads is a word that nobody hears: an engine's time to come back was
 // decoded for long, and engines that asked for a rest got none.
-var heard = map[string][]string{
+var decodedTypes = map[string][]string{
 	"woaddoor/relay":      {"Head", "Load", "Request", "Rest", "Sent", "Opinion"},
 	"woaddoor/upstream":   {"Entry", "Said"},
 	"woaddoor/engine":     {"CallError", "PlainAnswer"},
@@ -24,8 +24,8 @@
 	"woaddoor/quarantine": {"Held", "Told", "ToldEnd"},
 }
 
-// unheard are fields that are not read, and why.
-var unheard = map[string]string{
+// unreadFields are fields that are not read, and why.
+var unreadFields = map[string]string{
 	"route.Limits.Header":        "a listener is opened before a configuration is known; callers keep within it",
 	"route.Limits.HeaderTimeout": "as Header",
 	"route.Limits.Idling":        "as Header; idle connections are kept for longer than callers use them",
@@ -33,9 +33,9 @@
 	"route.Service.ID":           "it is the key under which the service stands",
 }
 
-// TestEveryWordIsHeard checks that each field of what others say is read somewhere in the
+// TestDecodedFieldsAreRead checks that each field of what others say is read somewhere in the
 // product, tests apart.
-func TestEveryWordIsHeard(t *testing.T) {
+func TestDecodedFieldsAreRead(t *testing.T) {
 	all, err := packages.Load(&packages.Config{
 		Dir:  "../..",
 		Mode: packages.NeedName | packages.NeedSyntax | packages.NeedTypes | packages.NeedTypesInfo | packages.NeedImports | packages.NeedDeps,
@@ -48,18 +48,18 @@
 		for _, e := range p.Errors {
 			t.Fatal(e)
 		}
-		for _, name := range heard[p.PkgPath] {
+		for _, name := range decodedTypes[p.PkgPath] {
 			addFields(t, fields, p, name)
 		}
 	}
 	read := make(map[types.Object]bool)
 	for _, p := range all {
 		for _, f := range p.Syntax {
-			noteReads(f, p.TypesInfo, read)
+			recordReads(f, p.TypesInfo, read)
 		}
 	}
 	for f, name := range fields {
-		if why := unheard[name]; !read[f] && why == "" {
+		if why := unreadFields[name]; !read[f] && why == "" {
 			t.Errorf("%s is told and never read", name)
 		} else if read[f] && why != "" {
 			t.Errorf("%s is read, and listed as not: %s", name, why)
@@ -85,9 +85,9 @@
 	}
 }
 
-// noteReads notes which fields a file reads: those selected, but on the left of an
+// recordReads notes which fields a file reads: those selected, but on the left of an
 // assignment, and embedded ones on the way to what is selected.
-func noteReads(f *ast.File, info *types.Info, read map[types.Object]bool) {
+func recordReads(f *ast.File, info *types.Info, read map[types.Object]bool) {
 	var written []ast.Expr
 	ast.Inspect(f, func(n ast.Node) bool {
 		if a, ok := n.(*ast.AssignStmt); ok {
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -11,60 +11,60 @@
 	"testing"
 )
 
-// decisions are the packages that decide, from typed events and a given time. Each
+// decisionPackages are the packages that decide, from typed events and a given time. Each
 // runs the same in a property test, in a measurement and in production.
-var decisions = []string{
+var decisionPackages = []string{
 	"bill", "cascade", "contract", "datacentre", "document", "lease", "permit", "reading",
 	"quarantine", "retry", "rollout", "scaling", "session", "stream", "ticket", "upstream", "usage", "vm", "workspace",
 }
 
-// allowed are the packages of the project that decisions may use: each other, and
+// allowedPackages are the packages of the project that decisions may use: each other, and
 // the typed form of a configuration.
-var allowed = append([]string{"config", "sign"}, decisions...)
+var allowedPackages = append([]string{"config", "sign"}, decisionPackages...)
 
-// forbidden are packages of the standard library and of others that do I/O, log,
+// forbiddenPackages are packages of the standard library and of others that do I/O, log,
 // measure or run something at a later time.
-var forbidden = []string{
+var forbiddenPackages = []string{
 	"context", "io", "log", "net", "os", "sync", "syscall",
 	"github.com/quic-go", "github.com/rcrowley/go-metrics", "go.uber.org/zap",
 }
 
-// TestDecisionsAreApart checks that no package that decides imports one that does
+// TestDecisionPackagesAreIsolated checks that no package that decides imports one that does
 // I/O, logs, or knows of goroutines: what it decides then depends on what it is given
 // alone.
-func TestDecisionsAreApart(t *testing.T) {
-	for _, pkg := range decisions {
+func TestDecisionPackagesAreIsolated(t *testing.T) {
+	for _, pkg := range decisionPackages {
 		for _, name := range imports(t, filepath.Join("..", "..", pkg)) {
-			if why := barred(name); why != "" {
+			if why := whyForbidden(name); why != "" {
 				t.Errorf("%s imports %s: %s", pkg, name, why)
 			}
 		}
 	}
 }
 
-// TestBarred checks that the check itself finds what it is for.
-func TestBarred(t *testing.T) {
+// TestWhyForbidden checks that the check itself finds what it is for.
+func TestWhyForbidden(t *testing.T) {
 	for name, bar := range map[string]bool{
 		"time": false, "math/rand/v2": false, "woaddoor/contract": false, "woaddoor/config": false, "errors": false,
 		"net/http": true, "os": true, "sync/atomic": true, "context": true, "woaddoor/link": true, "woaddoor/engine": true, "go.uber.org/zap": true,
 	} {
-		if (barred(name) != "") != bar {
+		if (whyForbidden(name) != "") != bar {
 			t.Errorf("%s: barred %v", name, !bar)
 		}
 	}
 }
 
-// barred returns why a package that decides may not import another, or "".
-func barred(name string) string {
+// whyForbidden returns why a package that decides may not import another, or "".
+func whyForbidden(name string) string {
 	if inner, ok := strings.CutPrefix(name, "woaddoor/"); ok {
-		for _, p := range allowed {
+		for _, p := range allowedPackages {
 			if inner == p {
 				return ""
 			}
 		}
 		return "it is not a package that decides"
 	}
-	for _, p := range forbidden {
+	for _, p := range forbiddenPackages {
 		if name == p || strings.HasPrefix(name, p+"/") {
 			return "decisions do no I/O and know of no goroutines"
 		}
--- a/internal/measure/cascades.go
+++ b/internal/measure/cascades.go
@@ -12,28 +12,28 @@
 
 // Settings of the cascade measurement.
 const (
-	cascadeRequests = 40_000
-	costSmall       = 1.0
-	costLarge       = 10.0
-	costCheck       = 0.2
-	timeSmall       = 400 * time.Millisecond
-	timeLarge       = 1500 * time.Millisecond
-	timeCheck       = 80 * time.Millisecond
-	goodLarge       = 0.96
-	target          = 0.93
-	ratedOneIn      = 10
-	ratingLag       = 200 // requests until a rating comes
+	cascadeRequests   = 40_000
+	costSmall         = 1.0
+	costLarge         = 10.0
+	costCheck         = 0.2
+	latencySmall      = 400 * time.Millisecond
+	latencyLarge      = 1500 * time.Millisecond
+	latencyCheck      = 80 * time.Millisecond
+	largeGoodRate     = 0.96
+	qualityTarget     = 0.93
+	requestsPerRating = 10
+	ratingLag         = 200 // requests until a rating comes
 )
 
-// mix is a workload: per class, its part and how often the small model is good.
-type mix struct {
-	name  string
-	small func(class, i int) float64
+// workload is a workload: per class, its part and how often the small model is good.
+type workload struct {
+	name          string
+	smallGoodRate func(class, i int) float64
 }
 
 const promptClasses = 3
 
-var mixes = []mix{
+var workloads = []workload{
 	{"easy: small good enough for all", func(int, int) float64 { return 0.95 }},
 	{"mixed: good for short prompts only", func(c, _ int) float64 { return []float64{0.97, 0.75, 0.25}[c] }},
 	{"hard: small of no use", func(int, int) float64 { return 0.1 }},
@@ -48,25 +48,25 @@
 // policy plans a request of a class.
 type policy interface {
 	plan(class int, r *rand.Rand) cascade.Plan
-	rated(class int, m contract.ModelID, good bool)
+	recordRating(class int, m contract.ModelID, good bool)
 }
 
-type fixedPlan struct{ of func(class int) cascade.Plan }
+type fixedPolicy struct{ planFor func(class int) cascade.Plan }
 
-func (f fixedPlan) plan(class int, _ *rand.Rand) cascade.Plan { return f.of(class) }
-func (fixedPlan) rated(int, contract.ModelID, bool)           {}
+func (f fixedPolicy) plan(class int, _ *rand.Rand) cascade.Plan { return f.planFor(class) }
+func (fixedPolicy) recordRating(int, contract.ModelID, bool)    {}
 
-type learned struct{ l *cascade.Learner }
+type learnedPolicy struct{ learner *cascade.Learner }
 
-func (p learned) plan(class int, r *rand.Rand) cascade.Plan {
-	return p.l.Decide(cascade.Query{
-		Workspace: "w", Class: cascade.Class(class), CheckCost: costCheck, Target: target,
+func (p learnedPolicy) plan(class int, r *rand.Rand) cascade.Plan {
+	return p.learner.Decide(cascade.Query{
+		Workspace: "w", Class: cascade.Class(class), CheckCost: costCheck, Target: qualityTarget,
 		Models: []cascade.Model{{ID: "small", Cost: costSmall}, {ID: "large", Cost: costLarge}},
 	}, r)
 }
 
-func (p learned) rated(class int, m contract.ModelID, good bool) {
-	p.l.Rated(cascade.Arm{Workspace: "w", Model: m, Class: cascade.Class(class)}, good)
+func (p learnedPolicy) recordRating(class int, m contract.ModelID, good bool) {
+	p.learner.Rated(cascade.Arm{Workspace: "w", Model: m, Class: cascade.Class(class)}, good)
 }
 
 var (
@@ -75,40 +75,40 @@
 	planCheck = cascade.Plan{First: "small", Check: true, Then: "large"}
 )
 
-type late struct {
-	due   int
+type delayedRating struct {
+	dueAt int
 	class int
 	model contract.ModelID
 	good  bool
 }
 
-// cascadeRun returns the quality, the cost a request, and the times.
-func cascadeRun(seed uint64, m mix, p policy) (quality, cost float64, took []time.Duration) {
+// runCascade returns the quality, the cost a request, and the times.
+func runCascade(seed uint64, m workload, p policy) (quality, cost float64, took []time.Duration) {
 	r := rand.New(rand.NewPCG(seed, 80))
-	var ratings []late
+	var ratings []delayedRating
 	for i := range cascadeRequests {
-		for len(ratings) > 0 && ratings[0].due <= i {
-			p.rated(ratings[0].class, ratings[0].model, ratings[0].good)
+		for len(ratings) > 0 && ratings[0].dueAt <= i {
+			p.recordRating(ratings[0].class, ratings[0].model, ratings[0].good)
 			ratings = ratings[1:]
 		}
 		class := r.IntN(promptClasses)
-		smallGood, largeGood := r.Float64() < m.small(class, i), r.Float64() < goodLarge
+		smallGood, largeGood := r.Float64() < m.smallGoodRate(class, i), r.Float64() < largeGoodRate
 		plan := p.plan(class, r)
-		good, paid, t := largeGood, costLarge, jitter(r, timeLarge)
+		good, paid, t := largeGood, costLarge, jitter(r, latencyLarge)
 		by := plan.First
 		if plan.First == "small" {
-			good, paid, t = smallGood, costSmall, jitter(r, timeSmall)
+			good, paid, t = smallGood, costSmall, jitter(r, latencySmall)
 		}
 		if plan.Check {
-			paid, t = paid+costCheck, t+timeCheck
-			p.rated(class, "small", smallGood)
+			paid, t = paid+costCheck, t+latencyCheck
+			p.recordRating(class, "small", smallGood)
 			if !smallGood {
 				good, by = largeGood, "large"
-				paid, t = paid+costLarge, t+jitter(r, timeLarge)
+				paid, t = paid+costLarge, t+jitter(r, latencyLarge)
 			}
 		}
-		if r.IntN(ratedOneIn) == 0 && !(plan.Check && by == "small") {
-			ratings = append(ratings, late{i + ratingLag, class, by, good})
+		if r.IntN(requestsPerRating) == 0 && !(plan.Check && by == "small") {
+			ratings = append(ratings, delayedRating{i + ratingLag, class, by, good})
 		}
 		if good {
 			quality++
@@ -130,25 +130,25 @@
 		make func() policy
 		best bool // counts as a fixed choice
 	}{
-		{"always large", func() policy { return fixedPlan{func(int) cascade.Plan { return planLarge }} }, true},
-		{"always small", func() policy { return fixedPlan{func(int) cascade.Plan { return planSmall }} }, true},
-		{"always cascade", func() policy { return fixedPlan{func(int) cascade.Plan { return planCheck }} }, true},
+		{"always large", func() policy { return fixedPolicy{func(int) cascade.Plan { return planLarge }} }, true},
+		{"always small", func() policy { return fixedPolicy{func(int) cascade.Plan { return planSmall }} }, true},
+		{"always cascade", func() policy { return fixedPolicy{func(int) cascade.Plan { return planCheck }} }, true},
 		{"small for short prompts, else large", func() policy {
-			return fixedPlan{func(c int) cascade.Plan {
+			return fixedPolicy{func(c int) cascade.Plan {
 				if c == 0 {
 					return planSmall
 				}
 				return planLarge
 			}}
 		}, true},
-		{"woaddoor", func() policy { return learned{cascade.NewLearner(cascade.Options{})} }, false},
+		{"woaddoor", func() policy { return learnedPolicy{cascade.NewLearner(cascade.Options{})} }, false},
 	}
 	var tables []*table
-	for _, m := range mixes {
+	for _, m := range workloads {
 		t := &table{
-			title: "Cascade: " + m.name,
-			about: fmt.Sprintf("%d requests in %d classes, target %.2f, large good for %.2f, one answer in %d rated, %d requests late; cost in small answers; seed %d.", cascadeRequests, promptClasses, target, goodLarge, ratedOneIn, ratingLag, seed),
-			head:  []string{"way", "good answers", "reaches the target", "cost a request", "p95 ms", "regret a request"},
+			title:       "Cascade: " + m.name,
+			description: fmt.Sprintf("%d requests in %d classes, target %.2f, large good for %.2f, one answer in %d rated, %d requests late; cost in small answers; seed %d.", cascadeRequests, promptClasses, qualityTarget, largeGoodRate, requestsPerRating, ratingLag, seed),
+			columns:     []string{"way", "good answers", "reaches the target", "cost a request", "p95 ms", "regret a request"},
 		}
 		best := -1.0
 		type result struct {
@@ -156,16 +156,16 @@
 		}
 		var results []result
 		for _, p := range policies {
-			quality, cost, took := cascadeRun(seed, m, p.make())
+			quality, cost, took := runCascade(seed, m, p.make())
 			results = append(results, result{quality, cost, model.QuantilesOf(took).P95})
-			if p.best && quality >= target && (best < 0 || cost < best) {
+			if p.best && quality >= qualityTarget && (best < 0 || cost < best) {
 				best = cost
 			}
 		}
 		for i, p := range policies {
 			r := results[i]
-			reaches := map[bool]string{true: "yes", false: "no"}[r.quality >= target]
-			t.add(p.name, fmt.Sprintf("%.3f", r.quality), reaches, r.cost, r.p95, fmt.Sprintf("%+.2f", r.cost-best))
+			reaches := map[bool]string{true: "yes", false: "no"}[r.quality >= qualityTarget]
+			t.addRow(p.name, fmt.Sprintf("%.3f", r.quality), reaches, r.cost, r.p95, fmt.Sprintf("%+.2f", r.cost-best))
 		}
 		tables = append(tables, t)
 	}
--- a/internal/measure/fairness.go
+++ b/internal/measure/fairness.go
@@ -12,43 +12,43 @@
 
 // Settings of the fairness measurements.
 const (
-	workspaces   = 10
-	fairDeadline = 10 * time.Second
+	workspaceCount  = 10
+	requestDeadline = 10 * time.Second
 	// capacityOf is a VM's part of the places, as entry works it out.
 	headroom = 1.5
 )
 
-func capacityOf() int {
+func queueCapacity() int {
 	part := headroom * float64(engines*slots) / float64(vms)
 	return int(part)
 }
 
-// neighbour offers quiet workspaces half of their share and, when loud is set,
+// quietLatency offers quiet workspaces half of their share and, when loud is set,
 // one workspace ten times its share. It returns the quiet ones' times.
-func neighbour(seed uint64, capacity int, loud bool) model.Quantiles {
-	s := newSite(seed, engines, vms, 1, time.Second, newOurs)
-	fronts := newFronts(s, seed, capacity, workspaces)
+func quietLatency(seed uint64, capacity int, loud bool) model.Quantiles {
+	s := newSite(seed, engines, vms, 1, time.Second, newWoaddoorChooser)
+	fronts := newQueuedVMs(s, seed, capacity, workspaceCount)
 	random := rand.New(rand.NewPCG(seed, 50))
-	share := fullRate(engines) / workspaces
+	share := uncachedCapacity(engines) / workspaceCount
 	var took []time.Duration
-	begin := s.clock.Now().Add(warmUp)
+	begin := s.clock.Now().Add(warmUpDuration)
 	offer := func(w contract.WorkspaceID, rate float64, quiet bool) {
-		model.Arrivals(s.clock, random, rate, runFor, func() {
+		model.Arrivals(s.clock, random, rate, loadDuration, func() {
 			counts := quiet && s.clock.Now().After(begin)
-			fronts[random.IntN(len(fronts))].offer(w, workspace.Interactive, fairDeadline, func(e ended) {
+			fronts[random.IntN(len(fronts))].offer(w, workspace.Interactive, requestDeadline, func(e requestResult) {
 				if counts && !e.refused {
-					took = append(took, e.took)
+					took = append(took, e.latency)
 				}
 			})
 		})
 	}
-	for i := range workspaces - 1 {
+	for i := range workspaceCount - 1 {
 		offer(contract.WorkspaceID(fmt.Sprint("quiet", i)), share/2, true)
 	}
 	if loud {
 		offer("loud", 10*share, false)
 	}
-	s.clock.Run(runFor + drainFor)
+	s.clock.Run(loadDuration + drainDuration)
 	return model.QuantilesOf(took)
 }
 
@@ -56,57 +56,57 @@
 // Retry-After up to three times, and returns the answers in time a second and
 // the share of offers refused.
 func overload(seed uint64, capacity int, load float64) (goodput, refused float64) {
-	s := newSite(seed, engines, vms, 1, time.Second, newOurs)
-	fronts := newFronts(s, seed, capacity, workspaces)
+	s := newSite(seed, engines, vms, 1, time.Second, newWoaddoorChooser)
+	fronts := newQueuedVMs(s, seed, capacity, workspaceCount)
 	random := rand.New(rand.NewPCG(seed, 50))
 	good, offers, refusals := 0, 0, 0
 	var try func(w contract.WorkspaceID, left int)
 	try = func(w contract.WorkspaceID, left int) {
 		offers++
-		fronts[random.IntN(len(fronts))].offer(w, workspace.Interactive, fairDeadline, func(e ended) {
+		fronts[random.IntN(len(fronts))].offer(w, workspace.Interactive, requestDeadline, func(e requestResult) {
 			if e.refused {
 				refusals++
 				if left > 0 {
-					s.clock.After(e.after, func() { try(w, left-1) })
+					s.clock.After(e.retryAfter, func() { try(w, left-1) })
 				}
 				return
 			}
-			if e.took <= fairDeadline {
+			if e.latency <= requestDeadline {
 				good++
 			}
 		})
 	}
-	for i := range workspaces {
+	for i := range workspaceCount {
 		w := contract.WorkspaceID(fmt.Sprint("w", i))
-		model.Arrivals(s.clock, random, load*fullRate(engines)/workspaces, runFor, func() { try(w, 3) })
+		model.Arrivals(s.clock, random, load*uncachedCapacity(engines)/workspaceCount, loadDuration, func() { try(w, 3) })
 	}
-	s.clock.Run(runFor)
-	return float64(good) / runFor.Seconds(), float64(refusals) / float64(max(offers, 1))
+	s.clock.Run(loadDuration)
+	return float64(good) / loadDuration.Seconds(), float64(refusals) / float64(max(offers, 1))
 }
 
 // fairness measures shares among workspaces, and overload.
 func fairness(seed uint64) []*table {
 	t := &table{
-		title: "A neighbour at ten times its share",
-		about: fmt.Sprintf("Nine workspaces at half their share, one at ten times its share; times of the nine, in ms, seed %d.", seed),
-		head:  []string{"way", "p50 alone", "p99 alone", "p50 beside it", "p99 beside it", "p99 ratio"},
+		title:       "A neighbour at ten times its share",
+		description: fmt.Sprintf("Nine workspaces at half their share, one at ten times its share; times of the nine, in ms, seed %d.", seed),
+		columns:     []string{"way", "p50 alone", "p99 alone", "p50 beside it", "p99 beside it", "p99 ratio"},
 	}
 	for _, way := range []struct {
 		name     string
 		capacity int
-	}{{"no queue of our own", 0}, {"woaddoor", capacityOf()}} {
-		alone, beside := neighbour(seed, way.capacity, false), neighbour(seed, way.capacity, true)
-		t.add(way.name, alone.P50, alone.P99, beside.P50, beside.P99, beside.P99/alone.P99)
+	}{{"no queue of our own", 0}, {"woaddoor", queueCapacity()}} {
+		alone, beside := quietLatency(seed, way.capacity, false), quietLatency(seed, way.capacity, true)
+		t.addRow(way.name, alone.P50, alone.P99, beside.P50, beside.P99, beside.P99/alone.P99)
 	}
 	o := &table{
-		title: "Goodput under overload",
-		about: fmt.Sprintf("Answers within %v a second; refused callers come back up to three times; load in parts of the rate that is carried uncached, seed %d.", fairDeadline, seed),
-		head:  []string{"load", "no queue: goodput/s", "woaddoor: goodput/s", "woaddoor: offers refused"},
+		title:       "Goodput under overload",
+		description: fmt.Sprintf("Answers within %v a second; refused callers come back up to three times; load in parts of the rate that is carried uncached, seed %d.", requestDeadline, seed),
+		columns:     []string{"load", "no queue: goodput/s", "woaddoor: goodput/s", "woaddoor: offers refused"},
 	}
 	for _, load := range []float64{0.5, 0.8, 1, 1.2, 1.5, 2, 3} {
 		naive, _ := overload(seed, 0, load)
-		good, refused := overload(seed, capacityOf(), load)
-		o.add(fmt.Sprintf("%.0f%%", load*100), naive, good, fmt.Sprintf("%.0f%%", refused*100))
+		good, refused := overload(seed, queueCapacity(), load)
+		o.addRow(fmt.Sprintf("%.0f%%", load*100), naive, good, fmt.Sprintf("%.0f%%", refused*100))
 	}
 	return []*table{t, o}
 }
--- a/internal/measure/lookup.go
+++ b/internal/measure/lookup.go
@@ -15,16 +15,16 @@
 // of the node that the pointer before it leads to.
 func lookup(seed uint64) []*table {
 	t := &table{
-		title: "Finding the owner of a key",
-		about: fmt.Sprintf("10,000 keys from random nodes; a hop is a message between data centres, taken as 1 ms within a region; seed %d.", seed),
-		head:  []string{"nodes", "way", "mean hops", "most hops", "entries a node", "messages when a node is replaced"},
+		title:       "Finding the owner of a key",
+		description: fmt.Sprintf("10,000 keys from random nodes; a hop is a message between data centres, taken as 1 ms within a region; seed %d.", seed),
+		columns:     []string{"nodes", "way", "mean hops", "most hops", "entries a node", "messages when a node is replaced"},
 	}
 	for _, n := range []int{7, 39, 750} {
 		mean, most := chordHops(n, rand.New(rand.NewPCG(seed, 99)))
 		pointers := int(math.Ceil(math.Log2(float64(n))))
-		t.add(n, "Chord#", mean, most, pointers, pointers*2)
-		t.add(n, "full membership, rendezvous", 1.0, 1, n, n-1)
-		t.add(n, "addresses carried in the ticket", 1.0, 1, 0, 0)
+		t.addRow(n, "Chord#", mean, most, pointers, pointers*2)
+		t.addRow(n, "full membership, rendezvous", 1.0, 1, n, n-1)
+		t.addRow(n, "addresses carried in the ticket", 1.0, 1, 0, 0)
 	}
 	return []*table{t}
 }
--- a/internal/measure/main.go
+++ b/internal/measure/main.go
@@ -30,7 +30,7 @@
 	var a arguments
 	kong.Parse(&a, kong.Name("measure"), kong.Description("Prints the measurements of the policy."))
 	if a.Plots != "" {
-		if err := plots(a.Plots, a.Seed); err != nil {
+		if err := writePlots(a.Plots, a.Seed); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
--- a/internal/measure/model/model.go
+++ b/internal/measure/model/model.go
@@ -80,19 +80,19 @@
 	return x
 }
 
-// Work is what a request asks of an engine.
-type Work struct {
+// Request is what a request asks of an engine.
+type Request struct {
 	Prefix uint64
 	Tokens int
 	// Priority orders the queue: lower goes first.
 	Priority int
-	// Gone tells, when the work's turn comes, that nobody waits for it any more.
+	// Abandoned tells, when the work's turn comes, that nobody waits for it any more.
 	// Nil means that the engine is never told.
-	Gone func() bool
+	Abandoned func() bool
 }
 
-// Answer says how an engine dealt with a work.
-type Answer struct {
+// Result says how an engine dealt with a work.
+type Result struct {
 	FirstToken, Done time.Time
 	Cached           bool
 	Failed           bool
@@ -100,11 +100,11 @@
 
 // EngineOptions set up an Engine.
 type EngineOptions struct {
-	Slots                     int
-	PerToken, Prefill, Cached time.Duration
-	Prefixes                  int
-	// Speed divides the engine's speed: 10 makes it ten times as slow.
-	Speed int
+	Slots                            int
+	PerToken, Prefill, CachedPrefill time.Duration
+	CacheCapacity                    int
+	// Slowdown divides the engine's speed: 10 makes it ten times as slow.
+	Slowdown int
 }
 
 // Engine is one model of an engine.
@@ -112,21 +112,21 @@
 	clock    *Clock
 	opts     EngineOptions
 	running  int
-	queue    []pending
+	queue    []pendingRequest
 	prefixes []uint64
-	history  []load
+	history  []loadSample
 	// Down makes every work fail after a short while.
 	Down bool
-	// Worst is the longest queue so far; Hits counts cached prefixes.
-	Worst, Hits, Count int
+	// MaxQueue is the longest queue so far; Hits counts cached prefixes.
+	MaxQueue, CacheHits, Requests int
 }
 
-type pending struct {
-	work Work
-	done func(Answer)
+type pendingRequest struct {
+	request Request
+	done    func(Result)
 }
 
-type load struct {
+type loadSample struct {
 	at               time.Time
 	running, waiting int
 }
@@ -136,58 +136,58 @@
 	return &Engine{clock: c, opts: opts}
 }
 
-// failAfter is how long a failing engine takes to fail.
-const failAfter = 20 * time.Millisecond
+// failureDelay is how long a failing engine takes to fail.
+const failureDelay = 20 * time.Millisecond
 
-// Do works on w, or queues it, and calls done at the end.
-func (e *Engine) Do(w Work, done func(Answer)) {
-	e.Count++
+// Submit works on w, or queues it, and calls done at the end.
+func (e *Engine) Submit(w Request, done func(Result)) {
+	e.Requests++
 	if e.Down {
-		e.clock.After(failAfter, func() { done(Answer{Failed: true, Done: e.clock.Now()}) })
+		e.clock.After(failureDelay, func() { done(Result{Failed: true, Done: e.clock.Now()}) })
 		return
 	}
 	if e.running < e.opts.Slots {
-		e.start(pending{w, done})
+		e.start(pendingRequest{w, done})
 	} else {
-		e.queue = append(e.queue, pending{w, done})
-		e.Worst = max(e.Worst, len(e.queue))
+		e.queue = append(e.queue, pendingRequest{w, done})
+		e.MaxQueue = max(e.MaxQueue, len(e.queue))
 	}
-	e.note()
+	e.recordLoad()
 }
 
-func (e *Engine) start(p pending) {
+func (e *Engine) start(p pendingRequest) {
 	e.running++
-	cached := e.cached(p.work.Prefix)
+	cached := e.touchPrefix(p.request.Prefix)
 	prefill := e.opts.Prefill
 	if cached {
-		prefill = e.opts.Cached
-		e.Hits++
+		prefill = e.opts.CachedPrefill
+		e.CacheHits++
 	}
-	speed := time.Duration(max(e.opts.Speed, 1))
+	speed := time.Duration(max(e.opts.Slowdown, 1))
 	first := prefill * speed
-	total := first + time.Duration(p.work.Tokens)*e.opts.PerToken*speed
-	a := Answer{FirstToken: e.clock.Now().Add(first), Cached: cached}
+	total := first + time.Duration(p.request.Tokens)*e.opts.PerToken*speed
+	a := Result{FirstToken: e.clock.Now().Add(first), Cached: cached}
 	e.clock.After(total, func() {
 		a.Done = e.clock.Now()
 		e.running--
-		if next, ok := e.next(); ok {
+		if next, ok := e.dequeue(); ok {
 			e.start(next)
 		}
-		e.note()
+		e.recordLoad()
 		p.done(a)
 	})
 }
 
-// next takes the first of the lowest priority out of the queue, and drops the
+// dequeue takes the first of the lowest priority out of the queue, and drops the
 // works that nobody waits for.
-func (e *Engine) next() (pending, bool) {
-	e.queue = slices.DeleteFunc(e.queue, func(p pending) bool { return p.work.Gone != nil && p.work.Gone() })
+func (e *Engine) dequeue() (pendingRequest, bool) {
+	e.queue = slices.DeleteFunc(e.queue, func(p pendingRequest) bool { return p.request.Abandoned != nil && p.request.Abandoned() })
 	if len(e.queue) == 0 {
-		return pending{}, false
+		return pendingRequest{}, false
 	}
 	best := 0
 	for i, p := range e.queue {
-		if p.work.Priority < e.queue[best].work.Priority {
+		if p.request.Priority < e.queue[best].request.Priority {
 			best = i
 		}
 	}
@@ -196,12 +196,12 @@
 	return p, true
 }
 
-func (e *Engine) cached(prefix uint64) bool {
+func (e *Engine) touchPrefix(prefix uint64) bool {
 	if i := slices.Index(e.prefixes, prefix); i >= 0 {
 		e.prefixes = append(slices.Delete(e.prefixes, i, i+1), prefix)
 		return true
 	}
-	if len(e.prefixes) >= e.opts.Prefixes {
+	if len(e.prefixes) >= e.opts.CacheCapacity {
 		e.prefixes = e.prefixes[1:]
 	}
 	e.prefixes = append(e.prefixes, prefix)
@@ -211,8 +211,8 @@
 // maxHistory bounds the samples kept for late reports.
 const maxHistory = 20_000
 
-func (e *Engine) note() {
-	e.history = append(e.history, load{e.clock.Now(), e.running, len(e.queue)})
+func (e *Engine) recordLoad() {
+	e.history = append(e.history, loadSample{e.clock.Now(), e.running, len(e.queue)})
 	if len(e.history) > maxHistory {
 		e.history = slices.Clone(e.history[maxHistory/2:])
 	}
@@ -221,7 +221,7 @@
 // Load returns the load as it was lag ago.
 func (e *Engine) Load(lag time.Duration) (running, waiting int) {
 	cutoff := e.clock.Now().Add(-lag)
-	i, _ := slices.BinarySearchFunc(e.history, cutoff, func(l load, t time.Time) int {
+	i, _ := slices.BinarySearchFunc(e.history, cutoff, func(l loadSample, t time.Time) int {
 		if l.at.After(t) {
 			return 1
 		}
@@ -233,8 +233,8 @@
 	return e.history[i-1].running, e.history[i-1].waiting
 }
 
-// Line returns how many works run and wait now.
-func (e *Engine) Line() int { return e.running + len(e.queue) }
+// InSystem returns how many works run and wait now.
+func (e *Engine) InSystem() int { return e.running + len(e.queue) }
 
 // Arrivals calls do at the times of a Poisson process of rate a second, for d.
 func Arrivals(c *Clock, r *rand.Rand, rate float64, d time.Duration, do func()) {
@@ -245,12 +245,12 @@
 			return
 		}
 		do()
-		c.After(gap(r, rate), next)
+		c.After(interarrival(r, rate), next)
 	}
-	c.After(gap(r, rate), next)
+	c.After(interarrival(r, rate), next)
 }
 
-func gap(r *rand.Rand, rate float64) time.Duration {
+func interarrival(r *rand.Rand, rate float64) time.Duration {
 	return time.Duration(r.ExpFloat64() / rate * float64(time.Second))
 }
 
@@ -270,10 +270,10 @@
 	return Quantiles{at(0.50), at(0.95), at(0.99)}
 }
 
-// UpstreamName returns the id of the i-th engine.
-func UpstreamName(i int) contract.UpstreamID {
+// UpstreamID returns the id of the i-th engine.
+func UpstreamID(i int) contract.UpstreamID {
 	return contract.UpstreamID("e" + string(rune('0'+i/100)) + string(rune('0'+i/10%10)) + string(rune('0'+i%10)))
 }
 
-// SetSpeed divides the engine's speed by factor from now on.
-func (e *Engine) SetSpeed(factor int) { e.opts.Speed = factor }
+// SetSlowdown divides the engine's speed by factor from now on.
+func (e *Engine) SetSlowdown(factor int) { e.opts.Slowdown = factor }
--- a/internal/measure/plot.go
+++ b/internal/measure/plot.go
@@ -18,8 +18,8 @@
 	plotHeight = 9 * vg.Centimeter
 )
 
-// plots writes the pictures of docs/MEASURES.md into dir, as SVG.
-func plots(dir string, seed uint64) error {
+// writePlots writes the pictures of docs/MEASURES.md into dir, as SVG.
+func writePlots(dir string, seed uint64) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
@@ -29,7 +29,7 @@
 	return plotChoice(filepath.Join(dir, "choice.svg"), seed)
 }
 
-func save(path, title, x, y string, lines ...any) error {
+func savePlot(path, title, x, y string, lines ...any) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
 	p.Legend.Top = true
@@ -44,27 +44,27 @@
 	var without, with plotter.XYs
 	for _, load := range []float64{0.5, 0.8, 1, 1.2, 1.5, 2, 2.5, 3} {
 		a, _ := overload(seed, 0, load)
-		b, _ := overload(seed, capacityOf(), load)
+		b, _ := overload(seed, queueCapacity(), load)
 		without = append(without, plotter.XY{X: load * 100, Y: a})
 		with = append(with, plotter.XY{X: load * 100, Y: b})
 	}
-	return save(path, "Answers in time under overload", "load offered, %", "answers in time a second", "no queue", without, "woaddoor", with)
+	return savePlot(path, "Answers in time under overload", "load offered, %", "answers in time a second", "no queue", without, "woaddoor", with)
 }
 
 // plotChoice draws the p95 of the first token against the load.
 func plotChoice(path string, seed uint64) error {
 	var lines []any
-	for _, w := range ways {
+	for _, w := range choosers {
 		if w.name == "least reported" {
 			continue // off the picture: seconds
 		}
 		var points plotter.XYs
 		for _, load := range []float64{0.3, 0.5, 0.7, 0.8, 0.9, 0.95, 1, 1.05} {
 			s := newSite(seed, engines, vms, 1, 0, w.make)
-			first, _, _ := s.load(load * fullRate(engines))
+			first, _, _ := s.offerLoad(load * uncachedCapacity(engines))
 			points = append(points, plotter.XY{X: load * 100, Y: model.QuantilesOf(first).P95})
 		}
 		lines = append(lines, w.name, points)
 	}
-	return save(path, "First token, p95", "load, % of the uncached rate", "ms", lines...)
+	return savePlot(path, "First token, p95", "load, % of the uncached rate", "ms", lines...)
 }
--- a/internal/measure/retries.go
+++ b/internal/measure/retries.go
@@ -13,50 +13,50 @@
 
 // Settings of the retry measurements.
 const (
-	faultBegins  = 30 * time.Second
-	faultLasts   = 30 * time.Second
-	retryRun     = 180 * time.Second
-	naiveTimeout = 3 * time.Second
-	naiveTries   = 3
-	retryLoad    = 0.9
-	bucket       = time.Second
+	faultStart       = 30 * time.Second
+	faultDuration    = 30 * time.Second
+	retryRunDuration = 180 * time.Second
+	naiveTimeout     = 3 * time.Second
+	naiveRetries     = 3
+	retryLoad        = 0.9
+	bucketWidth      = time.Second
 )
 
-// trial is one run of a way to retry through a fault.
-type trial struct {
-	site    *site
-	random  *rand.Rand
-	fault   func(e []*model.Engine, on bool)
-	offered int
-	sends   int // attempts that reached a healthy engine
-	good    []int
-	failed  int
-	counts  []int // offered, by bucket
-	start   time.Time
-	during  struct{ offered, sends int }
+// retryTrial is one run of a way to retry through a fault.
+type retryTrial struct {
+	site              *site
+	random            *rand.Rand
+	fault             func(e []*model.Engine, on bool)
+	arrivals          int
+	sends             int // attempts that reached a healthy engine
+	answeredPerBucket []int
+	failed            int
+	arrivalsPerBucket []int // offered, by bucket
+	start             time.Time
+	inFault           struct{ offered, sends int }
 }
 
-func newTrial(seed uint64, n int, make func(int, *rand.Rand) chooser, fault func([]*model.Engine, bool)) *trial {
-	t := &trial{site: newSite(seed, n, vms, 1, time.Second, make), random: rand.New(rand.NewPCG(seed, 60)), fault: fault}
+func newRetryTrial(seed uint64, n int, make func(int, *rand.Rand) chooser, fault func([]*model.Engine, bool)) *retryTrial {
+	t := &retryTrial{site: newSite(seed, n, vms, 1, time.Second, make), random: rand.New(rand.NewPCG(seed, 60)), fault: fault}
 	t.start = t.site.clock.Now()
-	t.good, t.counts = grow(), grow()
-	t.site.clock.After(faultBegins, func() { fault(t.site.engines, true) })
-	t.site.clock.After(faultBegins+faultLasts, func() { fault(t.site.engines, false) })
+	t.answeredPerBucket, t.arrivalsPerBucket = newBuckets(), newBuckets()
+	t.site.clock.After(faultStart, func() { fault(t.site.engines, true) })
+	t.site.clock.After(faultStart+faultDuration, func() { fault(t.site.engines, false) })
 	return t
 }
 
-func grow() []int { return make([]int, int(retryRun/bucket)+1) }
+func newBuckets() []int { return make([]int, int(retryRunDuration/bucketWidth)+1) }
 
-func (t *trial) bucket() int { return int(t.site.clock.Now().Sub(t.start) / bucket) }
+func (t *retryTrial) currentBucket() int { return int(t.site.clock.Now().Sub(t.start) / bucketWidth) }
 
-func (t *trial) faulty() bool {
+func (t *retryTrial) faultActive() bool {
 	at := t.site.clock.Now().Sub(t.start)
-	return at >= faultBegins && at < faultBegins+faultLasts
+	return at >= faultStart && at < faultStart+faultDuration
 }
 
 // send makes one attempt and calls done with its answer, or with a failure
 // after timeout. gone is told to the engine when cancel is true.
-func (t *trial) send(vm chooser, timeout time.Duration, cancel bool, done func(failed bool)) {
+func (t *retryTrial) send(vm chooser, timeout time.Duration, cancel bool, done func(failed bool)) {
 	over := false
 	finish := func(failed bool) {
 		if !over {
@@ -65,20 +65,20 @@
 		}
 	}
 	began := t.site.clock.Now()
-	prefix := uint64(t.random.IntN(prefixKinds)) + 1
+	prefix := uint64(t.random.IntN(distinctPrefixes)) + 1
 	i := vm.pick(began, prefix)
 	if i < 0 {
 		finish(true)
 		return
 	}
-	w := model.Work{Prefix: prefix, Tokens: 1 + t.random.IntN(2*meanTokens-1)}
+	w := model.Request{Prefix: prefix, Tokens: 1 + t.random.IntN(2*meanTokens-1)}
 	if cancel {
-		w.Gone = func() bool { return over }
+		w.Abandoned = func() bool { return over }
 	}
 	if e := t.site.engines[i]; !e.Down {
 		t.sends++
-		if t.faulty() {
-			t.during.sends++
+		if t.faultActive() {
+			t.inFault.sends++
 		}
 	}
 	vm.sent(i, prefix)
@@ -88,51 +88,51 @@
 		}
 		finish(failed)
 	}
-	t.site.engines[i].Do(w, func(a model.Answer) { end(a.Failed) })
+	t.site.engines[i].Submit(w, func(a model.Result) { end(a.Failed) })
 	t.site.clock.After(timeout, func() { end(true) })
 }
 
-func (t *trial) arrive() int {
-	t.offered++
-	if t.faulty() {
-		t.during.offered++
+func (t *retryTrial) recordArrival() int {
+	t.arrivals++
+	if t.faultActive() {
+		t.inFault.offered++
 	}
-	b := t.bucket()
-	t.counts[b]++
+	b := t.currentBucket()
+	t.arrivalsPerBucket[b]++
 	return b
 }
 
-// naive retries three times at once, whatever the failure.
-func (t *trial) naive(left int, born int) {
+// sendNaively retries three times at once, whatever the failure.
+func (t *retryTrial) sendNaively(left int, born int) {
 	vm := t.site.vms[t.random.IntN(vms)]
 	t.send(vm, naiveTimeout, false, func(failed bool) {
 		switch {
 		case !failed:
-			t.good[born]++
+			t.answeredPerBucket[born]++
 		case left > 0:
-			t.naive(left-1, born)
+			t.sendNaively(left-1, born)
 		default:
 			t.failed++
 		}
 	})
 }
 
-// node is one VM with its budget and its queue.
-type node struct {
-	vm     chooser
-	budget *retry.Budget
-	queue  *workspace.Queue
-	wait   map[workspace.ID]func(bool)
-	next   workspace.ID
+// retryingVM is one VM with its budget and its queue.
+type retryingVM struct {
+	vm      chooser
+	budget  *retry.Budget
+	queue   *workspace.Queue
+	waiting map[workspace.ID]func(bool)
+	lastID  workspace.ID
 }
 
-func (t *trial) nodes() []*node {
-	var nodes []*node
+func (t *retryTrial) newRetryingVMs() []*retryingVM {
+	var nodes []*retryingVM
 	for _, vm := range t.site.vms {
-		n := &node{vm: vm, budget: retry.NewBudget(retry.Options{}), queue: workspace.NewQueue(workspace.Options{Capacity: capacityOf(), TotalShare: 1}), wait: make(map[workspace.ID]func(bool))}
+		n := &retryingVM{vm: vm, budget: retry.NewBudget(retry.Options{}), queue: workspace.NewQueue(workspace.Options{Capacity: queueCapacity(), TotalShare: 1}), waiting: make(map[workspace.ID]func(bool))}
 		t.site.clock.Every(20*time.Millisecond, func() bool {
 			for _, i := range n.queue.Expire(t.site.clock.Now()) {
-				n.tell(i.ID, false)
+				n.resolve(i.ID, false)
 			}
 			return true
 		})
@@ -141,18 +141,18 @@
 	return nodes
 }
 
-func (n *node) tell(id workspace.ID, runs bool) {
-	do := n.wait[id]
-	delete(n.wait, id)
+func (n *retryingVM) resolve(id workspace.ID, runs bool) {
+	do := n.waiting[id]
+	delete(n.waiting, id)
 	do(runs)
 }
 
-// ours admits, then retries under the budget.
-func (t *trial) ours(n *node, born int) {
+// sendWithBudget admits, then retries under the budget.
+func (t *retryTrial) sendWithBudget(n *retryingVM, born int) {
 	now := t.site.clock.Now()
-	deadline := now.Add(fairDeadline)
-	n.next++
-	id := n.next
+	deadline := now.Add(requestDeadline)
+	n.lastID++
+	id := n.lastID
 	const w = contract.WorkspaceID("w")
 	run := func(runs bool) {
 		if !runs {
@@ -163,12 +163,12 @@
 		n.budget.First()
 		t.attempt(n, 1, deadline, func(good bool) {
 			if good {
-				t.good[born]++
+				t.answeredPerBucket[born]++
 			} else {
 				t.failed++
 			}
 			for _, i := range n.queue.Done(w, t.site.clock.Now().Sub(began)) {
-				n.tell(i.ID, true)
+				n.resolve(i.ID, true)
 			}
 		})
 	}
@@ -176,20 +176,20 @@
 	case workspace.Run:
 		run(true)
 	case workspace.Wait:
-		n.wait[id] = run
+		n.waiting[id] = run
 	case workspace.Refuse:
 		t.failed++
 	}
 }
 
-func (t *trial) attempt(n *node, number int, deadline time.Time, done func(good bool)) {
+func (t *retryTrial) attempt(n *retryingVM, number int, deadline time.Time, done func(good bool)) {
 	t.send(n.vm, deadline.Sub(t.site.clock.Now()), true, func(failed bool) {
 		if !failed {
 			done(true)
 			return
 		}
 		now := t.site.clock.Now()
-		d := n.budget.Decide(retry.Attempt{Number: number, Outcome: contract.Unknown, Repeatable: true, Deadline: deadline, Expected: coldService}, now, t.random)
+		d := n.budget.Decide(retry.Attempt{Number: number, Outcome: contract.Unknown, Repeatable: true, Deadline: deadline, Expected: uncachedServiceTime}, now, t.random)
 		if !d.Again {
 			done(false)
 			return
@@ -198,16 +198,16 @@
 	})
 }
 
-// recovered returns how long after the fault's end 95 in 100 of the requests
+// recoveryTime returns how long after the fault's end 95 in 100 of the requests
 // that then arrive are answered again, for ten seconds on end; -1 for never.
-func (t *trial) recovered() time.Duration {
+func (t *retryTrial) recoveryTime() time.Duration {
 	const steady = 10
-	first := int((faultBegins + faultLasts) / bucket)
+	first := int((faultStart + faultDuration) / bucketWidth)
 	run := 0
-	for b := first; b < len(t.good)-steady; b++ {
-		if t.counts[b] > 0 && float64(t.good[b]) >= 0.95*float64(t.counts[b]) {
+	for b := first; b < len(t.answeredPerBucket)-steady; b++ {
+		if t.arrivalsPerBucket[b] > 0 && float64(t.answeredPerBucket[b]) >= 0.95*float64(t.arrivalsPerBucket[b]) {
 			if run++; run == steady {
-				return time.Duration(b-steady+1-first) * bucket
+				return time.Duration(b-steady+1-first) * bucketWidth
 			}
 		} else {
 			run = 0
@@ -238,52 +238,52 @@
 		}},
 		{"all engines at a third of their speed", func(e []*model.Engine, on bool) {
 			for i := range e {
-				e[i].SetSpeed(map[bool]int{true: 3, false: 1}[on])
+				e[i].SetSlowdown(map[bool]int{true: 3, false: 1}[on])
 			}
 		}},
 	} {
 		t := &table{
-			title: "Retries: " + f.name + " for 30 s",
-			about: fmt.Sprintf("Load %.0f%%; naive: three retries at once after a failure or %v; seed %d.", retryLoad*100, naiveTimeout, seed),
-			head:  []string{"way", "answered", "failed or refused", "attempts at healthy engines per request in the fault", "over the whole run", "recovered after"},
+			title:       "Retries: " + f.name + " for 30 s",
+			description: fmt.Sprintf("Load %.0f%%; naive: three retries at once after a failure or %v; seed %d.", retryLoad*100, naiveTimeout, seed),
+			columns:     []string{"way", "answered", "failed or refused", "attempts at healthy engines per request in the fault", "over the whole run", "recovered after"},
 		}
 		for _, way := range []string{"no retry", "naive", "woaddoor"} {
-			row := retryRow(seed, way, f.fault)
-			t.add(row...)
+			row := measureRetryStrategy(seed, way, f.fault)
+			t.addRow(row...)
 		}
 		tables = append(tables, t)
 	}
 	return tables
 }
 
-func retryRow(seed uint64, way string, fault func([]*model.Engine, bool)) []any {
-	make := ways[1].make
+func measureRetryStrategy(seed uint64, way string, fault func([]*model.Engine, bool)) []any {
+	make := choosers[1].make
 	if way == "woaddoor" {
-		make = newOurs
+		make = newWoaddoorChooser
 	}
-	t := newTrial(seed, engines, make, fault)
-	var nodes []*node
+	t := newRetryTrial(seed, engines, make, fault)
+	var nodes []*retryingVM
 	if way == "woaddoor" {
-		nodes = t.nodes()
+		nodes = t.newRetryingVMs()
 	}
-	model.Arrivals(t.site.clock, t.random, retryLoad*fullRate(engines), retryRun, func() {
-		born := t.arrive()
+	model.Arrivals(t.site.clock, t.random, retryLoad*uncachedCapacity(engines), retryRunDuration, func() {
+		born := t.recordArrival()
 		switch way {
 		case "woaddoor":
-			t.ours(nodes[t.random.IntN(len(nodes))], born)
+			t.sendWithBudget(nodes[t.random.IntN(len(nodes))], born)
 		case "naive":
-			t.naive(naiveTries, born)
+			t.sendNaively(naiveRetries, born)
 		default:
-			t.naive(0, born)
+			t.sendNaively(0, born)
 		}
 	})
-	t.site.clock.Run(retryRun + drainFor)
+	t.site.clock.Run(retryRunDuration + drainDuration)
 	after := "never"
-	if d := t.recovered(); d >= 0 {
+	if d := t.recoveryTime(); d >= 0 {
 		after = d.String()
 	}
 	return []any{
-		way, fmt.Sprintf("%.1f%%", 100*float64(sum(t.good))/float64(t.offered)), fmt.Sprintf("%.1f%%", 100*float64(t.failed)/float64(t.offered)),
-		float64(t.during.sends) / float64(t.during.offered), float64(t.sends) / float64(t.offered), after,
+		way, fmt.Sprintf("%.1f%%", 100*float64(sum(t.answeredPerBucket))/float64(t.arrivals)), fmt.Sprintf("%.1f%%", 100*float64(t.failed)/float64(t.arrivals)),
+		float64(t.inFault.sends) / float64(t.inFault.offered), float64(t.sends) / float64(t.arrivals), after,
 	}
 }
--- a/internal/measure/stalls.go
+++ b/internal/measure/stalls.go
@@ -12,83 +12,83 @@
 
 // Settings of the stall measurement.
 const (
-	streamsMeasured = 20_000
-	chunks          = 200
-	resumeTakes     = 60 * time.Millisecond
+	streamCount     = 20_000
+	chunksPerStream = 200
+	resumeDelay     = 60 * time.Millisecond
 )
 
-// detector tells by when the next chunk has to come.
-type detector interface {
+// stallDetector tells by when the next chunk has to come.
+type stallDetector interface {
 	Chunk(now time.Time)
 	Due() time.Time
 }
 
-// fixedGap is a timeout that is the same for every stream.
-type fixedGap struct {
-	gap  time.Duration
-	last time.Time
+// fixedTimeout is a timeout that is the same for every stream.
+type fixedTimeout struct {
+	timeout time.Duration
+	last    time.Time
 }
 
 // Chunk notes that a chunk has come.
-func (f *fixedGap) Chunk(now time.Time) { f.last = now }
+func (f *fixedTimeout) Chunk(now time.Time) { f.last = now }
 
 // Due returns by when the next one has to come.
-func (f *fixedGap) Due() time.Time { return f.last.Add(f.gap) }
+func (f *fixedTimeout) Due() time.Time { return f.last.Add(f.timeout) }
 
-// paces are the mean gaps of healthy streams: of a quick model, a loaded one,
+// meanGaps are the mean gaps of healthy streams: of a quick model, a loaded one,
 // and a slow one.
-var paces = []time.Duration{30 * time.Millisecond, 200 * time.Millisecond, 1500 * time.Millisecond}
+var meanGaps = []time.Duration{30 * time.Millisecond, 200 * time.Millisecond, 1500 * time.Millisecond}
 
-// spreadOf is the standard deviation of the logarithm of a gap.
-const spreadOf = 0.5
+// gapSigma is the standard deviation of the logarithm of a gap.
+const gapSigma = 0.5
 
-func gapOf(r *rand.Rand, mean time.Duration) time.Duration {
-	return time.Duration(float64(mean) * math.Exp(r.NormFloat64()*spreadOf-spreadOf*spreadOf/2))
+func randomGap(r *rand.Rand, mean time.Duration) time.Duration {
+	return time.Duration(float64(mean) * math.Exp(r.NormFloat64()*gapSigma-gapSigma*gapSigma/2))
 }
 
 // stalls measures how soon a stalled stream is noticed, and false alarms.
 func stalls(seed uint64) []*table {
 	t := &table{
-		title: "Stalled streams",
-		about: fmt.Sprintf("%d streams of %d chunks, gaps log-normal (sigma %.1f) about 30, 200 or 1500 ms; one in ten stalls for good at a random chunk; a resume takes %v; seed %d.", streamsMeasured, chunks, spreadOf, resumeTakes, seed),
-		head:  []string{"way", "longest wait of a caller p50 ms", "p95", "p99", "false alarms per 1000 healthy streams"},
+		title:       "Stalled streams",
+		description: fmt.Sprintf("%d streams of %d chunks, gaps log-normal (sigma %.1f) about 30, 200 or 1500 ms; one in ten stalls for good at a random chunk; a resume takes %v; seed %d.", streamCount, chunksPerStream, gapSigma, resumeDelay, seed),
+		columns:     []string{"way", "longest wait of a caller p50 ms", "p95", "p99", "false alarms per 1000 healthy streams"},
 	}
 	for _, way := range []struct {
 		name string
-		make func(now time.Time) detector
+		make func(now time.Time) stallDetector
 	}{
-		{"fixed 30 s", func(now time.Time) detector { return &fixedGap{30 * time.Second, now} }},
-		{"fixed 2 s", func(now time.Time) detector { return &fixedGap{2 * time.Second, now} }},
-		{"woaddoor", func(now time.Time) detector { return stream.NewPace(stream.PaceOptions{}, now) }},
+		{"fixed 30 s", func(now time.Time) stallDetector { return &fixedTimeout{30 * time.Second, now} }},
+		{"fixed 2 s", func(now time.Time) stallDetector { return &fixedTimeout{2 * time.Second, now} }},
+		{"woaddoor", func(now time.Time) stallDetector { return stream.NewPace(stream.PaceOptions{}, now) }},
 	} {
-		waits, alarms, healthy := stallRun(seed, way.make)
+		waits, alarms, healthy := runStreams(seed, way.make)
 		q := model.QuantilesOf(waits)
-		t.add(way.name, q.P50, q.P95, q.P99, 1000*float64(alarms)/float64(healthy))
+		t.addRow(way.name, q.P50, q.P95, q.P99, 1000*float64(alarms)/float64(healthy))
 	}
 	return []*table{t}
 }
 
-// stallRun returns, of the streams that stalled, how long the caller waited at
+// runStreams returns, of the streams that stalled, how long the caller waited at
 // the stall, and how many healthy streams were taken for stalled.
-func stallRun(seed uint64, make func(now time.Time) detector) (waits []time.Duration, alarms, healthy int) {
+func runStreams(seed uint64, make func(now time.Time) stallDetector) (waits []time.Duration, alarms, healthy int) {
 	r := rand.New(rand.NewPCG(seed, 70))
-	for i := range streamsMeasured {
-		mean := paces[i%len(paces)]
+	for i := range streamCount {
+		mean := meanGaps[i%len(meanGaps)]
 		stallAt := -1
 		if r.IntN(10) == 0 {
-			stallAt = 1 + r.IntN(chunks-1)
+			stallAt = 1 + r.IntN(chunksPerStream-1)
 		} else {
 			healthy++
 		}
 		now := time.Unix(0, 0)
 		d := make(now)
 		alarm := false
-		for n := range chunks {
+		for n := range chunksPerStream {
 			if n == stallAt {
-				waits = append(waits, d.Due().Sub(now)+resumeTakes)
+				waits = append(waits, d.Due().Sub(now)+resumeDelay)
 				break
 			}
-			next := now.Add(gapOf(r, mean))
+			next := now.Add(randomGap(r, mean))
 			if n > 0 && !next.Before(d.Due()) {
 				alarm = true
 			}
--- a/internal/measure/table.go
+++ b/internal/measure/table.go
@@ -9,13 +9,13 @@
 // table is one measurement's result.
 type table struct {
 	title string
-	// about says what was varied, with the seed.
-	about string
-	head  []string
-	rows  [][]string
+	// description says what was varied, with the seed.
+	description string
+	columns     []string
+	rows        [][]string
 }
 
-func (t *table) add(cells ...any) {
+func (t *table) addRow(cells ...any) {
 	row := make([]string, len(cells))
 	for i, c := range cells {
 		switch v := c.(type) {
@@ -33,7 +33,7 @@
 
 // print writes the table in Markdown.
 func (t *table) print(w io.Writer) {
-	fmt.Fprintf(w, "### %s\n\n%s\n\n| %s |\n|%s\n", t.title, t.about, strings.Join(t.head, " | "), strings.Repeat("---|", len(t.head)))
+	fmt.Fprintf(w, "### %s\n\n%s\n\n| %s |\n|%s\n", t.title, t.description, strings.Join(t.columns, " | "), strings.Repeat("---|", len(t.columns)))
 	for _, row := range t.rows {
 		fmt.Fprintf(w, "| %s |\n", strings.Join(row, " | "))
 	}
--- a/internal/mutants/main.go
+++ b/internal/mutants/main.go
@@ -175,9 +175,9 @@
 	{"a request that has arrived is answered by a stop", "drain/drain.go", "> quietFor && !c.unread()", "> quietFor", "./drain", "TestArrivedRequest"},
 	{"silent connections are not used again", "exchange/exchange.go", "c.reused && silent(ctx, err)", "false", "./exchange", "TestSilentConnections"},
 	{"a stop waits for streams", "entry/server.go", "!callers.Drain(ctx)", "ctx.Err() != nil", "./internal/fleet", "TestPlannedStop"},
-	{"a copy is kept before the end", "entry/bills.go", "keepers := s.keepers()", "keepers := s.keepers()[:0]", "./internal/fleet", "TestBilledThoughKilled"},
+	{"a copy is kept before the end", "entry/bills.go", "keepers := s.keepers()", "keepers := s.keepers()[:0]", "./internal/fleet", "TestBillingSurvivesKill"},
 	{"a near peer keeps copies too", "entry/bills.go", "[][]vm.Member{far, near}", "[][]vm.Member{far}", "./internal/fleet", "TestCutOff/both"},
-	{"arbiters hear of results", "entry/tickets.go", "s.tellArbiters(ctx, c, ticket.Result{Outcome: contract.Ran", "s.tellArbiters(ctx, &claim{settled: true}, ticket.Result{Outcome: contract.Ran", "./internal/fleet", "TestRulingAnswerFoundAgain"},
+	{"arbiters hear of results", "entry/tickets.go", "s.tellArbiters(ctx, c, ticket.Result{Outcome: contract.Ran", "s.tellArbiters(ctx, &claim{settled: true}, ticket.Result{Outcome: contract.Ran", "./internal/fleet", "TestRulingAnswerReplayed"},
 }
 
 // testTimeout bounds one mutant's test.
--- a/internal/rounds/experiment.go
+++ b/internal/rounds/experiment.go
@@ -33,23 +33,23 @@
 type experiment struct {
 	days        []string
 	seeds, jobs int
-	ways        []way
-	deployments []entry
+	variants    []variant
+	deployments []deployment
 }
 
-// way is one way of deciding.
-type way struct {
+// variant is one way of deciding.
+type variant struct {
 	name string
 	// settings are the lines of its section [policy].
 	settings []string
 }
 
-// landed is the name of the way that stands.
-const landed = "as it stands"
+// baseline is the name of the way that stands.
+const baseline = "as it stands"
 
 // Prefixes of the sections of an experiment's file.
 const (
-	prefixWay         = "way "
+	prefixVariant     = "way "
 	prefixDeployment  = "deployment "
 	sectionExperiment = "experiment"
 )
@@ -61,16 +61,16 @@
 		return nil, err
 	}
 	var faults config.Faults
-	x := &experiment{ways: []way{{name: landed}}}
+	x := &experiment{variants: []variant{{name: baseline}}}
 	for _, section := range slices.Sorted(maps.Keys(f.Sections())) {
 		r := config.NewReader(f, section, &faults)
 		switch {
 		case section == sectionExperiment:
 			x.days = r.List("days")
-			x.seeds, x.jobs = r.Int("seeds", defaultSeeds, oneSeed, mostSeeds), r.Int("jobs", defaultJobs, 1, mostJobs)
+			x.seeds, x.jobs = r.Int("seeds", defaultSeeds, minSeeds, maxSeeds), r.Int("jobs", defaultJobs, 1, maxJobs)
 			r.Done()
-		case strings.HasPrefix(section, prefixWay):
-			x.ways = append(x.ways, readWay(strings.TrimPrefix(section, prefixWay), r))
+		case strings.HasPrefix(section, prefixVariant):
+			x.variants = append(x.variants, readVariant(strings.TrimPrefix(section, prefixVariant), r))
 		case strings.HasPrefix(section, prefixDeployment):
 			x.deployments = append(x.deployments, readDeployment(strings.TrimPrefix(section, prefixDeployment), r))
 		default:
@@ -83,7 +83,7 @@
 	switch {
 	case len(faults) > 0:
 		return nil, faults
-	case len(x.ways) < 2:
+	case len(x.variants) < 2:
 		return nil, fmt.Errorf("%s: has no [way NAME]: expected one at least, to be compared with the way that stands", name)
 	case len(x.deployments) == 0:
 		return nil, fmt.Errorf("%s: has no [deployment NAME]: expected one at least", name)
@@ -91,8 +91,8 @@
 	return x, nil
 }
 
-func readWay(name string, r *config.Reader) way {
-	w := way{name: name}
+func readVariant(name string, r *config.Reader) variant {
+	w := variant{name: name}
 	for _, key := range r.Keys() {
 		if !slices.Contains(settings.PolicyKeys, key) {
 			r.Fault(key, "is no setting of the policy: expected some of %s", strings.Join(settings.PolicyKeys, ", "))
@@ -106,19 +106,19 @@
 	return w
 }
 
-func readDeployment(name string, r *config.Reader) entry {
-	e := entry{name: name, site: r.Need("site", "expected a site file"), small: r.OneOf("small", "yes", "yes", "no") == "yes"}
+func readDeployment(name string, r *config.Reader) deployment {
+	e := deployment{name: name, site: r.Need("site", "expected a site file"), small: r.OneOf("small", "yes", "yes", "no") == "yes"}
 	r.Done()
 	return e
 }
 
-// id names the report of a way's day in the folder of reports.
-func (x *experiment) id(w way, p planned) string {
+// reportFile names the report of a way's day in the folder of reports.
+func (x *experiment) reportFile(w variant, p plannedDay) string {
 	name := strings.Map(func(c rune) rune {
 		if c == ' ' || c == '/' {
 			return '-'
 		}
 		return c
-	}, w.name+"."+p.entry.name+"."+p.day)
+	}, w.name+"."+p.deployment.name+"."+p.day)
 	return fmt.Sprintf("%s.%d.json", name, p.seed)
 }
--- a/internal/rounds/experiment_test.go
+++ b/internal/rounds/experiment_test.go
@@ -27,21 +27,21 @@
 small = no
 `
 
-// TestExperiment checks that an experiment is read, with the way that stands first.
-func TestExperiment(t *testing.T) {
+// TestReadExperiment checks that an experiment is read, with the way that stands first.
+func TestReadExperiment(t *testing.T) {
 	is := is.New(t)
 	x, err := readExperiment("e.ini", []byte(sampleExperiment))
 	is.NoErr(err)
 	is.Equal(x.days, []string{"quiet-1", "scale-1"})
-	is.Equal(len(x.ways), 3)
-	is.Equal(x.ways[0], way{name: landed})
-	is.Equal(x.ways[1], way{"dearer", []string{"worth-of-cost = 30"}})
-	is.Equal(x.deployments, []entry{{name: "further", site: "further/x.toml"}})
-	is.Equal(x.id(x.ways[0], planned{x.deployments[0], "quiet-1", 1}), "as-it-stands.further.quiet-1.1.json")
+	is.Equal(len(x.variants), 3)
+	is.Equal(x.variants[0], variant{name: baseline})
+	is.Equal(x.variants[1], variant{"dearer", []string{"worth-of-cost = 30"}})
+	is.Equal(x.deployments, []deployment{{name: "further", site: "further/x.toml"}})
+	is.Equal(x.reportFile(x.variants[0], plannedDay{x.deployments[0], "quiet-1", 1}), "as-it-stands.further.quiet-1.1.json")
 }
 
-// TestExperimentFaults checks that bad input names file, line and key.
-func TestExperimentFaults(t *testing.T) {
+// TestReadExperimentErrors checks that bad input names file, line and key.
+func TestReadExperimentErrors(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, want string }{
 		"a setting that is none":   {"worth-of-cost = 30", "worth = 30", "e.ini:10: [way dearer] worth"},
 		"a value out of bounds":    {"worth-of-cost = 30", "worth-of-cost = -3", "[way dearer] worth-of-cost"},
@@ -62,33 +62,33 @@
 	}
 }
 
-// TestGoesOn checks that what was played is not played again.
-func TestGoesOn(t *testing.T) {
+// TestExperimentResumes checks that what was played is not played again.
+func TestExperimentResumes(t *testing.T) {
 	is := is.New(t)
 	x, err := readExperiment("e.ini", []byte(sampleExperiment))
 	is.NoErr(err)
 	out := t.TempDir()
-	is.Equal(len(x.missing(out, x.ways[0])), 4)
-	is.NoErr(os.WriteFile(filepath.Join(out, x.id(x.ways[0], planned{x.deployments[0], "quiet-1", 2})), []byte("{}"), 0o600))
-	is.Equal(len(x.missing(out, x.ways[0])), 3)
-	is.Equal(len(x.missing(out, x.ways[1])), 4)
+	is.Equal(len(x.missingDays(out, x.variants[0])), 4)
+	is.NoErr(os.WriteFile(filepath.Join(out, x.reportFile(x.variants[0], plannedDay{x.deployments[0], "quiet-1", 2})), []byte("{}"), 0o600))
+	is.Equal(len(x.missingDays(out, x.variants[0])), 3)
+	is.Equal(len(x.missingDays(out, x.variants[1])), 4)
 }
 
-// trialsOf returns days of two ways whose worth differs by what is given.
-func trialsOf(differences ...float64) []trial {
-	var all []trial
+// resultsWithDifferences returns days of two ways whose worth differs by what is given.
+func resultsWithDifferences(differences ...float64) []result {
+	var all []result
 	for i, d := range differences {
 		base := 0.5 + 0.1*float64(i)
 		all = append(all,
-			trial{landed, "d", "quiet-1", i, &report{Worth: base}},
-			trial{"other", "d", "quiet-1", i, &report{Worth: base + d}})
+			result{baseline, "d", "quiet-1", i, &report{Worth: base}},
+			result{"other", "d", "quiet-1", i, &report{Worth: base + d}})
 	}
 	return all
 }
 
-// TestPaired checks the difference of two ways and what is said of it. That days are
+// TestPairedDifference checks the difference of two ways and what is said of it. That days are
 // worth very different amounts does not matter, since the same ones are compared.
-func TestPaired(t *testing.T) {
+func TestPairedDifference(t *testing.T) {
 	worth := func(r *report) float64 { return r.Worth }
 	for name, c := range map[string]struct {
 		differences []float64
@@ -100,32 +100,32 @@
 		"a single one": {[]float64{0.3}, "no difference seen"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(paired(trialsOf(c.differences...), "d", landed, "other", worth).verdict(), c.verdict)
+			is.New(t).Equal(pairedDifference(resultsWithDifferences(c.differences...), "d", baseline, "other", worth).verdict(), c.verdict)
 		})
 	}
 	is := is.New(t)
-	d := paired(trialsOf(0.01, 0.03), "d", landed, "other", worth)
+	d := pairedDifference(resultsWithDifferences(0.01, 0.03), "d", baseline, "other", worth)
 	is.True(math.Abs(d.mean-0.02) < 1e-9)
-	is.True(math.Abs(d.half-0.127) < 0.001) // 12.706 times 0.01414 over the root of 2
+	is.True(math.Abs(d.halfWidth-0.127) < 0.001) // 12.706 times 0.01414 over the root of 2
 	is.Equal(d.pairs, 2)
 }
 
-// TestResults checks that the table notes broken rules, and that CSV and plot are
+// TestWriteResults checks that the table notes broken rules, and that CSV and plot are
 // written.
-func TestResults(t *testing.T) {
+func TestWriteResults(t *testing.T) {
 	is := is.New(t)
-	x := &experiment{ways: []way{{name: landed}, {name: "other"}}, deployments: []entry{{name: "d"}}}
-	trials := trialsOf(0.02, 0.03)
+	x := &experiment{variants: []variant{{name: baseline}, {name: "other"}}, deployments: []deployment{{name: "d"}}}
+	trials := resultsWithDifferences(0.02, 0.03)
 	trials[1].report.Breaks = map[string]json.RawMessage{"LOST": nil}
 	var table strings.Builder
-	printPairs(&table, x, trials)
+	printDifferences(&table, x, trials)
 	is.True(strings.Contains(table.String(), "| d | "))
 	is.True(strings.Contains(table.String(), "LOST quiet-1 seed 0"))
 	var csv strings.Builder
 	is.NoErr(writeCSV(&csv, trials))
 	is.Equal(strings.Count(csv.String(), "\n"), 5)
 	file := filepath.Join(t.TempDir(), "worth.svg")
-	is.NoErr(plotPairs(file, x, trials))
+	is.NoErr(plotDifferences(file, x, trials))
 	raw, err := os.ReadFile(file)
 	is.NoErr(err)
 	is.True(strings.Contains(string(raw), "<svg"))
@@ -139,5 +139,5 @@
 	is.NoErr(err)
 	x, err := readExperiment(file, text)
 	is.NoErr(err)
-	is.Equal(len(x.ways), 11)
+	is.Equal(len(x.variants), 11)
 }
--- a/internal/rounds/main.go
+++ b/internal/rounds/main.go
@@ -50,12 +50,12 @@
 	Why        string   `help:"What the run is for; it goes into the journal." required:""`
 }
 
-// play is one day on one seed.
-type play struct {
-	day  string
-	seed int
-	out  *report
-	err  error
+// dayRun is one day on one seed.
+type dayRun struct {
+	day    string
+	seed   int
+	report *report
+	err    error
 }
 
 func main() {
@@ -72,14 +72,14 @@
 		return
 	}
 	if a.Experiment != "" {
-		if err := a.compare(os.Stdout); err != nil {
+		if err := a.compareVariants(os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
 		return
 	}
-	plays := a.plays()
-	if err := a.run(plays); err != nil {
+	plays := a.plannedRuns()
+	if err := a.runAll(plays); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
@@ -96,8 +96,8 @@
 	}
 }
 
-// compare plays an experiment and writes its results.
-func (a *arguments) compare(w io.Writer) error {
+// compareVariants plays an experiment and writes its results.
+func (a *arguments) compareVariants(w io.Writer) error {
 	text, err := os.ReadFile(a.Experiment)
 	if err != nil {
 		return fmt.Errorf("experiment: %w", err)
@@ -107,27 +107,27 @@
 		return err
 	}
 	trials, failed := a.runExperiment(x)
-	printPairs(w, x, trials)
+	printDifferences(w, x, trials)
 	file, err := os.Create(filepath.Join(a.Out, "trials.csv"))
 	if err != nil {
 		return errors.Join(failed, err)
 	}
 	err = errors.Join(writeCSV(file, trials), file.Close())
-	return errors.Join(failed, err, plotPairs(filepath.Join(a.Out, "worth.svg"), x, trials))
+	return errors.Join(failed, err, plotDifferences(filepath.Join(a.Out, "worth.svg"), x, trials))
 }
 
-func (a *arguments) plays() []*play {
-	var plays []*play
+func (a *arguments) plannedRuns() []*dayRun {
+	var plays []*dayRun
 	for _, day := range a.Days {
 		for seed := a.First; seed < a.First+a.Seeds; seed++ {
-			plays = append(plays, &play{day: day, seed: seed})
+			plays = append(plays, &dayRun{day: day, seed: seed})
 		}
 	}
 	return plays
 }
 
-// run plays all, a few at a time, and shows how far it is.
-func (a *arguments) run(plays []*play) error {
+// runAll plays all, a few at a time, and shows how far it is.
+func (a *arguments) runAll(plays []*dayRun) error {
 	dir, err := os.MkdirTemp("", "rounds")
 	if err != nil {
 		return fmt.Errorf("folder for reports: %w", err)
@@ -140,15 +140,15 @@
 	if out, err := exec.Command(a.Bench, "build").CombinedOutput(); err != nil { // once, not by each play
 		return fmt.Errorf("build: %w\n%s", err, out)
 	}
-	atOnce(len(plays), a.Jobs, "", func(i int) {
+	runConcurrently(len(plays), a.Jobs, "", func(i int) {
 		p := plays[i]
-		p.out, p.err = a.play(".", p.day, p.seed, filepath.Join(dir, strconv.Itoa(i)+".json"))
+		p.report, p.err = a.runDay(".", p.day, p.seed, filepath.Join(dir, strconv.Itoa(i)+".json"))
 	})
 	return nil
 }
 
-// atOnce does a number of things, a few at a time, and shows how far it is.
-func atOnce(n, jobs int, name string, do func(i int)) {
+// runConcurrently does a number of things, a few at a time, and shows how far it is.
+func runConcurrently(n, jobs int, name string, do func(i int)) {
 	places := make(chan struct{}, max(jobs, 1))
 	var all sync.WaitGroup
 	var mu sync.Mutex // guards done
@@ -169,8 +169,8 @@
 	fmt.Fprintln(os.Stderr)
 }
 
-// play plays one day in a folder that holds the project, and reads its report.
-func (a *arguments) play(dir, day string, seed int, file string) (*report, error) {
+// runDay plays one day in a folder that holds the project, and reads its report.
+func (a *arguments) runDay(dir, day string, seed int, file string) (*report, error) {
 	args := []string{"run", a.Site, day, "--report", file, "--jobs", "1", "--why", a.Why}
 	if seed > 0 {
 		args = append(args, "--seed", strconv.Itoa(seed))
@@ -191,12 +191,12 @@
 	return r, nil // a day with a broken rule ends with a status of its own
 }
 
-// of returns the plays of a day that were played.
-func of(plays []*play, day string) []*report {
+// reportsOf returns the plays of a day that were played.
+func reportsOf(plays []*dayRun, day string) []*report {
 	var out []*report
 	for _, p := range plays {
 		if p.day == day && p.err == nil {
-			out = append(out, p.out)
+			out = append(out, p.report)
 		}
 	}
 	return slices.Clip(out)
--- a/internal/rounds/plot.go
+++ b/internal/rounds/plot.go
@@ -22,25 +22,25 @@
 	plotter.YErrors
 }
 
-// plotPairs draws the difference in worth of each way to the way that stands, by
+// plotDifferences draws the difference in worth of each way to the way that stands, by
 // deployment.
-func plotPairs(file string, x *experiment, trials []trial) error {
+func plotDifferences(file string, x *experiment, trials []result) error {
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("worth against the way that stands, %g%% confidence", 100*confidence)
+	p.Title.Text = fmt.Sprintf("worth against the way that stands, %g%% confidence", 100*confidenceLevel)
 	p.Y.Label.Text = "difference"
 	var names []string
 	for _, e := range x.deployments {
 		names = append(names, e.name)
 	}
-	for n, w := range x.ways[1:] {
+	for n, w := range x.variants[1:] {
 		points := intervals{}
 		for i, e := range x.deployments {
-			d := paired(trials, e.name, landed, w.name, func(r *report) float64 { return r.Worth })
-			half := d.half
+			d := pairedDifference(trials, e.name, baseline, w.name, func(r *report) float64 { return r.Worth })
+			half := d.halfWidth
 			if math.IsInf(half, 1) {
 				half = 0
 			}
-			at := float64(i) + 0.8*(float64(n)+0.5)/float64(len(x.ways)-1) - 0.4
+			at := float64(i) + 0.8*(float64(n)+0.5)/float64(len(x.variants)-1) - 0.4
 			points.XYs = append(points.XYs, plotter.XY{X: at, Y: d.mean})
 			points.YErrors = append(points.YErrors, struct{ Low, High float64 }{half, half})
 		}
--- a/internal/rounds/report.go
+++ b/internal/rounds/report.go
@@ -73,7 +73,7 @@
 }
 
 // short names of prices that are shown apart; the rest are summed.
-var shown = []struct{ name, head string }{
+var shownPrices = []struct{ name, head string }{
 	{"worth paid for the use of models", "models"},
 	{"GB between zones", "bytes"},
 	{"1,000 tokens of shared parts read again", "read again"},
@@ -82,15 +82,15 @@
 	{"cloud calls", "calls"},
 }
 
-// stats are the mean of figures and how far they spread.
-type stats struct{ sum, squares, n float64 }
+// sampleStats are the mean of figures and how far they spread.
+type sampleStats struct{ sum, squares, n float64 }
 
-func (s *stats) add(x float64) { s.sum, s.squares, s.n = s.sum+x, s.squares+x*x, s.n+1 }
+func (s *sampleStats) add(x float64) { s.sum, s.squares, s.n = s.sum+x, s.squares+x*x, s.n+1 }
 
-func (s *stats) mean() float64 { return s.sum / max(s.n, 1) }
+func (s *sampleStats) mean() float64 { return s.sum / max(s.n, 1) }
 
 // deviation returns the sample's standard deviation.
-func (s *stats) deviation() float64 {
+func (s *sampleStats) deviation() float64 {
 	if s.n < 2 {
 		return 0
 	}
@@ -99,19 +99,19 @@
 
 // printTable prints a row a day, and the means over all days and over those with
 // trouble.
-func printTable(w io.Writer, days []string, plays []*play) {
+func printTable(w io.Writer, days []string, plays []*dayRun) {
 	heads := []string{"day", "worth", "spread"}
-	for _, p := range firstOf(plays).Parts {
+	for _, p := range firstReport(plays).Parts {
 		heads = append(heads, p.name)
 	}
-	for _, s := range shown {
+	for _, s := range shownPrices {
 		heads = append(heads, s.head)
 	}
 	heads = append(heads, "other prices", "classes", "broken or missed")
 	fmt.Fprintf(w, "| %s |\n|%s\n", strings.Join(heads, " | "), strings.Repeat("---|", len(heads)))
 	var every, troubled []*report
 	for _, day := range days {
-		reports := of(plays, day)
+		reports := reportsOf(plays, day)
 		printRow(w, day, reports)
 		every = append(every, reports...)
 		if !strings.HasPrefix(day, "quiet") {
@@ -122,10 +122,10 @@
 	printRow(w, "with trouble", troubled)
 }
 
-func firstOf(plays []*play) *report {
+func firstReport(plays []*dayRun) *report {
 	for _, p := range plays {
 		if p.err == nil {
-			return p.out
+			return p.report
 		}
 	}
 	return &report{}
@@ -135,17 +135,17 @@
 	if len(reports) == 0 {
 		return
 	}
-	var worth stats
+	var worth sampleStats
 	for _, r := range reports {
 		worth.add(r.worth())
 	}
-	cells := []string{name, figure(worth.mean()), figure(worth.deviation())}
+	cells := []string{name, formatNumber(worth.mean()), formatNumber(worth.deviation())}
 	for i := range reports[0].Parts {
-		var s stats
+		var s sampleStats
 		for _, r := range reports {
 			s.add(r.Parts[i].value)
 		}
-		cells = append(cells, figure(s.mean()))
+		cells = append(cells, formatNumber(s.mean()))
 	}
 	cells = append(cells, priceCells(reports)...)
 	cells = append(cells, classCell(reports), brokenCell(reports))
@@ -155,12 +155,12 @@
 // priceCells returns the means of the prices that are shown, and of the sum of
 // all others.
 func priceCells(reports []*report) []string {
-	sums := make([]stats, len(shown)+1)
+	sums := make([]sampleStats, len(shownPrices)+1)
 	for _, r := range reports {
 		other := 0.0
-		taken := make([]float64, len(shown))
+		taken := make([]float64, len(shownPrices))
 		for _, p := range r.Prices {
-			i := slices.IndexFunc(shown, func(s struct{ name, head string }) bool { return s.name == p.name })
+			i := slices.IndexFunc(shownPrices, func(s struct{ name, head string }) bool { return s.name == p.name })
 			if i < 0 {
 				other += p.taken
 				continue
@@ -173,7 +173,7 @@
 	}
 	cells := make([]string, len(sums))
 	for i := range sums {
-		cells[i] = figure(sums[i].mean())
+		cells[i] = formatNumber(sums[i].mean())
 	}
 	return cells
 }
@@ -183,7 +183,7 @@
 func classCell(reports []*report) string {
 	cells := make([]string, len(reports[0].Classes))
 	for i := range cells {
-		var s stats
+		var s sampleStats
 		for _, r := range reports {
 			if i < len(r.Classes) {
 				s.add(r.Classes[i].Worth)
@@ -219,4 +219,4 @@
 	return fmt.Sprintf("%s of %d", strings.Join(cells, ", "), len(reports))
 }
 
-func figure(x float64) string { return fmt.Sprintf("%.3f", x) }
+func formatNumber(x float64) string { return fmt.Sprintf("%.3f", x) }
--- a/internal/rounds/report_test.go
+++ b/internal/rounds/report_test.go
@@ -15,9 +15,9 @@
 "prices": [["GB between zones", 0.01, 0.03], ["cloud calls", 5, 0.01], ["probes", 1, 0.002]],
 "classes": [{"name": "a", "n": 10, "worth": 0.9}]}`
 
-// TestTable checks that a report is read, that a day with a broken rule is worth
+// TestPrintTable checks that a report is read, that a day with a broken rule is worth
 // nothing, and that prices without a column of their own are summed.
-func TestTable(t *testing.T) {
+func TestPrintTable(t *testing.T) {
 	is := is.New(t)
 	read := func(text string) *report {
 		file := filepath.Join(t.TempDir(), "r.json")
@@ -29,7 +29,7 @@
 	good := read(sampleReport)
 	broken := read(strings.Replace(sampleReport, `"breaks": {}`, `"breaks": {"LOST": 3}`, 1))
 	var out strings.Builder
-	printTable(&out, []string{"quiet-1", "trouble-1"}, []*play{{day: "quiet-1", out: good}, {day: "trouble-1", out: good}, {day: "trouble-1", out: broken}})
+	printTable(&out, []string{"quiet-1", "trouble-1"}, []*dayRun{{day: "quiet-1", report: good}, {day: "trouble-1", report: good}, {day: "trouble-1", report: broken}})
 	lines := strings.Split(out.String(), "\n")
 	is.Equal(lines[2], "| quiet-1 | 0.600 | 0.000 | 0.800 | 0.000 | 0.030 | 0.000 | 0.000 | 0.000 | 0.010 | 0.002 | 0.90 | missed 1 of 1 |")
 	is.True(strings.HasPrefix(lines[3], "| trouble-1 | 0.300 | 0.424 |"))
@@ -37,13 +37,13 @@
 	is.True(strings.HasPrefix(lines[5], "| with trouble | 0.300 |"))
 }
 
-// TestSet checks that a set is read, and that bad input names file, line and key.
-func TestSet(t *testing.T) {
+// TestReadSet checks that a set is read, and that bad input names file, line and key.
+func TestReadSet(t *testing.T) {
 	is := is.New(t)
 	set, err := readSet("landing.ini", []byte("[a]\nsite = x.toml\nreached = 0.6\n\n[b]\nsite = y.toml\nsmall = yes\ndays = quiet-1, scale-1\nseeds = 3\n"))
 	is.NoErr(err)
 	is.Equal(len(set), 2)
-	is.Equal(set[0].reached, 0.6)
+	is.Equal(set[0].referenceWorth, 0.6)
 	is.Equal(len(set[0].days), 6)
 	is.Equal(set[1].days, []string{"quiet-1", "scale-1"})
 	is.True(set[1].small)
@@ -61,25 +61,27 @@
 	}
 }
 
-// TestJudge checks what makes a deployment fail: a day that was not played, a broken
+// TestEvaluate checks what makes a deployment fail: a day that was not played, a broken
 // rule, a fall beyond the bound; and that quiet days do not count.
-func TestJudge(t *testing.T) {
+func TestEvaluate(t *testing.T) {
 	is := is.New(t)
-	day := func(name string, worth float64) *play { return &play{day: name, seed: 1, out: &report{Worth: worth}} }
+	day := func(name string, worth float64) *dayRun {
+		return &dayRun{day: name, seed: 1, report: &report{Worth: worth}}
+	}
 	broken := day("trouble-1", 0.7)
-	broken.out.Breaks = map[string]json.RawMessage{"LOST": nil}
-	e := entry{name: "a", reached: 0.6}
+	broken.report.Breaks = map[string]json.RawMessage{"LOST": nil}
+	e := deployment{name: "a", referenceWorth: 0.6}
 	for _, c := range []struct {
-		plays []*play
+		plays []*dayRun
 		holds bool
 		says  string
 	}{
-		{[]*play{day("quiet-1", 0.1), day("trouble-1", 0.58)}, true, "holds"},
-		{[]*play{day("quiet-1", 0.9), day("trouble-1", 0.56)}, false, "fell by 0.040"},
-		{[]*play{day("trouble-1", 0.9), broken}, false, "broke LOST"},
-		{[]*play{day("trouble-1", 0.9), {day: "scale-1", seed: 2, err: os.ErrNotExist}}, false, "scale-1 seed 2 not played"},
+		{[]*dayRun{day("quiet-1", 0.1), day("trouble-1", 0.58)}, true, "holds"},
+		{[]*dayRun{day("quiet-1", 0.9), day("trouble-1", 0.56)}, false, "fell by 0.040"},
+		{[]*dayRun{day("trouble-1", 0.9), broken}, false, "broke LOST"},
+		{[]*dayRun{day("trouble-1", 0.9), {day: "scale-1", seed: 2, err: os.ErrNotExist}}, false, "scale-1 seed 2 not played"},
 	} {
-		row, holds := judge(e, c.plays)
+		row, holds := evaluate(e, c.plays)
 		is.Equal(holds, c.holds)
 		is.True(strings.Contains(row, c.says))
 	}
--- a/internal/rounds/set.go
+++ b/internal/rounds/set.go
@@ -12,8 +12,8 @@
 	"woaddoor/config"
 )
 
-// entry is one deployment of a regression set.
-type entry struct {
+// deployment is one deployment of a regression set.
+type deployment struct {
 	name string
 	// site is its file, in the folder that the command names.
 	site  string
@@ -22,19 +22,19 @@
 	jobs  int
 	// small plays the small twin of a large deployment.
 	small bool
-	// reached is the mean worth of the days with trouble that has to hold.
-	reached float64
+	// referenceWorth is the mean worth of the days with trouble that has to hold.
+	referenceWorth float64
 }
 
-// mayFall is by how much the mean worth of a deployment may fall: the users' own
+// maxWorthDrop is by how much the mean worth of a deployment may fall: the users' own
 // bound, and about three times the spread of a mean of 15 days.
-const mayFall = 0.03
+const maxWorthDrop = 0.03
 
 // Bounds and defaults of a set's keys.
 const (
-	mostSeeds, mostJobs   = 20, 16
-	defaultJobs           = 4
-	defaultSeeds, oneSeed = 1, 1
+	maxSeeds, maxJobs      = 20, 16
+	defaultJobs            = 4
+	defaultSeeds, minSeeds = 1, 1
 )
 
 // allDays are the standard days.
@@ -42,20 +42,20 @@
 
 // readSet reads a regression set: a section for each deployment, in the order of
 // their names.
-func readSet(name string, text []byte) ([]entry, error) {
+func readSet(name string, text []byte) ([]deployment, error) {
 	f, err := config.ReadFile(name, text)
 	if err != nil {
 		return nil, err
 	}
 	var faults config.Faults
-	var set []entry
+	var set []deployment
 	for _, section := range slices.Sorted(maps.Keys(f.Sections())) {
 		r := config.NewReader(f, section, &faults)
-		e := entry{
+		e := deployment{
 			name: section, site: r.Need("site", "expected a site file"),
-			seeds: r.Int("seeds", defaultSeeds, oneSeed, mostSeeds), jobs: r.Int("jobs", defaultJobs, 1, mostJobs),
-			small:   r.OneOf("small", "no", "yes", "no") == "yes",
-			reached: r.Number("reached", 0, 0, 1),
+			seeds: r.Int("seeds", defaultSeeds, minSeeds, maxSeeds), jobs: r.Int("jobs", defaultJobs, 1, maxJobs),
+			small:          r.OneOf("small", "no", "yes", "no") == "yes",
+			referenceWorth: r.Number("reached", 0, 0, 1),
 		}
 		if e.days = r.List("days"); len(e.days) == 0 {
 			e.days = allDays
@@ -84,44 +84,44 @@
 	for _, e := range set {
 		one := *a
 		one.Site, one.Days, one.Seeds, one.Jobs, one.Small = filepath.Join(a.Sites, e.site), e.days, e.seeds, e.jobs, e.small
-		plays := one.plays()
-		if err := one.run(plays); err != nil {
+		plays := one.plannedRuns()
+		if err := one.runAll(plays); err != nil {
 			return false, fmt.Errorf("%s: %w", e.name, err)
 		}
 		fmt.Fprintf(w, "\n%s\n\n", e.name)
 		printTable(w, e.days, plays)
-		verdict, ok := judge(e, plays)
+		verdict, ok := evaluate(e, plays)
 		verdicts, holds = append(verdicts, verdict), holds && ok
 	}
 	fmt.Fprintf(w, "\n| deployment | with trouble | reached | verdict |\n|---|---|---|---|\n%s\n", strings.Join(verdicts, "\n"))
 	return holds, nil
 }
 
-// judge returns the row of a deployment, and whether it holds: all days were
+// evaluate returns the row of a deployment, and whether it holds: all days were
 // played, no rule broke, and the worth did not fall.
-func judge(e entry, plays []*play) (row string, holds bool) {
-	var worth stats
+func evaluate(e deployment, plays []*dayRun) (row string, holds bool) {
+	var worth sampleStats
 	var troubles []string
 	for _, p := range plays {
 		switch {
 		case p.err != nil:
 			troubles = append(troubles, fmt.Sprintf("%s seed %d not played", p.day, p.seed))
 			continue
-		case len(p.out.Breaks) > 0:
-			troubles = append(troubles, fmt.Sprintf("%s seed %d broke %s", p.day, p.seed, strings.Join(slices.Sorted(maps.Keys(p.out.Breaks)), " ")))
-		case p.out.Fault != nil:
-			troubles = append(troubles, fmt.Sprintf("%s seed %d: fault %s", p.day, p.seed, *p.out.Fault))
+		case len(p.report.Breaks) > 0:
+			troubles = append(troubles, fmt.Sprintf("%s seed %d broke %s", p.day, p.seed, strings.Join(slices.Sorted(maps.Keys(p.report.Breaks)), " ")))
+		case p.report.Fault != nil:
+			troubles = append(troubles, fmt.Sprintf("%s seed %d: fault %s", p.day, p.seed, *p.report.Fault))
 		}
 		if !strings.HasPrefix(p.day, "quiet") {
-			worth.add(p.out.worth())
+			worth.add(p.report.worth())
 		}
 	}
-	if worth.mean() < e.reached-mayFall {
-		troubles = append(troubles, fmt.Sprintf("fell by %.3f", e.reached-worth.mean()))
+	if worth.mean() < e.referenceWorth-maxWorthDrop {
+		troubles = append(troubles, fmt.Sprintf("fell by %.3f", e.referenceWorth-worth.mean()))
 	}
 	verdict := "holds"
 	if len(troubles) > 0 {
 		verdict = strings.Join(troubles, "; ")
 	}
-	return fmt.Sprintf("| %s | %s | %s | %s |", e.name, figure(worth.mean()), figure(e.reached), verdict), len(troubles) == 0
+	return fmt.Sprintf("| %s | %s | %s | %s |", e.name, formatNumber(worth.mean()), formatNumber(e.referenceWorth), verdict), len(troubles) == 0
 }
