--- a/internal/measure/lookup.go
+++ b/internal/measure/lookup.go
@@ -6,13 +6,13 @@
 	"math/rand/v2"
 )
 
-// lookup weighs Chord# (Schütt, Schintke, Reinefeld, "Chord#: Structured
-// Overlay Network for Non-Uniform Load-Distribution", 2005) against full
-// membership with rendezvous hashing, for finding the owner of a key.
+// lookup compares Chord# (Schütt, Schintke, Reinefeld, "Chord#: Structured
+// Overlay Network for Non-Uniform Load-Distribution", 2005) with full membership
+// and rendezvous hashing, for finding the owner of a key.
 //
-// In Chord# a node's i-th pointer leads to the node 2^i places further on the
-// ring: the first is its successor, and each next one is the pointer before it
-// of the node that the pointer before it leads to.
+// In Chord# a node's pointer i leads to the node 2^i places further on the ring.
+// Pointer 0 is the node's successor. Pointer i+1 is pointer i of the node that
+// pointer i leads to.
 func lookup(seed uint64) []*table {
 	t := &table{
 		title:       "Finding the owner of a key",
@@ -29,7 +29,7 @@
 	return []*table{t}
 }
 
-// chordHops returns the mean and the largest number of hops of random lookups.
+// chordHops returns the mean and the maximum number of hops over random lookups.
 func chordHops(n int, r *rand.Rand) (mean float64, most int) {
 	const keys = 10_000
 	total := 0
@@ -37,7 +37,7 @@
 		from, to := r.IntN(n), r.IntN(n)
 		hops := 0
 		for left := (to - from + n) % n; left > 0; {
-			// The longest pointer that does not pass the owner.
+			// Follow the longest pointer that does not pass the owner.
 			left -= 1 << int(math.Log2(float64(left)))
 			hops++
 		}
--- a/internal/measure/main.go
+++ b/internal/measure/main.go
@@ -1,6 +1,7 @@
-// Command measure prints the measurements of the policy, as Markdown. They run
-// the decision packages against a queue model, on seeded arrivals, so the same
-// build prints the same figures each time.
+// Command measure runs the decision packages against a simulated queueing model
+// and prints the results as Markdown tables. Arrivals come from a seeded random
+// generator, so that the same build prints the same figures each time. The
+// exception is the overload table, whose figures vary slightly.
 package main
 
 import (
--- a/internal/measure/table.go
+++ b/internal/measure/table.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// table is one measurement's result.
+// table holds the results of one measurement.
 type table struct {
 	title string
 	// description says what was varied, with the seed.
@@ -31,7 +31,7 @@
 	t.rows = append(t.rows, row)
 }
 
-// print writes the table in Markdown.
+// print writes the table as Markdown.
 func (t *table) print(w io.Writer) {
 	fmt.Fprintf(w, "### %s\n\n%s\n\n| %s |\n|%s\n", t.title, t.description, strings.Join(t.columns, " | "), strings.Repeat("---|", len(t.columns)))
 	for _, row := range t.rows {
