--- a/internal/bench/control.go
+++ b/internal/bench/control.go
@@ -23,8 +23,8 @@
 	"woaddoor/settings"
 )
 
-// controlFleet is a fleet of control processes' servers in this one process, over
-// real links on loopback, with stand-ins for their entry processes.
+// controlFleet runs the control servers of a fleet in this process. They communicate over
+// real links on loopback. Stand-ins replace their entry processes and the platform.
 type controlFleet struct {
 	store    *standin.Store
 	servers  []*control.Server
@@ -34,13 +34,14 @@
 	dir      string
 }
 
-// settle is how long a fleet runs before it is measured, and observe for how
-// long it is.
+// A fleet runs for settleDuration before it is measured for observeDuration.
 const (
 	settleDuration  = 8 * time.Second
 	observeDuration = 12 * time.Second
 )
 
+// newControlFleet starts a control server and a stand-in entry process for each of vms VMs
+// in each of dcs data centres.
 func newControlFleet(ctx context.Context, dcs, vms int) (*controlFleet, error) {
 	c := &controlFleet{store: standin.New()}
 	var err error
@@ -49,12 +50,12 @@
 	}
 	var names []string
 	var peers []settings.Peer
-	for d := range dcs {
-		for v := range vms {
-			name := fmt.Sprintf("dc%d-%d", d, v)
+	for dc := range dcs {
+		for vm := range vms {
+			name := fmt.Sprintf("dc%d-%d", dc, vm)
 			address := fmt.Sprintf("127.0.0.1:%d", firstPort+len(names))
 			names = append(names, name)
-			peers = append(peers, settings.Peer{VM: contract.VMID(name), DataCentre: contract.DataCentreID(fmt.Sprintf("dc%d", d)), EntryLink: address, ControlLink: address})
+			peers = append(peers, settings.Peer{VM: contract.VMID(name), DataCentre: contract.DataCentreID(fmt.Sprintf("dc%d", dc)), EntryLink: address, ControlLink: address})
 		}
 	}
 	if err := keys.Make(c.dir, names); err != nil {
@@ -69,61 +70,64 @@
 	return c, nil
 }
 
-// firstPort begins the UDP ports of the cores.
-const firstPort = 21_000 // below the range that systems give out
+// firstPort is the first UDP port of the control servers' links. It is below the range of
+// ephemeral ports.
+const firstPort = 21_000
 
+// addServer starts the control server of VM i and its stand-in entry process.
 func (c *controlFleet) addServer(ctx context.Context, name string, peers []settings.Peer, i int) error {
-	set, err := keys.Load(filepath.Join(c.dir, name+".pem"), filepath.Join(c.dir, keys.PinsFile), filepath.Join(c.dir, keys.SigningFile))
+	vmKeys, err := keys.Load(filepath.Join(c.dir, name+".pem"), filepath.Join(c.dir, keys.PinsFile), filepath.Join(c.dir, keys.SigningFile))
 	if err != nil {
 		return err
 	}
-	s := settings.Settings{VM: peers[i].VM, DataCentre: peers[i].DataCentre}
-	s.Control = settings.Control{Health: "127.0.0.1:0", Link: peers[i].ControlLink, Advertise: peers[i].ControlLink, Watchers: 2, WatchWait: time.Second, FileEvery: time.Second}
-	s.Entry.Link, s.Entry.Advertise = peers[i].EntryLink, peers[i].EntryLink
+	vmSettings := settings.Settings{VM: peers[i].VM, DataCentre: peers[i].DataCentre}
+	vmSettings.Control = settings.Control{Health: "127.0.0.1:0", Link: peers[i].ControlLink, Advertise: peers[i].ControlLink, Watchers: 2, WatchWait: time.Second, FileEvery: time.Second}
+	vmSettings.Entry.Link, vmSettings.Entry.Advertise = peers[i].EntryLink, peers[i].EntryLink
 	for j, p := range peers {
-		// A VM's settings name a few of each data centre, not the fleet.
+		// The settings list the first four VMs of the own data centre and the first VM
+		// of every other, as real settings list a few VMs instead of the whole fleet.
 		if j != i && (isLocalPeer(peers, i, j) || strings.HasSuffix(string(p.VM), "-0")) {
-			s.Peers = append(s.Peers, p)
+			vmSettings.Peers = append(vmSettings.Peers, p)
 		}
 	}
 	view := c.store.View(name)
-	server, err := control.New(&control.Options{Settings: &s, Keys: set, Clock: clock.NewSystem(), Log: logs.New(io.Discard), Store: view, VMs: view})
+	server, err := control.New(&control.Options{Settings: &vmSettings, Keys: vmKeys, Clock: clock.NewSystem(), Log: logs.New(io.Discard), Store: view, VMs: view})
 	if err != nil {
 		return err
 	}
 	c.servers = append(c.servers, server)
-	c.settings = append(c.settings, s)
+	c.settings = append(c.settings, vmSettings)
 	go func() { _ = server.Run(ctx) }()
-	endpoint, err := link.Listen("127.0.0.1:0", set)
+	endpoint, err := link.Listen("127.0.0.1:0", vmKeys)
 	if err != nil {
 		return err
 	}
 	c.entries = append(c.entries, endpoint)
-	go c.simulateEntry(ctx, endpoint, &s)
+	go c.simulateEntry(ctx, endpoint, &vmSettings)
 	return nil
 }
 
-// isLocalPeer tells whether VM j is among the first four of VM i's data centre.
+// isLocalPeer reports whether VM j is among the first four VMs of VM i's data centre.
 func isLocalPeer(peers []settings.Peer, i, j int) bool {
-	rank := 0
+	localRank := 0
 	for k := range j {
 		if peers[k].DataCentre == peers[i].DataCentre {
-			rank++
+			localRank++
 		}
 	}
-	return peers[j].DataCentre == peers[i].DataCentre && rank < 4
+	return peers[j].DataCentre == peers[i].DataCentre && localRank < 4
 }
 
-// simulateEntry stands in for a VM's entry process: it pulls as one does.
-func (c *controlFleet) simulateEntry(ctx context.Context, e *link.Endpoint, s *settings.Settings) {
-	have := contract.Revision(0)
+// simulateEntry pulls configurations from the control server as an entry process does.
+func (c *controlFleet) simulateEntry(ctx context.Context, endpoint *link.Endpoint, vmSettings *settings.Settings) {
+	revision := contract.Revision(0)
 	for ctx.Err() == nil {
-		got, err := link.Call[protocol.PullRequest, protocol.PullAnswer](ctx, e, s.Control.Link, link.KindPull, protocol.PullRequest{
-			Have: have, Wait: 500 * time.Millisecond,
-			Entry: &protocol.EntryState{Incarnation: 1, Link: s.Entry.Link, Revision: have},
+		answer, err := link.Call[protocol.PullRequest, protocol.PullAnswer](ctx, endpoint, vmSettings.Control.Link, link.KindPull, protocol.PullRequest{
+			Have: revision, Wait: 500 * time.Millisecond,
+			Entry: &protocol.EntryState{Incarnation: 1, Link: vmSettings.Entry.Link, Revision: revision},
 		})
-		if err == nil && got.Patch != nil {
-			have = got.Patch.To
+		if err == nil && answer.Patch != nil {
+			revision = answer.Patch.To
 		}
 		if err != nil {
 			time.Sleep(100 * time.Millisecond)
@@ -131,6 +135,7 @@
 	}
 }
 
+// stop closes the links and deletes the keys. It waits a second for the servers to end.
 func (c *controlFleet) stop() {
 	c.cancel()
 	for _, e := range c.entries {
@@ -140,8 +145,7 @@
 	os.RemoveAll(c.dir)
 }
 
-// trafficBytes returns the bytes of messages that each control server has sent and
-// received.
+// trafficBytes returns, for each control server, the bytes of messages sent and received.
 func (c *controlFleet) trafficBytes() []int64 {
 	bytes := make([]int64, len(c.servers))
 	for i, s := range c.servers {
@@ -151,15 +155,16 @@
 	return bytes
 }
 
-// trafficGrowth returns the mean growth of bytes a VM, and the largest.
-func trafficGrowth(a, b []int64) (mean, most float64) {
+// trafficGrowth returns the mean and the largest growth of a VM's bytes from a to b.
+func trafficGrowth(a, b []int64) (mean, largest float64) {
 	for i := range a {
 		mean += float64(b[i]-a[i]) / float64(len(a))
-		most = max(most, float64(b[i]-a[i]))
+		largest = max(largest, float64(b[i]-a[i]))
 	}
-	return mean, most
+	return mean, largest
 }
 
+// processCPU returns the processor time that this process has used.
 func processCPU() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -168,6 +173,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
+// heapAndStackMiB returns the memory in use by heap and stacks after a garbage collection.
 func heapAndStackMiB() float64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -175,10 +181,10 @@
 	return float64(m.HeapInuse+m.StackInuse) / (1 << 20)
 }
 
+// configTemplate is a configuration whose serve-without-word time, in seconds, each change sets.
 const configTemplate = "[workspace w]\nkey-hash = 0000000000000000000000000000000000000000000000000000000000000000\nallow = m@1\n\n[model m]\nserve = m@1\n\n[version m@1]\nserve-without-word = %ds\n"
 
-// applyChange makes a change and returns how long it took until every control server
-// held it.
+// applyChange makes a change and returns the time until every control server has it.
 func (c *controlFleet) applyChange(ctx context.Context, n int) (time.Duration, error) {
 	op := c.operator()
 	base, err := history.Load(ctx, op.Store)
@@ -193,7 +199,7 @@
 	for _, s := range c.servers {
 		for s.Revision() < root.Revision {
 			if time.Since(began) > time.Minute {
-				return 0, fmt.Errorf("revision %d not everywhere after a minute", root.Revision)
+				return 0, fmt.Errorf("revision %d has not reached every control server after a minute", root.Revision)
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -201,10 +207,10 @@
 	return time.Since(began), nil
 }
 
-// changesPerSize is how many changes are made at each size.
+// changesPerSize is the number of changes made at each size of the fleet.
 const changesPerSize = 10
 
-// measureControl measures the control's cost at several sizes of the fleet.
+// measureControl measures the cost of the control servers at several sizes of the fleet.
 func measureControl(ctx context.Context, _ string) error {
 	fmt.Printf("### Control, by the size of the fleet\n\nControl servers in one process, over real links, at rest for %v; processor time includes both ends of each link and the stand-ins for entry processes; heap holds all of them.\n\n", observeDuration)
 	fmt.Printf("| data centres x VMs | processor, %% of a core a VM | message bytes/s a VM | of the busiest VM | heap and stacks a VM, MiB | platform calls/s: reads | watches | lists | writes | change everywhere, median | longest | platform calls a change |\n|---|---|---|---|---|---|---|---|---|---|---|---|\n")
@@ -217,6 +223,7 @@
 	return nil
 }
 
+// measureControlSize measures one size of the fleet and prints its table row.
 func measureControlSize(ctx context.Context, dcs, vms int) error {
 	c, err := newControlFleet(ctx, dcs, vms)
 	if err != nil {
@@ -242,13 +249,13 @@
 		time.Sleep(time.Second)
 	}
 	calls2 := c.store.Counts()
-	mean, most := trafficGrowth(bytes0, bytes1)
-	rest := ratesBetween(calls0, calls1, seconds)
-	// What changes cost beyond the calls at rest, which go on meanwhile.
-	busy := callsBetween(calls1, calls2) - rest.total*(float64(changesPerSize)+totalDuration(took).Seconds())
+	mean, largest := trafficGrowth(bytes0, bytes1)
+	atRest := ratesBetween(calls0, calls1, seconds)
+	// The calls caused by the changes are those in excess of the calls at rest.
+	changeCalls := callsBetween(calls1, calls2) - atRest.total*(float64(changesPerSize)+totalDuration(took).Seconds())
 	fmt.Printf("| %d x %d | %.2f | %.0f | %.0f | %.2f | %.1f | %.1f | %.1f | %.2f | %v | %v | %.1f |\n", dcs, vms,
-		100*(cpu1-cpu0).Seconds()/seconds/n, mean/seconds, most/seconds, heapAndStackMiB()/n,
-		rest.reads, rest.watches, rest.lists, rest.writes, median(took).Round(time.Millisecond), quantile(took, 1).Round(time.Millisecond), busy/changesPerSize)
+		100*(cpu1-cpu0).Seconds()/seconds/n, mean/seconds, largest/seconds, heapAndStackMiB()/n,
+		atRest.reads, atRest.watches, atRest.lists, atRest.writes, median(took).Round(time.Millisecond), quantile(took, 1).Round(time.Millisecond), changeCalls/changesPerSize)
 	return nil
 }
 
@@ -260,8 +267,10 @@
 	return total
 }
 
+// callRates holds calls to the platform per second, by kind.
 type callRates struct{ reads, watches, lists, writes, total float64 }
 
+// ratesBetween returns the rates of calls between two counts that were taken seconds apart.
 func ratesBetween(a, b standin.Counts, seconds float64) callRates {
 	return callRates{
 		float64(b.Reads-a.Reads) / seconds, float64(b.Watches-a.Watches) / seconds, float64(b.Lists-a.Lists) / seconds,
@@ -269,6 +278,7 @@
 	}
 }
 
+// callsBetween returns the number of calls between two counts.
 func callsBetween(a, b standin.Counts) float64 {
 	return float64(b.Reads - a.Reads + b.Watches - a.Watches + b.Lists - a.Lists + b.Writes - a.Writes)
 }
--- a/internal/bench/entry.go
+++ b/internal/bench/entry.go
@@ -14,7 +14,7 @@
 	"woaddoor/internal/fleet"
 )
 
-// Sizes of the entry's measurements.
+// Sizes of the measurements of the entry process.
 const (
 	requestPairs = 2000
 	cpuRequests  = 20_000
@@ -23,22 +23,25 @@
 	openStreams  = 1000
 )
 
+// median sorts d and returns its median.
 func median(d []time.Duration) time.Duration {
 	slices.Sort(d)
 	return d[len(d)/2]
 }
 
+// quantile sorts d and returns its p-quantile.
 func quantile(d []time.Duration, p float64) time.Duration {
 	slices.Sort(d)
 	return d[min(int(p*float64(len(d))), len(d)-1)]
 }
 
-// caller sends requests either to a VM or straight to an engine.
+// caller sends chat requests to a VM or directly to an engine.
 type caller struct {
 	url, key, model string
 	client          *http.Client
 }
 
+// post sends a chat request and returns the response with its body still open.
 func (c caller) post(ctx context.Context, tokens int, stream bool) (*http.Response, error) {
 	body := fleet.ChatBody(c.model, "hello", tokens, stream)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.url+engine.PathChat, bytes.NewBufferString(body))
@@ -50,7 +53,8 @@
 	return c.client.Do(req)
 }
 
-// roundTrip sends a request and reads its whole answer.
+// roundTrip sends a request and reads the complete answer. It returns the time taken and
+// the length of the answer.
 func (c caller) roundTrip(ctx context.Context, tokens int, stream bool) (time.Duration, int64, error) {
 	began := time.Now()
 	resp, err := c.post(ctx, tokens, stream)
@@ -65,6 +69,8 @@
 	return time.Since(began), n, err
 }
 
+// newCallers returns a caller that sends directly to an engine, and one that sends through
+// the first VM.
 func newCallers(f *fleet.Fleet) (direct, routed caller) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2000}}
 	direct = caller{f.EngineURL("dc1-engine-1"), "", "chat-small@1", client}
@@ -72,7 +78,8 @@
 	return direct, routed
 }
 
-// measureAddedLatency measures what the entry adds to a request, pair by pair.
+// measureAddedLatency measures the latency and processor time that the entry process adds
+// to a request. It sends requests in pairs, one directly and one through the entry process.
 func measureAddedLatency(ctx context.Context, binDir string) error {
 	f, stop, err := startFleet(ctx, binDir, 2, 1, 0)
 	if err != nil {
@@ -80,17 +87,17 @@
 	}
 	defer stop()
 	direct, routed := newCallers(f)
-	var d, r, diff []time.Duration
+	var directTimes, routedTimes, differences []time.Duration
 	for range requestPairs {
-		a, _, err := direct.roundTrip(ctx, 8, false)
+		directTime, _, err := direct.roundTrip(ctx, 8, false)
 		if err != nil {
 			return err
 		}
-		b, _, err := routed.roundTrip(ctx, 8, false)
+		routedTime, _, err := routed.roundTrip(ctx, 8, false)
 		if err != nil {
 			return err
 		}
-		d, r, diff = append(d, a), append(r, b), append(diff, b-a)
+		directTimes, routedTimes, differences = append(directTimes, directTime), append(routedTimes, routedTime), append(differences, routedTime-directTime)
 	}
 	pid := f.VMs[0].Entry.PID()
 	before := processorTime(pid)
@@ -102,15 +109,17 @@
 	fmt.Printf("### What the entry adds to a request\n\n%d pairs, one after the other; processor time over %d requests by 8 callers.\n\n", requestPairs, cpuRequests)
 	fmt.Printf("| | p50 | p95 | p99 |\n|---|---|---|---|\n")
 	for _, row := range []struct {
-		name string
-		d    []time.Duration
-	}{{"direct", d}, {"through the entry", r}, {"added, pair by pair", diff}} {
-		fmt.Printf("| %s | %v | %v | %v |\n", row.name, median(row.d).Round(time.Microsecond), quantile(row.d, 0.95).Round(time.Microsecond), quantile(row.d, 0.99).Round(time.Microsecond))
+		name  string
+		times []time.Duration
+	}{{"direct", directTimes}, {"through the entry", routedTimes}, {"added, pair by pair", differences}} {
+		fmt.Printf("| %s | %v | %v | %v |\n", row.name, median(row.times).Round(time.Microsecond), quantile(row.times, 0.95).Round(time.Microsecond), quantile(row.times, 0.99).Round(time.Microsecond))
 	}
 	fmt.Printf("\nprocessor time of the entry a request: %v; %.0f requests/s\n\n", (used / cpuRequests).Round(time.Microsecond), cpuRequests/wall.Seconds())
 	return nil
 }
 
+// runParallel has each of callers goroutines call do n/callers times. It returns the first
+// error, if any.
 func runParallel(callers, n int, do func() error) error {
 	var wg sync.WaitGroup
 	errs := make(chan error, callers)
@@ -129,8 +138,8 @@
 	return <-errs
 }
 
-// measureChunks measures what the entry adds to a chunk of a stream, at several
-// numbers of streams at once.
+// measureChunks measures the time that the entry process adds to a chunk of a stream, at
+// several numbers of concurrent streams.
 func measureChunks(ctx context.Context, binDir string) error {
 	f, stop, err := startFleet(ctx, binDir, 2, 1, 0)
 	if err != nil {
@@ -145,23 +154,24 @@
 		if err := runParallel(width, chunkStreams, func() error { _, _, err := direct.roundTrip(ctx, chunkTokens, true); return err }); err != nil {
 			return err
 		}
-		straight := time.Since(began)
+		directWall := time.Since(began)
 		before := processorTime(pid)
 		began = time.Now()
 		if err := runParallel(width, chunkStreams, func() error { _, _, err := routed.roundTrip(ctx, chunkTokens, true); return err }); err != nil {
 			return err
 		}
-		wall, used := time.Since(began), processorTime(pid)-before
+		routedWall, used := time.Since(began), processorTime(pid)-before
 		n := chunkStreams / width * width * chunkTokens
-		fmt.Printf("| %d | %.1f us | %.1f us | %.1f us | %.0f |\n", width, microsecondsEach(used, n), microsecondsEach(straight, n), microsecondsEach(wall, n), float64(n)/wall.Seconds())
+		fmt.Printf("| %d | %.1f us | %.1f us | %.1f us | %.0f |\n", width, microsecondsEach(used, n), microsecondsEach(directWall, n), microsecondsEach(routedWall, n), float64(n)/routedWall.Seconds())
 	}
 	fmt.Println()
 	return nil
 }
 
+// microsecondsEach returns d divided by n, in microseconds.
 func microsecondsEach(d time.Duration, n int) float64 { return float64(d.Microseconds()) / float64(n) }
 
-// measureMemory measures the entry's memory at rest and with many streams open.
+// measureMemory measures the memory of the entry process, idle and with many open streams.
 func measureMemory(ctx context.Context, binDir string) error {
 	f, stop, err := startFleet(ctx, binDir, 2, 1, 100*time.Millisecond)
 	if err != nil {
@@ -198,4 +208,5 @@
 	return nil
 }
 
+// residentMiB returns the resident memory of a process.
 func residentMiB(pid int) float64 { return float64(residentBytes(pid)) / float64(1<<20) }
--- a/internal/bench/main.go
+++ b/internal/bench/main.go
@@ -1,6 +1,7 @@
-// Command bench measures the programs themselves: what the entry adds to a
-// request and to a chunk, what it holds, and how the control processes' cost
-// grows with the fleet. Load goes to loopback only and is bounded.
+// Command bench measures the real programs: the time that the entry process adds
+// to a request and to a chunk of a stream, its memory, the calls to the platform,
+// and how the cost of the control processes grows with the fleet. All load goes
+// to loopback, and the run is limited to runTimeout.
 package main
 
 import (
@@ -18,9 +19,10 @@
 	Only string `help:"Run one measurement: added, chunks, memory, control, writes."`
 }
 
-// runTimeout bounds a whole run.
+// runTimeout bounds the whole run.
 const runTimeout = 20 * time.Minute
 
+// measurement is a measurement that the flag --only can select.
 type measurement struct {
 	name string
 	run  func(ctx context.Context, binDir string) error
--- a/internal/bench/process.go
+++ b/internal/bench/process.go
@@ -14,8 +14,8 @@
 	"woaddoor/internal/standin/engine"
 )
 
-// clockTick is the kernel's unit of processor time in /proc, a hundredth of a
-// second on all usual systems.
+// clockTick is the kernel's unit of processor time in /proc: a hundredth of a
+// second on all common systems.
 const clockTick = 10 * time.Millisecond
 
 // processorTime returns the processor time that a process has used.
@@ -30,7 +30,7 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// residentBytes returns the memory of a process that is in use, in bytes.
+// residentBytes returns the resident memory of a process.
 func residentBytes(pid int) contract.Bytes {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -45,7 +45,8 @@
 	return 0
 }
 
-// startFleet starts a fleet of dcs data centres with vms VMs each.
+// startFleet starts a fleet of dcs data centres with vms VMs each, and waits until it
+// serves. The returned function stops it.
 func startFleet(ctx context.Context, binDir string, dcs, vms int, perToken time.Duration) (*fleet.Fleet, func(), error) {
 	dir, err := os.MkdirTemp("", "woaddoor-fleet")
 	if err != nil {
