--- a/internal/rounds/experiment.go
+++ b/internal/rounds/experiment.go
@@ -10,8 +10,9 @@
 	"woaddoor/settings"
 )
 
-// An experiment compares ways of deciding, each a set of settings of the policy, on the
-// same deployments, days and seeds. Its file has a section for each way and deployment:
+// experiment compares variants of the policy settings on the same deployments, days and
+// seeds. Its file has a section [way NAME] for each variant, and a section for each
+// deployment:
 //
 //	[experiment]
 //	days = quiet-1, scale-1
@@ -28,8 +29,8 @@
 //	site = further/platterhop-eu.toml
 //	small = no
 //
-// The way that stands, with no setting, is always among them, and is what the others
-// are compared with.
+// The baseline, which changes no setting, is always included. The other variants are
+// compared with it.
 type experiment struct {
 	days        []string
 	seeds, jobs int
@@ -37,24 +38,24 @@
 	deployments []deployment
 }
 
-// variant is one way of deciding.
+// variant is one set of policy settings.
 type variant struct {
 	name string
-	// settings are the lines of its section [policy].
+	// settings are the lines that the variant adds to the section [policy].
 	settings []string
 }
 
-// baseline is the name of the way that stands.
+// baseline is the name of the variant that changes no setting.
 const baseline = "as it stands"
 
-// Prefixes of the sections of an experiment's file.
+// Names and prefixes of the sections of an experiment's file.
 const (
 	prefixVariant     = "way "
 	prefixDeployment  = "deployment "
 	sectionExperiment = "experiment"
 )
 
-// readExperiment reads an experiment's file. All faults are told at once.
+// readExperiment parses an experiment's file. The error lists all faults of the file.
 func readExperiment(name string, text []byte) (*experiment, error) {
 	f, err := config.ReadFile(name, text)
 	if err != nil {
@@ -84,18 +85,19 @@
 	case len(faults) > 0:
 		return nil, faults
 	case len(x.variants) < 2:
-		return nil, fmt.Errorf("%s: has no [way NAME]: expected one at least, to be compared with the way that stands", name)
+		return nil, fmt.Errorf("%s: has no [way NAME]: expected at least one, to be compared with the baseline", name)
 	case len(x.deployments) == 0:
-		return nil, fmt.Errorf("%s: has no [deployment NAME]: expected one at least", name)
+		return nil, fmt.Errorf("%s: has no [deployment NAME]: expected at least one", name)
 	}
 	return x, nil
 }
 
+// readVariant reads the settings of one variant and checks them.
 func readVariant(name string, r *config.Reader) variant {
 	w := variant{name: name}
 	for _, key := range r.Keys() {
 		if !slices.Contains(settings.PolicyKeys, key) {
-			r.Fault(key, "is no setting of the policy: expected some of %s", strings.Join(settings.PolicyKeys, ", "))
+			r.Fault(key, "is not a policy setting: expected one of %s", strings.Join(settings.PolicyKeys, ", "))
 			continue
 		}
 		w.settings = append(w.settings, key+" = "+r.Text(key, ""))
@@ -106,13 +108,14 @@
 	return w
 }
 
+// readDeployment reads the site file and the size of one deployment.
 func readDeployment(name string, r *config.Reader) deployment {
 	e := deployment{name: name, site: r.Need("site", "expected a site file"), small: r.OneOf("small", "yes", "yes", "no") == "yes"}
 	r.Done()
 	return e
 }
 
-// reportFile names the report of a way's day in the folder of reports.
+// reportFile returns the file name of the report of a variant's day.
 func (x *experiment) reportFile(w variant, p plannedDay) string {
 	name := strings.Map(func(c rune) rune {
 		if c == ' ' || c == '/' {
--- a/internal/rounds/experiment_test.go
+++ b/internal/rounds/experiment_test.go
@@ -27,7 +27,7 @@
 small = no
 `
 
-// TestReadExperiment checks that an experiment is read, with the way that stands first.
+// TestReadExperiment checks that an experiment is parsed and that the baseline comes first.
 func TestReadExperiment(t *testing.T) {
 	is := is.New(t)
 	x, err := readExperiment("e.ini", []byte(sampleExperiment))
@@ -40,16 +40,17 @@
 	is.Equal(x.reportFile(x.variants[0], plannedDay{x.deployments[0], "quiet-1", 1}), "as-it-stands.further.quiet-1.1.json")
 }
 
-// TestReadExperimentErrors checks that bad input names file, line and key.
+// TestReadExperimentErrors checks that an invalid file gives an error that names file,
+// line and key.
 func TestReadExperimentErrors(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, want string }{
-		"a setting that is none":   {"worth-of-cost = 30", "worth = 30", "e.ini:10: [way dearer] worth"},
-		"a value out of bounds":    {"worth-of-cost = 30", "worth-of-cost = -3", "[way dearer] worth-of-cost"},
-		"a mechanism that is none": {"without = price, homes", "without = luck", "luck"},
-		"a section that is none":   {"[way plain]", "[path plain]", "[path plain]"},
-		"no way":                   {"[way plain]\nwithout = price, homes\n\n[way dearer]\nworth-of-cost = 30\n", "", "[way NAME]"},
-		"no site":                  {"site = further/x.toml", "sites = x", "site"},
-		"seeds beyond all":         {"seeds = 2", "seeds = 2000", "seeds"},
+		"unknown setting":     {"worth-of-cost = 30", "worth = 30", "e.ini:10: [way dearer] worth"},
+		"value out of bounds": {"worth-of-cost = 30", "worth-of-cost = -3", "[way dearer] worth-of-cost"},
+		"unknown mechanism":   {"without = price, homes", "without = luck", "luck"},
+		"unknown section":     {"[way plain]", "[path plain]", "[path plain]"},
+		"no variant":          {"[way plain]\nwithout = price, homes\n\n[way dearer]\nworth-of-cost = 30\n", "", "[way NAME]"},
+		"no site":             {"site = further/x.toml", "sites = x", "site"},
+		"too many seeds":      {"seeds = 2", "seeds = 2000", "seeds"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -62,7 +63,7 @@
 	}
 }
 
-// TestExperimentResumes checks that what was played is not played again.
+// TestExperimentResumes checks that days which already have a report are not run again.
 func TestExperimentResumes(t *testing.T) {
 	is := is.New(t)
 	x, err := readExperiment("e.ini", []byte(sampleExperiment))
@@ -74,7 +75,8 @@
 	is.Equal(len(x.missingDays(out, x.variants[1])), 4)
 }
 
-// resultsWithDifferences returns days of two ways whose worth differs by what is given.
+// resultsWithDifferences returns the results of two variants whose worth differs by the
+// given amounts. The days themselves differ much more.
 func resultsWithDifferences(differences ...float64) []result {
 	var all []result
 	for i, d := range differences {
@@ -86,18 +88,18 @@
 	return all
 }
 
-// TestPairedDifference checks the difference of two ways and what is said of it. That days are
-// worth very different amounts does not matter, since the same ones are compared.
+// TestPairedDifference checks the difference of two variants and its verdict. The days
+// have very different worths, which must not matter because equal days are paired.
 func TestPairedDifference(t *testing.T) {
 	worth := func(r *report) float64 { return r.Worth }
 	for name, c := range map[string]struct {
 		differences []float64
 		verdict     string
 	}{
-		"better":       {[]float64{0.02, 0.03, 0.025, 0.02}, "better"},
-		"worse":        {[]float64{-0.02, -0.03, -0.025, -0.02}, "worse"},
-		"within":       {[]float64{0.02, -0.03, 0.01, -0.005}, "no difference seen"},
-		"a single one": {[]float64{0.3}, "no difference seen"},
+		"better":          {[]float64{0.02, 0.03, 0.025, 0.02}, "better"},
+		"worse":           {[]float64{-0.02, -0.03, -0.025, -0.02}, "worse"},
+		"not significant": {[]float64{0.02, -0.03, 0.01, -0.005}, "no difference seen"},
+		"single pair":     {[]float64{0.3}, "no difference seen"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is.New(t).Equal(pairedDifference(resultsWithDifferences(c.differences...), "d", baseline, "other", worth).verdict(), c.verdict)
@@ -106,12 +108,12 @@
 	is := is.New(t)
 	d := pairedDifference(resultsWithDifferences(0.01, 0.03), "d", baseline, "other", worth)
 	is.True(math.Abs(d.mean-0.02) < 1e-9)
-	is.True(math.Abs(d.halfWidth-0.127) < 0.001) // 12.706 times 0.01414 over the root of 2
+	is.True(math.Abs(d.halfWidth-0.127) < 0.001) // 12.706 (Student's t) * 0.01414 (deviation) / sqrt(2)
 	is.Equal(d.pairs, 2)
 }
 
-// TestWriteResults checks that the table notes broken rules, and that CSV and plot are
-// written.
+// TestWriteResults checks that the table lists broken rules, and that the CSV file and the
+// plot are written.
 func TestWriteResults(t *testing.T) {
 	is := is.New(t)
 	x := &experiment{variants: []variant{{name: baseline}, {name: "other"}}, deployments: []deployment{{name: "d"}}}
@@ -131,7 +133,7 @@
 	is.True(strings.Contains(string(raw), "<svg"))
 }
 
-// TestAblationFile checks the experiment that the project keeps.
+// TestAblationFile checks that the experiment in days/ablation.ini can be parsed.
 func TestAblationFile(t *testing.T) {
 	is := is.New(t)
 	file := filepath.Join("..", "..", "days", "ablation.ini")
--- a/internal/rounds/main.go
+++ b/internal/rounds/main.go
@@ -1,19 +1,20 @@
-// Command rounds measures one build of the product on the users' bench: it
-// plays days of a site file, each on several seeds, and prints the mean worth
-// with its parts, prices and broken rules as a Markdown table. It is the
-// measurement behind each line of docs/POLICY.md.
+// Command rounds measures a build of the product with the users' benchmark
+// program (the bench). It runs the days (scenarios) of a site file, each with
+// several seeds, and prints a Markdown table of the mean worth (the bench's
+// score), the parts of the worth, the prices taken off, and the broken rules. The
+// figures in docs/POLICY.md come from this command.
 //
 // Run it at the root of a checkout:
 //
 //	go run ./internal/rounds --bench BENCH --site SITE --why "round 34: ..."
 //
-// With a regression set it plays all deployments of it, prints what they are worth
-// against what was reached, and fails when a rule breaks or one falls:
+// With a regression set it runs all deployments of the set, compares their worth with
+// the reference worth, and fails when a rule is broken or a worth has dropped:
 //
 //	go run ./internal/rounds --bench BENCH --set days/landing.ini --sites FOLDER --why "landing"
 //
-// With an experiment it plays several ways of deciding on the same days and seeds, and
-// prints by how much each differs from the way that stands, as Markdown, CSV and SVG:
+// With an experiment it runs several variants of the policy settings on the same days
+// and seeds, and writes their differences to the baseline as Markdown, CSV and SVG:
 //
 //	go run ./internal/rounds --bench BENCH --experiment days/ablation.ini --sites FOLDER --out FOLDER --why "..."
 package main
@@ -50,7 +51,7 @@
 	Why        string   `help:"What the run is for; it goes into the journal." required:""`
 }
 
-// dayRun is one day on one seed.
+// dayRun is the run of one day with one seed.
 type dayRun struct {
 	day    string
 	seed   int
@@ -60,13 +61,13 @@
 
 func main() {
 	var a arguments
-	kong.Parse(&a, kong.Description("Plays days on several seeds and prints worth, parts and prices."))
+	kong.Parse(&a, kong.Description("Runs days with several seeds and prints their worth, its parts and the prices."))
 	if a.Set != "" {
-		holds, err := a.runSet(os.Stdout)
+		passes, err := a.runSet(os.Stdout)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
 		}
-		if err != nil || !holds {
+		if err != nil || !passes {
 			os.Exit(1)
 		}
 		return
@@ -78,25 +79,25 @@
 		}
 		return
 	}
-	plays := a.plannedRuns()
-	if err := a.runAll(plays); err != nil {
+	runs := a.plannedRuns()
+	if err := a.runAll(runs); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 	failed := 0
-	for _, p := range plays {
-		if p.err != nil {
+	for _, run := range runs {
+		if run.err != nil {
 			failed++
-			fmt.Fprintf(os.Stderr, "%s, seed %d: not played: %v\n", p.day, p.seed, p.err)
+			fmt.Fprintf(os.Stderr, "%s, seed %d: not run: %v\n", run.day, run.seed, run.err)
 		}
 	}
-	printTable(os.Stdout, a.Days, plays)
+	printTable(os.Stdout, a.Days, runs)
 	if failed > 0 {
 		os.Exit(1)
 	}
 }
 
-// compareVariants plays an experiment and writes its results.
+// compareVariants runs an experiment and writes its results.
 func (a *arguments) compareVariants(w io.Writer) error {
 	text, err := os.ReadFile(a.Experiment)
 	if err != nil {
@@ -106,28 +107,29 @@
 	if err != nil {
 		return err
 	}
-	trials, failed := a.runExperiment(x)
-	printDifferences(w, x, trials)
+	results, failed := a.runExperiment(x)
+	printDifferences(w, x, results)
 	file, err := os.Create(filepath.Join(a.Out, "trials.csv"))
 	if err != nil {
 		return errors.Join(failed, err)
 	}
-	err = errors.Join(writeCSV(file, trials), file.Close())
-	return errors.Join(failed, err, plotDifferences(filepath.Join(a.Out, "worth.svg"), x, trials))
+	err = errors.Join(writeCSV(file, results), file.Close())
+	return errors.Join(failed, err, plotDifferences(filepath.Join(a.Out, "worth.svg"), x, results))
 }
 
+// plannedRuns returns the runs for all days and seeds of the command line.
 func (a *arguments) plannedRuns() []*dayRun {
-	var plays []*dayRun
+	var runs []*dayRun
 	for _, day := range a.Days {
 		for seed := a.First; seed < a.First+a.Seeds; seed++ {
-			plays = append(plays, &dayRun{day: day, seed: seed})
+			runs = append(runs, &dayRun{day: day, seed: seed})
 		}
 	}
-	return plays
+	return runs
 }
 
-// runAll plays all, a few at a time, and shows how far it is.
-func (a *arguments) runAll(plays []*dayRun) error {
+// runAll executes all runs, Jobs at a time, and prints the progress.
+func (a *arguments) runAll(runs []*dayRun) error {
 	dir, err := os.MkdirTemp("", "rounds")
 	if err != nil {
 		return fmt.Errorf("folder for reports: %w", err)
@@ -137,27 +139,27 @@
 			fmt.Fprintln(os.Stderr, err)
 		}
 	}()
-	if out, err := exec.Command(a.Bench, "build").CombinedOutput(); err != nil { // once, not by each play
+	if out, err := exec.Command(a.Bench, "build").CombinedOutput(); err != nil { // build once, not in every run
 		return fmt.Errorf("build: %w\n%s", err, out)
 	}
-	runConcurrently(len(plays), a.Jobs, "", func(i int) {
-		p := plays[i]
-		p.report, p.err = a.runDay(".", p.day, p.seed, filepath.Join(dir, strconv.Itoa(i)+".json"))
+	runConcurrently(len(runs), a.Jobs, "", func(i int) {
+		run := runs[i]
+		run.report, run.err = a.runDay(".", run.day, run.seed, filepath.Join(dir, strconv.Itoa(i)+".json"))
 	})
 	return nil
 }
 
-// runConcurrently does a number of things, a few at a time, and shows how far it is.
+// runConcurrently calls do for 0 to n-1, at most jobs at a time, and prints the progress.
 func runConcurrently(n, jobs int, name string, do func(i int)) {
-	places := make(chan struct{}, max(jobs, 1))
-	var all sync.WaitGroup
+	slots := make(chan struct{}, max(jobs, 1))
+	var running sync.WaitGroup
 	var mu sync.Mutex // guards done
 	done := 0
 	for i := range n {
-		places <- struct{}{}
-		all.Add(1)
+		slots <- struct{}{}
+		running.Add(1)
 		go func() {
-			defer func() { <-places; all.Done() }()
+			defer func() { <-slots; running.Done() }()
 			do(i)
 			mu.Lock()
 			defer mu.Unlock()
@@ -165,11 +167,11 @@
 			fmt.Fprintf(os.Stderr, "\r%s%d of %d days", name, done, n)
 		}()
 	}
-	all.Wait()
+	running.Wait()
 	fmt.Fprintln(os.Stderr)
 }
 
-// runDay plays one day in a folder that holds the project, and reads its report.
+// runDay has the bench run one day of the project in the folder dir, and reads its report.
 func (a *arguments) runDay(dir, day string, seed int, file string) (*report, error) {
 	args := []string{"run", a.Site, day, "--report", file, "--jobs", "1", "--why", a.Why}
 	if seed > 0 {
@@ -184,19 +186,19 @@
 	cmd := exec.Command(a.Bench, args...)
 	cmd.Dir = dir
 	out, err := cmd.CombinedOutput()
-	r, rerr := readReport(file)
-	if rerr != nil {
-		return nil, cmp.Or(err, rerr, fmt.Errorf("%s", strings.TrimSpace(string(out))))
+	r, readErr := readReport(file)
+	if readErr != nil {
+		return nil, cmp.Or(err, readErr, fmt.Errorf("%s", strings.TrimSpace(string(out))))
 	}
-	return r, nil // a day with a broken rule ends with a status of its own
+	return r, nil // err is ignored: the bench exits with an error status when a rule is broken
 }
 
-// reportsOf returns the plays of a day that were played.
-func reportsOf(plays []*dayRun, day string) []*report {
+// reportsOf returns the reports of a day's runs that did not fail.
+func reportsOf(runs []*dayRun, day string) []*report {
 	var out []*report
-	for _, p := range plays {
-		if p.day == day && p.err == nil {
-			out = append(out, p.report)
+	for _, run := range runs {
+		if run.day == day && run.err == nil {
+			out = append(out, run.report)
 		}
 	}
 	return slices.Clip(out)
--- a/internal/rounds/paired.go
+++ b/internal/rounds/paired.go
@@ -11,29 +11,29 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// confidenceLevel is that of the intervals that are printed.
+// confidenceLevel is the level of the printed confidence intervals.
 const confidenceLevel = 0.95
 
-// difference is by how much one way is worth more than another, over pairs of days
-// played on the same seed.
+// difference is the mean difference of a metric between two variants, over pairs of equal
+// day and seed.
 type difference struct {
-	mean, halfWidth float64 // half of its confidence interval
+	mean, halfWidth float64 // halfWidth is half the width of the confidence interval
 	pairs           int
 }
 
-// pairedDifference returns the difference of a figure between two ways, of the days of one
-// deployment.
-func pairedDifference(trials []result, deployment, a, b string, of func(*report) float64) difference {
+// pairedDifference returns the difference of a metric, variant b minus variant a, over the
+// days of one deployment.
+func pairedDifference(results []result, deployment, a, b string, metric func(*report) float64) difference {
 	var s sampleStats
-	for _, t := range trials {
+	for _, t := range results {
 		if t.deployment != deployment || t.variant != b {
 			continue
 		}
-		i := slices.IndexFunc(trials, func(o result) bool {
+		i := slices.IndexFunc(results, func(o result) bool {
 			return o.variant == a && o.deployment == deployment && o.day == t.day && o.seed == t.seed
 		})
 		if i >= 0 {
-			s.add(of(t.report) - of(trials[i].report))
+			s.add(metric(t.report) - metric(results[i].report))
 		}
 	}
 	d := difference{mean: s.mean(), halfWidth: math.Inf(1), pairs: int(s.n)}
@@ -44,7 +44,7 @@
 	return d
 }
 
-// verdict says what a difference means.
+// verdict says whether the confidence interval excludes zero, and on which side.
 func (d difference) verdict() string {
 	switch {
 	case d.mean-d.halfWidth > 0:
@@ -62,14 +62,15 @@
 	return fmt.Sprintf("%+.3f ± %.3f", d.mean, d.halfWidth)
 }
 
-// metric is a figure that ways are compared by.
+// metric is a figure by which variants are compared.
 type metric struct {
 	name  string
 	value func(*report) float64
 }
 
-// metricsOf returns the parts and the prices of a report, after its worth. A day with a
-// broken rule counts with what it was worth without: the rule is noted apart.
+// metricsOf returns the metrics of a report: its worth, the parts of the worth, and the
+// prices. The worth of a day with a broken rule is not set to zero here: brokenDays lists
+// the broken rules instead.
 func metricsOf(r *report) []metric {
 	figures := []metric{{"worth", func(r *report) float64 { return r.Worth }}}
 	for i, p := range r.Parts {
@@ -88,13 +89,13 @@
 	return figures
 }
 
-// printDifferences prints, for each way, its difference to the way that stands: a row a
-// deployment, a column a figure.
-func printDifferences(w io.Writer, x *experiment, trials []result) {
-	if len(trials) == 0 {
+// printDifferences prints one table for each variant with its differences to the baseline:
+// a row for each deployment, a column for each metric.
+func printDifferences(w io.Writer, x *experiment, results []result) {
+	if len(results) == 0 {
 		return
 	}
-	figures := metricsOf(trials[0].report)
+	figures := metricsOf(results[0].report)
 	for _, v := range x.variants[1:] {
 		fmt.Fprintf(w, "\n%s against %s, %g%% confidence\n\n| deployment | verdict |", v.name, baseline, 100*confidenceLevel)
 		for _, f := range figures {
@@ -102,21 +103,21 @@
 		}
 		fmt.Fprintf(w, " pairs | broken |\n|%s\n", strings.Repeat("---|", len(figures)+4))
 		for _, e := range x.deployments {
-			worth := pairedDifference(trials, e.name, baseline, v.name, figures[0].value)
+			worth := pairedDifference(results, e.name, baseline, v.name, figures[0].value)
 			fmt.Fprintf(w, "| %s | %s |", e.name, worth.verdict())
 			for _, f := range figures {
-				fmt.Fprintf(w, " %s |", pairedDifference(trials, e.name, baseline, v.name, f.value))
+				fmt.Fprintf(w, " %s |", pairedDifference(results, e.name, baseline, v.name, f.value))
 			}
-			fmt.Fprintf(w, " %d | %s |\n", worth.pairs, brokenDays(trials, e.name, v.name))
+			fmt.Fprintf(w, " %d | %s |\n", worth.pairs, brokenDays(results, e.name, v.name))
 		}
 	}
 }
 
-// brokenDays names the days of a way with a broken rule or a fault.
-func brokenDays(trials []result, deployment, way string) string {
+// brokenDays lists the days of a variant that broke a rule or ended with a fault.
+func brokenDays(results []result, deployment, variant string) string {
 	var out []string
-	for _, t := range trials {
-		if t.deployment != deployment || t.variant != way {
+	for _, t := range results {
+		if t.deployment != deployment || t.variant != variant {
 			continue
 		}
 		for rule := range t.report.Breaks {
@@ -130,10 +131,10 @@
 	return strings.Join(out, ", ")
 }
 
-// writeCSV writes a line for each day that was played.
-func writeCSV(w io.Writer, trials []result) error {
+// writeCSV writes a line for each day that was run.
+func writeCSV(w io.Writer, results []result) error {
 	out := csv.NewWriter(w)
-	for n, t := range trials {
+	for n, t := range results {
 		head, row := []string{"way", "deployment", "day", "seed"}, []string{t.variant, t.deployment, t.day, fmt.Sprint(t.seed)}
 		for _, f := range metricsOf(t.report) {
 			head, row = append(head, f.name), append(row, fmt.Sprintf("%.4f", f.value(t.report)))
--- a/internal/rounds/plot.go
+++ b/internal/rounds/plot.go
@@ -16,15 +16,15 @@
 	plotHeight = 4 * vg.Inch
 )
 
-// intervals are points with their confidence intervals, for a plot.
+// intervals are the points of a plot with their confidence intervals.
 type intervals struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// plotDifferences draws the difference in worth of each way to the way that stands, by
-// deployment.
-func plotDifferences(file string, x *experiment, trials []result) error {
+// plotDifferences plots, for each deployment, the difference in worth of each variant to
+// the baseline.
+func plotDifferences(file string, x *experiment, results []result) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("worth against the way that stands, %g%% confidence", 100*confidenceLevel)
 	p.Y.Label.Text = "difference"
@@ -35,14 +35,14 @@
 	for n, w := range x.variants[1:] {
 		points := intervals{}
 		for i, e := range x.deployments {
-			d := pairedDifference(trials, e.name, baseline, w.name, func(r *report) float64 { return r.Worth })
-			half := d.halfWidth
-			if math.IsInf(half, 1) {
-				half = 0
+			d := pairedDifference(results, e.name, baseline, w.name, func(r *report) float64 { return r.Worth })
+			halfWidth := d.halfWidth
+			if math.IsInf(halfWidth, 1) {
+				halfWidth = 0
 			}
 			at := float64(i) + 0.8*(float64(n)+0.5)/float64(len(x.variants)-1) - 0.4
 			points.XYs = append(points.XYs, plotter.XY{X: at, Y: d.mean})
-			points.YErrors = append(points.YErrors, struct{ Low, High float64 }{half, half})
+			points.YErrors = append(points.YErrors, struct{ Low, High float64 }{halfWidth, halfWidth})
 		}
 		if err := addIntervals(p, n, w.name, points); err != nil {
 			return err
@@ -54,6 +54,7 @@
 	return p.Save(plotWidth, plotHeight, file)
 }
 
+// addIntervals adds the points of the n-th variant to a plot, with error bars.
 func addIntervals(p *plot.Plot, n int, name string, points intervals) error {
 	dots, err := plotter.NewScatter(points.XYs)
 	if err != nil {
--- a/internal/rounds/report.go
+++ b/internal/rounds/report.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// report is the bench's account of a day, as far as it is printed.
+// report holds the fields of the bench's report of a day that this command uses.
 type report struct {
 	Worth  float64 `json:"G"`
 	Fault  *string
@@ -22,22 +22,21 @@
 	Classes []class
 }
 
-// part is a part of the worth: its name, weight and value.
+// part is one component of the worth.
 type part struct {
 	name   string
 	weight float64
 	value  float64
 }
 
-// price is what was taken off for a resource: its name, amount and part of the
-// worth.
+// price is an amount taken off the worth for the use of a resource.
 type price struct {
 	name   string
 	amount float64
 	taken  float64
 }
 
-// class is how a kind of request fared.
+// class holds the results of one kind of request: how many were sent, and their worth.
 type class struct {
 	Name  string
 	Asked int `json:"n"`
@@ -52,6 +51,7 @@
 	return json.Unmarshal(b, &[]any{&p.name, &p.amount, &p.taken})
 }
 
+// readReport reads the report that the bench wrote to file.
 func readReport(file string) (*report, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return r, nil
 }
 
-// worth returns what a day is worth: nothing with a broken rule or a fault.
+// worth returns the worth of a day: zero if a rule was broken or the day ended with a fault.
 func (r *report) worth() float64 {
 	if len(r.Breaks) > 0 || r.Fault != nil {
 		return 0
@@ -72,7 +72,7 @@
 	return r.Worth
 }
 
-// short names of prices that are shown apart; the rest are summed.
+// shownPrices are the prices that get a column of their own; the rest are summed.
 var shownPrices = []struct{ name, head string }{
 	{"worth paid for the use of models", "models"},
 	{"GB between zones", "bytes"},
@@ -82,14 +82,14 @@
 	{"cloud calls", "calls"},
 }
 
-// sampleStats are the mean of figures and how far they spread.
+// sampleStats accumulates the mean and the standard deviation of a sample.
 type sampleStats struct{ sum, squares, n float64 }
 
 func (s *sampleStats) add(x float64) { s.sum, s.squares, s.n = s.sum+x, s.squares+x*x, s.n+1 }
 
 func (s *sampleStats) mean() float64 { return s.sum / max(s.n, 1) }
 
-// deviation returns the sample's standard deviation.
+// deviation returns the sample standard deviation.
 func (s *sampleStats) deviation() float64 {
 	if s.n < 2 {
 		return 0
@@ -97,40 +97,42 @@
 	return math.Sqrt(max(s.squares-s.n*s.mean()*s.mean(), 0) / (s.n - 1))
 }
 
-// printTable prints a row a day, and the means over all days and over those with
-// trouble.
-func printTable(w io.Writer, days []string, plays []*dayRun) {
-	heads := []string{"day", "worth", "spread"}
-	for _, p := range firstReport(plays).Parts {
-		heads = append(heads, p.name)
+// printTable prints a row for each day, then the means over all days and over the days
+// with trouble: those that are not quiet.
+func printTable(w io.Writer, days []string, runs []*dayRun) {
+	columns := []string{"day", "worth", "spread"}
+	for _, p := range firstReport(runs).Parts {
+		columns = append(columns, p.name)
 	}
 	for _, s := range shownPrices {
-		heads = append(heads, s.head)
+		columns = append(columns, s.head)
 	}
-	heads = append(heads, "other prices", "classes", "broken or missed")
-	fmt.Fprintf(w, "| %s |\n|%s\n", strings.Join(heads, " | "), strings.Repeat("---|", len(heads)))
-	var every, troubled []*report
+	columns = append(columns, "other prices", "classes", "broken or missed")
+	fmt.Fprintf(w, "| %s |\n|%s\n", strings.Join(columns, " | "), strings.Repeat("---|", len(columns)))
+	var all, troubled []*report
 	for _, day := range days {
-		reports := reportsOf(plays, day)
+		reports := reportsOf(runs, day)
 		printRow(w, day, reports)
-		every = append(every, reports...)
+		all = append(all, reports...)
 		if !strings.HasPrefix(day, "quiet") {
 			troubled = append(troubled, reports...)
 		}
 	}
-	printRow(w, "all", every)
+	printRow(w, "all", all)
 	printRow(w, "with trouble", troubled)
 }
 
-func firstReport(plays []*dayRun) *report {
-	for _, p := range plays {
-		if p.err == nil {
-			return p.report
+// firstReport returns the first report of a run that did not fail, or an empty one.
+func firstReport(runs []*dayRun) *report {
+	for _, run := range runs {
+		if run.err == nil {
+			return run.report
 		}
 	}
 	return &report{}
 }
 
+// printRow prints the means over reports as one row of the table.
 func printRow(w io.Writer, name string, reports []*report) {
 	if len(reports) == 0 {
 		return
@@ -152,8 +154,7 @@
 	fmt.Fprintf(w, "| %s |\n", strings.Join(cells, " | "))
 }
 
-// priceCells returns the means of the prices that are shown, and of the sum of
-// all others.
+// priceCells returns the means of the shown prices, and of the sum of all others.
 func priceCells(reports []*report) []string {
 	sums := make([]sampleStats, len(shownPrices)+1)
 	for _, r := range reports {
@@ -178,8 +179,7 @@
 	return cells
 }
 
-// classCell returns the mean worth of each kind of request, in the report's
-// order.
+// classCell returns the mean worth of each kind of request, in the order of the report.
 func classCell(reports []*report) string {
 	cells := make([]string, len(reports[0].Classes))
 	for i := range cells {
--- a/internal/rounds/report_test.go
+++ b/internal/rounds/report_test.go
@@ -15,8 +15,8 @@
 "prices": [["GB between zones", 0.01, 0.03], ["cloud calls", 5, 0.01], ["probes", 1, 0.002]],
 "classes": [{"name": "a", "n": 10, "worth": 0.9}]}`
 
-// TestPrintTable checks that a report is read, that a day with a broken rule is worth
-// nothing, and that prices without a column of their own are summed.
+// TestPrintTable checks that a report is parsed, that a day with a broken rule has a worth
+// of zero, and that prices without a column of their own are summed.
 func TestPrintTable(t *testing.T) {
 	is := is.New(t)
 	read := func(text string) *report {
@@ -37,7 +37,8 @@
 	is.True(strings.HasPrefix(lines[5], "| with trouble | 0.300 |"))
 }
 
-// TestReadSet checks that a set is read, and that bad input names file, line and key.
+// TestReadSet checks that a regression set is parsed, and that an invalid set gives an
+// error that names file, line and key.
 func TestReadSet(t *testing.T) {
 	is := is.New(t)
 	set, err := readSet("landing.ini", []byte("[a]\nsite = x.toml\nreached = 0.6\n\n[b]\nsite = y.toml\nsmall = yes\ndays = quiet-1, scale-1\nseeds = 3\n"))
@@ -61,8 +62,8 @@
 	}
 }
 
-// TestEvaluate checks what makes a deployment fail: a day that was not played, a broken
-// rule, a fall beyond the bound; and that quiet days do not count.
+// TestEvaluate checks what makes a deployment fail: a day that was not run, a broken rule,
+// or a drop of the worth by more than maxWorthDrop. Quiet days do not count.
 func TestEvaluate(t *testing.T) {
 	is := is.New(t)
 	day := func(name string, worth float64) *dayRun {
@@ -72,17 +73,17 @@
 	broken.report.Breaks = map[string]json.RawMessage{"LOST": nil}
 	e := deployment{name: "a", referenceWorth: 0.6}
 	for _, c := range []struct {
-		plays []*dayRun
-		holds bool
-		says  string
+		runs     []*dayRun
+		passes   bool
+		wantText string
 	}{
 		{[]*dayRun{day("quiet-1", 0.1), day("trouble-1", 0.58)}, true, "holds"},
 		{[]*dayRun{day("quiet-1", 0.9), day("trouble-1", 0.56)}, false, "fell by 0.040"},
 		{[]*dayRun{day("trouble-1", 0.9), broken}, false, "broke LOST"},
-		{[]*dayRun{day("trouble-1", 0.9), {day: "scale-1", seed: 2, err: os.ErrNotExist}}, false, "scale-1 seed 2 not played"},
+		{[]*dayRun{day("trouble-1", 0.9), {day: "scale-1", seed: 2, err: os.ErrNotExist}}, false, "scale-1 seed 2 not run"},
 	} {
-		row, holds := evaluate(e, c.plays)
-		is.Equal(holds, c.holds)
-		is.True(strings.Contains(row, c.says))
+		row, passes := evaluate(e, c.runs)
+		is.Equal(passes, c.passes)
+		is.True(strings.Contains(row, c.wantText))
 	}
 }
--- a/internal/rounds/set.go
+++ b/internal/rounds/set.go
@@ -12,36 +12,36 @@
 	"woaddoor/config"
 )
 
-// deployment is one deployment of a regression set.
+// deployment is one deployment of a regression set or an experiment.
 type deployment struct {
 	name string
-	// site is its file, in the folder that the command names.
+	// site is the name of the site file, relative to the folder of --sites.
 	site  string
 	days  []string
 	seeds int
 	jobs  int
-	// small plays the small twin of a large deployment.
+	// small selects the small version of a large deployment.
 	small bool
-	// referenceWorth is the mean worth of the days with trouble that has to hold.
+	// referenceWorth is the mean worth, over the days that are not quiet, with which
+	// new runs are compared.
 	referenceWorth float64
 }
 
-// maxWorthDrop is by how much the mean worth of a deployment may fall: the users' own
-// bound, and about three times the spread of a mean of 15 days.
+// maxWorthDrop is by how much the mean worth of a deployment may drop: the users' own
+// bound, and about three times the standard deviation of a mean of 15 days.
 const maxWorthDrop = 0.03
 
-// Bounds and defaults of a set's keys.
+// Limits and defaults of the keys in regression sets and experiments.
 const (
 	maxSeeds, maxJobs      = 20, 16
 	defaultJobs            = 4
 	defaultSeeds, minSeeds = 1, 1
 )
 
-// allDays are the standard days.
+// allDays are the standard days of the bench.
 var allDays = []string{"quiet-1", "trouble-1", "scale-1", "trouble-2", "scale-2", "trouble-3"}
 
-// readSet reads a regression set: a section for each deployment, in the order of
-// their names.
+// readSet parses a regression set: one section for each deployment, sorted by name.
 func readSet(name string, text []byte) ([]deployment, error) {
 	f, err := config.ReadFile(name, text)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return set, nil
 }
 
-// runSet plays a set and tells whether all of it holds.
+// runSet runs a regression set and reports whether every deployment passes.
 func (a *arguments) runSet(w io.Writer) (bool, error) {
 	text, err := os.ReadFile(a.Set)
 	if err != nil {
@@ -79,49 +79,49 @@
 	if err != nil {
 		return false, err
 	}
-	holds := true
+	passes := true
 	var verdicts []string
 	for _, e := range set {
-		one := *a
-		one.Site, one.Days, one.Seeds, one.Jobs, one.Small = filepath.Join(a.Sites, e.site), e.days, e.seeds, e.jobs, e.small
-		plays := one.plannedRuns()
-		if err := one.runAll(plays); err != nil {
+		command := *a
+		command.Site, command.Days, command.Seeds, command.Jobs, command.Small = filepath.Join(a.Sites, e.site), e.days, e.seeds, e.jobs, e.small
+		runs := command.plannedRuns()
+		if err := command.runAll(runs); err != nil {
 			return false, fmt.Errorf("%s: %w", e.name, err)
 		}
 		fmt.Fprintf(w, "\n%s\n\n", e.name)
-		printTable(w, e.days, plays)
-		verdict, ok := evaluate(e, plays)
-		verdicts, holds = append(verdicts, verdict), holds && ok
+		printTable(w, e.days, runs)
+		verdict, ok := evaluate(e, runs)
+		verdicts, passes = append(verdicts, verdict), passes && ok
 	}
 	fmt.Fprintf(w, "\n| deployment | with trouble | reached | verdict |\n|---|---|---|---|\n%s\n", strings.Join(verdicts, "\n"))
-	return holds, nil
+	return passes, nil
 }
 
-// evaluate returns the row of a deployment, and whether it holds: all days were
-// played, no rule broke, and the worth did not fall.
-func evaluate(e deployment, plays []*dayRun) (row string, holds bool) {
+// evaluate returns the table row of a deployment, and whether it passes: all days were run,
+// no rule was broken, and the worth did not drop by more than maxWorthDrop.
+func evaluate(e deployment, runs []*dayRun) (row string, passes bool) {
 	var worth sampleStats
-	var troubles []string
-	for _, p := range plays {
+	var failures []string
+	for _, run := range runs {
 		switch {
-		case p.err != nil:
-			troubles = append(troubles, fmt.Sprintf("%s seed %d not played", p.day, p.seed))
+		case run.err != nil:
+			failures = append(failures, fmt.Sprintf("%s seed %d not run", run.day, run.seed))
 			continue
-		case len(p.report.Breaks) > 0:
-			troubles = append(troubles, fmt.Sprintf("%s seed %d broke %s", p.day, p.seed, strings.Join(slices.Sorted(maps.Keys(p.report.Breaks)), " ")))
-		case p.report.Fault != nil:
-			troubles = append(troubles, fmt.Sprintf("%s seed %d: fault %s", p.day, p.seed, *p.report.Fault))
+		case len(run.report.Breaks) > 0:
+			failures = append(failures, fmt.Sprintf("%s seed %d broke %s", run.day, run.seed, strings.Join(slices.Sorted(maps.Keys(run.report.Breaks)), " ")))
+		case run.report.Fault != nil:
+			failures = append(failures, fmt.Sprintf("%s seed %d: fault %s", run.day, run.seed, *run.report.Fault))
 		}
-		if !strings.HasPrefix(p.day, "quiet") {
-			worth.add(p.report.worth())
+		if !strings.HasPrefix(run.day, "quiet") {
+			worth.add(run.report.worth())
 		}
 	}
 	if worth.mean() < e.referenceWorth-maxWorthDrop {
-		troubles = append(troubles, fmt.Sprintf("fell by %.3f", e.referenceWorth-worth.mean()))
+		failures = append(failures, fmt.Sprintf("fell by %.3f", e.referenceWorth-worth.mean()))
 	}
 	verdict := "holds"
-	if len(troubles) > 0 {
-		verdict = strings.Join(troubles, "; ")
+	if len(failures) > 0 {
+		verdict = strings.Join(failures, "; ")
 	}
-	return fmt.Sprintf("| %s | %s | %s | %s |", e.name, formatNumber(worth.mean()), formatNumber(e.referenceWorth), verdict), len(troubles) == 0
+	return fmt.Sprintf("| %s | %s | %s | %s |", e.name, formatNumber(worth.mean()), formatNumber(e.referenceWorth), verdict), len(failures) == 0
 }
--- a/internal/rounds/variants.go
+++ b/internal/rounds/variants.go
@@ -10,15 +10,15 @@
 	"strings"
 )
 
-// result is one day of one way, at one deployment and on one seed.
+// result is the report of one variant's day, on one deployment with one seed.
 type result struct {
 	variant, deployment, day string
 	seed                     int
 	report                   *report
 }
 
-// runExperiment plays what has not been played before, and returns all of it. Reports
-// are kept in a folder, so that an experiment which was broken off goes on there.
+// runExperiment runs the days that have no report yet, and returns the results of all
+// days. The folder Out keeps the reports, so an interrupted experiment can be resumed.
 func (a *arguments) runExperiment(x *experiment) ([]result, error) {
 	if err := os.MkdirAll(a.Out, 0o755); err != nil {
 		return nil, fmt.Errorf("folder for reports: %w", err)
@@ -26,34 +26,34 @@
 	var all []result
 	var failed error
 	for _, w := range x.variants {
-		trials, err := a.runVariant(x, w)
-		all = append(all, trials...)
+		results, err := a.runVariant(x, w)
+		all = append(all, results...)
 		failed = errors.Join(failed, err)
 	}
 	return all, failed
 }
 
-// runVariant plays all of one way in a copy of the commit that is checked out.
+// runVariant runs the missing days of one variant, and returns the results of all its days.
 func (a *arguments) runVariant(x *experiment, w variant) ([]result, error) {
 	if missing := x.missingDays(a.Out, w); len(missing) > 0 {
 		if err := a.runDays(x, w, missing); err != nil {
-			return nil, fmt.Errorf("way %s: %w", w.name, err)
+			return nil, fmt.Errorf("variant %s: %w", w.name, err)
 		}
 	}
-	var trials []result
+	var results []result
 	var failed error
 	for _, p := range x.plannedDays() {
 		r, err := readReport(filepath.Join(a.Out, x.reportFile(w, p)))
 		if err != nil {
-			failed = errors.Join(failed, fmt.Errorf("way %s, %s: not played: %w", w.name, p, err))
+			failed = errors.Join(failed, fmt.Errorf("variant %s, %s: not run: %w", w.name, p, err))
 			continue
 		}
-		trials = append(trials, result{w.name, p.deployment.name, p.day, p.seed, r})
+		results = append(results, result{w.name, p.deployment.name, p.day, p.seed, r})
 	}
-	return trials, failed
+	return results, failed
 }
 
-// plannedDay is one day that each way plays.
+// plannedDay is one day that every variant runs.
 type plannedDay struct {
 	deployment deployment
 	day        string
@@ -64,20 +64,20 @@
 	return fmt.Sprintf("%s, %s, seed %d", p.deployment.name, p.day, p.seed)
 }
 
-// plannedDays returns all days that each way plays.
+// plannedDays returns all days that every variant runs.
 func (x *experiment) plannedDays() []plannedDay {
-	var list []plannedDay
+	var days []plannedDay
 	for _, e := range x.deployments {
 		for _, day := range x.days {
 			for seed := range x.seeds {
-				list = append(list, plannedDay{e, day, seed + 1})
+				days = append(days, plannedDay{e, day, seed + 1})
 			}
 		}
 	}
-	return list
+	return days
 }
 
-// missingDays returns the days of a way that have no report yet.
+// missingDays returns the days of a variant that have no report yet.
 func (x *experiment) missingDays(out string, w variant) []plannedDay {
 	return slices.DeleteFunc(x.plannedDays(), func(p plannedDay) bool {
 		_, err := os.Stat(filepath.Join(out, x.reportFile(w, p)))
@@ -85,8 +85,9 @@
 	})
 }
 
-// runDays plays days of a way, a few at a time, and shows how far it is.
-func (a *arguments) runDays(x *experiment, w variant, list []plannedDay) error {
+// runDays runs days of a variant in a clone of the current commit, a few at a time, and
+// prints the progress.
+func (a *arguments) runDays(x *experiment, w variant, days []plannedDay) error {
 	dir, err := a.cloneAndBuild(w)
 	if err != nil {
 		return err
@@ -96,29 +97,29 @@
 			fmt.Fprintln(os.Stderr, err)
 		}
 	}()
-	runConcurrently(len(list), x.jobs, w.name+": ", func(i int) {
-		p := list[i]
-		one := *a
-		one.Site, one.Small, one.Why = filepath.Join(a.Sites, p.deployment.site), p.deployment.small, a.Why+": "+w.name
-		if _, err := one.runDay(dir, p.day, p.seed, filepath.Join(a.Out, x.reportFile(w, p))); err != nil {
+	runConcurrently(len(days), x.jobs, w.name+": ", func(i int) {
+		p := days[i]
+		command := *a
+		command.Site, command.Small, command.Why = filepath.Join(a.Sites, p.deployment.site), p.deployment.small, a.Why+": "+w.name
+		if _, err := command.runDay(dir, p.day, p.seed, filepath.Join(a.Out, x.reportFile(w, p))); err != nil {
 			fmt.Fprintf(os.Stderr, "\n%s, %s: %v\n", w.name, p, err)
 		}
 	})
 	return copyJournal(dir)
 }
 
-// settingsTemplate is the settings file that a way's settings are added to.
+// settingsTemplate is the settings file to which a variant's settings are appended.
 const settingsTemplate = "deploy/vm.ini"
 
-// cloneAndBuild makes a copy of the commit that is checked out, with a way's settings, and
-// builds it.
+// cloneAndBuild clones the current commit into a temporary folder, appends the variant's
+// settings, builds it, and returns the folder.
 func (a *arguments) cloneAndBuild(w variant) (string, error) {
 	dir, err := os.MkdirTemp("", "way")
 	if err != nil {
-		return "", fmt.Errorf("folder for a copy: %w", err)
+		return "", fmt.Errorf("folder for the clone: %w", err)
 	}
 	if out, err := exec.Command("git", "clone", "--quiet", ".", dir).CombinedOutput(); err != nil {
-		return "", fmt.Errorf("copy: %w\n%s", err, out)
+		return "", fmt.Errorf("clone: %w\n%s", err, out)
 	}
 	if len(w.settings) > 0 {
 		file, err := os.OpenFile(filepath.Join(dir, settingsTemplate), os.O_APPEND|os.O_WRONLY, 0)
@@ -138,10 +139,10 @@
 	return dir, nil
 }
 
-// journalDir is where the bench keeps an entry of each run.
+// journalDir is the folder in which the bench keeps an entry for each run.
 const journalDir = "journal"
 
-// copyJournal brings the entries of a copy's runs here.
+// copyJournal copies the journal entries of the runs in the clone dir to this checkout.
 func copyJournal(dir string) error {
 	entries, err := filepath.Glob(filepath.Join(dir, journalDir, "*.json"))
 	if err != nil {
