--- a/internal/layers/fields_test.go
+++ b/internal/layers/fields_test.go
@@ -9,9 +9,10 @@
 	"golang.org/x/tools/go/packages"
 )
 
-// decodedTypes are the types that hold what others say, decoded from what they send. A field of
-// theirs that nobody reads is a word that nobody hears: an engine's time to come back was
-// decoded for long, and engines that asked for a rest got none.
+// decodedTypes are the types into which messages from other processes are decoded, by
+// package. A field of theirs that no code reads is information that the sender provides in
+// vain. Such a field hid a fault: the time after which an engine wanted new requests was
+// decoded and never read, so engines that asked for a pause got none.
 var decodedTypes = map[string][]string{
 	"woaddoor/relay":      {"Head", "Load", "Request", "Rest", "Sent", "Opinion"},
 	"woaddoor/upstream":   {"Entry", "Said"},
@@ -24,17 +25,17 @@
 	"woaddoor/quarantine": {"Held", "Told", "ToldEnd"},
 }
 
-// unreadFields are fields that are not read, and why.
+// unreadFields are fields that are deliberately not read, with the reason.
 var unreadFields = map[string]string{
-	"route.Limits.Header":        "a listener is opened before a configuration is known; callers keep within it",
+	"route.Limits.Header":        "the listener opens before a configuration is known, and callers stay within this limit",
 	"route.Limits.HeaderTimeout": "as Header",
-	"route.Limits.Idling":        "as Header; idle connections are kept for longer than callers use them",
-	"relay.Load.Slots":           "the upstream's entry says the same, and does not change",
-	"route.Service.ID":           "it is the key under which the service stands",
+	"route.Limits.Idling":        "as Header; idle connections stay open for longer than callers use them",
+	"relay.Load.Slots":           "the upstream's entry holds the same value, which does not change",
+	"route.Service.ID":           "the service is stored in a map under this ID",
 }
 
-// TestDecodedFieldsAreRead checks that each field of what others say is read somewhere in the
-// product, tests apart.
+// TestDecodedFieldsAreRead checks that every field of decodedTypes is read somewhere in the
+// product, outside tests.
 func TestDecodedFieldsAreRead(t *testing.T) {
 	all, err := packages.Load(&packages.Config{
 		Dir:  "../..",
@@ -59,15 +60,15 @@
 		}
 	}
 	for f, name := range fields {
-		if why := unreadFields[name]; !read[f] && why == "" {
-			t.Errorf("%s is told and never read", name)
-		} else if read[f] && why != "" {
-			t.Errorf("%s is read, and listed as not: %s", name, why)
+		if reason := unreadFields[name]; !read[f] && reason == "" {
+			t.Errorf("%s is decoded and never read", name)
+		} else if read[f] && reason != "" {
+			t.Errorf("%s is read, but listed in unreadFields: %s", name, reason)
 		}
 	}
 }
 
-// addFields adds the fields of a type by their names.
+// addFields adds the fields of a struct type to a map from field to qualified name.
 func addFields(t *testing.T, to map[types.Object]string, p *packages.Package, name string) {
 	t.Helper()
 	found := p.Types.Scope().Lookup(name)
@@ -77,7 +78,7 @@
 	}
 	s, ok := found.Type().Underlying().(*types.Struct)
 	if !ok {
-		t.Errorf("%s.%s is no struct", p.PkgPath, name)
+		t.Errorf("%s.%s is not a struct", p.PkgPath, name)
 		return
 	}
 	for i := range s.NumFields() {
@@ -85,8 +86,8 @@
 	}
 }
 
-// recordReads notes which fields a file reads: those selected, but on the left of an
-// assignment, and embedded ones on the way to what is selected.
+// recordReads records which fields a file reads: every selected field, except on the left
+// of an assignment, and the embedded fields through which a selection passes.
 func recordReads(f *ast.File, info *types.Info, read map[types.Object]bool) {
 	var written []ast.Expr
 	ast.Inspect(f, func(n ast.Node) bool {
@@ -101,18 +102,18 @@
 		if s == nil || slices.Contains(written, ast.Expr(sel)) {
 			return true
 		}
-		way := s.Index()
+		indexes := s.Index()
 		if s.Kind() != types.FieldVal {
-			way = way[:len(way)-1] // the last one is a method's
+			indexes = indexes[:len(indexes)-1] // the last index is that of the method
 		}
-		at := s.Recv()
-		for _, i := range way {
-			if p, ok := at.Underlying().(*types.Pointer); ok {
-				at = p.Elem()
+		current := s.Recv()
+		for _, i := range indexes {
+			if p, ok := current.Underlying().(*types.Pointer); ok {
+				current = p.Elem()
 			}
-			field := at.Underlying().(*types.Struct).Field(i)
+			field := current.Underlying().(*types.Struct).Field(i)
 			read[field] = true
-			at = field.Type()
+			current = field.Type()
 		}
 		return true
 	})
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -1,4 +1,5 @@
-// Package layers checks what the product's packages may import. It holds tests alone.
+// Package layers contains only tests. They check which packages the product's packages
+// import, and that the fields of decoded messages are read.
 package layers
 
 import (
@@ -11,50 +12,49 @@
 	"testing"
 )
 
-// decisionPackages are the packages that decide, from typed events and a given time. Each
-// runs the same in a property test, in a measurement and in production.
+// decisionPackages make decisions from typed events and a given time, without I/O. Each
+// therefore behaves the same in a property test, in a measurement and in production.
 var decisionPackages = []string{
 	"bill", "cascade", "contract", "datacentre", "document", "lease", "permit", "reading",
 	"quarantine", "retry", "rollout", "scaling", "session", "stream", "ticket", "upstream", "usage", "vm", "workspace",
 }
 
-// allowedPackages are the packages of the project that decisions may use: each other, and
-// the typed form of a configuration.
+// allowedPackages are the packages of the project that decision packages may import: each
+// other, the typed configuration and signatures.
 var allowedPackages = append([]string{"config", "sign"}, decisionPackages...)
 
-// forbiddenPackages are packages of the standard library and of others that do I/O, log,
+// forbiddenPackages are packages, of the standard library and others, that do I/O, log,
 // measure or run something at a later time.
 var forbiddenPackages = []string{
 	"context", "io", "log", "net", "os", "sync", "syscall",
 	"github.com/quic-go", "github.com/rcrowley/go-metrics", "go.uber.org/zap",
 }
 
-// TestDecisionPackagesAreIsolated checks that no package that decides imports one that does
-// I/O, logs, or knows of goroutines: what it decides then depends on what it is given
-// alone.
+// TestDecisionPackagesAreIsolated checks that no decision package imports a package that
+// does I/O, logs or uses goroutines, so that its decisions depend only on its inputs.
 func TestDecisionPackagesAreIsolated(t *testing.T) {
 	for _, pkg := range decisionPackages {
 		for _, name := range imports(t, filepath.Join("..", "..", pkg)) {
-			if why := whyForbidden(name); why != "" {
-				t.Errorf("%s imports %s: %s", pkg, name, why)
+			if reason := whyForbidden(name); reason != "" {
+				t.Errorf("%s imports %s: %s", pkg, name, reason)
 			}
 		}
 	}
 }
 
-// TestWhyForbidden checks that the check itself finds what it is for.
+// TestWhyForbidden checks that whyForbidden accepts and rejects the right imports.
 func TestWhyForbidden(t *testing.T) {
-	for name, bar := range map[string]bool{
+	for name, forbidden := range map[string]bool{
 		"time": false, "math/rand/v2": false, "woaddoor/contract": false, "woaddoor/config": false, "errors": false,
 		"net/http": true, "os": true, "sync/atomic": true, "context": true, "woaddoor/link": true, "woaddoor/engine": true, "go.uber.org/zap": true,
 	} {
-		if (whyForbidden(name) != "") != bar {
-			t.Errorf("%s: barred %v", name, !bar)
+		if (whyForbidden(name) != "") != forbidden {
+			t.Errorf("%s: forbidden is %v", name, !forbidden)
 		}
 	}
 }
 
-// whyForbidden returns why a package that decides may not import another, or "".
+// whyForbidden returns why a decision package may not import name, or "" if it may.
 func whyForbidden(name string) string {
 	if inner, ok := strings.CutPrefix(name, "woaddoor/"); ok {
 		for _, p := range allowedPackages {
@@ -62,17 +62,17 @@
 				return ""
 			}
 		}
-		return "it is not a package that decides"
+		return "it is not a decision package"
 	}
 	for _, p := range forbiddenPackages {
 		if name == p || strings.HasPrefix(name, p+"/") {
-			return "decisions do no I/O and know of no goroutines"
+			return "decision packages must not do I/O or use goroutines"
 		}
 	}
 	return ""
 }
 
-// imports returns what the files of a folder import, tests left out.
+// imports returns the imports of the Go files in a folder, except test files.
 func imports(t *testing.T, dir string) []string {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
