--- a/internal/fleet/caller.go
+++ b/internal/fleet/caller.go
@@ -94,7 +94,10 @@
 	return n
 }
 
-// Status holds the fields of an entry process's status page that tests read.
+// Status holds the fields of an entry process's status page that tests read. Arbiters and
+// Keepers are the numbers of processes that vote on this VM's tickets and that hold copies
+// of its bill records. BillsAtRisk counts its records that no peer holds and that are not
+// filed with the platform.
 type Status struct {
 	Revision         contract.Revision `json:"revision"`
 	Members          int               `json:"members"`
--- a/internal/fleet/cutoff_test.go
+++ b/internal/fleet/cutoff_test.go
@@ -75,6 +75,7 @@
 	}
 }
 
+// chatStatus sends a chat request and returns the HTTP status.
 func chatStatus(ctx context.Context, t *testing.T, vm *VM, model string) int {
 	t.Helper()
 	r, err := vm.Chat(ctx, KeyNorte, model, "hello")
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -118,6 +118,7 @@
 	return f, nil
 }
 
+// serve serves h on a free loopback port until Stop, and returns its URL.
 func (f *Fleet) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -129,6 +130,7 @@
 	return "http://" + l.Addr().String(), nil
 }
 
+// startStandIns starts the platform, the engines and the services, and records their URLs.
 func (f *Fleet) startStandIns() error {
 	var err error
 	if f.OperatorURL, err = f.serve(f.Platform.View("operator").Handler()); err != nil {
@@ -178,6 +180,7 @@
 	return "", errors.New("no free port on loopback")
 }
 
+// canListen reports whether address is free.
 func canListen(network, address string) bool {
 	if network == "udp" {
 		c, err := net.ListenPacket("udp", address)
--- a/internal/fleet/guarantees_test.go
+++ b/internal/fleet/guarantees_test.go
@@ -25,6 +25,7 @@
 	Outcome string `json:"outcome"`
 }
 
+// parseRefusal decodes a reply that must be a problem document.
 func parseRefusal(t *testing.T, r Reply) refusal {
 	t.Helper()
 	var parsed refusal
--- a/internal/fleet/layout.go
+++ b/internal/fleet/layout.go
@@ -55,6 +55,8 @@
 	return nil
 }
 
+// allocateAddresses allocates the addresses of one VM, and starts the relays of its links
+// and its view of the platform.
 func (f *Fleet) allocateAddresses(name string) (vmAddresses, error) {
 	var a vmAddresses
 	var err error
@@ -79,6 +81,7 @@
 	return a, err
 }
 
+// renderSettings returns the settings file of VM i.
 func (f *Fleet) renderSettings(vm *VM, addresses []vmAddresses, i int) string {
 	own := addresses[i]
 	var b strings.Builder
@@ -119,6 +122,7 @@
 	return b.String()
 }
 
+// engineList returns the engines of a data centre as "ID URL" items of a pool's upstreams key.
 func (f *Fleet) engineList(dc contract.DataCentreID) string {
 	var items []string
 	for id := range f.Engines {
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -17,6 +17,7 @@
 	err  error
 }
 
+// startProcess starts a program of a VM and appends its standard error to the log file.
 func (f *Fleet) startProcess(program string, vm *VM) (*Process, error) {
 	log, err := os.OpenFile(f.LogFile(program, vm), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
--- a/internal/fleet/rollout_test.go
+++ b/internal/fleet/rollout_test.go
@@ -66,6 +66,7 @@
 	return states
 }
 
+// formatState returns a progress section as "STATE STEP".
 func formatState(s document.Section) string {
 	words := strings.Fields(strings.NewReplacer("state = ", "", "step = ", "", "to = ", "").Replace(string(s)))
 	return fmt.Sprintf("%s %s", words[0], words[1])
--- a/internal/layers/fields_test.go
+++ b/internal/layers/fields_test.go
@@ -27,7 +27,7 @@
 
 // unreadFields are fields that are deliberately not read, with the reason.
 var unreadFields = map[string]string{
-	"route.Limits.Header":        "the listener opens before a configuration is known, and callers stay within this limit",
+	"route.Limits.Header":        "the listener is opened before a configuration is known, and callers stay within this limit",
 	"route.Limits.HeaderTimeout": "as Header",
 	"route.Limits.Idling":        "as Header; idle connections stay open for longer than callers use them",
 	"relay.Load.Slots":           "the upstream's entry holds the same value, which does not change",
--- a/internal/measure/loss.go
+++ b/internal/measure/loss.go
@@ -83,11 +83,11 @@
 
 // busiestSecond returns the largest count of a second in [from, to).
 func busiestSecond(n []int, from, to time.Duration) float64 {
-	best := 0
+	largest := 0
 	for s := int(from.Seconds()); s < int(to.Seconds()); s++ {
-		best = max(best, n[s])
+		largest = max(largest, n[s])
 	}
-	return float64(best)
+	return float64(largest)
 }
 
 // runLossTrial offers all kinds of traffic while the first lost engines are down for
--- a/internal/measure/retries.go
+++ b/internal/measure/retries.go
@@ -28,12 +28,12 @@
 	random            *rand.Rand
 	fault             func(e []*model.Engine, on bool)
 	arrivals          int
-	sends             int // attempts that reached a healthy engine
-	answeredPerBucket []int
+	sends             int   // attempts that reached a healthy engine
+	answeredPerBucket []int // answered requests, by the bucket of their arrival
 	failed            int
-	arrivalsPerBucket []int // offered, by bucket
+	arrivalsPerBucket []int
 	start             time.Time
-	inFault           struct{ offered, sends int }
+	inFault           struct{ offered, sends int } // arrivals and sends while the fault was active
 }
 
 // newRetryTrial returns a trial on n engines in which fault is switched on at faultStart
@@ -47,8 +47,10 @@
 	return t
 }
 
+// newBuckets returns a zero counter for each bucket of the run.
 func newBuckets() []int { return make([]int, int(retryRunDuration/bucketWidth)+1) }
 
+// currentBucket returns the index of the bucket that contains the current time.
 func (t *retryTrial) currentBucket() int { return int(t.site.clock.Now().Sub(t.start) / bucketWidth) }
 
 // faultActive reports whether the fault is active now.
@@ -74,9 +76,9 @@
 		finish(true)
 		return
 	}
-	w := model.Request{Prefix: prefix, Tokens: 1 + t.random.IntN(2*meanTokens-1)}
+	request := model.Request{Prefix: prefix, Tokens: 1 + t.random.IntN(2*meanTokens-1)}
 	if cancel {
-		w.Abandoned = func() bool { return ended }
+		request.Abandoned = func() bool { return ended }
 	}
 	if e := t.site.engines[i]; !e.Down {
 		t.sends++
@@ -91,7 +93,7 @@
 		}
 		finish(failed)
 	}
-	t.site.engines[i].Submit(w, func(a model.Result) { end(a.Failed) })
+	t.site.engines[i].Submit(request, func(a model.Result) { end(a.Failed) })
 	t.site.clock.After(timeout, func() { end(true) })
 }
 
@@ -134,7 +136,7 @@
 // newRetryingVMs returns a retryingVM for each VM of the site. Each checks its queue for
 // expired requests every 20 ms.
 func (t *retryTrial) newRetryingVMs() []*retryingVM {
-	var nodes []*retryingVM
+	var retryingVMs []*retryingVM
 	for _, vm := range t.site.vms {
 		n := &retryingVM{vm: vm, budget: retry.NewBudget(retry.Options{}), queue: workspace.NewQueue(workspace.Options{Capacity: queueCapacity(), TotalShare: 1}), waiting: make(map[workspace.ID]func(bool))}
 		t.site.clock.Every(20*time.Millisecond, func() bool {
@@ -143,9 +145,9 @@
 			}
 			return true
 		})
-		nodes = append(nodes, n)
+		retryingVMs = append(retryingVMs, n)
 	}
-	return nodes
+	return retryingVMs
 }
 
 // resolve calls the waiting function of a queued request. runs is false when the request
@@ -192,7 +194,8 @@
 	}
 }
 
-// attempt makes attempt number and, after a failure, asks the budget for another.
+// attempt sends a request for the number-th time. After a failure it sends it again if
+// the retry budget allows it.
 func (t *retryTrial) attempt(n *retryingVM, number int, deadline time.Time, done func(good bool)) {
 	t.send(n.vm, deadline.Sub(t.site.clock.Now()), true, func(failed bool) {
 		if !failed {
@@ -275,15 +278,15 @@
 		make = newWoaddoorChooser
 	}
 	t := newRetryTrial(seed, engines, make, fault)
-	var nodes []*retryingVM
+	var retryingVMs []*retryingVM
 	if strategy == "woaddoor" {
-		nodes = t.newRetryingVMs()
+		retryingVMs = t.newRetryingVMs()
 	}
 	model.Arrivals(t.site.clock, t.random, retryLoad*uncachedCapacity(engines), retryRunDuration, func() {
 		bucket := t.recordArrival()
 		switch strategy {
 		case "woaddoor":
-			t.sendWithBudget(nodes[t.random.IntN(len(nodes))], bucket)
+			t.sendWithBudget(retryingVMs[t.random.IntN(len(retryingVMs))], bucket)
 		case "naive":
 			t.sendNaively(naiveRetries, bucket)
 		default:
--- a/internal/measure/table.go
+++ b/internal/measure/table.go
@@ -9,7 +9,7 @@
 // table holds the results of one measurement.
 type table struct {
 	title string
-	// description says what was varied, with the seed.
+	// description lists the parameters of the measurement, with the seed.
 	description string
 	columns     []string
 	rows        [][]string
