--- a/internal/measure/choice.go
+++ b/internal/measure/choice.go
@@ -11,43 +11,45 @@
 	"woaddoor/upstream"
 )
 
-// Sizes of the choice measurement: those of the Consorcio.
+// Parameters of the choice measurement. They are the sizes of the deployment in
+// examples/consorcio.ini.
 const (
-	engines      = 20
-	vms          = 7
-	slots        = 8
-	perToken     = 20 * time.Millisecond
-	prefillCold  = 300 * time.Millisecond
-	prefillWarm  = 30 * time.Millisecond
-	meanTokens   = 40
-	prefixKinds  = 400
-	prefixesHeld = 24
-	runFor       = 120 * time.Second
-	warmUp       = 20 * time.Second
-	drainFor     = 20 * time.Minute // until the last request has ended
-	reportEvery  = 500 * time.Millisecond
-	version      = contract.VersionID("m@1")
+	engines          = 20
+	vms              = 7
+	slots            = 8
+	perToken         = 20 * time.Millisecond
+	prefillCold      = 300 * time.Millisecond
+	prefillWarm      = 30 * time.Millisecond
+	meanTokens       = 40
+	distinctPrefixes = 400
+	cachedPrefixes   = 24
+	loadDuration     = 120 * time.Second
+	warmUpDuration   = 20 * time.Second
+	drainDuration    = 20 * time.Minute // long enough for every request to end
+	reportInterval   = 500 * time.Millisecond
+	version          = contract.VersionID("m@1")
 )
 
 func engineOptions() model.EngineOptions {
-	return model.EngineOptions{Slots: slots, PerToken: perToken, Prefill: prefillCold, Cached: prefillWarm, Prefixes: prefixesHeld}
+	return model.EngineOptions{Slots: slots, PerToken: perToken, Prefill: prefillCold, CachedPrefill: prefillWarm, CacheCapacity: cachedPrefixes}
 }
 
-// coldService is the mean time of a request whose prefix is not cached; a load
-// of 100% is what the engines carry at that.
-const coldService = prefillCold + meanTokens*perToken
+// uncachedServiceTime is the mean service time of a request whose prefix is not
+// cached. A load of 100% is the rate that the engines carry at this service time.
+const uncachedServiceTime = prefillCold + meanTokens*perToken
 
-// site is engines, and VMs that choose among them.
+// site models engines and the VMs that choose among them.
 type site struct {
 	clock   *model.Clock
 	random  *rand.Rand
 	engines []*model.Engine
 	vms     []chooser
-	// silent is how many engines, the first ones, send no reports.
-	silent int
+	// silentEngines is the number of engines, counted from the first, that send no
+	// load reports.
+	silentEngines int
 }
 
-// chooser is one VM's way to choose.
+// chooser is the strategy by which one VM chooses an engine.
 type chooser interface {
 	pick(now time.Time, prefix uint64) int
 	sent(i int, prefix uint64)
@@ -55,26 +57,26 @@
 	report(i, running, waiting int, age time.Duration, now time.Time)
 }
 
-// ours chooses by upstream.Table.
-type ours struct {
+// woaddoorChooser chooses with the product's upstream.Table.
+type woaddoorChooser struct {
 	table  *upstream.Table
 	random *rand.Rand
 	index  map[contract.UpstreamID]int
 }
 
-func newOurs(n int, random *rand.Rand) chooser {
-	p := &config.Pool{ID: "p", Kind: config.EnginePool, DataCentre: "d", Slots: slots}
-	o := &ours{table: upstream.NewTable(upstream.Options{}), random: random, index: make(map[contract.UpstreamID]int)}
+func newWoaddoorChooser(n int, random *rand.Rand) chooser {
+	pool := &config.Pool{ID: "p", Kind: config.EnginePool, DataCentre: "d", Slots: slots}
+	chooser := &woaddoorChooser{table: upstream.NewTable(upstream.Options{}), random: random, index: make(map[contract.UpstreamID]int)}
 	for i := range n {
-		id := model.UpstreamName(i)
-		o.index[id] = i
-		p.Upstreams = append(p.Upstreams, config.Upstream{ID: id, URL: "http://" + string(id)})
+		id := model.UpstreamID(i)
+		chooser.index[id] = i
+		pool.Upstreams = append(pool.Upstreams, config.Upstream{ID: id, URL: "http://" + string(id)})
 	}
-	o.table.Configure(map[contract.PoolID]*config.Pool{"p": p})
-	return o
+	chooser.table.Configure(map[contract.PoolID]*config.Pool{"p": pool})
+	return chooser
 }
 
-func (o *ours) pick(now time.Time, prefix uint64) int {
+func (o *woaddoorChooser) pick(now time.Time, prefix uint64) int {
 	id, err := o.table.Pick(upstream.Query{Kind: config.EnginePool, DataCentre: "d", Version: version, Prefix: prefix}, now, o.random)
 	if err != nil {
 		return -1
@@ -82,23 +84,23 @@
 	return o.index[id]
 }
 
-func (o *ours) sent(i int, _ uint64) { o.table.Sent(model.UpstreamName(i)) }
+func (o *woaddoorChooser) sent(i int, _ uint64) { o.table.Sent(model.UpstreamID(i)) }
 
-func (o *ours) done(i int, took time.Duration, failed bool, now time.Time) {
+func (o *woaddoorChooser) done(i int, took time.Duration, failed bool, now time.Time) {
 	result := upstream.Good
 	if failed {
 		result = upstream.Failed
 	}
-	o.table.Done(model.UpstreamName(i), result, took, now)
+	o.table.Done(model.UpstreamID(i), result, took, now)
 }
 
-func (o *ours) report(i, running, waiting int, age time.Duration, now time.Time) {
-	o.table.Reported(model.UpstreamName(i), contract.Load{
+func (o *woaddoorChooser) report(i, running, waiting int, age time.Duration, now time.Time) {
+	o.table.Reported(model.UpstreamID(i), contract.Load{
 		Incarnation: 1, Running: running, Waiting: waiting, AgeMillis: age.Milliseconds(), Versions: []contract.VersionID{version},
 	}, now)
 }
 
-// roundRobin takes the engines in turn.
+// roundRobin chooses the engines in turn.
 type roundRobin struct{ n, next int }
 
 func (r *roundRobin) pick(time.Time, uint64) int {
@@ -109,33 +111,34 @@
 func (*roundRobin) done(int, time.Duration, bool, time.Time)       {}
 func (*roundRobin) report(int, int, int, time.Duration, time.Time) {}
 
-// leastInFlight takes the engine with the fewest own requests.
+// leastInFlight chooses the engine to which this VM has the fewest requests in flight.
 type leastInFlight struct {
-	flight []int
-	random *rand.Rand
+	inFlight []int
+	random   *rand.Rand
 }
 
 func (l *leastInFlight) pick(time.Time, uint64) int {
-	best, start := -1, l.random.IntN(len(l.flight))
-	for k := range l.flight {
-		i := (start + k) % len(l.flight)
-		if best < 0 || l.flight[i] < l.flight[best] {
+	best, start := -1, l.random.IntN(len(l.inFlight))
+	for k := range l.inFlight {
+		i := (start + k) % len(l.inFlight)
+		if best < 0 || l.inFlight[i] < l.inFlight[best] {
 			best = i
 		}
 	}
 	return best
 }
-func (l *leastInFlight) sent(i int, _ uint64)                             { l.flight[i]++ }
-func (l *leastInFlight) done(i int, _ time.Duration, _ bool, _ time.Time) { l.flight[i]-- }
+func (l *leastInFlight) sent(i int, _ uint64)                             { l.inFlight[i]++ }
+func (l *leastInFlight) done(i int, _ time.Duration, _ bool, _ time.Time) { l.inFlight[i]-- }
 func (*leastInFlight) report(int, int, int, time.Duration, time.Time)     {}
 
-// leastReported takes the engine that last reported the shortest line.
-type leastReported struct{ line []int }
+// leastReported chooses the engine that last reported the fewest running and waiting
+// requests.
+type leastReported struct{ load []int }
 
 func (l *leastReported) pick(time.Time, uint64) int {
 	best := 0
-	for i := range l.line {
-		if l.line[i] < l.line[best] {
+	for i := range l.load {
+		if l.load[i] < l.load[best] {
 			best = i
 		}
 	}
@@ -144,31 +147,32 @@
 func (*leastReported) sent(int, uint64)                         {}
 func (*leastReported) done(int, time.Duration, bool, time.Time) {}
 func (l *leastReported) report(i, running, waiting int, _ time.Duration, _ time.Time) {
-	l.line[i] = running + waiting
+	l.load[i] = running + waiting
 }
 
-// newSite returns a site of n engines and m VMs. slow makes the first engine
-// slower by that factor.
+// newSite returns a site of n engines and m VMs. The first engine is slower by the
+// factor slow. Load reports reach the VMs with a delay of lag.
 func newSite(seed uint64, n, m, slow int, lag time.Duration, make func(n int, r *rand.Rand) chooser) *site {
 	s := &site{clock: model.NewClock(), random: rand.New(rand.NewPCG(seed, 1))}
 	for i := range n {
 		opts := engineOptions()
 		if i == 0 {
-			opts.Speed = slow
+			opts.Slowdown = slow
 		}
 		s.engines = append(s.engines, model.NewEngine(s.clock, opts))
 	}
 	for i := range m {
 		s.vms = append(s.vms, make(n, rand.New(rand.NewPCG(seed, uint64(i)+2))))
 	}
-	s.reports(lag)
-	s.clock.Every(reportEvery, func() bool { s.reports(lag); return true })
+	s.sendReports(lag)
+	s.clock.Every(reportInterval, func() bool { s.sendReports(lag); return true })
 	return s
 }
 
-func (s *site) reports(lag time.Duration) {
+// sendReports delivers to every VM the load that each engine had lag ago.
+func (s *site) sendReports(lag time.Duration) {
 	for i, e := range s.engines {
-		if i < s.silent {
+		if i < s.silentEngines {
 			continue
 		}
 		running, waiting := e.Load(lag)
@@ -178,78 +182,81 @@
 	}
 }
 
-// one sends a request through a VM and calls done with its answer.
-func (s *site) one(vm chooser, preferred bool, done func(first, whole time.Duration, a model.Answer)) {
-	// A few prefixes are common, most are rare.
-	prefix := uint64(float64(prefixKinds)*s.random.Float64()*s.random.Float64()) + 1
-	w := model.Work{Prefix: prefix, Tokens: 1 + s.random.IntN(2*meanTokens-1), Priority: 1}
+// sendRequest sends a request through a VM and calls done with the time to the first
+// token, the total time and the result.
+func (s *site) sendRequest(vm chooser, preferred bool, done func(first, total time.Duration, a model.Result)) {
+	// The product of two random numbers makes a few prefixes common and most rare.
+	prefix := uint64(float64(distinctPrefixes)*s.random.Float64()*s.random.Float64()) + 1
+	request := model.Request{Prefix: prefix, Tokens: 1 + s.random.IntN(2*meanTokens-1), Priority: 1}
 	if preferred {
-		w.Priority = 0
+		request.Priority = 0
 	}
 	began := s.clock.Now()
 	i := vm.pick(began, prefix)
 	if i < 0 {
-		done(0, 0, model.Answer{Failed: true, Done: began})
+		done(0, 0, model.Result{Failed: true, Done: began})
 		return
 	}
 	vm.sent(i, prefix)
-	s.engines[i].Do(w, func(a model.Answer) {
+	s.engines[i].Submit(request, func(a model.Result) {
 		now := s.clock.Now()
 		vm.done(i, now.Sub(began), a.Failed, now)
 		done(a.FirstToken.Sub(began), now.Sub(began), a)
 	})
 }
 
-// load offers requests at a rate and returns what came of those that began
-// after the warm-up.
-func (s *site) load(rate float64) (first, whole []time.Duration, hits float64) {
-	begin := s.clock.Now().Add(warmUp)
+// offerLoad sends requests at the given rate. It returns the times to the first token,
+// the total times and the cache hit ratio of the requests that began after the warm-up.
+func (s *site) offerLoad(rate float64) (first, total []time.Duration, hitRatio float64) {
+	begin := s.clock.Now().Add(warmUpDuration)
 	count, cached := 0, 0
-	model.Arrivals(s.clock, s.random, rate, runFor, func() {
-		counts := s.clock.Now().After(begin)
-		s.one(s.vms[s.random.IntN(len(s.vms))], false, func(f, w time.Duration, a model.Answer) {
-			if !counts {
+	model.Arrivals(s.clock, s.random, rate, loadDuration, func() {
+		measured := s.clock.Now().After(begin)
+		s.sendRequest(s.vms[s.random.IntN(len(s.vms))], false, func(f, w time.Duration, a model.Result) {
+			if !measured {
 				return
 			}
-			first, whole = append(first, f), append(whole, w)
+			first, total = append(first, f), append(total, w)
 			count++
 			if a.Cached {
 				cached++
 			}
 		})
 	})
-	s.clock.Run(runFor + drainFor)
-	return first, whole, float64(cached) / float64(max(count, 1))
+	s.clock.Run(loadDuration + drainDuration)
+	return first, total, float64(cached) / float64(max(count, 1))
 }
 
-// fullRate is the rate at which the engines are full when no prefix is cached.
-func fullRate(n int) float64 { return float64(n*slots) / coldService.Seconds() }
+// uncachedCapacity returns the request rate, per second, that n engines carry when no
+// prefix is cached.
+func uncachedCapacity(n int) float64 { return float64(n*slots) / uncachedServiceTime.Seconds() }
 
-var ways = []struct {
+// choosers are the strategies that are compared.
+var choosers = []struct {
 	name string
 	make func(n int, r *rand.Rand) chooser
 }{
 	{"round robin", func(n int, r *rand.Rand) chooser { return &roundRobin{n: n, next: r.IntN(n)} }},
 	{"least in flight", func(n int, r *rand.Rand) chooser { return &leastInFlight{make([]int, n), r} }},
 	{"least reported", func(n int, _ *rand.Rand) chooser { return &leastReported{make([]int, n)} }},
-	{"woaddoor", newOurs},
+	{"woaddoor", newWoaddoorChooser},
 }
 
-// choice measures the choice of upstream.
+// choice compares strategies for choosing an upstream.
 func choice(seed uint64) []*table {
-	head := []string{"way", "first token p50 ms", "p95", "p99", "whole p95 ms", "prefix hits", "worst queue"}
+	columns := []string{"way", "first token p50 ms", "p95", "p99", "whole p95 ms", "prefix hits", "worst queue"}
 	var tables []*table
 	measure := func(title string, load float64, slow int, lag time.Duration) {
-		t := &table{title: title, head: head, about: fmt.Sprintf("%d engines of %d places, %d VMs, load %.0f%% of the rate that is carried uncached, reports %v old, slow engine x%d, seed %d.", engines, slots, vms, load*100, lag, slow, seed)}
-		for _, w := range ways {
-			s := newSite(seed, engines, vms, slow, lag, w.make)
-			first, whole, hits := s.load(load * fullRate(engines))
+		t := &table{title: title, columns: columns, description: fmt.Sprintf("%d engines of %d places, %d VMs, load %.0f%% of the rate that is carried uncached, reports %v old, slow engine x%d, seed %d.", engines, slots, vms, load*100, lag, slow, seed)}
+		for _, strategy := range choosers {
+			s := newSite(seed, engines, vms, slow, lag, strategy.make)
+			first, total, hitRatio := s.offerLoad(load * uncachedCapacity(engines))
 			worst := 0
 			for _, e := range s.engines {
-				worst = max(worst, e.Worst)
+				worst = max(worst, e.MaxQueue)
 			}
 			q := model.QuantilesOf(first)
-			t.add(w.name, q.P50, q.P95, q.P99, model.QuantilesOf(whole).P95, fmt.Sprintf("%.0f%%", hits*100), worst)
+			t.addRow(strategy.name, q.P50, q.P95, q.P99, model.QuantilesOf(total).P95, fmt.Sprintf("%.0f%%", hitRatio*100), worst)
 		}
 		tables = append(tables, t)
 	}
--- a/internal/measure/table.go
+++ b/internal/measure/table.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// table is one measurement's result.
+// table holds the results of one measurement.
 type table struct {
 	title string
-	// about says what was varied, with the seed.
-	about string
-	head  []string
-	rows  [][]string
+	// description lists the parameters of the measurement, with the seed.
+	description string
+	columns     []string
+	rows        [][]string
 }
 
-func (t *table) add(cells ...any) {
+func (t *table) addRow(cells ...any) {
 	row := make([]string, len(cells))
 	for i, c := range cells {
 		switch v := c.(type) {
@@ -31,9 +31,9 @@
 	t.rows = append(t.rows, row)
 }
 
-// print writes the table in Markdown.
+// print writes the table as Markdown.
 func (t *table) print(w io.Writer) {
-	fmt.Fprintf(w, "### %s\n\n%s\n\n| %s |\n|%s\n", t.title, t.about, strings.Join(t.head, " | "), strings.Repeat("---|", len(t.head)))
+	fmt.Fprintf(w, "### %s\n\n%s\n\n| %s |\n|%s\n", t.title, t.description, strings.Join(t.columns, " | "), strings.Repeat("---|", len(t.columns)))
 	for _, row := range t.rows {
 		fmt.Fprintf(w, "| %s |\n", strings.Join(row, " | "))
 	}
--- a/internal/mutants/main.go
+++ b/internal/mutants/main.go
@@ -175,9 +175,9 @@
 	{"a request received during shutdown is answered", "drain/drain.go", "> minIdle && !c.hasUnread()", "> minIdle", "./drain", "TestConnWithUnreadRequestStaysOpen"},
 	{"silent connections are not reused", "exchange/exchange.go", "c.reused && timedOut(ctx, err)", "false", "./exchange", "TestTimeoutDiscardsIdleConnections"},
 	{"a shutdown waits for streams", "entry/server.go", "!callers.Drain(ctx)", "ctx.Err() != nil", "./internal/fleet", "TestPlannedStop"},
-	{"a copy is stored before the answer ends", "entry/bills.go", "peers := s.copyPeers()", "peers := s.copyPeers()[:0]", "./internal/fleet", "TestBilledThoughKilled"},
+	{"a copy is stored before the answer ends", "entry/bills.go", "peers := s.copyPeers()", "peers := s.copyPeers()[:0]", "./internal/fleet", "TestBillingSurvivesKill"},
 	{"a near peer stores copies too", "entry/bills.go", "[][]vm.Member{remote, local}", "[][]vm.Member{remote}", "./internal/fleet", "TestCutOff/both"},
-	{"arbiters learn of results", "entry/tickets.go", "s.settleAtArbiters(ctx, c, ticket.Result{Outcome: contract.Ran", "s.settleAtArbiters(ctx, &claim{settled: true}, ticket.Result{Outcome: contract.Ran", "./internal/fleet", "TestRulingAnswerFoundAgain"},
+	{"arbiters learn of results", "entry/tickets.go", "s.settleAtArbiters(ctx, c, ticket.Result{Outcome: contract.Ran", "s.settleAtArbiters(ctx, &claim{settled: true}, ticket.Result{Outcome: contract.Ran", "./internal/fleet", "TestRulingAnswerReplayed"},
 }
 
 // testTimeout is the time limit for the test of one mutant.
