--- a/bill/bill.go
+++ b/bill/bill.go
@@ -28,10 +28,10 @@
 	Input   contract.Tokens    `cbor:"4,keyasint" json:"input_tokens"`
 	Output  contract.Tokens    `cbor:"5,keyasint" json:"output_tokens"`
 	Amount  contract.Money     `cbor:"6,keyasint" json:"amount"`
-	// Inside is the internal cost of the answer that is not billed: attempts of
+	// InternalCost is the internal cost of the answer that is not billed: attempts of
 	// a cascade with cheaper models, and retries.
-	Inside contract.Money `cbor:"7,keyasint" json:"inside,omitempty"`
-	At     time.Time      `cbor:"8,keyasint" json:"at"`
+	InternalCost contract.Money `cbor:"7,keyasint" json:"inside,omitempty"`
+	At           time.Time      `cbor:"8,keyasint" json:"at"`
 	// Origin is the entry process that created the record.
 	Origin Origin `cbor:"9,keyasint" json:"origin"`
 }
@@ -86,32 +86,32 @@
 	return order < 0
 }
 
-// Sum is the total bill of one workspace.
-type Sum struct {
-	Workspace contract.WorkspaceID `json:"workspace"`
-	Requests  int                  `json:"requests"`
-	Input     contract.Tokens      `json:"input_tokens"`
-	Output    contract.Tokens      `json:"output_tokens"`
-	Amount    contract.Money       `json:"amount"`
-	Inside    contract.Money       `json:"inside"`
+// WorkspaceTotal is the total bill of one workspace.
+type WorkspaceTotal struct {
+	Workspace    contract.WorkspaceID `json:"workspace"`
+	Requests     int                  `json:"requests"`
+	Input        contract.Tokens      `json:"input_tokens"`
+	Output       contract.Tokens      `json:"output_tokens"`
+	Amount       contract.Money       `json:"amount"`
+	InternalCost contract.Money       `json:"inside"`
 }
 
-// Sums returns the total of each workspace over the union of the records.
-func Sums(records []Record) []Sum {
-	var totals []Sum
+// TotalsByWorkspace returns the total of each workspace over the union of the records.
+func TotalsByWorkspace(records []Record) []WorkspaceTotal {
+	var totals []WorkspaceTotal
 	for _, r := range Union(records) {
 		if len(totals) == 0 || totals[len(totals)-1].Workspace != r.Workspace {
-			totals = append(totals, Sum{Workspace: r.Workspace})
+			totals = append(totals, WorkspaceTotal{Workspace: r.Workspace})
 		}
 		total := &totals[len(totals)-1]
 		total.Requests++
 		total.Input += r.Input
 		total.Output += r.Output
 		total.Amount += r.Amount
-		total.Inside += r.Inside
+		total.InternalCost += r.InternalCost
 	}
 	return totals
 }
 
-// Prefix is the prefix of the object names of filed batches.
-const Prefix = "woaddoor/bill/"
+// BatchNamePrefix is the prefix of the object names of filed batches.
+const BatchNamePrefix = "woaddoor/bill/"
--- a/bill/bill_test.go
+++ b/bill/bill_test.go
@@ -14,7 +14,7 @@
 // entryProcess is a simulated entry process with the records that it holds.
 type entryProcess struct {
 	origin Origin
-	holder *Holder
+	holder *RecordBuffer
 }
 
 // fleet simulates entry processes that answer requests, may be killed at any step,
@@ -36,13 +36,13 @@
 	self, peer := f.processes[i], f.processes[(i+1)%len(f.processes)]
 	id := ID(fmt.Sprint(rapid.IntRange(0, 9).Draw(f.t, "request")))
 	r := Record{ID: id, Workspace: contract.WorkspaceID(rapid.SampledFrom([]string{"a", "b"}).Draw(f.t, "workspace")), Amount: 1, At: f.now, Origin: self.origin}
-	if self.holder.Keep(r, f.now) != nil || f.maybeKill(i, "after keep") {
+	if self.holder.Add(r, f.now) != nil || f.maybeKill(i, "after keep") {
 		return
 	}
-	if peer.holder.Keep(r, f.now) != nil {
+	if peer.holder.Add(r, f.now) != nil {
 		return
 	}
-	self.holder.Copied(r)
+	self.holder.MarkCopied(r)
 	if f.maybeKill(i, "after copy") {
 		return
 	}
@@ -57,7 +57,7 @@
 		return false
 	}
 	o := Origin{VM: f.processes[i].origin.VM, Incarnation: f.processes[i].origin.Incarnation + 1}
-	f.processes[i] = &entryProcess{o, NewHolder(o, 1000)}
+	f.processes[i] = &entryProcess{o, NewRecordBuffer(o, 1000)}
 	return true
 }
 
@@ -72,7 +72,7 @@
 		f.filed = append(f.filed, due...)
 		f.filedCount += len(due)
 		if rapid.Bool().Draw(f.t, "reply arrives") {
-			process.holder.Filed(due)
+			process.holder.MarkFiled(due)
 		}
 	}
 }
@@ -88,7 +88,7 @@
 		f := &fleet{t: t, now: time.Unix(0, 0), delivered: make(map[recordKey]bool)}
 		for i := range 3 {
 			o := Origin{VM: contract.VMID(fmt.Sprint(i)), Incarnation: 1}
-			f.processes = append(f.processes, &entryProcess{o, NewHolder(o, 1000)})
+			f.processes = append(f.processes, &entryProcess{o, NewRecordBuffer(o, 1000)})
 		}
 		for range rapid.IntRange(1, 15).Draw(t, "rounds") {
 			f.answerRequest()
@@ -118,7 +118,7 @@
 // idempotency key are each billed for their own request.
 func TestSameIdempotencyKeyInTwoWorkspaces(t *testing.T) {
 	is := is.New(t)
-	sums := Sums([]Record{
+	sums := TotalsByWorkspace([]Record{
 		{ID: "k", Workspace: "a", Amount: 5}, {ID: "k", Workspace: "b", Amount: 7}, {ID: "k", Workspace: "a", Amount: 5},
 	})
 	is.Equal(len(sums), 2)
@@ -137,8 +137,8 @@
 				Amount: contract.Money(rapid.IntRange(1, 5).Draw(t, "amount")), At: time.Unix(rapid.Int64Range(0, 3).Draw(t, "at"), 0),
 			})
 		}
-		want := Sums(records)
-		got := Sums(rapid.Permutation(records).Draw(t, "order"))
+		want := TotalsByWorkspace(records)
+		got := TotalsByWorkspace(rapid.Permutation(records).Draw(t, "order"))
 		if fmt.Sprint(want) != fmt.Sprint(got) {
 			t.Fatalf("sums %v in the original order, %v after a permutation", want, got)
 		}
@@ -150,14 +150,14 @@
 func TestFullHolderRefusesRecord(t *testing.T) {
 	is := is.New(t)
 	self := Origin{VM: "a", Incarnation: 1}
-	h := NewHolder(self, 1)
+	h := NewRecordBuffer(self, 1)
 	r := Record{ID: "1", Workspace: "w", Origin: self}
-	is.NoErr(h.Keep(r, time.Unix(0, 0)))
-	is.Equal(h.AtRisk(), 1)
+	is.NoErr(h.Add(r, time.Unix(0, 0)))
+	is.Equal(h.AtRiskCount(), 1)
 	is.True(h.Full())
-	is.Equal(h.Keep(Record{ID: "2", Workspace: "w"}, time.Unix(0, 0)), ErrFull)
-	h.Copied(r)
-	is.Equal(h.AtRisk(), 0)
-	h.Filed([]Record{r, r})
+	is.Equal(h.Add(Record{ID: "2", Workspace: "w"}, time.Unix(0, 0)), ErrFull)
+	h.MarkCopied(r)
+	is.Equal(h.AtRiskCount(), 0)
+	h.MarkFiled([]Record{r, r})
 	is.Equal(h.Len(), 0)
 }
--- a/bill/holder.go
+++ b/bill/holder.go
@@ -9,9 +9,9 @@
 // Its text is the detail of the problem document that the client receives.
 var ErrFull = errors.New("holds as many unfiled bill records as it may")
 
-// Holder holds the unfiled bill records of one entry process: its own records, and
+// RecordBuffer holds the unfiled bill records of one entry process: its own records, and
 // copies of the records of peers. It does no I/O and is not safe for concurrent use.
-type Holder struct {
+type RecordBuffer struct {
 	self       Origin
 	maxRecords int
 	records    map[recordKey]*heldRecord
@@ -31,26 +31,26 @@
 // that VM may be gone.
 const peerFilingDelay = 10 * time.Second
 
-// NewHolder returns an empty Holder for the process self that holds at most
+// NewRecordBuffer returns an empty Holder for the process self that holds at most
 // maxRecords records.
-func NewHolder(self Origin, maxRecords int) *Holder {
-	return &Holder{self: self, maxRecords: maxRecords, records: make(map[recordKey]*heldRecord), peerDelay: peerFilingDelay}
+func NewRecordBuffer(self Origin, maxRecords int) *RecordBuffer {
+	return &RecordBuffer{self: self, maxRecords: maxRecords, records: make(map[recordKey]*heldRecord), peerDelay: peerFilingDelay}
 }
 
 // Len returns the number of records held.
-func (h *Holder) Len() int { return len(h.records) }
+func (h *RecordBuffer) Len() int { return len(h.records) }
 
-// AtRisk returns the number of own records that are neither filed nor known to be
+// AtRiskCount returns the number of own records that are neither filed nor known to be
 // held by a peer.
-func (h *Holder) AtRisk() int { return h.atRisk }
+func (h *RecordBuffer) AtRiskCount() int { return h.atRisk }
 
 // Full returns whether the Holder cannot take another record. Callers check it before
 // they start a request, so that no request runs that could not be billed.
-func (h *Holder) Full() bool { return len(h.records) >= h.maxRecords }
+func (h *RecordBuffer) Full() bool { return len(h.records) >= h.maxRecords }
 
-// Keep adds an own record or the copy of a peer's record. Adding a record twice has
+// Add adds an own record or the copy of a peer's record. Adding a record twice has
 // no effect.
-func (h *Holder) Keep(r Record, now time.Time) error {
+func (h *RecordBuffer) Add(r Record, now time.Time) error {
 	if _, exists := h.records[r.key()]; exists {
 		return nil
 	}
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// Copied marks an own record as held by a peer.
-func (h *Holder) Copied(r Record) {
+// MarkCopied marks an own record as held by a peer.
+func (h *RecordBuffer) MarkCopied(r Record) {
 	e, ok := h.records[r.key()]
 	if ok && !e.copied {
 		e.copied = true
@@ -73,8 +73,8 @@
 	}
 }
 
-// Risky returns at most limit own records that no peer is known to hold.
-func (h *Holder) Risky(limit int) []Record {
+// Uncopied returns at most limit own records that no peer is known to hold.
+func (h *RecordBuffer) Uncopied(limit int) []Record {
 	var uncopied []Record
 	for _, e := range h.records {
 		if len(uncopied) == limit {
@@ -90,7 +90,7 @@
 // Due returns at most limit records to file now. Own records are due immediately,
 // records of peers after peerFilingDelay. Records stay in the Holder until Filed is
 // called for them.
-func (h *Holder) Due(now time.Time, limit int) []Record {
+func (h *RecordBuffer) Due(now time.Time, limit int) []Record {
 	var due []Record
 	for _, e := range h.records {
 		if len(due) == limit {
@@ -103,9 +103,9 @@
 	return due
 }
 
-// Filed removes records that the platform has stored. It may be called late, more
+// MarkFiled removes records that the platform has stored. It may be called late, more
 // than once, or for records that the Holder never had.
-func (h *Holder) Filed(records []Record) {
+func (h *RecordBuffer) MarkFiled(records []Record) {
 	for _, r := range records {
 		e, ok := h.records[r.key()]
 		if !ok {
--- a/cascade/calibration.go
+++ b/cascade/calibration.go
@@ -6,13 +6,13 @@
 	"woaddoor/contract"
 )
 
-// Opinions estimates the quality of models from the confidence that they report for their
+// ConfidenceEstimator estimates the quality of models from the confidence that they report for their
 // own answers, without any external ratings. An answer counts as good when it is as good as
 // the largest model's. The confidences of the largest model show what good answers look
 // like; those of a smaller model are a mixture of good and poor answers.
 //
 // Opinions is not safe for concurrent use; the caller holds a lock.
-type Opinions struct {
+type ConfidenceEstimator struct {
 	models map[contract.ModelID]*confidenceStats
 }
 
@@ -44,12 +44,14 @@
 	minShare      = 0.02
 )
 
-// NewOpinions returns an estimator that holds only the priors.
-func NewOpinions() *Opinions { return &Opinions{models: make(map[contract.ModelID]*confidenceStats)} }
+// NewConfidenceEstimator returns an estimator that holds only the priors.
+func NewConfidenceEstimator() *ConfidenceEstimator {
+	return &ConfidenceEstimator{models: make(map[contract.ModelID]*confidenceStats)}
+}
 
 // Observe records the confidence from 0 to 1 that a model reported for one of its answers.
 // largest is the model that defines good answers.
-func (o *Opinions) Observe(m, largest contract.ModelID, confidence float64) {
+func (o *ConfidenceEstimator) Observe(m, largest contract.ModelID, confidence float64) {
 	if !(confidence >= 0 && confidence <= 1) { // Also rejects NaN: the values come from other VMs and are not validated.
 		return
 	}
@@ -66,7 +68,7 @@
 func sampleWeight(samples int) float64 { return max(1/float64(samples+priorSamples), minSampleWeight) }
 
 // statsOf returns the statistics of a model, initialized with the priors.
-func (o *Opinions) statsOf(m, largest contract.ModelID) *confidenceStats {
+func (o *ConfidenceEstimator) statsOf(m, largest contract.ModelID) *confidenceStats {
 	s, ok := o.models[m]
 	if !ok {
 		s = &confidenceStats{mean: priorGoodConfidence, lowMean: priorPoorConfidence}
@@ -78,8 +80,8 @@
 	return s
 }
 
-// Seen returns the number of confidences recorded for a model.
-func (o *Opinions) Seen(m contract.ModelID) int {
+// Samples returns the number of confidences recorded for a model.
+func (o *ConfidenceEstimator) Samples(m contract.ModelID) int {
 	if s, ok := o.models[m]; ok {
 		return s.samples
 	}
@@ -87,13 +89,13 @@
 }
 
 // meanConfidences returns the mean confidences of a model's good and poor answers.
-func (o *Opinions) meanConfidences(m, largest contract.ModelID) (good, poor float64) {
+func (o *ConfidenceEstimator) meanConfidences(m, largest contract.ModelID) (good, poor float64) {
 	good = o.statsOf(largest, largest).mean
 	return good, min(o.statsOf(m, largest).lowMean, good-minSeparation)
 }
 
-// Good returns the share of a model's answers that are as good as the largest model's.
-func (o *Opinions) Good(m, largest contract.ModelID) float64 {
+// GoodShare returns the share of a model's answers that are as good as the largest model's.
+func (o *ConfidenceEstimator) GoodShare(m, largest contract.ModelID) float64 {
 	if m == largest {
 		return 1
 	}
@@ -101,11 +103,11 @@
 	return min(max((o.statsOf(m, largest).mean-poor)/(good-poor), 0), 1)
 }
 
-// GoodAt returns the probability that an answer of a model is good, given its confidence.
+// GoodProbability returns the probability that an answer of a model is good, given its confidence.
 // The confidences of good and of poor answers are assumed to have the same variance (linear
 // discriminant analysis).
-func (o *Opinions) GoodAt(m, largest contract.ModelID, confidence float64) float64 {
-	goodShare := o.Good(m, largest)
+func (o *ConfidenceEstimator) GoodProbability(m, largest contract.ModelID, confidence float64) float64 {
+	goodShare := o.GoodShare(m, largest)
 	if confidence < 0 || m == largest {
 		return goodShare
 	}
--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -80,8 +80,8 @@
 type Plan struct {
 	First contract.ModelID
 	Check bool
-	// Then is the model that answers after a failed check.
-	Then contract.ModelID
+	// Fallback is the model that answers after a failed check.
+	Fallback contract.ModelID
 }
 
 // Learner maintains the quality estimates and selects plans. It is not safe for concurrent
@@ -128,9 +128,9 @@
 	return prior
 }
 
-// Rated records the rating of an answer, which may arrive late. The weight of a rating
+// RecordRating records the rating of an answer, which may arrive late. The weight of a rating
 // decays with each newer one.
-func (l *Learner) Rated(a Arm, good bool) {
+func (l *Learner) RecordRating(a Arm, good bool) {
 	e, ok := l.arms.Get(a)
 	if !ok {
 		e = &estimate{}
@@ -197,7 +197,7 @@
 		// at least that of the last model. The cost depends on how often that happens.
 		checkedQuality := e.mean() + badShare*lastEstimate.mean()
 		out = append(out, candidate{
-			plan: Plan{First: m.ID, Check: true, Then: last.ID},
+			plan: Plan{First: m.ID, Check: true, Fallback: last.ID},
 			cost: m.Cost + q.CheckCost + badShare*last.Cost, quality: checkedQuality, qualityLowerBound: checkedQuality,
 		}, candidate{
 			plan: Plan{First: m.ID}, cost: m.Cost,
--- a/cascade/cascade_test.go
+++ b/cascade/cascade_test.go
@@ -28,15 +28,15 @@
 		delivered := p.First
 		if p.Check {
 			paid += q.CheckCost
-			l.Rated(Arm{q.Workspace, p.First, q.Class}, good)
+			l.RecordRating(Arm{q.Workspace, p.First, q.Class}, good)
 			if !good {
-				good = r.Float64() < goodShare[p.Then]
-				paid += price[p.Then]
-				delivered = p.Then
+				good = r.Float64() < goodShare[p.Fallback]
+				paid += price[p.Fallback]
+				delivered = p.Fallback
 			}
 		}
-		if (!p.Check || delivered == p.Then) && r.Float64() < 0.1 {
-			l.Rated(Arm{q.Workspace, delivered, q.Class}, good)
+		if (!p.Check || delivered == p.Fallback) && r.Float64() < 0.1 {
+			l.RecordRating(Arm{q.Workspace, delivered, q.Class}, good)
 		}
 		if i >= n/2 {
 			cost += paid
@@ -89,10 +89,10 @@
 			q := query(rapid.Float64Range(0, 1).Draw(t, "target"))
 			q.Class = ClassOf(rapid.IntRange(0, 1<<20).Draw(t, "bytes"))
 			p := l.Decide(q, r)
-			if p.First != "small" && p.First != "large" || p.Check && p.Then != "large" {
+			if p.First != "small" && p.First != "large" || p.Check && p.Fallback != "large" {
 				t.Fatalf("invalid plan %+v", p)
 			}
-			l.Rated(Arm{"w", p.First, q.Class}, rapid.Bool().Draw(t, "good"))
+			l.RecordRating(Arm{"w", p.First, q.Class}, rapid.Bool().Draw(t, "good"))
 		}
 	})
 }
--- a/cascade/price.go
+++ b/cascade/price.go
@@ -7,14 +7,14 @@
 	// freeBudgetShare is the used fraction of the resend budget up to which an escalation
 	// has no price.
 	freeBudgetShare = 0.5
-	// DefaultRepeatPrice is the price of an escalation when the resend budget is almost
+	// DefaultMaxEscalationPrice is the price of an escalation when the resend budget is almost
 	// used up, as a fraction of the value of a request. Sending a request to the largest
 	// model first costs 0.03 to 0.1 more than escalating after a poor answer, so this price
 	// makes the requests with the smallest difference start with the largest model.
-	DefaultRepeatPrice = 0.15
+	DefaultMaxEscalationPrice = 0.15
 )
 
-// RepeatPrice returns what an escalation costs the later requests that compete for the same
+// EscalationPrice returns what an escalation costs the later requests that compete for the same
 // resend budget. used is the used fraction of the budget, and maxPrice is the price just
 // before the budget is used up. The price of an escalation beyond the budget is infinite,
 // since the poor answer would have to be delivered.
@@ -23,7 +23,7 @@
 // replaced. With a price, the escalations go to the requests that gain most. A chat, for
 // which the largest model costs little, goes to that model at once and leaves its
 // escalation to a summary, for which the largest model costs a third of the value.
-func RepeatPrice(used, maxPrice float64) float64 {
+func EscalationPrice(used, maxPrice float64) float64 {
 	if used >= 1 {
 		return math.Inf(1)
 	}
--- a/cascade/price_test.go
+++ b/cascade/price_test.go
@@ -12,7 +12,7 @@
 // requestClass is a kind of request with its quality and costs on a small and a large
 // model, as fractions of the value of the request.
 type requestClass struct {
-	small, large Option
+	small, large ModelOption
 }
 
 // simulateBudget simulates requests of three classes for which the small model gives nearly
@@ -22,9 +22,9 @@
 func simulateBudget(escalationsPerRequest float64, price func(used float64) float64) (poorShare, meanValue float64) {
 	const n, window = 20000, 100
 	classes := []requestClass{
-		{Option{Good: 0.54, Cost: 0.003}, Option{Good: 1, Cost: 0.035}}, // a chat
-		{Option{Good: 0.54, Cost: 0.012}, Option{Good: 1, Cost: 0.17}},
-		{Option{Good: 0.54, Cost: 0.027}, Option{Good: 1, Cost: 0.4}}, // a summary
+		{ModelOption{GoodProbability: 0.54, Cost: 0.003}, ModelOption{GoodProbability: 1, Cost: 0.035}}, // a chat
+		{ModelOption{GoodProbability: 0.54, Cost: 0.012}, ModelOption{GoodProbability: 1, Cost: 0.17}},
+		{ModelOption{GoodProbability: 0.54, Cost: 0.027}, ModelOption{GoodProbability: 1, Cost: 0.4}}, // a summary
 	}
 	r := rand.New(rand.NewPCG(1, 1))
 	escalations := make([]float64, window)
@@ -34,24 +34,24 @@
 		escalations[i%window] = 0
 		c := classes[r.IntN(len(classes))]
 		priced := c.large
-		priced.Price += price(used / (escalationsPerRequest * window))
-		if c.large.Alone() >= c.small.Then(priced) {
-			meanValue += c.large.Alone()
+		priced.QueueCost += price(used / (escalationsPerRequest * window))
+		if c.large.Value() >= c.small.ValueWithEscalation(priced) {
+			meanValue += c.large.Value()
 			continue
 		}
-		good := r.Float64() < c.small.Good
-		meanValue += c.small.Kept(1) - c.small.totalCost()
+		good := r.Float64() < c.small.GoodProbability
+		meanValue += c.small.ValueKept(1) - c.small.totalCost()
 		if good {
 			continue
 		}
-		meanValue += c.small.Kept(0) - c.small.Kept(1)
-		if priced.After(c.small, 0) <= c.small.Kept(0) || used+1 > escalationsPerRequest*window {
+		meanValue += c.small.ValueKept(0) - c.small.ValueKept(1)
+		if priced.ValueOfEscalation(c.small, 0) <= c.small.ValueKept(0) || used+1 > escalationsPerRequest*window {
 			poorShare++
 			continue
 		}
 		used++
 		escalations[i%window] = 1
-		meanValue += c.large.Alone() - c.small.Kept(0)
+		meanValue += c.large.Value() - c.small.ValueKept(0)
 	}
 	return poorShare / n, meanValue / n
 }
@@ -64,8 +64,8 @@
 func TestEscalationPriceImprovesBudgetUse(t *testing.T) {
 	is := is.New(t)
 	noPrice := func(float64) float64 { return 0 }
-	priceAtLimit := func(used float64) float64 { return RepeatPrice(used, 0) } // no price until the budget is used up
-	risingPrice := func(used float64) float64 { return RepeatPrice(used, DefaultRepeatPrice) }
+	priceAtLimit := func(used float64) float64 { return EscalationPrice(used, 0) } // no price until the budget is used up
+	risingPrice := func(used float64) float64 { return EscalationPrice(used, DefaultMaxEscalationPrice) }
 	for _, escalationsPerRequest := range []float64{0.2, 0.3, 0.4} {
 		poorNoPrice, valueNoPrice := simulateBudget(escalationsPerRequest, noPrice)
 		poor, value := simulateBudget(escalationsPerRequest, risingPrice)
@@ -89,11 +89,11 @@
 // TestEscalationPriceIsMonotonic checks that the price is zero while much of the budget is
 // left and never falls as more of it is used.
 func TestEscalationPriceIsMonotonic(t *testing.T) {
-	is.New(t).Equal(RepeatPrice(freeBudgetShare, 1), 0.0)
-	is.New(t).True(math.IsInf(RepeatPrice(1, 1), 1))
+	is.New(t).Equal(EscalationPrice(freeBudgetShare, 1), 0.0)
+	is.New(t).True(math.IsInf(EscalationPrice(1, 1), 1))
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := rapid.Float64Range(0, 0.999).Draw(t, "a"), rapid.Float64Range(0, 0.999).Draw(t, "b")
-		if p, q := RepeatPrice(min(a, b), 1), RepeatPrice(max(a, b), 1); p > q || p < 0 || q > 1 {
+		if p, q := EscalationPrice(min(a, b), 1), EscalationPrice(max(a, b), 1); p > q || p < 0 || q > 1 {
 			t.Fatalf("price %v at %v, price %v at %v", p, min(a, b), q, max(a, b))
 		}
 	})
--- a/cascade/value_test.go
+++ b/cascade/value_test.go
@@ -23,9 +23,9 @@
 
 // trainedCalibration returns estimates that are trained with answers of a small model, of
 // which goodShare are good, and of the large model.
-func trainedCalibration(seed uint64, goodShare float64, answers int) *Opinions {
+func trainedCalibration(seed uint64, goodShare float64, answers int) *ConfidenceEstimator {
 	r := rand.New(rand.NewPCG(seed, 1))
-	o := NewOpinions()
+	o := NewConfidenceEstimator()
 	for range answers {
 		good := r.Float64() < goodShare
 		o.Observe("small", "large", randomConfidence(r, good))
@@ -42,7 +42,7 @@
 	for _, goodShare := range []float64{0.05, 0.3, 0.54, 0.8, 0.97} {
 		for seed := range uint64(50) {
 			o := trainedCalibration(seed, goodShare, 250)
-			if got := o.Good("small", "large"); math.Abs(got-goodShare) > 0.22 {
+			if got := o.GoodShare("small", "large"); math.Abs(got-goodShare) > 0.22 {
 				t.Errorf("good share %.2f, seed %d: estimated %.2f", goodShare, seed, got)
 			}
 		}
@@ -56,10 +56,10 @@
 	for answers := range 120 {
 		for seed := range uint64(20) {
 			o := trainedCalibration(seed, 0.54, answers)
-			if got := o.GoodAt("small", "large", 0.05); got > 0.15 {
+			if got := o.GoodProbability("small", "large", 0.05); got > 0.15 {
 				t.Fatalf("seed %d, after %d answers: probability %.2f of a good answer without confidence", seed, answers, got)
 			}
-			if got := o.GoodAt("small", "large", 0.98); got < 0.85 {
+			if got := o.GoodProbability("small", "large", 0.98); got < 0.85 {
 				t.Fatalf("seed %d, after %d answers: probability %.2f of a good answer with full confidence", seed, answers, got)
 			}
 		}
@@ -70,7 +70,7 @@
 // within bounds and never fall as the confidence rises.
 func TestGoodProbabilityBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := NewOpinions()
+		o := NewConfidenceEstimator()
 		models := []contract.ModelID{"small", "middle", "large"}
 		for range rapid.IntRange(0, 80).Draw(t, "answers") {
 			m := rapid.SampledFrom(models).Draw(t, "model")
@@ -79,7 +79,7 @@
 		for _, m := range models {
 			previous := 0.0
 			for c := 0.0; c <= 1; c += 0.05 {
-				got := o.GoodAt(m, "large", c)
+				got := o.GoodProbability(m, "large", c)
 				if math.IsNaN(got) || got < previous-1e-9 || got > 1 {
 					t.Fatalf("%s at %.2f: %v after %v", m, c, got, previous)
 				}
@@ -92,23 +92,23 @@
 // TestEscalationDecision checks in which cases an answer is given up for an escalation to
 // the larger model.
 func TestEscalationDecision(t *testing.T) {
-	small := Option{Good: 0.5}
+	small := ModelOption{GoodProbability: 0.5}
 	for name, c := range map[string]struct {
 		good     float64
-		larger   Option
+		larger   ModelOption
 		escalate bool
 	}{
-		"poor":                             {0.1, Option{Good: 1, Cost: 0.1}, true},
-		"good":                             {0.95, Option{Good: 1, Cost: 0.1}, false},
-		"larger model is late":             {0.4, Option{Good: 1, Cost: 0.1, Late: 1}, false},
-		"poor, and larger model is late":   {0.05, Option{Good: 1, Cost: 0.1, Late: 1}, true},
-		"larger model misses the deadline": {0.1, Option{Good: 1, Cost: 0.1, Never: true}, false},
-		"engine time is expensive":         {0.4, Option{Good: 1, Cost: 0.1, Price: 0.6}, false},
-		"larger model is no better":        {0.4, Option{Good: 0.5, Cost: 0.01}, false},
-		"larger model is somewhat better":  {0.1, Option{Good: 0.75, Cost: 0.01}, true},
+		"poor":                             {0.1, ModelOption{GoodProbability: 1, Cost: 0.1}, true},
+		"good":                             {0.95, ModelOption{GoodProbability: 1, Cost: 0.1}, false},
+		"larger model is late":             {0.4, ModelOption{GoodProbability: 1, Cost: 0.1, LateProbability: 1}, false},
+		"poor, and larger model is late":   {0.05, ModelOption{GoodProbability: 1, Cost: 0.1, LateProbability: 1}, true},
+		"larger model misses the deadline": {0.1, ModelOption{GoodProbability: 1, Cost: 0.1, MissesDeadline: true}, false},
+		"engine time is expensive":         {0.4, ModelOption{GoodProbability: 1, Cost: 0.1, QueueCost: 0.6}, false},
+		"larger model is no better":        {0.4, ModelOption{GoodProbability: 0.5, Cost: 0.01}, false},
+		"larger model is somewhat better":  {0.1, ModelOption{GoodProbability: 0.75, Cost: 0.01}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(c.larger.After(small, c.good) > small.Kept(c.good), c.escalate)
+			is.New(t).Equal(c.larger.ValueOfEscalation(small, c.good) > small.ValueKept(c.good), c.escalate)
 		})
 	}
 }
@@ -119,16 +119,18 @@
 func TestEscalationGainIsMonotonic(t *testing.T) {
 	fraction := rapid.Float64Range(0, 1)
 	rapid.Check(t, func(t *rapid.T) {
-		small := Option{Good: fraction.Draw(t, "small")}
-		larger := Option{Good: fraction.Draw(t, "large"), Cost: fraction.Draw(t, "cost"), Late: fraction.Draw(t, "late"), Price: fraction.Draw(t, "price")}
+		small := ModelOption{GoodProbability: fraction.Draw(t, "small")}
+		larger := ModelOption{GoodProbability: fraction.Draw(t, "large"), Cost: fraction.Draw(t, "cost"), LateProbability: fraction.Draw(t, "late"), QueueCost: fraction.Draw(t, "price")}
 		good := fraction.Draw(t, "good")
-		gain := func(o Option, good float64) float64 { return o.After(small, good) - small.Kept(good) }
+		gain := func(o ModelOption, good float64) float64 {
+			return o.ValueOfEscalation(small, good) - small.ValueKept(good)
+		}
 		better := rapid.Float64Range(good, 1).Draw(t, "better")
 		if gain(larger, better) > gain(larger, good)+1e-9 {
 			t.Fatal("a better answer gains more from escalation than a worse one")
 		}
 		costlier := larger
-		costlier.Price += fraction.Draw(t, "surcharge")
+		costlier.QueueCost += fraction.Draw(t, "surcharge")
 		if gain(costlier, good) > gain(larger, good)+1e-9 {
 			t.Fatal("a higher price raised the gain from escalation")
 		}
@@ -140,14 +142,14 @@
 // alone. A middle model wins if it is nearly as good as the large one, and the large model
 // wins if the small one is useless.
 func TestFirstModelSelection(t *testing.T) {
-	best := func(options ...Option) (first int, escalates bool) {
+	best := func(options ...ModelOption) (first int, escalates bool) {
 		highest := math.Inf(-1)
 		for i, o := range options {
-			if v := o.Alone(); v > highest {
+			if v := o.Value(); v > highest {
 				first, escalates, highest = i, false, v
 			}
 			for _, larger := range options[i+1:] {
-				if v := o.Then(larger); v > highest {
+				if v := o.ValueWithEscalation(larger); v > highest {
 					first, escalates, highest = i, true, v
 				}
 			}
@@ -155,16 +157,16 @@
 		return first, escalates
 	}
 	for name, c := range map[string]struct {
-		options   []Option
+		options   []ModelOption
 		first     int
 		escalates bool
 	}{
-		"engine time is free":        {[]Option{{Good: 0.54, Cost: 0.01}, {Good: 1, Cost: 0.13}}, 0, true},
-		"engine time is expensive":   {[]Option{{Good: 0.54, Cost: 0.01, Price: 0.05}, {Good: 1, Cost: 0.13, Price: 1.2}}, 0, false},
-		"small model nearly as good": {[]Option{{Good: 0.97, Cost: 0.01}, {Good: 1, Cost: 0.13}}, 0, true},
-		"useful middle model":        {[]Option{{Good: 0.3, Cost: 0.01, Price: 0.1}, {Good: 0.97, Cost: 0.03, Price: 0.1}, {Good: 1, Cost: 0.13, Price: 0.6}}, 1, true},
-		"small model useless":        {[]Option{{Good: 0.02, Cost: 0.05, Price: 0.05}, {Good: 1, Cost: 0.13, Price: 0.05}}, 1, false},
-		"larger model always late":   {[]Option{{Good: 0.54, Cost: 0.01, Late: 0.1}, {Good: 1, Cost: 0.13, Late: 1, Price: 0.5}}, 0, false},
+		"engine time is free":        {[]ModelOption{{GoodProbability: 0.54, Cost: 0.01}, {GoodProbability: 1, Cost: 0.13}}, 0, true},
+		"engine time is expensive":   {[]ModelOption{{GoodProbability: 0.54, Cost: 0.01, QueueCost: 0.05}, {GoodProbability: 1, Cost: 0.13, QueueCost: 1.2}}, 0, false},
+		"small model nearly as good": {[]ModelOption{{GoodProbability: 0.97, Cost: 0.01}, {GoodProbability: 1, Cost: 0.13}}, 0, true},
+		"useful middle model":        {[]ModelOption{{GoodProbability: 0.3, Cost: 0.01, QueueCost: 0.1}, {GoodProbability: 0.97, Cost: 0.03, QueueCost: 0.1}, {GoodProbability: 1, Cost: 0.13, QueueCost: 0.6}}, 1, true},
+		"small model useless":        {[]ModelOption{{GoodProbability: 0.02, Cost: 0.05, QueueCost: 0.05}, {GoodProbability: 1, Cost: 0.13, QueueCost: 0.05}}, 1, false},
+		"larger model always late":   {[]ModelOption{{GoodProbability: 0.54, Cost: 0.01, LateProbability: 0.1}, {GoodProbability: 1, Cost: 0.13, LateProbability: 1, QueueCost: 0.5}}, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -98,8 +98,8 @@
 	f.now = f.now.Add(d)
 }
 
-// Pause waits for d or until ctx is done.
-func Pause(ctx context.Context, d time.Duration) {
+// Sleep waits for d or until ctx is done.
+func Sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/command/command.go
+++ b/command/command.go
@@ -95,7 +95,7 @@
 }
 
 // pendingError means that a change is accepted but not yet in force on every VM.
-type pendingError struct{ force datacentre.Force }
+type pendingError struct{ force datacentre.RevisionStatus }
 
 func (e *pendingError) Error() string {
 	text := fmt.Sprintf("revision %d is accepted; pending:", e.force.Revision)
@@ -122,9 +122,9 @@
 // exitCode returns the exit code for the error of a command.
 func exitCode(err error) int {
 	var faults config.Faults
-	var conflict *history.Conflict
+	var conflict *history.ConflictError
 	var stale *operator.StaleError
-	var unsettled *history.Unsettled
+	var unsettled *history.UnknownOutcomeError
 	var pending *pendingError
 	switch {
 	case err == nil:
@@ -210,14 +210,14 @@
 }
 
 // author returns the author of a change made now. It defaults to the current user.
-func (f authorFlags) author() history.Author {
+func (f authorFlags) author() history.ChangeInfo {
 	who := f.Who
 	if who == "" {
 		if u, err := user.Current(); err == nil {
 			who = u.Username
 		}
 	}
-	return history.Author{Who: who, Why: f.Why, At: time.Now()}
+	return history.ChangeInfo{Author: who, Reason: f.Why, At: time.Now()}
 }
 
 // applyCmd makes a file the accepted configuration.
@@ -251,7 +251,7 @@
 		fmt.Fprintf(s.out, "accepted: revision %d, change %s\n", root.Revision, root.Change)
 	}
 	lastLine := ""
-	f, err := s.operator.Wait(s.ctx, root, func(f datacentre.Force) {
+	f, err := s.operator.Wait(s.ctx, root, func(f datacentre.RevisionStatus) {
 		line := fmt.Sprintf("in force on %d VMs, pending on %d", len(f.InForce), len(f.Pending))
 		if line != lastLine && !s.json {
 			fmt.Fprintln(s.out, line)
@@ -292,7 +292,7 @@
 	if err != nil {
 		return err
 	}
-	f, err := s.operator.Force(s.ctx, base.Root)
+	f, err := s.operator.RevisionStatus(s.ctx, base.Root)
 	if err != nil {
 		return err
 	}
@@ -318,7 +318,7 @@
 	return s.printResult(changes, func() {
 		for _, ch := range changes {
 			fmt.Fprintf(s.out, "revision %d  %s  by %s: %s  (%d sections, change %s)\n",
-				ch.ToRevision, ch.At.Format(time.RFC3339), ch.Who, ch.Why, len(ch.Sections), ch.ID)
+				ch.ToRevision, ch.At.Format(time.RFC3339), ch.Author, ch.Reason, len(ch.Sections), ch.ID)
 		}
 	})
 }
@@ -368,7 +368,7 @@
 
 // Run writes a key pair for each VM, the pins file and the signing key to Dir.
 func (c *makeKeysCmd) Run(s *invocation) error {
-	if err := keys.Make(c.Dir, c.Names); err != nil {
+	if err := keys.GenerateFiles(c.Dir, c.Names); err != nil {
 		return err
 	}
 	fmt.Fprintf(s.out, "%d key pairs, %s and %s are in %s\n", len(c.Names), keys.PinsFile, keys.SigningFile, c.Dir)
@@ -387,6 +387,6 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintln(s.out, keys.HashKey(trimLineEnd(raw)))
+	fmt.Fprintln(s.out, keys.HashAPIKey(trimLineEnd(raw)))
 	return nil
 }
--- a/config/build.go
+++ b/config/build.go
@@ -26,9 +26,9 @@
 	KindConfiguration = "configuration"
 )
 
-// ProgressSection returns the name of the section that stores the progress of
+// ProgressSectionName returns the name of the section that stores the progress of
 // the roll-out of model m.
-func ProgressSection(m contract.ModelID) string { return kindProgress + " " + string(m) }
+func ProgressSectionName(m contract.ModelID) string { return kindProgress + " " + string(m) }
 
 // VersionSectionName returns the name of the section that declares version v.
 func VersionSectionName(v contract.VersionID) string { return kindVersion + " " + string(v) }
@@ -40,7 +40,7 @@
 // Parse parses and validates an operator's configuration file. name is the file
 // name used in errors. Invalid text is reported as Faults.
 func Parse(name string, text []byte) (*Config, *File, error) {
-	f, err := ReadFile(name, text)
+	f, err := ParseINI(name, text)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -95,7 +95,7 @@
 		workspaceByKeyHash: make(map[KeyHash]*Workspace),
 	}
 	var faults Faults
-	readers := make(map[string]*Reader, len(f.sections))
+	readers := make(map[string]*SectionReader, len(f.sections))
 	for section := range f.sections {
 		r := NewReader(f, section, &faults)
 		readers[section] = r
@@ -107,7 +107,7 @@
 }
 
 // readSection reads one section into c, according to the kind in its name.
-func (c *Config) readSection(section string, r *Reader) {
+func (c *Config) readSection(section string, r *SectionReader) {
 	kind, name, _ := strings.Cut(section, " ")
 	if name == "" && kind != KindConfiguration {
 		r.Fault("", `is not a valid section: expected "[kind name]" with a kind of workspace, model, version, cascade, rollout, pool, service`)
@@ -136,38 +136,38 @@
 		r.Fault("", "has an unknown kind: expected a kind of workspace, model, version, cascade, rollout, pool, service")
 		return
 	}
-	r.Done()
+	r.RejectUnknownKeys()
 }
 
-func (c *Config) readWorkspace(id contract.WorkspaceID, r *Reader) {
+func (c *Config) readWorkspace(id contract.WorkspaceID, r *SectionReader) {
 	w := &Workspace{
-		ID:      id,
-		KeyHash: KeyHash(r.Need("key-hash", "the SHA-256 of the workspace's API key, in hex")),
-		Allow:   make(map[contract.VersionID]bool),
-		Share:   r.Int("share", 1, 1, 1000),
-		Quality: r.Fraction("quality", 0),
-		Bill:    BillPolicy(r.OneOf("bill-at-risk", string(BillRefuse), string(BillRefuse), string(BillServe))),
+		ID:              id,
+		KeyHash:         KeyHash(r.Required("key-hash", "the SHA-256 of the workspace's API key, in hex")),
+		AllowedVersions: make(map[contract.VersionID]bool),
+		Weight:          r.Int("share", 1, 1, 1000),
+		MinQuality:      r.Fraction("quality", 0),
+		BillPolicy:      BillPolicy(r.OneOf("bill-at-risk", string(BillRefuse), string(BillRefuse), string(BillServe))),
 	}
 	if len(w.KeyHash) != 64 && w.KeyHash != "" {
 		r.Fault("key-hash", "has %d characters: expected 64 hex digits (woaddoor keys hash prints them)", len(w.KeyHash))
 	}
-	r.Need("allow", "at least one version, such as chat-small@3")
+	r.Required("allow", "at least one version, such as chat-small@3")
 	for _, v := range r.List("allow") {
-		w.Allow[contract.VersionID(v)] = true
+		w.AllowedVersions[contract.VersionID(v)] = true
 	}
 	c.Workspaces[id] = w
 }
 
-func (c *Config) readModel(id contract.ModelID, r *Reader) {
+func (c *Config) readModel(id contract.ModelID, r *SectionReader) {
 	c.Models[id] = &Model{
-		ID:     id,
-		Serve:  contract.VersionID(r.Need("serve", "the version that serves the model")),
-		Input:  contract.Price(r.Int("input-price", 0, 0, 1<<40)),
-		Output: contract.Price(r.Int("output-price", 0, 0, 1<<40)),
+		ID:             id,
+		ServingVersion: contract.VersionID(r.Required("serve", "the version that serves the model")),
+		InputPrice:     contract.PricePerMillion(r.Int("input-price", 0, 0, 1<<40)),
+		OutputPrice:    contract.PricePerMillion(r.Int("output-price", 0, 0, 1<<40)),
 	}
 }
 
-func (c *Config) readVersion(id contract.VersionID, r *Reader) {
+func (c *Config) readVersion(id contract.VersionID, r *SectionReader) {
 	if !contract.IsVersion(string(id)) {
 		r.Fault("", `is not a version: expected "model@number"`)
 	}
@@ -176,13 +176,13 @@
 		r.Fault("serve-without-word", "is %v: expected at most %v", without, MaxServeWithoutUpdate)
 	}
 	c.Versions[id] = &Version{
-		ID:               id,
-		State:            VersionState(r.OneOf("state", string(Serving), string(Serving), string(Draining), string(Withdrawn))),
-		ServeWithoutWord: without,
+		ID:                 id,
+		State:              VersionState(r.OneOf("state", string(Serving), string(Serving), string(Draining), string(Withdrawn))),
+		ServeWithoutUpdate: without,
 	}
 }
 
-func (c *Config) readCascade(name string, r *Reader) {
+func (c *Config) readCascade(name string, r *SectionReader) {
 	cascade := &Cascade{Name: name}
 	for _, m := range r.List("models") {
 		cascade.Models = append(cascade.Models, contract.ModelID(m))
@@ -202,17 +202,17 @@
 	defaultRatingsWithin = 10 * time.Minute
 )
 
-func (c *Config) readRollout(m contract.ModelID, r *Reader) {
+func (c *Config) readRollout(m contract.ModelID, r *SectionReader) {
 	ro := &Rollout{
-		Model:         m,
-		From:          contract.VersionID(r.Need("from", "the version served now")),
-		To:            contract.VersionID(r.Need("to", "the new version")),
-		Steps:         r.RisingPercentages("steps"),
-		GoodRate:      r.Fraction("good-rate", defaultGoodRate),
-		BadRate:       r.Fraction("bad-rate", defaultBadRate),
-		FalseAlarm:    r.Fraction("false-alarm", defaultFalseAlarm),
-		Miss:          r.Fraction("miss", defaultMiss),
-		RatingsWithin: r.Duration("ratings-within", defaultRatingsWithin),
+		Model:                 m,
+		From:                  contract.VersionID(r.Required("from", "the version served now")),
+		To:                    contract.VersionID(r.Required("to", "the new version")),
+		Steps:                 r.RisingPercentages("steps"),
+		GoodRate:              r.Fraction("good-rate", defaultGoodRate),
+		BadRate:               r.Fraction("bad-rate", defaultBadRate),
+		FalseAlarmProbability: r.Fraction("false-alarm", defaultFalseAlarm),
+		MissProbability:       r.Fraction("miss", defaultMiss),
+		RatingTimeout:         r.Duration("ratings-within", defaultRatingsWithin),
 	}
 	if len(ro.Steps) == 0 && !r.Has("steps") {
 		r.Fault("steps", "is missing: expected rising percentages, such as 1%%, 5%%, 25%%, 100%%")
@@ -223,26 +223,26 @@
 	c.Rollouts[m] = ro
 }
 
-func (c *Config) readProgress(m contract.ModelID, r *Reader) {
+func (c *Config) readProgress(m contract.ModelID, r *SectionReader) {
 	c.Progress[m] = &Progress{
 		Model: m,
-		To:    contract.VersionID(r.Need("to", "a version")),
+		To:    contract.VersionID(r.Required("to", "a version")),
 		Step:  r.Int("step", 0, 0, 1000),
-		State: RampState(r.OneOf("state", string(Ramping), string(Ramping), string(Halted), string(Done))),
+		State: RolloutState(r.OneOf("state", string(Ramping), string(Ramping), string(Halted), string(Done))),
 	}
 }
 
-// Text returns p encoded as the text of its section.
-func (p *Progress) Text() document.Section {
+// Section returns p encoded as the text of its section.
+func (p *Progress) Section() document.Section {
 	return document.Section("state = " + string(p.State) + "\nstep = " + strconv.Itoa(p.Step) + "\nto = " + string(p.To) + "\n")
 }
 
-func (c *Config) readPool(id contract.PoolID, r *Reader) {
+func (c *Config) readPool(id contract.PoolID, r *SectionReader) {
 	p := &Pool{
 		ID:         id,
 		Kind:       PoolKind(r.OneOf("kind", string(EnginePool), string(EnginePool), string(ServicePool))),
-		DataCentre: contract.DataCentreID(r.Need("data-centre", "the data centre of its upstreams")),
-		Fencing:    FencingMode(r.OneOf("fencing", string(FencingIgnores), string(FencingIgnores), string(FencingRefuses))),
+		DataCentre: contract.DataCentreID(r.Required("data-centre", "the data centre of its upstreams")),
+		Fencing:    FencingMode(r.OneOf("fencing", string(FencingIgnored), string(FencingIgnored), string(FencingEnforced))),
 		Slots:      r.Int("slots", DefaultSlots, 1, 10000),
 	}
 	for _, item := range r.List("upstreams") {
@@ -259,7 +259,7 @@
 	c.Pools[id] = p
 }
 
-func (c *Config) readService(id contract.ServiceID, r *Reader) {
+func (c *Config) readService(id contract.ServiceID, r *SectionReader) {
 	s := &Service{ID: id, Price: contract.Money(r.Int("price", 0, 0, 1<<40))}
 	for _, p := range r.List("pools") {
 		s.Pools = append(s.Pools, contract.PoolID(p))
--- a/config/check.go
+++ b/config/check.go
@@ -9,7 +9,7 @@
 // the versions that it may use.
 type checker struct {
 	config  *Config
-	readers map[string]*Reader
+	readers map[string]*SectionReader
 }
 
 // check runs all checks and records their faults.
@@ -27,7 +27,7 @@
 func (ch *checker) checkWorkspaces() {
 	for id, w := range ch.config.Workspaces {
 		r := ch.readers[kindWorkspace+" "+string(id)]
-		for v := range w.Allow {
+		for v := range w.AllowedVersions {
 			if _, ok := ch.config.Versions[v]; !ok {
 				r.Fault("allow", "names %s, which has no section: expected a declared version", v)
 			}
@@ -42,12 +42,12 @@
 func (ch *checker) checkModels() {
 	for id, m := range ch.config.Models {
 		r := ch.readers[kindModel+" "+string(id)]
-		ch.checkVersionOf(r, "serve", m.Serve, id)
+		ch.checkVersionOf(r, "serve", m.ServingVersion, id)
 	}
 }
 
 // checkVersionOf checks that v, the value of key, is a declared version of model m.
-func (ch *checker) checkVersionOf(r *Reader, key string, v contract.VersionID, m contract.ModelID) {
+func (ch *checker) checkVersionOf(r *SectionReader, key string, v contract.VersionID, m contract.ModelID) {
 	if v == "" {
 		return
 	}
@@ -146,7 +146,7 @@
 	}
 	for m, p := range old.Progress {
 		if ro, ok := next.Rollouts[m]; ok && ro.To == p.To {
-			sections[ProgressSection(m)] = p.Text()
+			sections[ProgressSectionName(m)] = p.Section()
 		}
 	}
 	return sections, nil
--- a/config/config.go
+++ b/config/config.go
@@ -49,26 +49,26 @@
 type Workspace struct {
 	ID      contract.WorkspaceID
 	KeyHash KeyHash
-	// Allow is the set of versions that the workspace may use. It is never empty.
-	Allow map[contract.VersionID]bool
-	// Share is the workspace's weight relative to the other workspaces when
+	// AllowedVersions is the set of versions that the workspace may use. It is never empty.
+	AllowedVersions map[contract.VersionID]bool
+	// Weight is the workspace's weight relative to the other workspaces when
 	// requests compete for capacity. Zero means 1.
-	Share int
-	// Quality is the minimum fraction of good answers that the workspace accepts
+	Weight int
+	// MinQuality is the minimum fraction of good answers that the workspace accepts
 	// from a cascade, from 0 to 1.
-	Quality float64
-	// Bill is what to do with a request whose bill record cannot be stored.
+	MinQuality float64
+	// BillPolicy is what to do with a request whose bill record cannot be stored.
 	// Empty means BillRefuse.
-	Bill BillPolicy
+	BillPolicy BillPolicy
 }
 
 // Model declares a model, its prices, and the version that serves it outside a
 // roll-out.
 type Model struct {
-	ID    contract.ModelID
-	Serve contract.VersionID
-	// Input and Output are the prices of a million input and output tokens.
-	Input, Output contract.Price
+	ID             contract.ModelID
+	ServingVersion contract.VersionID
+	// InputPrice and Output are the prices of a million input and output tokens.
+	InputPrice, OutputPrice contract.PricePerMillion
 }
 
 // VersionState determines which requests a version may serve.
@@ -89,10 +89,10 @@
 type Version struct {
 	ID    contract.VersionID
 	State VersionState
-	// ServeWithoutWord is how long a VM may continue to give the version new work
+	// ServeWithoutUpdate is how long a VM may continue to give the version new work
 	// after its last configuration update from the platform. Zero means
 	// DefaultServeWithoutUpdate.
-	ServeWithoutWord time.Duration
+	ServeWithoutUpdate time.Duration
 }
 
 // MaxServeWithoutUpdate is the longest that a version may be served without a
@@ -123,23 +123,23 @@
 	// GoodRate and BadRate are the rates of bad answers that the sequential test
 	// distinguishes: a version at GoodRate passes, and one at BadRate is halted.
 	GoodRate, BadRate float64
-	// FalseAlarm is the accepted probability of halting a good version.
-	FalseAlarm float64
-	// Miss is the accepted probability of passing a bad version.
-	Miss float64
-	// RatingsWithin is how long the roll-out may receive no rating before it is
+	// FalseAlarmProbability is the accepted probability of halting a good version.
+	FalseAlarmProbability float64
+	// MissProbability is the accepted probability of passing a bad version.
+	MissProbability float64
+	// RatingTimeout is how long the roll-out may receive no rating before it is
 	// halted.
-	RatingsWithin time.Duration
+	RatingTimeout time.Duration
 }
 
-// RampState is the state of a roll-out.
-type RampState string
+// RolloutState is the state of a roll-out.
+type RolloutState string
 
 // The states of a roll-out. Halted and Done are final.
 const (
-	Ramping RampState = "ramping"
-	Halted  RampState = "halted"
-	Done    RampState = "done"
+	Ramping RolloutState = "ramping"
+	Halted  RolloutState = "halted"
+	Done    RolloutState = "done"
 )
 
 // Progress is the current step and state of a roll-out. Only the system writes
@@ -148,7 +148,7 @@
 	Model contract.ModelID
 	To    contract.VersionID
 	Step  int
-	State RampState
+	State RolloutState
 }
 
 // PoolKind is whether a pool holds model engines or plain services.
@@ -166,8 +166,8 @@
 
 // The fencing modes: engines refuse an outdated number, or ignore the number.
 const (
-	FencingRefuses FencingMode = "refuses"
-	FencingIgnores FencingMode = "ignores"
+	FencingEnforced FencingMode = "refuses"
+	FencingIgnored  FencingMode = "ignores"
 )
 
 // Pool is a set of interchangeable upstreams in one data centre.
@@ -181,9 +181,9 @@
 	Fencing FencingMode
 	// Slots is how many requests one upstream processes concurrently. Zero means 8.
 	Slots int
-	// Connections is how many concurrent requests this VM may have at one
+	// MaxConnections is how many concurrent requests this VM may have at one
 	// upstream. Zero means no limit.
-	Connections int
+	MaxConnections int
 }
 
 // DefaultSlots is the number of slots per upstream of a pool without the setting.
@@ -216,20 +216,20 @@
 	Path   string
 }
 
-// ByKey returns the workspace whose API key has hash h.
-func (c *Config) ByKey(h KeyHash) (*Workspace, bool) {
+// WorkspaceByKeyHash returns the workspace whose API key has hash h.
+func (c *Config) WorkspaceByKeyHash(h KeyHash) (*Workspace, bool) {
 	w, ok := c.workspaceByKeyHash[h]
 	return w, ok
 }
 
-// ServeWithoutWord returns how long v may be served after the last configuration
+// ServeWithoutUpdate returns how long v may be served after the last configuration
 // update from the platform.
-func (c *Config) ServeWithoutWord(v contract.VersionID) time.Duration {
+func (c *Config) ServeWithoutUpdate(v contract.VersionID) time.Duration {
 	version, ok := c.Versions[v]
-	if !ok || version.ServeWithoutWord == 0 {
+	if !ok || version.ServeWithoutUpdate == 0 {
 		return DefaultServeWithoutUpdate
 	}
-	return version.ServeWithoutWord
+	return version.ServeWithoutUpdate
 }
 
 // LongestServeWithoutUpdate returns the maximum of ServeWithoutWord over all
@@ -238,7 +238,7 @@
 func (c *Config) LongestServeWithoutUpdate() time.Duration {
 	longest := time.Duration(0)
 	for id := range c.Versions {
-		longest = max(longest, c.ServeWithoutWord(id))
+		longest = max(longest, c.ServeWithoutUpdate(id))
 	}
 	return longest
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -38,7 +38,7 @@
 	is.NoErr(err)
 	is.Equal(c.Versions["m@2"].State, Draining)
 	is.Equal(c.Rollouts["m"].Steps, []float64{1, 50, 100})
-	w, ok := c.ByKey(validKeyHash)
+	w, ok := c.WorkspaceByKeyHash(validKeyHash)
 	is.True(ok)
 	is.Equal(string(w.ID), "norte")
 }
@@ -104,10 +104,10 @@
 		sections[name] = s
 	}
 	p := Progress{Model: "m", To: "m@2", Step: 2, State: Ramping}
-	sections[ProgressSection("m")] = p.Text()
+	sections[ProgressSectionName("m")] = p.Section()
 	next, err := NextSections(document.New(1, "c", sections), f)
 	is.NoErr(err)
-	is.Equal(next[ProgressSection("m")], p.Text())
+	is.Equal(next[ProgressSectionName("m")], p.Section())
 }
 
 // FuzzParse checks that no text makes Parse panic, and that the document made
--- a/config/ini.go
+++ b/config/ini.go
@@ -71,10 +71,10 @@
 	missingDelimiterPattern = regexp.MustCompile(`key-value delimiter not found: (.*)`)
 )
 
-// ReadFile parses the text of an INI file; name is used in errors. The INI
+// ParseINI parses the text of an INI file; name is used in errors. The INI
 // library keeps no line numbers, so they are looked up separately. A section or
 // key that appears twice is a fault.
-func ReadFile(name string, text []byte) (*File, error) {
+func ParseINI(name string, text []byte) (*File, error) {
 	f := &File{Name: name, sections: make(map[string]document.Section), lines: make(map[sectionKey]int)}
 	faults := f.indexLines(text)
 	if len(faults) > 0 {
--- a/config/reader.go
+++ b/config/reader.go
@@ -11,9 +11,9 @@
 	"woaddoor/document"
 )
 
-// Reader reads typed values from one section and collects a fault for each
+// SectionReader reads typed values from one section and collects a fault for each
 // invalid one. Keys of the section that were never read are faults too; see Done.
-type Reader struct {
+type SectionReader struct {
 	file     *File
 	section  string
 	values   map[string]string
@@ -22,8 +22,8 @@
 }
 
 // NewReader returns a reader of one section of a file. It appends to faults.
-func NewReader(f *File, section string, faults *Faults) *Reader {
-	return &Reader{file: f, section: section, values: parseSection(f.sections[section]), faults: faults}
+func NewReader(f *File, section string, faults *Faults) *SectionReader {
+	return &SectionReader{file: f, section: section, values: parseSection(f.sections[section]), faults: faults}
 }
 
 // parseSection returns the values of a canonical section by key.
@@ -40,7 +40,7 @@
 
 // Fault records a fault of key; an empty key means the section as a whole. The
 // message is formatted from want and args.
-func (r *Reader) Fault(key, want string, args ...any) {
+func (r *SectionReader) Fault(key, want string, args ...any) {
 	*r.faults = append(*r.faults, Fault{
 		File: r.file.Name, Line: r.file.Line(r.section, key),
 		Section: r.section, Key: key, Message: fmt.Sprintf(want, args...),
@@ -49,10 +49,10 @@
 
 // Keys returns all keys present in the section, sorted. It is for sections whose
 // key names are not fixed.
-func (r *Reader) Keys() []string { return slices.Sorted(maps.Keys(r.values)) }
+func (r *SectionReader) Keys() []string { return slices.Sorted(maps.Keys(r.values)) }
 
-// Text returns the value of key, or fallback if the key is absent.
-func (r *Reader) Text(key, fallback string) string {
+// String returns the value of key, or fallback if the key is absent.
+func (r *SectionReader) String(key, fallback string) string {
 	r.readKeys = append(r.readKeys, key)
 	if v, ok := r.values[key]; ok {
 		return v
@@ -60,10 +60,10 @@
 	return fallback
 }
 
-// Need returns the value of key. A missing or empty value is a fault, whose
+// Required returns the value of key. A missing or empty value is a fault, whose
 // message contains want.
-func (r *Reader) Need(key, want string) string {
-	v := r.Text(key, "")
+func (r *SectionReader) Required(key, want string) string {
+	v := r.String(key, "")
 	if v == "" {
 		r.Fault(key, "is missing or empty: expected %s", want)
 	}
@@ -71,15 +71,15 @@
 }
 
 // Has reports whether the section contains key.
-func (r *Reader) Has(key string) bool {
+func (r *SectionReader) Has(key string) bool {
 	_, ok := r.values[key]
 	return ok
 }
 
 // List returns the comma-separated values of key, without the empty ones.
-func (r *Reader) List(key string) []string {
+func (r *SectionReader) List(key string) []string {
 	var items []string
-	for _, item := range strings.Split(r.Text(key, ""), ",") {
+	for _, item := range strings.Split(r.String(key, ""), ",") {
 		if item = strings.TrimSpace(item); item != "" {
 			items = append(items, item)
 		}
@@ -89,8 +89,8 @@
 
 // Duration returns the value of key, a non-negative duration with a unit such as
 // 30s. It returns fallback if the value is missing or invalid.
-func (r *Reader) Duration(key string, fallback time.Duration) time.Duration {
-	text := r.Text(key, "")
+func (r *SectionReader) Duration(key string, fallback time.Duration) time.Duration {
+	text := r.String(key, "")
 	if text == "" {
 		return fallback
 	}
@@ -104,8 +104,8 @@
 
 // Int returns the value of key, a whole number from low to high. It returns
 // fallback if the value is missing or invalid.
-func (r *Reader) Int(key string, fallback, low, high int) int {
-	text := r.Text(key, "")
+func (r *SectionReader) Int(key string, fallback, low, high int) int {
+	text := r.String(key, "")
 	if text == "" {
 		return fallback
 	}
@@ -119,14 +119,14 @@
 
 // Fraction returns the value of key, a number from 0 to 1. It returns fallback if
 // the value is missing or invalid.
-func (r *Reader) Fraction(key string, fallback float64) float64 {
+func (r *SectionReader) Fraction(key string, fallback float64) float64 {
 	return r.Number(key, fallback, 0, 1)
 }
 
 // Number returns the value of key, a number from low to high. It returns fallback
 // if the value is missing or invalid.
-func (r *Reader) Number(key string, fallback, low, high float64) float64 {
-	text := r.Text(key, "")
+func (r *SectionReader) Number(key string, fallback, low, high float64) float64 {
+	text := r.String(key, "")
 	if text == "" {
 		return fallback
 	}
@@ -140,7 +140,7 @@
 
 // RisingPercentages returns the comma-separated percentages of key, which must be
 // strictly rising.
-func (r *Reader) RisingPercentages(key string) []float64 {
+func (r *SectionReader) RisingPercentages(key string) []float64 {
 	var steps []float64
 	for _, item := range r.List(key) {
 		x, err := strconv.ParseFloat(strings.TrimSuffix(item, "%"), 64)
@@ -156,8 +156,8 @@
 
 // OneOf returns the value of key, which must be one of the choices. It returns
 // fallback if the value is missing or invalid.
-func (r *Reader) OneOf(key, fallback string, choices ...string) string {
-	v := r.Text(key, fallback)
+func (r *SectionReader) OneOf(key, fallback string, choices ...string) string {
+	v := r.String(key, fallback)
 	for _, c := range choices {
 		if v == c {
 			return v
@@ -167,9 +167,9 @@
 	return fallback
 }
 
-// Done records a fault for each key of the section that was never read, so that
+// RejectUnknownKeys records a fault for each key of the section that was never read, so that
 // misspelled keys are not ignored.
-func (r *Reader) Done() {
+func (r *SectionReader) RejectUnknownKeys() {
 	known := make(map[string]bool, len(r.readKeys))
 	for _, k := range r.readKeys {
 		known[k] = true
--- a/contract/errors.go
+++ b/contract/errors.go
@@ -61,9 +61,9 @@
 // Unwrap returns the wrapped error.
 func (e *StepError) Unwrap() error { return e.Err }
 
-// Fail wraps err with the step in which it occurred, the peer involved and a
+// WrapStep wraps err with the step in which it occurred, the peer involved and a
 // stack trace. It returns nil if err is nil.
-func Fail(step Step, peer string, err error) error {
+func WrapStep(step Step, peer string, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -76,29 +76,29 @@
 
 // The kinds of refusals. docs/OPERATIONS.md describes what to do about each.
 const (
-	RefusedKey             RefusalKind = "key-unknown"
-	RefusedRequest         RefusalKind = "request-invalid"
-	RefusedTooLarge        RefusalKind = "request-too-large"
-	RefusedNotAllowed      RefusalKind = "version-not-allowed"
-	RefusedWithdrawn       RefusalKind = "version-withdrawn"
-	RefusedNoWord          RefusalKind = "no-recent-configuration"
-	RefusedSession         RefusalKind = "session-invalid"
-	RefusedLimit           RefusalKind = "limit-reached"
-	RefusedNoUpstream      RefusalKind = "no-upstream"
-	RefusedResting         RefusalKind = "upstreams-rest"
-	RefusedRegion          RefusalKind = "region-not-allowed"
-	RefusedAtLimit         RefusalKind = "upstreams-at-limit"
-	RefusedUpstream        RefusalKind = "upstream-failed"
-	RefusedHeld            RefusalKind = "request-held"
-	RefusedDeadline        RefusalKind = "deadline-passed"
-	RefusedTicketNeeded    RefusalKind = "ticket-needed"
-	RefusedTicket          RefusalKind = "ticket-invalid"
-	RefusedClaimed         RefusalKind = "ticket-claimed"
-	RefusedArbiters        RefusalKind = "ticket-arbiters-unreachable"
-	RefusedBill            RefusalKind = "bill-not-kept"
-	RefusedStopping        RefusalKind = "stopping"
-	RefusedStreamCut       RefusalKind = "stream-cut"
-	RefusedStreamForbidden RefusalKind = "stream-invalid"
+	RefusedUnknownKey          RefusalKind = "key-unknown"
+	RefusedInvalidRequest      RefusalKind = "request-invalid"
+	RefusedRequestTooLarge     RefusalKind = "request-too-large"
+	RefusedVersionNotAllowed   RefusalKind = "version-not-allowed"
+	RefusedVersionWithdrawn    RefusalKind = "version-withdrawn"
+	RefusedStaleConfiguration  RefusalKind = "no-recent-configuration"
+	RefusedInvalidSession      RefusalKind = "session-invalid"
+	RefusedLimitReached        RefusalKind = "limit-reached"
+	RefusedNoUpstream          RefusalKind = "no-upstream"
+	RefusedUpstreamsBackedOff  RefusalKind = "upstreams-rest"
+	RefusedRegionNotAllowed    RefusalKind = "region-not-allowed"
+	RefusedUpstreamsAtLimit    RefusalKind = "upstreams-at-limit"
+	RefusedUpstreamFailed      RefusalKind = "upstream-failed"
+	RefusedQuarantined         RefusalKind = "request-held"
+	RefusedDeadlinePassed      RefusalKind = "deadline-passed"
+	RefusedTicketNeeded        RefusalKind = "ticket-needed"
+	RefusedInvalidTicket       RefusalKind = "ticket-invalid"
+	RefusedTicketClaimed       RefusalKind = "ticket-claimed"
+	RefusedArbitersUnreachable RefusalKind = "ticket-arbiters-unreachable"
+	RefusedBillNotStored       RefusalKind = "bill-not-kept"
+	RefusedStopping            RefusalKind = "stopping"
+	RefusedStreamCut           RefusalKind = "stream-cut"
+	RefusedInvalidStreamToken  RefusalKind = "stream-invalid"
 )
 
 // Refusal is the error response to a request that the router does not serve or
--- a/contract/ids.go
+++ b/contract/ids.go
@@ -46,14 +46,14 @@
 // HTTP service.
 type UpstreamID string
 
-// Life identifies one run of an upstream. An upstream that restarts under the same id is a
+// UpstreamInstance identifies one run of an upstream. An upstream that restarts under the same id is a
 // new Life: load, limits and failures that were recorded for the previous one do not apply
 // to it.
-type Life struct {
+type UpstreamInstance struct {
 	Upstream UpstreamID `cbor:"1,keyasint"`
-	// Born distinguishes the runs of an upstream that restarts under the same id. It is
+	// Incarnation distinguishes the runs of an upstream that restarts under the same id. It is
 	// zero where an id is never reused.
-	Born int64 `cbor:"2,keyasint,omitempty"`
+	Incarnation int64 `cbor:"2,keyasint,omitempty"`
 }
 
 // ServiceID identifies a plain HTTP service.
@@ -73,9 +73,9 @@
 // name. Each start gets a new one, and a later start gets a higher one.
 type Incarnation uint64
 
-// FencingNumber is the fencing token of a lease: each new holder gets a higher
+// FencingToken is the fencing token of a lease: each new holder gets a higher
 // one, so that a request from a previous holder can be rejected.
-type FencingNumber uint64
+type FencingToken uint64
 
 // Tokens is a number of model tokens.
 type Tokens int64
@@ -92,15 +92,15 @@
 	MiB Bytes = 1 << 20
 )
 
-// Price is the price of one million tokens.
-type Price Money
+// PricePerMillion is the price of one million tokens.
+type PricePerMillion Money
 
 // tokensPerPrice is the number of tokens that a Price applies to.
 const tokensPerPrice = 1_000_000
 
 // Cost returns the price of n tokens, rounded down to one millionth of the
 // currency.
-func (p Price) Cost(n Tokens) Money {
+func (p PricePerMillion) Cost(n Tokens) Money {
 	return Money(int64(p) * int64(n) / tokensPerPrice)
 }
 
--- a/contract/outcome.go
+++ b/contract/outcome.go
@@ -8,34 +8,34 @@
 // The three outcomes. Unknown is the zero value, so that an outcome that is
 // never set claims nothing.
 const (
-	// Unknown means that bytes of the request may have reached an upstream.
-	Unknown Outcome = iota
-	// NotRun means that no upstream has executed the request or will execute it.
-	NotRun
-	// Ran means that an upstream has responded to the request.
-	Ran
+	// OutcomeUnknown means that bytes of the request may have reached an upstream.
+	OutcomeUnknown Outcome = iota
+	// OutcomeNotRun means that no upstream has executed the request or will execute it.
+	OutcomeNotRun
+	// OutcomeRan means that an upstream has responded to the request.
+	OutcomeRan
 )
 
 // String returns the name of the outcome as it appears in responses to clients.
 func (o Outcome) String() string {
 	switch o {
-	case NotRun:
+	case OutcomeNotRun:
 		return "not run"
-	case Ran:
+	case OutcomeRan:
 		return "ran"
 	default:
 		return "unknown"
 	}
 }
 
-// Worse combines the outcomes of two attempts at the same request: Ran if either
+// Combine combines the outcomes of two attempts at the same request: Ran if either
 // attempt ran, NotRun only if neither ran, and Unknown otherwise.
-func (o Outcome) Worse(other Outcome) Outcome {
+func (o Outcome) Combine(other Outcome) Outcome {
 	if o == other {
 		return o
 	}
-	if o == Ran || other == Ran {
-		return Ran
+	if o == OutcomeRan || other == OutcomeRan {
+		return OutcomeRan
 	}
-	return Unknown
+	return OutcomeUnknown
 }
--- a/contract/reports.go
+++ b/contract/reports.go
@@ -1,8 +1,8 @@
 package contract
 
-// Load is the load report of an engine. Its figures are slightly out of date:
+// LoadReport is the load report of an engine. Its figures are slightly out of date:
 // see AgeMillis.
-type Load struct {
+type LoadReport struct {
 	// Incarnation distinguishes the runs of an upstream at the same address.
 	Incarnation Incarnation `json:"incarnation"`
 	Draining    bool        `json:"draining"`
--- a/control/filer.go
+++ b/control/filer.go
@@ -105,7 +105,7 @@
 		select {
 		case <-f.wake:
 			f.flush()
-			clock.Pause(ctx, f.flushInterval)
+			clock.Sleep(ctx, f.flushInterval)
 		case <-ctx.Done():
 			f.flush()
 			return
@@ -127,7 +127,7 @@
 		records = records[n:]
 	}
 	if err != nil {
-		f.log.Warn("filing-failed", logs.Failure(err)...)
+		f.log.Warn("filing-failed", logs.ErrorFields(err)...)
 	}
 	for _, done := range waiters {
 		done <- err
@@ -139,9 +139,9 @@
 	f.batchSeq++
 	value, err := json.Marshal(bill.Batch{Records: records})
 	if err != nil {
-		return contract.Fail(contract.StepFile, "", err)
+		return contract.WrapStep(contract.StepFile, "", err)
 	}
-	name := fmt.Sprintf("%s%s-%d-%08d", bill.Prefix, f.origin.VM, f.origin.Incarnation, f.batchSeq)
+	name := fmt.Sprintf("%s%s-%d-%08d", bill.BatchNamePrefix, f.origin.VM, f.origin.Incarnation, f.batchSeq)
 	ctx, cancel := context.WithTimeout(context.Background(), fileTimeout)
 	defer cancel()
 	_, err = f.store.Create(ctx, name, value)
@@ -151,5 +151,5 @@
 	if err == nil {
 		f.log.Info("bills-filed", zap.String("object", name), zap.Int("records", len(records)))
 	}
-	return contract.Fail(contract.StepFile, "platform", err)
+	return contract.WrapStep(contract.StepFile, "platform", err)
 }
--- a/control/health.go
+++ b/control/health.go
@@ -58,8 +58,8 @@
 	page := statusPage{VM: string(s.opts.Settings.VM)}
 	s.withLock(func() {
 		now := s.clock.Now()
-		page.Revision, page.ConfigurationAge = uint64(s.replica.Held().Revision), s.replica.Age(now)
-		page.IsWatcher = s.table.Watches(s.opts.Settings.Control.Watchers, now)
+		page.Revision, page.ConfigurationAge = uint64(s.replica.Document().Revision), s.replica.Age(now)
+		page.IsWatcher = s.table.IsWatcher(s.opts.Settings.Control.Watchers, now)
 		page.Members, page.HaltCount = s.table.Live(now), len(s.halted)
 	})
 	w.Header().Set("Content-Type", "application/json")
@@ -67,7 +67,7 @@
 }
 
 func (s *Server) serveMetrics(w http.ResponseWriter, _ *http.Request) {
-	sent, received := s.endpoint.Traffic()
+	sent, received := s.endpoint.TrafficBytes()
 	s.metrics.sentBytes.Update(sent)
 	s.metrics.receivedBytes.Update(received)
 	s.withLock(func() { s.metrics.configurationAge.Update(int64(s.replica.Age(s.clock.Now()))) })
@@ -77,12 +77,12 @@
 
 // Traffic returns how many bytes the link endpoint has sent and received since
 // the process started.
-func (s *Server) Traffic() (sent, received int64) { return s.endpoint.Traffic() }
+func (s *Server) Traffic() (sent, received int64) { return s.endpoint.TrafficBytes() }
 
 // Revision returns the revision of the configuration document that this process
 // holds.
 func (s *Server) Revision() contract.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.replica.Held().Revision
+	return s.replica.Document().Revision
 }
--- a/control/lease.go
+++ b/control/lease.go
@@ -23,29 +23,29 @@
 }
 
 // Read returns the lease object, or leader.ErrGone if it does not exist.
-func (l leaseStore) Read(ctx context.Context) (lease.Seen, error) {
+func (l leaseStore) Read(ctx context.Context) (lease.VersionedObject, error) {
 	object, err := l.store.Read(ctx, l.name)
 	if errors.Is(err, store.ErrNotFound) {
-		return lease.Seen{}, leader.ErrGone
+		return lease.VersionedObject{}, leader.ErrNotFound
 	}
 	if err != nil {
-		return lease.Seen{}, contract.Fail(contract.StepOrder, "platform", err)
+		return lease.VersionedObject{}, contract.WrapStep(contract.StepOrder, "platform", err)
 	}
-	seen := lease.Seen{Version: object.Version}
+	seen := lease.VersionedObject{Version: object.Version}
 	if err := json.Unmarshal(object.Value, &seen.Object); err != nil {
-		return lease.Seen{}, contract.Fail(contract.StepOrder, "platform", err)
+		return lease.VersionedObject{}, contract.WrapStep(contract.StepOrder, "platform", err)
 	}
 	return seen, nil
 }
 
 // Write stores the proposed lease object if the stored one still has the version
 // that the proposal is based on. Version 0 creates the object.
-func (l leaseStore) Write(ctx context.Context, p lease.Proposal) (lease.Seen, error) {
+func (l leaseStore) Write(ctx context.Context, p lease.Proposal) (lease.VersionedObject, error) {
 	value, err := json.Marshal(p.Object)
 	if err != nil {
-		return lease.Seen{}, contract.Fail(contract.StepOrder, "", err)
+		return lease.VersionedObject{}, contract.WrapStep(contract.StepOrder, "", err)
 	}
-	seen := lease.Seen{Object: p.Object}
+	seen := lease.VersionedObject{Object: p.Object}
 	if p.Version == 0 {
 		seen.Version, err = l.store.Create(ctx, l.name, value)
 	} else {
@@ -53,11 +53,11 @@
 	}
 	switch {
 	case errors.Is(err, store.ErrConflict), errors.Is(err, store.ErrExists):
-		return lease.Seen{}, leader.ErrTaken // the next read returns the object that another process wrote
+		return lease.VersionedObject{}, leader.ErrConflict // the next read returns the object that another process wrote
 	case errors.Is(err, store.ErrNotFound):
-		return lease.Seen{}, leader.ErrGone
+		return lease.VersionedObject{}, leader.ErrNotFound
 	case err != nil:
-		return lease.Seen{}, contract.Fail(contract.StepOrder, "platform", err)
+		return lease.VersionedObject{}, contract.WrapStep(contract.StepOrder, "platform", err)
 	}
 	return seen, nil
 }
--- a/control/link_handlers.go
+++ b/control/link_handlers.go
@@ -10,13 +10,13 @@
 // registerLinkHandlers registers the handlers for calls that other processes make
 // over the link.
 func (s *Server) registerLinkHandlers() {
-	link.Handle(s.endpoint, link.KindPull, func(ctx context.Context, _ string, req protocol.PullRequest) (protocol.PullAnswer, error) {
+	link.Handle(s.endpoint, link.KindPullConfig, func(ctx context.Context, _ string, req protocol.PullRequest) (protocol.PullResponse, error) {
 		return s.answerPull(ctx, req), nil
 	})
 	link.Handle(s.endpoint, link.KindHeartbeat, func(_ context.Context, _ string, b protocol.Heartbeat) (protocol.Heartbeat, error) {
 		return s.answerHeartbeat(b), nil
 	})
-	link.Handle(s.endpoint, link.KindFile, func(ctx context.Context, _ string, req protocol.Records) (protocol.Done, error) {
-		return protocol.Done{}, s.billFiler.file(ctx, req.Records)
+	link.Handle(s.endpoint, link.KindFileBills, func(ctx context.Context, _ string, req protocol.BillRecords) (protocol.Ack, error) {
+		return protocol.Ack{}, s.billFiler.file(ctx, req.Records)
 	})
 }
--- a/control/members.go
+++ b/control/members.go
@@ -63,10 +63,10 @@
 	if entry.Incarnation < s.entry.incarnation {
 		return // a late report from an earlier incarnation
 	}
-	s.entry = entryState{entry.Incarnation, entry.Revision, entry.Leaving, s.clock.Now()}
+	s.entry = entryState{entry.Incarnation, entry.Revision, entry.Stopping, s.clock.Now()}
 	s.table.SetSelf(s.selfMember())
-	s.evidence = rollout.Merge(s.evidence, entry.Evidence).Prune(s.config.Progress)
-	for _, version := range entry.Halts {
+	s.evidence = rollout.Merge(s.evidence, entry.RolloutEvidence).Prune(s.config.Progress)
+	for _, version := range entry.HaltedVersions {
 		s.halted[version] = true
 	}
 }
@@ -78,7 +78,7 @@
 		for _, b := range s.planHeartbeats(round%roundsPerFarHeartbeat == 0) {
 			go s.sendHeartbeat(ctx, b)
 		}
-		clock.Pause(ctx, heartbeatInterval)
+		clock.Sleep(ctx, heartbeatInterval)
 	}
 }
 
@@ -98,7 +98,7 @@
 	selfOnly, allNear, far := s.nearHeartbeat(now, false), s.nearHeartbeat(now, true), s.farHeartbeat(now)
 	var planned []outgoingHeartbeat
 	knownVMs := map[contract.VMID]bool{s.opts.Settings.VM: true}
-	for _, m := range s.table.Near(now) {
+	for _, m := range s.table.LocalPeers(now) {
 		knownVMs[m.VM] = true
 		// Of each pair of VMs, the one whose name sorts first sends the heartbeat
 		// and the other answers. The other VM sends one too if it has not heard
@@ -108,15 +108,15 @@
 			if s.digestDiffers[m.VM] {
 				message = allNear
 			}
-			planned = append(planned, outgoingHeartbeat{m.VM, m.ControlLink, message})
+			planned = append(planned, outgoingHeartbeat{m.VM, m.ControlAddress, message})
 		}
 	}
-	sendsFar := includeFar && s.table.Watches(s.opts.Settings.Control.Watchers, now)
+	sendsFar := includeFar && s.table.IsWatcher(s.opts.Settings.Control.Watchers, now)
 	liveDataCentres := make(map[contract.DataCentreID]bool)
-	for _, m := range s.table.Far(farHeartbeatTargets, now) {
+	for _, m := range s.table.RemoteDelegates(farHeartbeatTargets, now) {
 		knownVMs[m.VM], liveDataCentres[m.DataCentre] = true, true
 		if sendsFar && (s.opts.Settings.DataCentre < m.DataCentre || m.Age > farContactAfter) {
-			planned = append(planned, outgoingHeartbeat{m.VM, m.ControlLink, far})
+			planned = append(planned, outgoingHeartbeat{m.VM, m.ControlAddress, far})
 		}
 	}
 	for _, p := range s.opts.Settings.Peers {
@@ -139,10 +139,10 @@
 	s.table.SetSelf(s.selfMember())
 	members := []vm.Member{s.table.Self()}
 	if includeNear {
-		members = append(members, s.table.Near(now)...)
+		members = append(members, s.table.LocalPeers(now)...)
 	}
-	ownEvidence := s.evidence.Of(func(o rollout.Observer) bool { return o.VM == s.opts.Settings.VM })
-	return protocol.Heartbeat{Members: members, Halts: s.haltedVersions(), Evidence: ownEvidence, Digest: s.table.Digest(now)}
+	ownEvidence := s.evidence.Filter(func(o rollout.Observer) bool { return o.VM == s.opts.Settings.VM })
+	return protocol.Heartbeat{Members: members, HaltedVersions: s.haltedVersions(), RolloutEvidence: ownEvidence, MembersDigest: s.table.Digest(now)}
 }
 
 // farHeartbeat returns the heartbeat for VMs of other data centres: the delegates
@@ -150,8 +150,8 @@
 func (s *Server) farHeartbeat(now time.Time) protocol.Heartbeat {
 	s.table.SetSelf(s.selfMember())
 	ownDataCentre := s.opts.Settings.DataCentre
-	localEvidence := s.evidence.Of(func(o rollout.Observer) bool { return !isDataCentreTotal(o) })
-	return protocol.Heartbeat{Members: s.table.Delegates(delegateCount, now), Halts: s.haltedVersions(), Evidence: localEvidence.Total(dataCentreTotal(ownDataCentre))}
+	localEvidence := s.evidence.Filter(func(o rollout.Observer) bool { return !isDataCentreTotal(o) })
+	return protocol.Heartbeat{Members: s.table.Delegates(delegateCount, now), HaltedVersions: s.haltedVersions(), RolloutEvidence: localEvidence.Total(dataCentreTotal(ownDataCentre))}
 }
 
 // totalPrefix marks an observer that represents a whole data centre. It cannot
@@ -183,12 +183,12 @@
 	answer, err := link.Call[protocol.Heartbeat, protocol.Heartbeat](ctx, s.endpoint, b.address, link.KindHeartbeat, b.message)
 	if err != nil {
 		s.metrics.heartbeatFailures.Inc(1)
-		s.log.Debug("heartbeat-failed", logs.Failure(err)...)
+		s.log.Debug("heartbeat-failed", logs.ErrorFields(err)...)
 		return
 	}
 	s.mergeHeartbeat(answer)
 	s.withLock(func() {
-		if answer.Digest == 0 || answer.Digest == s.table.Digest(s.clock.Now()) {
+		if answer.MembersDigest == 0 || answer.MembersDigest == s.table.Digest(s.clock.Now()) {
 			delete(s.digestDiffers, b.vm)
 		} else {
 			s.digestDiffers[b.vm] = true
@@ -205,7 +205,7 @@
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	if len(b.Members) > 0 && b.Members[0].DataCentre == s.opts.Settings.DataCentre {
-		return s.nearHeartbeat(now, b.Digest != s.table.Digest(now))
+		return s.nearHeartbeat(now, b.MembersDigest != s.table.Digest(now))
 	}
 	return s.farHeartbeat(now)
 }
@@ -213,10 +213,10 @@
 // mergeHeartbeat merges the members, halted versions and evidence of a heartbeat.
 // It ignores the total of this VM's own data centre, whose parts it knows itself.
 func (s *Server) mergeHeartbeat(b protocol.Heartbeat) {
-	s.mergeMembers(b.Members, b.Halts)
+	s.mergeMembers(b.Members, b.HaltedVersions)
 	ownTotal := dataCentreTotal(s.opts.Settings.DataCentre)
 	s.withLock(func() {
-		evidence := b.Evidence.Of(func(o rollout.Observer) bool { return o != ownTotal })
+		evidence := b.RolloutEvidence.Filter(func(o rollout.Observer) bool { return o != ownTotal })
 		s.evidence = rollout.Merge(s.evidence, evidence).Prune(s.config.Progress)
 	})
 }
@@ -228,7 +228,7 @@
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	for _, m := range members {
-		s.table.Heard(m, now)
+		s.table.ApplyHeartbeat(m, now)
 	}
 	for _, v := range halted {
 		s.halted[v] = true
@@ -239,11 +239,11 @@
 func (s *Server) vmListLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		isWatcher := false
-		s.withLock(func() { isWatcher = s.table.Watches(s.opts.Settings.Control.Watchers, s.clock.Now()) })
+		s.withLock(func() { isWatcher = s.table.IsWatcher(s.opts.Settings.Control.Watchers, s.clock.Now()) })
 		if isWatcher {
 			s.refreshVMList(ctx)
 		}
-		clock.Pause(ctx, vmListInterval)
+		clock.Sleep(ctx, vmListInterval)
 	}
 }
 
@@ -254,11 +254,11 @@
 	defer cancel()
 	entries, err := s.opts.VMs.VMs(ctx)
 	if err != nil {
-		s.log.Warn("list-failed", logs.Failure(err)...)
+		s.log.Warn("list-failed", logs.ErrorFields(err)...)
 		return
 	}
 	s.withLock(func() {
-		s.table.Listed(entries)
+		s.table.SetPlatformList(entries)
 		s.setLeavingUpstreams(leavingUpstreams(s.config, entries))
 	})
 }
--- a/control/orders.go
+++ b/control/orders.go
@@ -39,12 +39,12 @@
 		return true
 	}
 	if err := s.acquireOrdersLease(ctx); err != nil {
-		s.log.Warn("lease-failed", logs.Failure(err)...)
+		s.log.Warn("lease-failed", logs.ErrorFields(err)...)
 		return false
 	}
 	for _, m := range targets[:min(len(targets), maxConcurrentLoads)] {
 		if err := s.sendOrder(ctx, m, ro.To); err != nil {
-			s.log.Warn("order-failed", logs.Failure(err)...)
+			s.log.Warn("order-failed", logs.ErrorFields(err)...)
 		}
 	}
 	return false
@@ -91,7 +91,7 @@
 // sendOrder orders an engine to load a version. The order carries the fencing
 // number of the lease; sendOrder does nothing while the lease is not usable.
 func (s *Server) sendOrder(ctx context.Context, t orderTarget, v contract.VersionID) error {
-	fencing, ready := s.ordersLease.Ready(t.pool.Fencing != config.FencingRefuses)
+	fencing, ready := s.ordersLease.ActiveFencing(t.pool.Fencing != config.FencingEnforced)
 	if !ready {
 		return nil
 	}
@@ -107,8 +107,8 @@
 // acquireOrdersLease reads the lease for orders to engines, and acquires or renews
 // it if it is free or already held by this process.
 func (s *Server) acquireOrdersLease(ctx context.Context) error {
-	if err := s.ordersLease.Look(ctx); err != nil {
+	if err := s.ordersLease.Read(ctx); err != nil {
 		return err
 	}
-	return s.ordersLease.Step(ctx)
+	return s.ordersLease.Sync(ctx)
 }
--- a/control/rollouts.go
+++ b/control/rollouts.go
@@ -28,15 +28,15 @@
 // lets only one of them succeed.
 func (s *Server) rolloutLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		clock.Pause(ctx, rolloutInterval)
+		clock.Sleep(ctx, rolloutInterval)
 		isWatcher := false
-		s.withLock(func() { isWatcher = s.table.Watches(s.opts.Settings.Control.Watchers, s.clock.Now()) })
+		s.withLock(func() { isWatcher = s.table.IsWatcher(s.opts.Settings.Control.Watchers, s.clock.Now()) })
 		if !isWatcher {
 			continue
 		}
 		for m, next := range s.decideSteps(ctx) {
 			if err := s.publishStep(ctx, m, next); err != nil {
-				s.log.Warn("step-failed", append(logs.Failure(err), zap.String("model", string(m)))...)
+				s.log.Warn("step-failed", append(logs.ErrorFields(err), zap.String("model", string(m)))...)
 			}
 		}
 	}
@@ -67,7 +67,7 @@
 
 // rolloutSituation returns the input for deciding the next step of a roll-out. The caller
 // holds mu.
-func (s *Server) rolloutSituation(conf *config.Config, ro *config.Rollout, loaded bool) rollout.Situation {
+func (s *Server) rolloutSituation(conf *config.Config, ro *config.Rollout, loaded bool) rollout.StepInput {
 	now := s.clock.Now()
 	p := conf.Progress[ro.Model]
 	observed := s.stepObservations[ro.Model]
@@ -80,9 +80,9 @@
 		}
 	}
 	s.stepObservations[ro.Model] = observed
-	return rollout.Situation{
+	return rollout.StepInput{
 		Rollout: ro, Progress: p, Evidence: s.evidence, Halted: s.halted[ro.To], Loaded: loaded,
-		StepSince: observed.firstSeenAt, LastRating: observed.countsGrewAt, CutOff: s.hasSilentDataCentre(now),
+		StepSince: observed.firstSeenAt, LastRating: observed.countsGrewAt, DataCentreUnreachable: s.hasSilentDataCentre(now),
 	}
 }
 
@@ -112,24 +112,24 @@
 		return err
 	}
 	unchanged := false
-	s.withLock(func() { unchanged = s.replica.Held().Revision == base.Root.Revision })
+	s.withLock(func() { unchanged = s.replica.Document().Revision == base.Root.Revision })
 	if !unchanged {
 		return nil
 	}
 	sections := base.Document.Sections()
-	sections[config.ProgressSection(m)] = next.progress.Text()
-	author := history.Author{
-		Who: string(s.opts.Settings.VM), At: s.clock.Now(),
-		Why: fmt.Sprintf("roll-out of %s: %s, step %d: %s", next.progress.To, next.progress.State, next.progress.Step, next.reason),
+	sections[config.ProgressSectionName(m)] = next.progress.Section()
+	author := history.ChangeInfo{
+		Author: string(s.opts.Settings.VM), At: s.clock.Now(),
+		Reason: fmt.Sprintf("roll-out of %s: %s, step %d: %s", next.progress.To, next.progress.State, next.progress.Step, next.reason),
 	}
 	startedAt := s.clock.Now()
 	root, err := history.Publish(ctx, s.store, base, sections, author)
-	var conflict *history.Conflict
+	var conflict *history.ConflictError
 	if errors.As(err, &conflict) {
 		return nil // another VM or an operator changed the configuration first
 	}
 	if err != nil {
-		return contract.Fail(contract.StepRollout, "platform", err)
+		return contract.WrapStep(contract.StepRollout, "platform", err)
 	}
 	s.log.Info("rollout-stepped", zap.String("version", string(next.progress.To)), zap.String("state", string(next.progress.State)),
 		zap.Int("step", next.progress.Step), zap.String("why", string(next.reason)), zap.Uint64("revision", uint64(root.Revision)))
--- a/control/server.go
+++ b/control/server.go
@@ -36,7 +36,7 @@
 // Options configures a Server.
 type Options struct {
 	Settings *settings.Settings
-	Keys     *keys.Set
+	Keys     *keys.KeySet
 	Clock    clock.Clock
 	Log      *zap.Logger
 	Store    store.Store
@@ -61,7 +61,7 @@
 
 	// ordersLease acquires and renews the lease whose holder may send orders to
 	// engines.
-	ordersLease *leader.Keeper
+	ordersLease *leader.LeaseClient
 
 	// mu guards all fields that follow it. It is never held during I/O.
 	mu      sync.Mutex
@@ -111,7 +111,7 @@
 // New returns a server that listens on its link address. It answers no calls until
 // Run is called.
 func New(opts *Options) (*Server, error) {
-	endpoint, err := link.Listen(opts.Settings.Control.Link, opts.Keys)
+	endpoint, err := link.Listen(opts.Settings.Control.LinkAddress, opts.Keys)
 	if err != nil {
 		return nil, err
 	}
@@ -123,13 +123,13 @@
 		replica: document.NewReplica(), config: &config.Config{}, changed: make(chan struct{}),
 		halted: make(map[contract.VersionID]bool), digestDiffers: make(map[contract.VMID]bool), leavingUpstreams: make(map[contract.UpstreamID]bool), stepObservations: make(map[contract.ModelID]stepObservation),
 	}
-	s.billFiler = newBillFiler(opts.Store, bill.Origin{VM: opts.Settings.VM, Incarnation: s.incarnation}, opts.Settings.Control.FileEvery, s.log)
+	s.billFiler = newBillFiler(opts.Store, bill.Origin{VM: opts.Settings.VM, Incarnation: s.incarnation}, opts.Settings.Control.BillFilingInterval, s.log)
 	s.table = vm.NewTable(vm.Member{
 		VM: opts.Settings.VM, DataCentre: opts.Settings.DataCentre, Incarnation: s.incarnation,
-		EntryLink: opts.Settings.Entry.Advertise, ControlLink: opts.Settings.Control.Advertise,
+		EntryAddress: opts.Settings.Entry.AdvertisedLink, ControlAddress: opts.Settings.Control.AdvertisedLink,
 	})
-	s.ordersLease = leader.NewKeeper(&leader.KeeperOptions{
-		Options: lease.Options{Self: contract.VMLife{VM: opts.Settings.VM, Incarnation: s.incarnation}},
+	s.ordersLease = leader.NewLeaseClient(&leader.LeaseClientOptions{
+		Options: lease.Options{Self: contract.VMInstance{VM: opts.Settings.VM, Incarnation: s.incarnation}},
 		Store:   leaseStore{opts.Store, ordersLeaseName}, Clock: opts.Clock, Timeout: orderTimeout,
 	})
 	s.registerLinkHandlers()
@@ -141,7 +141,7 @@
 func (s *Server) Run(ctx context.Context) error {
 	healthListener, err := net.Listen("tcp", s.opts.Settings.Control.Health)
 	if err != nil {
-		return contract.Fail(contract.StepSettings, s.opts.Settings.Control.Health, err)
+		return contract.WrapStep(contract.StepSettings, s.opts.Settings.Control.Health, err)
 	}
 	linkCtx, stopLink := context.WithCancel(context.Background())
 	defer stopLink()
--- a/control/status.go
+++ b/control/status.go
@@ -30,13 +30,13 @@
 func (s *Server) statusLoop(ctx context.Context) {
 	w := statusWriter{store: s.store}
 	for ctx.Err() == nil {
-		clock.Pause(ctx, statusInterval)
+		clock.Sleep(ctx, statusInterval)
 		status, isWriter := s.dataCentreStatus()
 		if !isWriter {
 			continue
 		}
 		if err := w.write(ctx, status); err != nil {
-			s.log.Warn("status-failed", logs.Failure(err)...)
+			s.log.Warn("status-failed", logs.ErrorFields(err)...)
 		}
 	}
 }
@@ -49,7 +49,7 @@
 	now := s.clock.Now()
 	s.table.SetSelf(s.selfMember())
 	status := datacentre.Status{DataCentre: s.opts.Settings.DataCentre, At: now}
-	ranked := vm.Rank(s.table.Live(now), s.opts.Settings.DataCentre, datacentre.StatusKey)
+	ranked := vm.Rank(s.table.Live(now), s.opts.Settings.DataCentre, datacentre.StatusRankKey)
 	for _, m := range ranked {
 		if m.EntryIncarnation == 0 {
 			continue // without an entry process, the VM sends no requests to upstreams
--- a/control/watch.go
+++ b/control/watch.go
@@ -40,15 +40,15 @@
 func (s *Server) watchLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		isWatcher := false
-		s.withLock(func() { isWatcher = s.table.Watches(s.opts.Settings.Control.Watchers, s.clock.Now()) })
+		s.withLock(func() { isWatcher = s.table.IsWatcher(s.opts.Settings.Control.Watchers, s.clock.Now()) })
 		if !isWatcher {
-			clock.Pause(ctx, watchRetryDelay)
+			clock.Sleep(ctx, watchRetryDelay)
 			continue
 		}
 		if err := s.watchOnce(ctx); err != nil {
 			s.metrics.watchFailures.Inc(1)
-			s.log.Warn("watch-failed", logs.Failure(err)...)
-			clock.Pause(ctx, watchRetryDelay)
+			s.log.Warn("watch-failed", logs.ErrorFields(err)...)
+			clock.Sleep(ctx, watchRetryDelay)
 		}
 	}
 }
@@ -71,10 +71,10 @@
 		return nil
 	}
 	if err != nil {
-		return contract.Fail(contract.StepWatch, "platform", err)
+		return contract.WrapStep(contract.StepWatch, "platform", err)
 	}
 	var held *document.Document
-	s.withLock(func() { held = s.replica.Held() })
+	s.withLock(func() { held = s.replica.Document() })
 	snapshot, err := history.ReadSnapshotSince(ctx, s.store, held, object)
 	if err != nil {
 		return err
@@ -89,14 +89,14 @@
 func (s *Server) adoptDocument(d *document.Document, freshAt time.Time, rootVersion contract.ObjectVersion) error {
 	parsed, err := config.FromDocument(d)
 	if err != nil {
-		return contract.Fail(contract.StepWatch, "", err)
+		return contract.WrapStep(contract.StepWatch, "", err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if rootVersion != 0 {
 		s.rootVersion, s.rootRevision = rootVersion, d.Revision
 	}
-	if !s.replica.Learn(d, freshAt) {
+	if !s.replica.Update(d, freshAt) {
 		return nil
 	}
 	s.config = parsed
@@ -115,11 +115,11 @@
 func (s *Server) pullLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !s.shouldPull() {
-			clock.Pause(ctx, pullRetryDelay)
+			clock.Sleep(ctx, pullRetryDelay)
 			continue
 		}
 		if !s.pullFromPeers(ctx) {
-			clock.Pause(ctx, pullRetryDelay)
+			clock.Sleep(ctx, pullRetryDelay)
 		}
 	}
 }
@@ -129,7 +129,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	return !s.table.Watches(s.opts.Settings.Control.Watchers, now) || s.replica.Age(now) > staleAfter
+	return !s.table.IsWatcher(s.opts.Settings.Control.Watchers, now) || s.replica.Age(now) > staleAfter
 }
 
 // pullFromPeers asks one peer after another until the configuration is fresh. It
@@ -141,7 +141,7 @@
 		}
 		if err := s.pullFromPeer(ctx, address); err != nil {
 			s.metrics.pullFailures.Inc(1)
-			s.log.Debug("relay-failed", logs.Failure(err)...)
+			s.log.Debug("relay-failed", logs.ErrorFields(err)...)
 			continue
 		}
 		fresh := false
@@ -158,10 +158,10 @@
 // be live.
 func (s *Server) pullSources() []string {
 	var sources []vm.Member
-	s.withLock(func() { sources = s.table.Sources(s.clock.Now()) })
+	s.withLock(func() { sources = s.table.ConfigSources(s.clock.Now()) })
 	var addresses []string
 	for _, m := range sources {
-		addresses = append(addresses, m.ControlLink)
+		addresses = append(addresses, m.ControlAddress)
 	}
 	if len(addresses) > 1 {
 		// Alternate between the two best peers. If the VMs disagree on which of
@@ -186,22 +186,22 @@
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	var held *document.Document
-	s.withLock(func() { held = s.replica.Held() })
+	s.withLock(func() { held = s.replica.Document() })
 	askedAt := s.clock.Now()
-	answer, err := link.Call[protocol.PullRequest, protocol.PullAnswer](ctx, s.endpoint, address, link.KindPull,
-		protocol.PullRequest{Have: held.Revision, Hash: held.Hash().Short(), Wait: pullWait, Members: s.nextMemberScope()})
+	answer, err := link.Call[protocol.PullRequest, protocol.PullResponse](ctx, s.endpoint, address, link.KindPullConfig,
+		protocol.PullRequest{HeldRevision: held.Revision, HeldHash: held.Hash().Short(), MaxWait: pullWait, MemberScope: s.nextMemberScope()})
 	if err != nil {
 		return err
 	}
-	s.mergeMembers(answer.Members, answer.Halts)
-	if !answer.Known {
+	s.mergeMembers(answer.Members, answer.HaltedVersions)
+	if !answer.AgeKnown {
 		return nil
 	}
-	freshAt := askedAt.Add(-answer.Age)
+	freshAt := askedAt.Add(-answer.ConfigAge)
 	if answer.Patch == nil {
 		s.withLock(func() {
 			s.replica.Confirm(held.Revision, freshAt)
-			s.setLeavingUpstreams(answer.Leaving)
+			s.setLeavingUpstreams(answer.LeavingUpstreams)
 		})
 		return nil
 	}
@@ -210,7 +210,7 @@
 	}
 	d, err := answer.Patch.Apply(held)
 	if err != nil {
-		return contract.Fail(contract.StepPull, address, err)
+		return contract.WrapStep(contract.StepPull, address, err)
 	}
 	return s.adoptDocument(d, freshAt, 0)
 }
@@ -229,20 +229,20 @@
 		return protocol.NoMembers
 	}
 	s.farMembersAskedAt = now
-	return protocol.FarMembers
+	return protocol.RemoteMembers
 }
 
 // answerPull answers a pull request of an entry process or of another control
 // process. It waits for a newer revision for at most the time in the request.
-func (s *Server) answerPull(ctx context.Context, req protocol.PullRequest) protocol.PullAnswer {
+func (s *Server) answerPull(ctx context.Context, req protocol.PullRequest) protocol.PullResponse {
 	s.updateEntryState(req.Entry)
-	timer := time.NewTimer(min(req.Wait, pullWait))
+	timer := time.NewTimer(min(req.MaxWait, pullWait))
 	defer timer.Stop()
 	for {
 		var newer bool
 		var changed chan struct{}
 		s.withLock(func() {
-			newer = s.replica.Held().Revision > req.Have
+			newer = s.replica.Document().Revision > req.HeldRevision
 			changed = s.changed
 		})
 		if newer {
@@ -260,26 +260,26 @@
 }
 
 // buildPullAnswer returns the answer to a pull request from the current state.
-func (s *Server) buildPullAnswer(req protocol.PullRequest) protocol.PullAnswer {
+func (s *Server) buildPullAnswer(req protocol.PullRequest) protocol.PullResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	held := s.replica.Held()
-	answer := protocol.PullAnswer{Known: !s.replica.FreshAt().IsZero(), Halts: s.haltedVersions()}
-	if answer.Known {
-		answer.Age = s.replica.Age(now)
+	held := s.replica.Document()
+	answer := protocol.PullResponse{AgeKnown: !s.replica.FreshAt().IsZero(), HaltedVersions: s.haltedVersions()}
+	if answer.AgeKnown {
+		answer.ConfigAge = s.replica.Age(now)
 	}
-	if req.Members != protocol.NoMembers {
-		answer.Members = s.table.Far(delegateCount, now)
+	if req.MemberScope != protocol.NoMembers {
+		answer.Members = s.table.RemoteDelegates(delegateCount, now)
 	}
-	if req.Members == protocol.AllMembers {
-		answer.Members = append(answer.Members, s.table.Near(now)...)
+	if req.MemberScope == protocol.AllMembers {
+		answer.Members = append(answer.Members, s.table.LocalPeers(now)...)
 		answer.Members = append(answer.Members, s.table.Self())
 	}
 	for id := range s.leavingUpstreams {
-		answer.Leaving = append(answer.Leaving, id)
+		answer.LeavingUpstreams = append(answer.LeavingUpstreams, id)
 	}
-	if held.Revision != req.Have {
+	if held.Revision != req.HeldRevision {
 		patch := document.NewPatch(s.patchBase(req), held)
 		answer.Patch = &patch
 	}
@@ -291,7 +291,7 @@
 // caller holds mu.
 func (s *Server) patchBase(req protocol.PullRequest) *document.Document {
 	for _, d := range s.recentDocuments {
-		if d.Revision == req.Have && d.Hash().Short() == req.Hash {
+		if d.Revision == req.HeldRevision && d.Hash().Short() == req.HeldHash {
 			return d
 		}
 	}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -41,18 +41,18 @@
 }
 
 // serverFactory creates the server of a daemon.
-type serverFactory func(s *settings.Settings, set *keys.Set, log *zap.Logger) (server, error)
+type serverFactory func(s *settings.Settings, set *keys.KeySet, log *zap.Logger) (server, error)
 
 // Entry runs woaddoor-entry and returns its exit code.
 func Entry(args []string) int {
-	return run("woaddoor-entry", "Takes callers' requests on an entry VM.", args, func(s *settings.Settings, set *keys.Set, log *zap.Logger) (server, error) {
+	return run("woaddoor-entry", "Takes callers' requests on an entry VM.", args, func(s *settings.Settings, set *keys.KeySet, log *zap.Logger) (server, error) {
 		return entry.New(&entry.Options{Settings: s, Keys: set, Clock: clock.NewSystem(), Log: log})
 	})
 }
 
 // Control runs woaddoor-control and returns its exit code.
 func Control(args []string) int {
-	return run("woaddoor-control", "Synchronizes an entry VM with the platform: configuration, status, bill records and roll-outs.", args, func(s *settings.Settings, set *keys.Set, log *zap.Logger) (server, error) {
+	return run("woaddoor-control", "Synchronizes an entry VM with the platform: configuration, status, bill records and roll-outs.", args, func(s *settings.Settings, set *keys.KeySet, log *zap.Logger) (server, error) {
 		client := store.NewClient(&store.Options{URL: s.Platform.URL})
 		return control.New(&control.Options{Settings: s, Keys: set, Clock: clock.NewSystem(), Log: log, Store: client, VMs: client})
 	})
@@ -85,10 +85,10 @@
 
 // serve runs the daemon until SIGTERM or SIGINT. Further signals are logged and have
 // no effect: repeating the signal does not make a planned shutdown cut off requests.
-func serve(s *settings.Settings, set *keys.Set, log *zap.Logger, newServer serverFactory) int {
+func serve(s *settings.Settings, set *keys.KeySet, log *zap.Logger, newServer serverFactory) int {
 	server, err := newServer(s, set, log)
 	if err != nil {
-		log.Error("start-failed", logs.Failure(err)...)
+		log.Error("start-failed", logs.ErrorFields(err)...)
 		return exitFailed
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -102,7 +102,7 @@
 		}
 	}()
 	if err := server.Run(ctx); err != nil {
-		log.Error("stopped-with-error", logs.Failure(err)...)
+		log.Error("stopped-with-error", logs.ErrorFields(err)...)
 		return exitFailed
 	}
 	return exitOK
--- a/daemon/duties.go
+++ b/daemon/duties.go
@@ -36,23 +36,23 @@
 	if d.Address == "" {
 		return
 	}
-	life := contract.VMLife{VM: self.VM, Incarnation: self.Incarnation}
-	v.lease = leader.NewKeeper(&leader.KeeperOptions{
-		Options: lease.Options{Self: life, Length: d.Lease},
+	life := contract.VMInstance{VM: self.VM, Incarnation: self.Incarnation}
+	v.lease = leader.NewLeaseClient(&leader.LeaseClientOptions{
+		Options: lease.Options{Self: life, Duration: d.Lease},
 		Store:   platform.NewLease(store, dutiesLeaseName), Clock: clock.NewSystem(), Timeout: v.dutyTimeout(),
 	})
-	if !platform.Reports(d.Names) {
+	if !platform.HasUsageDuty(d.Names) {
 		return
 	}
-	v.usage = leader.NewBook(&leader.BookOptions{
+	v.usage = leader.NewUsageLedger(&leader.UsageLedgerOptions{
 		Self: life, DataCentre: self.DataCentre, Now: time.Now,
-		Terms: v.usageTerms(), Centres: func() []contract.DataCentreID { return v.peers.Centres() },
+		Terms: v.usageTerms(), DataCentres: func() []contract.DataCentreID { return v.peers.DataCentres() },
 	})
 }
 
 // usageTerms returns the reporting windows and deadlines of usage.
-func (v *vmProcess) usageTerms() usage.Terms {
-	return usage.Terms{Window: v.settings.Duties.UsageWindow, Late: v.settings.Duties.UsageReportDeadline}
+func (v *vmProcess) usageTerms() usage.Rules {
+	return usage.Rules{Window: v.settings.Duties.UsageWindow, ReportDeadline: v.settings.Duties.UsageReportDeadline}
 }
 
 // usageRecorder returns the callback that counts a request when an upstream begins to run
@@ -61,7 +61,7 @@
 	if v.usage == nil {
 		return nil
 	}
-	return v.usage.Began
+	return v.usage.CountRequest
 }
 
 // newLeader returns the component that acts on behalf of all VMs while this VM holds the
@@ -71,23 +71,23 @@
 		return nil
 	}
 	d := v.settings.Duties
-	calls := platform.NewDuties(d.Address, v.settings.Name, v.dutyTimeout())
-	calls.Called = v.countDutyCall
-	var acts []leader.Act
+	calls := platform.NewLeaderClient(d.Address, v.settings.Name, v.dutyTimeout())
+	calls.OnCall = v.countDutyCall
+	var acts []leader.Task
 	if v.usage != nil {
-		acts = append(acts, leader.NewReports(&leader.ReportsOptions{
-			Keeper: v.lease, Book: v.usage, Terms: v.usageTerms(), Reporter: calls, Now: time.Now, Log: v.log, Registry: v.registry,
+		acts = append(acts, leader.NewUsageReporter(&leader.UsageReporterOptions{
+			Lease: v.lease, Ledger: v.usage, Terms: v.usageTerms(), API: calls, Now: time.Now, Log: v.log, Registry: v.registry,
 		}))
 	}
-	if platform.Scales(d.Names) {
+	if platform.HasScalingDuty(d.Names) {
 		acts = append(acts, leader.NewScaler(&leader.ScalerOptions{
-			Keeper: v.lease, Orderer: calls, Services: v.services, Upstreams: func() []upstream.Entry { return v.site.Upstreams() },
-			Age: v.listAge, Work: v.peers.AllWork, Releases: v.relay.Releases, Objective: v.objective, Now: time.Now, Log: v.log, Registry: v.registry,
+			Lease: v.lease, API: calls, Services: v.services, Upstreams: func() []upstream.Entry { return v.site.Upstreams() },
+			ListAge: v.listAge, Load: v.peers.TotalWork, ReleaseState: v.relay.RolloutState, ResponseObjective: v.objective, Now: time.Now, Log: v.log, Registry: v.registry,
 		}))
 	}
 	v.log.Info("duties", zap.Strings("names", d.Names), zap.String("address", d.Address), zap.Duration("lease", d.Lease), zap.Int("acts", len(acts)))
 	return leader.New(&leader.Options{
-		Keeper: v.lease, Turn: v.peers.Turn, Changed: v.peers.LeaseChanged, Acts: acts, Log: v.log, Registry: v.registry,
+		Lease: v.lease, TakeoverDelay: v.peers.LeaseDelay, OnChange: v.peers.AnnounceLease, Tasks: acts, Log: v.log, Registry: v.registry,
 	})
 }
 
@@ -102,14 +102,14 @@
 // objective returns the shortest latency objective among the routes to a service.
 func (v *vmProcess) objective(s contract.ServiceID) time.Duration {
 	if t := v.site.Table(); t != nil {
-		return t.Objective(s)
+		return t.ShortestObjective(s)
 	}
 	return 0
 }
 
 // listAge returns the time since the store last confirmed the list of upstreams.
 func (v *vmProcess) listAge() time.Duration {
-	_, age := v.site.Ages()
+	_, age := v.site.ConfirmationAges()
 	return age
 }
 
@@ -123,12 +123,12 @@
 	if v.lease == nil {
 		return nil
 	}
-	seen, age, known := v.lease.Known()
+	seen, age, known := v.lease.Latest()
 	if !known {
 		return []string{"lease_known 0"}
 	}
 	mine := 0
-	if v.lease.Mine() {
+	if v.lease.HeldBySelf() {
 		mine = 1
 	}
 	return []string{
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -40,10 +40,10 @@
 // evacuationMetrics returns the metrics of the data centres that are being evacuated.
 func (v *vmProcess) evacuationMetrics() []string {
 	var lines []string
-	all := v.relay.Evacuated()
+	all := v.relay.Evacuations()
 	for _, e := range all {
 		lines = append(lines,
-			fmt.Sprintf("evacuation_age_seconds{data_centre=%q} %.1f", string(e.DataCentre), e.For.Seconds()),
+			fmt.Sprintf("evacuation_age_seconds{data_centre=%q} %.1f", string(e.DataCentre), e.Elapsed.Seconds()),
 			fmt.Sprintf("evacuation_requests_running{data_centre=%q} %d", string(e.DataCentre), e.Running))
 	}
 	return append(lines, fmt.Sprintf("evacuations %d", len(all)))
@@ -69,35 +69,35 @@
 func (v *vmProcess) gaugeMetrics() []string {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	configuration, upstreams := v.site.Ages()
+	configuration, upstreams := v.site.ConfirmationAges()
 	version, revision := int64(0), int64(0)
 	if t := v.site.Table(); t != nil {
 		version, revision = t.Version, int64(t.Revision)
 	}
 	open, dialed := v.relay.Connections()
-	resting, leaving := v.relay.Resting()
+	resting, leaving := v.relay.CountBackedOff()
 	line := func(name string, value any) string { return fmt.Sprintf("%s %v", name, value) }
 	return []string{
-		line("caller_connections_open", v.callers.Open()),
-		line("caller_connections_turned_away_total", v.callers.TurnedAway.Load()),
+		line("caller_connections_open", v.callers.OpenConns()),
+		line("caller_connections_turned_away_total", v.callers.RejectedConns.Load()),
 		line("configuration_age_milliseconds", configuration.Milliseconds()),
 		line("configuration_revision", revision),
 		line("configuration_version", version),
 		line("connections_open", open),
 		line("connections_opened_total", dialed),
-		line("requests_held", v.relay.Held()),
+		line("requests_held", v.relay.CountQuarantined()),
 		line("goroutines", runtime.NumGoroutine()),
-		line("log_lines_left_out_total", v.logWriter.LeftOut()),
+		line("log_lines_left_out_total", v.logWriter.Dropped()),
 		line("memory_heap_bytes", memory.HeapAlloc),
 		line("memory_system_bytes", memory.Sys),
 		line("retry_budget_left_ratio", v.relay.BudgetLeft()),
-		line("upstreams", v.relay.Upstreams()),
-		line("upstreams_cold", v.relay.Cold()),
-		line("upstreams_limited", v.relay.Limited()),
+		line("upstreams", v.relay.CountUpstreams()),
+		line("upstreams_cold", v.relay.CountCold()),
+		line("upstreams_limited", v.relay.CountLimited()),
 		line("upstreams_resting", resting),
 		line("upstreams_say_leaving", leaving),
 		line("upstreams_age_milliseconds", upstreams.Milliseconds()),
-		line("vms", v.peers.Count()),
+		line("vms", v.peers.EstimatedVMs()),
 	}
 }
 
@@ -105,22 +105,22 @@
 // in the data centre or leaves it, and the role of this VM among the VMs.
 func (v *vmProcess) peerMetrics() []string {
 	var lines []string
-	for _, s := range v.peers.Traffic() {
+	for _, s := range v.peers.SentTraffic() {
 		to := "near"
-		if s.Far {
+		if s.OtherDataCentre {
 			to = "far"
 		}
 		lines = append(lines,
 			fmt.Sprintf("link_messages_sent_total{kind=%q,to=%q} %d", s.Kind, to, s.Messages),
 			fmt.Sprintf("link_bytes_sent_total{kind=%q,to=%q} %d", s.Kind, to, s.Bytes))
 	}
-	st := v.peers.Standing()
+	st := v.peers.Stats()
 	return append(lines,
 		fmt.Sprintf("links_opened_total %d", st.LinksOpened),
-		fmt.Sprintf("vms_live_near %d", st.Near),
-		fmt.Sprintf("vms_silent_near %d", st.Silent),
-		fmt.Sprintf("vm_place %d", st.Place),
-		fmt.Sprintf("watches %d", st.Watches),
+		fmt.Sprintf("vms_live_near %d", st.LocalVMs),
+		fmt.Sprintf("vms_silent_near %d", st.SilentVMs),
+		fmt.Sprintf("vm_place %d", st.LocalRank),
+		fmt.Sprintf("watches %d", st.WatchedKinds),
 		fmt.Sprintf("vm_leaves %d", st.Leaves))
 }
 
--- a/daemon/vm.go
+++ b/daemon/vm.go
@@ -66,14 +66,14 @@
 	site         *site.Site
 	relay        *relay.Relay
 	peers        *site.Peers
-	logWriter    *logs.Bounded
+	logWriter    *logs.LineQueue
 	registry     metrics.Registry
 	stopping     atomic.Bool
 	// lease is the lease whose holder acts on behalf of all VMs, and usage counts the
 	// requests for its usage reports. They are nil if the deployment does not configure
 	// them.
-	lease *leader.Keeper
-	usage *leader.Book
+	lease *leader.LeaseClient
+	usage *leader.UsageLedger
 	// callers is the listener for callers, which tracks their connections.
 	callers *drain.Listener
 }
@@ -97,22 +97,22 @@
 	if limit := s.Machine.Memory; limit > 0 {
 		debug.SetMemoryLimit(int64(memoryLimitShare * float64(limit)))
 	}
-	log, lines := logs.NewBounded(os.Stdout, zap.String("vm", string(s.Name)))
+	log, lines := logs.NewQueued(os.Stdout, zap.String("vm", string(s.Name)))
 	defer lines.Close(logFlushTimeout)
 	v := &vmProcess{settings: s, settingsPath: path, log: log, logWriter: lines}
 	if err := v.build(); err != nil {
-		log.Error("start-failed", logs.Failure(err)...)
+		log.Error("start-failed", logs.ErrorFields(err)...)
 		return exitFailed
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	if err := v.listen(); err != nil {
-		log.Error("start-failed", logs.Failure(err)...)
+		log.Error("start-failed", logs.ErrorFields(err)...)
 		return exitFailed
 	}
 	log.Info("start", zap.String("data_centre", string(s.DataCentre)), zap.Bool("first_start", s.FirstStart), zap.String("store", s.Store))
 	go v.site.Run(ctx)
-	go v.relay.Reach(ctx)
+	go v.relay.ProbeDataCentres(ctx)
 	v.waitForSignals()
 	return exitOK
 }
@@ -121,42 +121,42 @@
 func (v *vmProcess) build() error {
 	s := v.settings
 	v.registry = metrics.NewRegistry()
-	identity, err := keys.NewByAddress(string(s.Name), func(ip string) bool { return v.peers.KnownIP(ip) })
+	identity, err := keys.NewAddressIdentity(string(s.Name), func(ip string) bool { return v.peers.KnownIP(ip) })
 	if err != nil {
-		return contract.Fail(contract.StepLink, s.Listen.Links, err)
+		return contract.WrapStep(contract.StepLink, s.Listen.Links, err)
 	}
-	endpoint, err := link.Listen(s.Listen.Links, identity, link.ShareLinks)
+	endpoint, err := link.Listen(s.Listen.Links, identity, link.ShareConnections)
 	if err != nil {
-		return contract.Fail(contract.StepSettings, v.settingsPath+": [listen] links", err)
+		return contract.WrapStep(contract.StepSettings, v.settingsPath+": [listen] links", err)
 	}
 	self := members.Member{
-		VM: s.Name, DataCentre: s.DataCentre, Incarnation: contract.NewIncarnation(time.Now()), ControlLink: s.Listen.Links,
-		Strength: s.Machine.CapacityUnits(),
+		VM: s.Name, DataCentre: s.DataCentre, Incarnation: contract.NewIncarnation(time.Now()), ControlAddress: s.Listen.Links,
+		CapacityUnits: s.Machine.CapacityUnits(),
 	}
 	store := platform.NewStore(s.Store)
-	store.Called, store.Unreadable = v.countStoreCall, v.recordUnreadableObject
+	store.OnCall, store.OnUnreadable = v.countStoreCall, v.recordUnreadableObject
 	v.buildDuties(store, self)
 	v.peers = site.NewPeers(&site.PeersOptions{
 		Endpoint: endpoint, Self: self, Seeds: s.Listen.Seeds, Regions: s.Regions, FirstStart: s.FirstStart, Log: v.log, Now: time.Now,
 		Lease: v.lease, Usage: v.usage,
 	})
 	v.relay = relay.New(&relay.Options{
-		Dialect: platform.Dialect{}, DataCentre: s.DataCentre, Regions: s.Regions, Self: rollout.Observer{VM: s.Name, Incarnation: self.Incarnation}, Log: v.log, Now: time.Now,
-		Budget:  retry.WindowOptions{Ratio: s.Bounds.RetryRatio, Slack: s.Bounds.RetrySlack, Length: s.Bounds.RetryWindow},
-		VMs:     v.peers.Count,
+		Protocol: platform.UpstreamProtocol{}, DataCentre: s.DataCentre, Regions: s.Regions, Self: rollout.Observer{VM: s.Name, Incarnation: self.Incarnation}, Log: v.log, Now: time.Now,
+		Budget:  retry.ResendWindowOptions{Ratio: s.Bounds.RetryRatio, Slack: s.Bounds.RetrySlack, Length: s.Bounds.RetryWindow},
+		VMs:     v.peers.EstimatedVMs,
 		ListAge: v.listAge,
-		Policy:  s.Policy, WorthOfCost: s.ValueCostRatio, RepeatPrice: s.MaxRepeatPrice, CanaryShare: s.Bounds.CanaryShare, LongestRest: s.Bounds.LongestRest, BadAnswer: func() { go v.peers.Grave(context.Background()) },
-		Suspected: func() { go v.peers.Grave(context.Background()) },
-		Wake:      func() { v.site.Wake() }, Sent: v.peers.Sent, Opinion: v.peers.Opinion, Rest: v.peers.Rest, Limit: v.peers.Limit, Group: v.peers.Group,
-		Began:      v.usageRecorder(),
-		Evacuation: s.Bounds.Evacuation, Owners: v.peers.Owners, Cold: relay.ColdBounds{Overshoot: s.Bounds.ColdOvershoot, Slack: s.Bounds.ColdSlack},
+		Policy:  s.Policy, ValueCostRatio: s.ValueCostRatio, MaxEscalationPrice: s.MaxEscalationPrice, CanaryShare: s.Bounds.CanaryShare, MaxBackoff: s.Bounds.LongestRest, OnBadAnswer: func() { go v.peers.AnnounceUrgent(context.Background()) },
+		OnSuspect:    func() { go v.peers.AnnounceUrgent(context.Background()) },
+		OnBadRelease: func() { v.site.EvaluateVerdicts() }, OnSent: v.peers.ReportSent, OnConfidence: v.peers.ReportConfidence, OnBackoff: v.peers.ReportBackoff, OnLimit: v.peers.ReportLimit, GossipScope: v.peers.GossipScope,
+		OnExecution:     v.usageRecorder(),
+		EvacuationBound: s.Bounds.Evacuation, ColdOwners: v.peers.ColdOwners, ColdBounds: relay.ColdBounds{Overshoot: s.Bounds.ColdOvershoot, Slack: s.Bounds.ColdSlack},
 	})
 	options := &site.Options{
 		VM: s.Name, FirstStart: s.FirstStart, Configurations: platform.Configurations(store, s.Bounds.ConfigurationApply),
-		Upstreams: platform.Upstreams(store, s.Bounds.UpstreamDrain), Orders: platform.Orders(store), NoteOrder: store.NoteOrder, Relay: v.relay, Log: v.log, Now: time.Now,
-		Peers: v.peers, VMs: store.VMs, Link: s.Listen.Links, Registry: v.registry,
-		Held: platform.HeldContents(store), HeldNotes: store,
-		PutVM: func(ctx context.Context) error { return store.PutVM(ctx, s.Name, s.Listen.Links) },
+		Upstreams: platform.Upstreams(store, s.Bounds.UpstreamDrain), Orders: platform.Rollouts(store), WriteRolloutStatus: store.WriteRolloutStatus, Relay: v.relay, Log: v.log, Now: time.Now,
+		Peers: v.peers, ListVMs: store.VMs, Link: s.Listen.Links, Registry: v.registry,
+		Quarantined: platform.QuarantineEntries(store), QuarantineStore: store,
+		RegisterVM: func(ctx context.Context) error { return store.PutVM(ctx, s.Name, s.Listen.Links) },
 	}
 	options.Leader = v.newLeader()
 	if s.Bounds.Evacuation > 0 {
@@ -177,10 +177,10 @@
 // listen opens the listeners of the VM. The error about an address that is in use names
 // its settings key.
 func (v *vmProcess) listen() error {
-	front := &platform.Front{
-		Relay: v.relay, Table: v.site.Table, Await: v.site.Await, Now: time.Now, Closing: v.stopping.Load,
-		Ending: func() bool { return v.callers.Draining() },
-		Refused: func(id contract.RequestID, status int, why string) {
+	front := &platform.Handler{
+		Relay: v.relay, Table: v.site.Table, WaitReady: v.site.AwaitReady, Now: time.Now, CloseConnections: v.stopping.Load,
+		Stopping: func() bool { return v.callers.Draining() },
+		OnRefused: func(id contract.RequestID, status int, why string) {
 			v.log.Info("turned-away", zap.String("request", string(id)), zap.Int("status", status), zap.String("why", why))
 		},
 	}
@@ -199,19 +199,19 @@
 		}
 		listener, err := net.Listen("tcp", l.address)
 		if err != nil {
-			return contract.Fail(contract.StepSettings, v.settingsPath+": [listen] "+l.name, err)
+			return contract.WrapStep(contract.StepSettings, v.settingsPath+": [listen] "+l.name, err)
 		}
 		server := &http.Server{
 			Handler: l.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 			ErrorLog: zap.NewStdLog(v.log.With(zap.String("listener", l.name))),
 		}
 		if l.handler == front {
-			v.callers = drain.Listen(listener, v.settings.Machine.MaxCallerConnections())
+			v.callers = drain.NewListener(listener, v.settings.Machine.MaxCallerConnections())
 			listener, server.ConnState = v.callers, v.callers.ConnState
 		}
 		go func() {
 			if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-				v.log.Error("listener-failed", logs.Failure(err)...)
+				v.log.Error("listener-failed", logs.ErrorFields(err)...)
 			}
 		}()
 	}
@@ -223,7 +223,7 @@
 // knows a configuration and the upstreams, and while all upstreams of a service have been
 // unreachable for a while.
 func (v *vmProcess) serveReadiness(w http.ResponseWriter, _ *http.Request) {
-	if v.stopping.Load() || !v.site.Ready() || v.relay.CutOff() {
+	if v.stopping.Load() || !v.site.Ready() || v.relay.Isolated() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -255,7 +255,7 @@
 func (v *vmProcess) reload() {
 	s, err := settings.LoadVM(v.settingsPath)
 	if err != nil {
-		v.log.Error("reload-failed", logs.Failure(err)...)
+		v.log.Error("reload-failed", logs.ErrorFields(err)...)
 		return
 	}
 	v.log.Info("reload", zap.Bool("same", reflect.DeepEqual(s, v.settings)), zap.String("takes_effect", "at the next start"))
@@ -276,7 +276,7 @@
 	time.Sleep(min(balancerDetectionTime, v.settings.Bounds.ShutdownGrace/2))
 	drained := v.callers.Drain(ctx)
 	<-resigned
-	v.peers.LastUsage(ctx)
+	v.peers.FlushUsage(ctx)
 	v.log.Info("stop", zap.Bool("whole", drained))
 }
 
--- a/daemon/vm_test.go
+++ b/daemon/vm_test.go
@@ -134,7 +134,7 @@
 	u, err := replica.Start("u1", h)
 	is.NoErr(err)
 	t.Cleanup(u.Close)
-	store.PutSample(objects.Sample{Prefix: "/s/", Attempts: 1, Address: u.Address(), DataCentre: "d"})
+	store.PutSample(objects.SampleDeployment{PathPrefix: "/s/", MaxAttempts: 1, Address: u.Address(), DataCentre: "d"})
 	addresses := freeAddresses(t, 4)
 	p := startVM(t, settingsText(server.Listener.Addr().String(), addresses), addresses)
 	waitUntil(t, func() bool { return p.httpStatus("http://"+p.ready+"/api/readyz") == http.StatusOK })
--- a/datacentre/status.go
+++ b/datacentre/status.go
@@ -29,21 +29,21 @@
 // StatusPrefix is the prefix of the names of status objects.
 const StatusPrefix = "woaddoor/status/"
 
-// StatusKey is the hash key that ranks the VMs of a data centre for writing its status.
-const StatusKey = "status"
+// StatusRankKey is the hash key that ranks the VMs of a data centre for writing its status.
+const StatusRankKey = "status"
 
 // StatusName returns the name of the status object of a data centre.
 func StatusName(dc contract.DataCentreID) string { return StatusPrefix + string(dc) }
 
-// Force reports on which VMs a configuration revision is in force.
-type Force struct {
+// RevisionStatus reports on which VMs a configuration revision is in force.
+type RevisionStatus struct {
 	Revision contract.Revision `json:"revision"`
 	InForce  []contract.VMID   `json:"in_force"`
 	// Pending lists the VMs that have not acknowledged the revision.
 	Pending []PendingVM `json:"pending"`
-	// SureAt is the time from which no VM, known or unknown, can act on an older
+	// EnforcedAt is the time from which no VM, known or unknown, can act on an older
 	// configuration. It is zero if there is no older one.
-	SureAt time.Time `json:"sure_at"`
+	EnforcedAt time.Time `json:"sure_at"`
 }
 
 // PendingVM is a VM that has not acknowledged a revision.
@@ -55,10 +55,10 @@
 	Until time.Time `json:"until"`
 }
 
-// Assess reports on which VMs a revision is in force. expected holds the VMs known to
+// AssessRevision reports on which VMs a revision is in force. expected holds the VMs known to
 // exist. Each VM that has not acknowledged the revision is pending until sureAt.
-func Assess(revision contract.Revision, statuses []Status, expected map[contract.VMID]contract.DataCentreID, sureAt time.Time) Force {
-	f := Force{Revision: revision, SureAt: sureAt}
+func AssessRevision(revision contract.Revision, statuses []Status, expected map[contract.VMID]contract.DataCentreID, sureAt time.Time) RevisionStatus {
+	f := RevisionStatus{Revision: revision, EnforcedAt: sureAt}
 	acknowledged := make(map[contract.VMID]contract.Revision)
 	dataCentreOf := make(map[contract.VMID]contract.DataCentreID)
 	for _, status := range statuses {
@@ -84,11 +84,11 @@
 	return f
 }
 
-// Everywhere reports whether the revision is in force everywhere at now: every VM has
+// InForceEverywhere reports whether the revision is in force everywhere at now: every VM has
 // acknowledged it, or no VM can act on an older one any more.
-func (f Force) Everywhere(now time.Time) bool {
+func (f RevisionStatus) InForceEverywhere(now time.Time) bool {
 	if len(f.Pending) == 0 {
 		return len(f.InForce) > 0
 	}
-	return !f.SureAt.IsZero() && now.After(f.SureAt)
+	return !f.EnforcedAt.IsZero() && now.After(f.EnforcedAt)
 }
--- a/document/change.go
+++ b/document/change.go
@@ -25,8 +25,8 @@
 	Previous     contract.ChangeID `json:"previous,omitempty"`
 	FromRevision contract.Revision `json:"from_revision"`
 	ToRevision   contract.Revision `json:"to_revision"`
-	Who          string            `json:"who"`
-	Why          string            `json:"why"`
+	Author       string            `json:"who"`
+	Reason       string            `json:"why"`
 	At           time.Time         `json:"at"`
 	Hash         Hash              `json:"hash"`
 	Sections     []SectionChange   `json:"sections"`
--- a/document/document.go
+++ b/document/document.go
@@ -48,8 +48,8 @@
 	return d
 }
 
-// Names returns the sorted names of the sections.
-func (d *Document) Names() []string {
+// SectionNames returns the sorted names of the sections.
+func (d *Document) SectionNames() []string {
 	return slices.Sorted(maps.Keys(d.sections))
 }
 
@@ -73,7 +73,7 @@
 // Text returns the document in INI format, with the sections sorted by name.
 func (d *Document) Text() string {
 	var b strings.Builder
-	for i, name := range d.Names() {
+	for i, name := range d.SectionNames() {
 		if i > 0 {
 			b.WriteByte('\n')
 		}
@@ -99,13 +99,13 @@
 // Diff returns the sections that differ between old and updated, sorted by name.
 func Diff(old, updated *Document) []SectionChange {
 	var changes []SectionChange
-	for _, name := range old.Names() {
+	for _, name := range old.SectionNames() {
 		to, exists := updated.sections[name]
 		if !exists || to != old.sections[name] {
 			changes = append(changes, SectionChange{Name: name, From: old.sections[name], To: to, Removed: !exists})
 		}
 	}
-	for _, name := range updated.Names() {
+	for _, name := range updated.SectionNames() {
 		if _, existed := old.sections[name]; !existed {
 			changes = append(changes, SectionChange{Name: name, To: updated.sections[name]})
 		}
--- a/document/document_test.go
+++ b/document/document_test.go
@@ -88,10 +88,10 @@
 		var highest contract.Revision
 		for range rapid.IntRange(1, 30).Draw(t, "reads") {
 			revision := contract.Revision(rapid.Uint64Range(1, 6).Draw(t, "revision"))
-			replica.Learn(New(revision, "c", nil), time.Unix(rapid.Int64Range(0, 9).Draw(t, "at"), 0))
+			replica.Update(New(revision, "c", nil), time.Unix(rapid.Int64Range(0, 9).Draw(t, "at"), 0))
 			highest = max(highest, revision)
-			if replica.Held().Revision != highest {
-				t.Fatalf("replica holds revision %d after reading revision %d", replica.Held().Revision, highest)
+			if replica.Document().Revision != highest {
+				t.Fatalf("replica holds revision %d after reading revision %d", replica.Document().Revision, highest)
 			}
 		}
 	})
@@ -125,12 +125,12 @@
 			j := rapid.IntRange(0, 2).Draw(t, "peer")
 			if i == j { // the replica reads from the platform, possibly a stale revision
 				r := replicas[i]
-				r.Learn(New(newestRevisionAt(sec), "c", nil), time.Unix(sec, 0))
+				r.Update(New(newestRevisionAt(sec), "c", nil), time.Unix(sec, 0))
 			} else { // the replica pulls from a peer
-				replicas[i].Learn(replicas[j].Held(), replicas[j].FreshAt())
+				replicas[i].Update(replicas[j].Document(), replicas[j].FreshAt())
 			}
 			for _, r := range replicas {
-				rev := r.Held().Revision
+				rev := r.Document().Revision
 				if rev == 0 || int(rev) >= len(accepted) {
 					continue
 				}
--- a/document/replica.go
+++ b/document/replica.go
@@ -25,8 +25,8 @@
 // unknown.
 func NewReplica() *Replica { return &Replica{held: &Document{}} }
 
-// Held returns the current document. It has revision 0 until a document is learned.
-func (r *Replica) Held() *Document { return r.held }
+// Document returns the current document. It has revision 0 until a document is learned.
+func (r *Replica) Document() *Document { return r.held }
 
 // FreshAt returns the latest time at which the held document is known to have been
 // the platform's newest. The zero time means that it was never known to be.
@@ -41,13 +41,13 @@
 	return max(now.Sub(r.freshAt), 0)
 }
 
-// Learn offers the replica a document that a source knew to be the platform's newest
+// Update offers the replica a document that a source knew to be the platform's newest
 // at freshAt, a time on this VM's clock. It returns whether d replaced the held
 // document.
 //
 // A document older than the held one comes from a source that was behind, so Learn
 // ignores both the document and freshAt.
-func (r *Replica) Learn(d *Document, freshAt time.Time) bool {
+func (r *Replica) Update(d *Document, freshAt time.Time) bool {
 	if d.Revision < r.held.Revision {
 		return false
 	}
--- a/drain/drain.go
+++ b/drain/drain.go
@@ -34,16 +34,16 @@
 	net.Listener
 	maxConns int
 	draining atomic.Bool
-	// TurnedAway counts the connections that were rejected because of the limit.
-	TurnedAway atomic.Int64
+	// RejectedConns counts the connections that were rejected because of the limit.
+	RejectedConns atomic.Int64
 	// mu guards conns, the set of open connections.
 	mu    sync.Mutex
 	conns map[*conn]bool
 }
 
-// Listen wraps l in a Listener that keeps at most maxConns connections open. Zero means
+// NewListener wraps l in a Listener that keeps at most maxConns connections open. Zero means
 // no limit.
-func Listen(l net.Listener, maxConns int) *Listener {
+func NewListener(l net.Listener, maxConns int) *Listener {
 	return &Listener{Listener: l, maxConns: maxConns, conns: make(map[*conn]bool)}
 }
 
@@ -55,8 +55,8 @@
 	listener   *Listener
 }
 
-// Open returns the number of open connections.
-func (l *Listener) Open() int {
+// OpenConns returns the number of open connections.
+func (l *Listener) OpenConns() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns)
@@ -81,7 +81,7 @@
 		if l.admit(c, time.Now()) {
 			return c, nil
 		}
-		l.TurnedAway.Add(1)
+		l.RejectedConns.Add(1)
 		_ = accepted.Close() // the client notices the close
 	}
 }
@@ -189,4 +189,4 @@
 }
 
 // hasUnread reports whether bytes have arrived that have not been read yet.
-func (c *conn) hasUnread() bool { return peek.Look(c.Conn) == peek.Readable }
+func (c *conn) hasUnread() bool { return peek.Inspect(c.Conn) == peek.Readable }
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -19,7 +19,7 @@
 	is := is.New(t)
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	l = Listen(tcp, 0)
+	l = NewListener(tcp, 0)
 	t.Cleanup(func() { _ = l.Close() })
 	caller, err = net.Dial("tcp", tcp.Addr().String())
 	is.NoErr(err)
@@ -91,7 +91,7 @@
 	is := is.New(t)
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	l := Listen(tcp, 0)
+	l := NewListener(tcp, 0)
 	started, finish := make(chan struct{}), make(chan struct{})
 	server := &http.Server{ConnState: l.ConnState, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		close(started)
@@ -159,5 +159,5 @@
 	go func() { _, _ = l.Accept() }() // returns when the listener is closed
 	_, err = rejected.Read(make([]byte, 1))
 	is.Equal(err, io.EOF)
-	is.Equal(l.TurnedAway.Load(), int64(1))
+	is.Equal(l.RejectedConns.Load(), int64(1))
 }
--- a/engine/call.go
+++ b/engine/call.go
@@ -31,16 +31,16 @@
 	// AcceptAnyStatus makes a response with any status count as the upstream's own
 	// response. Otherwise a status other than 200 fails the call. Plain sets it.
 	AcceptAnyStatus bool
-	// Permit is called immediately before the first byte of the body is sent, and
+	// CheckPermission is called immediately before the first byte of the body is sent, and
 	// again after the last byte was written. An error cancels the call. A nil
 	// function permits every call.
-	Permit func() error
+	CheckPermission func() error
 	// NotAfter is the time until which the upstream may start the request. It is
 	// sent as a header. A zero time sends no limit.
 	NotAfter time.Time
-	// LastEvent is the id of the event after which the stream is resumed. Empty
+	// LastEventID is the id of the event after which the stream is resumed. Empty
 	// starts a new stream.
-	LastEvent string
+	LastEventID string
 }
 
 // CallError reports that a call returned no complete and valid response, and what
@@ -51,8 +51,8 @@
 	// RetryAfter is how long the upstream asked clients to wait before the next request.
 	// Zero means that it did not ask for a pause. Unread is the error if its Retry-After
 	// header could not be parsed.
-	RetryAfter time.Duration
-	Unread     error
+	RetryAfter    time.Duration
+	RetryAfterErr error
 }
 
 // Error formats the wrapped error and the outcome.
@@ -63,11 +63,11 @@
 
 // Reasons for rejecting a response. Clients see these texts in problem documents.
 var (
-	ErrCrossed      = errors.New("answer belongs to another request")
-	ErrWrongVersion = errors.New("answer comes from another version")
-	ErrTruncated    = errors.New("answer ends early")
-	ErrTooLarge     = errors.New("answer is larger than the limit")
-	ErrMalformed    = errors.New("answer is malformed")
+	ErrMismatchedResponse = errors.New("answer belongs to another request")
+	ErrWrongVersion       = errors.New("answer comes from another version")
+	ErrTruncated          = errors.New("answer ends early")
+	ErrTooLarge           = errors.New("answer is larger than the limit")
+	ErrMalformed          = errors.New("answer is malformed")
 )
 
 // maxResponseBytes limits the size of a response that is not streamed.
@@ -126,9 +126,9 @@
 // outcome returns the outcome of a call that got no response.
 func (b *permittedBody) outcome() contract.Outcome {
 	if b.started.Load() {
-		return contract.Unknown
+		return contract.OutcomeUnknown
 	}
-	return contract.NotRun
+	return contract.OutcomeNotRun
 }
 
 // openResponse is a response whose headers have arrived. close closes its body and
@@ -147,14 +147,14 @@
 // permission was checked again after the request was written.
 func (c *Client) send(ctx context.Context, call Call, method, path string) (*openResponse, *CallError) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	body := &permittedBody{checkPermission: call.Permit, reader: bytes.NewReader(call.Body)}
+	body := &permittedBody{checkPermission: call.CheckPermission, reader: bytes.NewReader(call.Body)}
 	writeChecked := make(chan error, 1)
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteRequest: func(httptrace.WroteRequestInfo) {
 		// The VM may have been paused between the first check and the write, so the
 		// permission is checked again.
 		var err error
-		if call.Permit != nil {
-			err = call.Permit()
+		if call.CheckPermission != nil {
+			err = call.CheckPermission()
 		}
 		if err != nil {
 			cancel(err)
@@ -180,14 +180,14 @@
 	}
 	resp.Body.Close()
 	cancel(nil)
-	return nil, &CallError{Outcome: contract.Unknown, Err: contract.Fail(contract.StepSend, string(call.Upstream), context.Cause(ctx))}
+	return nil, &CallError{Outcome: contract.OutcomeUnknown, Err: contract.WrapStep(contract.StepSend, string(call.Upstream), context.Cause(ctx))}
 }
 
 // roundTrip sends the request, reads the headers of the response and checks them.
 func (c *Client) roundTrip(ctx context.Context, call Call, body *permittedBody, method, path string) (*http.Response, *CallError) {
 	req, err := http.NewRequestWithContext(ctx, method, call.URL+path, body)
 	if err != nil {
-		return nil, &CallError{Outcome: contract.NotRun, Err: err}
+		return nil, &CallError{Outcome: contract.OutcomeNotRun, Err: err}
 	}
 	req.ContentLength = int64(len(call.Body))
 	if len(call.Body) == 0 {
@@ -195,7 +195,7 @@
 		// permission is checked before.
 		req.Body = nil
 		if _, err := body.Read(nil); err != nil && err != io.EOF {
-			return nil, &CallError{Outcome: contract.NotRun, Err: err}
+			return nil, &CallError{Outcome: contract.OutcomeNotRun, Err: err}
 		}
 	}
 	setHeaders(req, call)
@@ -206,7 +206,7 @@
 		} else if cause := context.Cause(ctx); cause != nil {
 			err = cause
 		}
-		return nil, &CallError{Outcome: body.outcome(), Err: contract.Fail(contract.StepSend, string(call.Upstream), err)}
+		return nil, &CallError{Outcome: body.outcome(), Err: contract.WrapStep(contract.StepSend, string(call.Upstream), err)}
 	}
 	if callErr := checkResponseHead(call, resp); callErr != nil {
 		resp.Body.Close()
@@ -217,12 +217,12 @@
 
 func setHeaders(req *http.Request, call Call) {
 	req.Header.Set("Content-Type", cmp.Or(call.ContentType, "application/json"))
-	req.Header.Set(HeaderRequest, string(call.RequestID))
+	req.Header.Set(HeaderRequestID, string(call.RequestID))
 	if !call.NotAfter.IsZero() {
 		req.Header.Set(HeaderNotAfter, call.NotAfter.UTC().Format(time.RFC3339Nano))
 	}
-	if call.LastEvent != "" {
-		req.Header.Set(HeaderLastEvent, call.LastEvent)
+	if call.LastEventID != "" {
+		req.Header.Set(HeaderLastEventID, call.LastEventID)
 	}
 }
 
@@ -235,10 +235,10 @@
 func checkResponseHead(call Call, resp *http.Response) *CallError {
 	fail := func(o contract.Outcome, err error) *CallError {
 		retryAfter, parseErr := exchange.RetryAfter(resp.Header, time.Now())
-		return &CallError{Outcome: o, Err: contract.Fail(contract.StepAnswer, string(call.Upstream), err), RetryAfter: retryAfter, Unread: parseErr}
+		return &CallError{Outcome: o, Err: contract.WrapStep(contract.StepAnswer, string(call.Upstream), err), RetryAfter: retryAfter, RetryAfterErr: parseErr}
 	}
-	if echoed := resp.Header.Get(HeaderRequest); echoed != "" && echoed != string(call.RequestID) {
-		return fail(contract.Unknown, ErrCrossed)
+	if echoed := resp.Header.Get(HeaderRequestID); echoed != "" && echoed != string(call.RequestID) {
+		return fail(contract.OutcomeUnknown, ErrMismatchedResponse)
 	}
 	if call.AcceptAnyStatus {
 		return nil
@@ -247,23 +247,23 @@
 	case http.StatusOK:
 		return nil
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return fail(contract.NotRun, fmt.Errorf("upstream refused with status %d", resp.StatusCode))
+		return fail(contract.OutcomeNotRun, fmt.Errorf("upstream refused with status %d", resp.StatusCode))
 	case http.StatusNotFound, http.StatusBadRequest:
-		return fail(contract.NotRun, fmt.Errorf("upstream refused with status %d", resp.StatusCode))
+		return fail(contract.OutcomeNotRun, fmt.Errorf("upstream refused with status %d", resp.StatusCode))
 	}
-	return fail(contract.Unknown, fmt.Errorf("upstream answered with status %d", resp.StatusCode))
+	return fail(contract.OutcomeUnknown, fmt.Errorf("upstream answered with status %d", resp.StatusCode))
 }
 
-// Answer is a complete chat response: its body as received, and the decoded fields.
-type Answer struct {
+// ChatResponse is a complete chat response: its body as received, and the decoded fields.
+type ChatResponse struct {
 	Body       []byte
-	Completion Completion
+	Completion ChatCompletion
 }
 
 // Chat sends a chat request and returns the complete response. It rejects a response
 // that is too large, malformed or truncated, that belongs to another request, or that
 // comes from another model version.
-func (c *Client) Chat(ctx context.Context, call Call) (*Answer, error) {
+func (c *Client) Chat(ctx context.Context, call Call) (*ChatResponse, error) {
 	open, callErr := c.send(ctx, call, http.MethodPost, PathChat)
 	if callErr != nil {
 		return nil, callErr
@@ -271,27 +271,27 @@
 	defer open.close()
 	resp := open.resp
 	fail := func(o contract.Outcome, err error) error {
-		return &CallError{Outcome: o, Err: contract.Fail(contract.StepAnswer, string(call.Upstream), err)}
+		return &CallError{Outcome: o, Err: contract.WrapStep(contract.StepAnswer, string(call.Upstream), err)}
 	}
-	if resp.Header.Get(HeaderRequest) == "" {
-		return nil, fail(contract.Ran, ErrCrossed)
+	if resp.Header.Get(HeaderRequestID) == "" {
+		return nil, fail(contract.OutcomeRan, ErrMismatchedResponse)
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(maxResponseBytes)+1))
 	if err != nil {
-		return nil, fail(contract.Ran, errors.Join(ErrTruncated, err))
+		return nil, fail(contract.OutcomeRan, errors.Join(ErrTruncated, err))
 	}
 	if contract.Bytes(len(body)) > maxResponseBytes {
-		return nil, fail(contract.Ran, ErrTooLarge)
+		return nil, fail(contract.OutcomeRan, ErrTooLarge)
 	}
-	answer := &Answer{Body: body}
+	answer := &ChatResponse{Body: body}
 	if err := json.Unmarshal(body, &answer.Completion); err != nil {
-		return nil, fail(contract.Ran, errors.Join(ErrMalformed, err))
+		return nil, fail(contract.OutcomeRan, errors.Join(ErrMalformed, err))
 	}
 	if answer.Completion.Model != string(call.Version) {
-		return nil, fail(contract.Ran, ErrWrongVersion)
+		return nil, fail(contract.OutcomeRan, ErrWrongVersion)
 	}
 	if len(answer.Completion.Choices) == 0 || answer.Completion.Choices[0].FinishReason == "" {
-		return nil, fail(contract.Ran, ErrTruncated)
+		return nil, fail(contract.OutcomeRan, ErrTruncated)
 	}
 	return answer, nil
 }
--- a/engine/control.go
+++ b/engine/control.go
@@ -15,17 +15,17 @@
 const maxControlResponseBytes = 64 * contract.KiB
 
 // Load requests the load report of an upstream.
-func (c *Client) Load(ctx context.Context, url string) (contract.Load, error) {
-	var load contract.Load
+func (c *Client) Load(ctx context.Context, url string) (contract.LoadReport, error) {
+	var load contract.LoadReport
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url+PathLoad, nil)
 	if err != nil {
 		return load, err
 	}
 	raw, err := c.doControl(req)
 	if err != nil {
-		return load, contract.Fail(contract.StepLoad, url, err)
+		return load, contract.WrapStep(contract.StepLoad, url, err)
 	}
-	return load, contract.Fail(contract.StepLoad, url, json.Unmarshal(raw, &load))
+	return load, contract.WrapStep(contract.StepLoad, url, json.Unmarshal(raw, &load))
 }
 
 // Order sends an order to an engine. If it fails, the engine may still have carried
@@ -40,7 +40,7 @@
 		return err
 	}
 	_, err = c.doControl(req)
-	return contract.Fail(contract.StepOrder, url, err)
+	return contract.WrapStep(contract.StepOrder, url, err)
 }
 
 // Cancel asks an engine to stop working on a request that no client waits for. The
@@ -51,9 +51,9 @@
 	if err != nil {
 		return err
 	}
-	req.Header.Set(HeaderRequest, string(id))
+	req.Header.Set(HeaderRequestID, string(id))
 	_, err = c.doControl(req)
-	return contract.Fail(contract.StepCancel, url, err)
+	return contract.WrapStep(contract.StepCancel, url, err)
 }
 
 // doControl sends a control request and returns the body of the response. A status
--- a/engine/engine_test.go
+++ b/engine/engine_test.go
@@ -36,7 +36,7 @@
 	if errors.As(err, &ce) {
 		return ce.Outcome
 	}
-	return contract.Unknown
+	return contract.OutcomeUnknown
 }
 
 // TestChatOutcomes makes calls fail in different ways, and checks the reported outcome
@@ -50,14 +50,14 @@
 		wantErr     error
 		wantRuns    int
 	}{
-		"connection dropped before the run": {standin.Faults{DropBefore: 1}, nil, contract.Unknown, nil, 0},
-		"connection dropped after the run":  {standin.Faults{DropAfter: 1}, nil, contract.Unknown, nil, 1},
-		"refused by the engine":             {standin.Faults{Refuse: 1}, nil, contract.NotRun, nil, 0},
-		"truncated response":                {standin.Faults{TruncateAt: 1}, nil, contract.Ran, engine.ErrTruncated, 1},
-		"response to another request":       {standin.Faults{Crossed: true}, nil, contract.Unknown, engine.ErrCrossed, 1},
-		"response from another version":     {standin.Faults{HeldVersion: "m@2"}, nil, contract.Ran, engine.ErrWrongVersion, 1},
-		"not permitted":                     {standin.Faults{}, func(c *engine.Call) { c.Permit = func() error { return errDenied } }, contract.NotRun, errDenied, 0},
-		"connection refused":                {standin.Faults{}, func(c *engine.Call) { c.URL = "http://127.0.0.1:1" }, contract.NotRun, nil, 0},
+		"connection dropped before the run": {standin.Faults{DropBeforeRead: 1}, nil, contract.OutcomeUnknown, nil, 0},
+		"connection dropped after the run":  {standin.Faults{DropAfterRun: 1}, nil, contract.OutcomeUnknown, nil, 1},
+		"refused by the engine":             {standin.Faults{Refuse: 1}, nil, contract.OutcomeNotRun, nil, 0},
+		"truncated response":                {standin.Faults{TruncateAt: 1}, nil, contract.OutcomeRan, engine.ErrTruncated, 1},
+		"response to another request":       {standin.Faults{WrongRequestID: true}, nil, contract.OutcomeUnknown, engine.ErrMismatchedResponse, 1},
+		"response from another version":     {standin.Faults{RunsVersion: "m@2"}, nil, contract.OutcomeRan, engine.ErrWrongVersion, 1},
+		"not permitted":                     {standin.Faults{}, func(c *engine.Call) { c.CheckPermission = func() error { return errDenied } }, contract.OutcomeNotRun, errDenied, 0},
+		"connection refused":                {standin.Faults{}, func(c *engine.Call) { c.URL = "http://127.0.0.1:1" }, contract.OutcomeNotRun, nil, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -72,9 +72,9 @@
 			if c.wantErr != nil {
 				is.True(errors.Is(err, c.wantErr))
 			}
-			is.Equal(e.Runs("r1"), c.wantRuns)
-			if outcomeOf(err) == contract.NotRun {
-				is.Equal(e.Runs("r1"), 0) // the engine must not have run a request that is reported as NotRun
+			is.Equal(e.RunCount("r1"), c.wantRuns)
+			if outcomeOf(err) == contract.OutcomeNotRun {
+				is.Equal(e.RunCount("r1"), 0) // the engine must not have run a request that is reported as NotRun
 			}
 		})
 	}
@@ -92,7 +92,7 @@
 		if abortNext.Swap(false) {
 			panic(http.ErrAbortHandler)
 		}
-		w.Header().Set(engine.HeaderRequest, r.Header.Get(engine.HeaderRequest))
+		w.Header().Set(engine.HeaderRequestID, r.Header.Get(engine.HeaderRequestID))
 		_, _ = w.Write([]byte("{}"))
 	}))
 	t.Cleanup(server.Close)
@@ -117,12 +117,12 @@
 	runs.Store(0)
 	c := engine.NewClient()
 	call := engine.Call{URL: server.URL, RequestID: "r", Body: []byte("{}")}
-	_, err := c.Plain(t.Context(), call, http.MethodPost, "/")
+	_, err := c.CallPlain(t.Context(), call, http.MethodPost, "/")
 	is.NoErr(err)
 	abortNext.Store(true)
-	_, err = c.Plain(t.Context(), call, http.MethodPost, "/")
+	_, err = c.CallPlain(t.Context(), call, http.MethodPost, "/")
 	is.True(err != nil)
-	is.Equal(outcomeOf(err), contract.Unknown)
+	is.Equal(outcomeOf(err), contract.OutcomeUnknown)
 	is.Equal(runs.Load(), int32(2))
 }
 
@@ -133,7 +133,7 @@
 	_, call := newTestEngine(t)
 	checks := 0
 	errExpired := errors.New("permission expired")
-	call.Permit = func() error {
+	call.CheckPermission = func() error {
 		checks++
 		if checks > 1 {
 			return errExpired
@@ -142,7 +142,7 @@
 	}
 	_, err := engine.NewClient().Chat(t.Context(), call)
 	is.True(errors.Is(err, errExpired))
-	is.Equal(outcomeOf(err), contract.Unknown) // the engine may have received the request
+	is.Equal(outcomeOf(err), contract.OutcomeUnknown) // the engine may have received the request
 }
 
 // countEvents reads the stream to its end or to an error, and returns the number of events
@@ -180,13 +180,13 @@
 	n, err = countEvents(t, s)
 	is.Equal(n, 2)
 	is.True(errors.Is(err, engine.ErrTruncated))
-	call.LastEvent = "2"
+	call.LastEventID = "2"
 	s, err = c.Stream(t.Context(), call)
 	is.NoErr(err)
 	n, err = countEvents(t, s)
 	is.NoErr(err)
 	is.Equal(n, 3)
-	is.Equal(e.Runs("r2"), 1) // the engine has resumed the request instead of running it again
+	is.Equal(e.RunCount("r2"), 1) // the engine has resumed the request instead of running it again
 }
 
 // FuzzStream checks that arbitrary bytes from an upstream neither make a stream panic nor
@@ -198,7 +198,7 @@
 	f.Add("data: {\n\n:\n\ndata:\n\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			w.Header().Set(engine.HeaderRequest, r.Header.Get(engine.HeaderRequest))
+			w.Header().Set(engine.HeaderRequestID, r.Header.Get(engine.HeaderRequestID))
 			_, _ = w.Write([]byte(text))
 		}))
 		defer server.Close()
@@ -206,7 +206,7 @@
 		if err != nil {
 			return
 		}
-		if _, err := countEvents(t, s); err == nil && (!strings.Contains(text, engine.StreamEnd) || !strings.Contains(text, "finish_reason")) {
+		if _, err := countEvents(t, s); err == nil && (!strings.Contains(text, engine.StreamEndMarker) || !strings.Contains(text, "finish_reason")) {
 			t.Fatalf("incomplete stream accepted as complete: %q", text)
 		}
 	})
--- a/engine/plain.go
+++ b/engine/plain.go
@@ -8,17 +8,17 @@
 	"woaddoor/contract"
 )
 
-// PlainAnswer is the complete response of a plain HTTP service.
-type PlainAnswer struct {
+// PlainResponse is the complete response of a plain HTTP service.
+type PlainResponse struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Plain sends a call to a plain HTTP service and returns its complete response,
+// CallPlain sends a call to a plain HTTP service and returns its complete response,
 // whatever its status. A service need not echo the request id, but an id that it
 // echoes must match.
-func (c *Client) Plain(ctx context.Context, call Call, method, path string) (*PlainAnswer, error) {
+func (c *Client) CallPlain(ctx context.Context, call Call, method, path string) (*PlainResponse, error) {
 	call.AcceptAnyStatus = true
 	open, callErr := c.send(ctx, call, method, path)
 	if callErr != nil {
@@ -26,7 +26,7 @@
 	}
 	defer open.close()
 	fail := func(err error) error {
-		return &CallError{Outcome: contract.Ran, Err: contract.Fail(contract.StepAnswer, string(call.Upstream), err)}
+		return &CallError{Outcome: contract.OutcomeRan, Err: contract.WrapStep(contract.StepAnswer, string(call.Upstream), err)}
 	}
 	body, err := io.ReadAll(io.LimitReader(open.resp.Body, int64(maxResponseBytes)+1))
 	if err != nil {
@@ -35,5 +35,5 @@
 	if contract.Bytes(len(body)) > maxResponseBytes {
 		return nil, fail(ErrTooLarge)
 	}
-	return &PlainAnswer{Status: open.resp.StatusCode, ContentType: open.resp.Header.Get("Content-Type"), Body: body}, nil
+	return &PlainResponse{Status: open.resp.StatusCode, ContentType: open.resp.Header.Get("Content-Type"), Body: body}, nil
 }
--- a/engine/protocol.go
+++ b/engine/protocol.go
@@ -11,32 +11,32 @@
 
 // URL paths of an engine.
 const (
-	PathChat   = "/v1/chat/completions"
-	PathCancel = "/v1/cancel"
-	PathLoad   = "/load"
-	PathOrders = "/orders"
-	PathCache  = "/cache-events"
+	PathChat        = "/v1/chat/completions"
+	PathCancel      = "/v1/cancel"
+	PathLoad        = "/load"
+	PathOrders      = "/orders"
+	PathCacheEvents = "/cache-events"
 )
 
 // HTTP headers of a call.
 const (
-	// HeaderRequest carries the request id. The engine echoes it, so that a
+	// HeaderRequestID carries the request id. The engine echoes it, so that a
 	// response to another request is detected.
-	HeaderRequest = "X-Request-Id"
+	HeaderRequestID = "X-Request-Id"
 	// HeaderNotAfter carries the time, in RFC 3339 format, until which the engine
 	// may start the request. Not every engine checks it.
 	HeaderNotAfter = "X-Not-After"
-	// HeaderLastEvent resumes a stream after the event with the given id, as
+	// HeaderLastEventID resumes a stream after the event with the given id, as
 	// defined for server-sent events.
-	HeaderLastEvent = "Last-Event-ID"
+	HeaderLastEventID = "Last-Event-ID"
 )
 
-// StreamEnd is the data of the event that marks the end of a complete stream.
-const StreamEnd = "[DONE]"
+// StreamEndMarker is the data of the event that marks the end of a complete stream.
+const StreamEndMarker = "[DONE]"
 
-// Request holds the fields of a chat request that the router reads. All other fields
+// ChatRequest holds the fields of a chat request that the router reads. All other fields
 // are forwarded unchanged.
-type Request struct {
+type ChatRequest struct {
 	Model    string    `json:"model"`
 	Messages []Message `json:"messages"`
 	Stream   bool      `json:"stream,omitempty"`
@@ -62,8 +62,8 @@
 	Total      contract.Tokens `json:"total_tokens"`
 }
 
-// Completion is the response to a chat request that is not streamed.
-type Completion struct {
+// ChatCompletion is the response to a chat request that is not streamed.
+type ChatCompletion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
 	Created int64    `json:"created"`
@@ -74,13 +74,13 @@
 
 // Choice is one of the alternative responses in a Completion.
 type Choice struct {
-	Index        int           `json:"index"`
-	Message      AnswerMessage `json:"message"`
-	FinishReason string        `json:"finish_reason"`
+	Index        int             `json:"index"`
+	Message      ResponseMessage `json:"message"`
+	FinishReason string          `json:"finish_reason"`
 }
 
-// AnswerMessage is the text of a response, or one piece of it in a stream.
-type AnswerMessage struct {
+// ResponseMessage is the text of a response, or one piece of it in a stream.
+type ResponseMessage struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
@@ -97,9 +97,9 @@
 
 // ChunkChoice is the piece of one choice in a Chunk.
 type ChunkChoice struct {
-	Index        int           `json:"index"`
-	Delta        AnswerMessage `json:"delta"`
-	FinishReason *string       `json:"finish_reason"`
+	Index        int             `json:"index"`
+	Delta        ResponseMessage `json:"delta"`
+	FinishReason *string         `json:"finish_reason"`
 }
 
 // OrderKind is the action that an order requests.
@@ -114,9 +114,9 @@
 // Order asks an engine to load or unload a model version. Late and repeated orders
 // do not affect routing, which relies only on the load reports of engines.
 type Order struct {
-	Kind    OrderKind              `json:"kind"`
-	Version contract.VersionID     `json:"version"`
-	Fencing contract.FencingNumber `json:"fencing"`
+	Kind    OrderKind             `json:"kind"`
+	Version contract.VersionID    `json:"version"`
+	Fencing contract.FencingToken `json:"fencing"`
 }
 
 // CacheEvent reports that an engine has cached a prompt prefix, or, if Held is
@@ -125,5 +125,5 @@
 type CacheEvent struct {
 	Seq    uint64 `json:"seq"`
 	Prefix uint64 `json:"prefix"`
-	Held   bool   `json:"held"`
+	Cached bool   `json:"held"`
 }
--- a/engine/stream.go
+++ b/engine/stream.go
@@ -50,9 +50,9 @@
 	if callErr != nil {
 		return nil, callErr
 	}
-	if open.resp.Header.Get(HeaderRequest) == "" {
+	if open.resp.Header.Get(HeaderRequestID) == "" {
 		open.close()
-		return nil, &CallError{Outcome: contract.Ran, Err: contract.Fail(contract.StepAnswer, string(call.Upstream), ErrCrossed)}
+		return nil, &CallError{Outcome: contract.OutcomeRan, Err: contract.WrapStep(contract.StepAnswer, string(call.Upstream), ErrMismatchedResponse)}
 	}
 	return &Stream{call: call, open: open, reader: bufio.NewReaderSize(open.resp.Body, int(streamBufferBytes))}, nil
 }
@@ -72,7 +72,7 @@
 	if err != nil {
 		return Event{}, s.fail(errors.Join(ErrTruncated, err))
 	}
-	if string(e.Data) == StreamEnd {
+	if string(e.Data) == StreamEndMarker {
 		if !s.sawFinishReason {
 			return Event{}, s.fail(ErrTruncated)
 		}
@@ -87,7 +87,7 @@
 
 // fail wraps err as a *CallError of the stream.
 func (s *Stream) fail(err error) error {
-	return &CallError{Outcome: contract.Ran, Err: contract.Fail(contract.StepStream, string(s.call.Upstream), err)}
+	return &CallError{Outcome: contract.OutcomeRan, Err: contract.WrapStep(contract.StepStream, string(s.call.Upstream), err)}
 }
 
 // readEvent reads the lines of one event. It ignores fields other than "data" and "id".
@@ -156,7 +156,7 @@
 		s.sawFirstChunk, s.completionID = true, c.ID
 	}
 	if c.ID != s.completionID {
-		return ErrCrossed
+		return ErrMismatchedResponse
 	}
 	if c.Usage != nil {
 		s.usage = *c.Usage
--- a/entry/admit.go
+++ b/entry/admit.go
@@ -21,21 +21,21 @@
 // or the deadline passes while it waits.
 func (s *Server) admit(ctx context.Context, q *workspace.Queue, req *request) (*slot, *contract.Refusal) {
 	id := workspace.ID(s.lastRequestID.Add(1))
-	item := workspace.Item{ID: id, Workspace: req.workspace.ID, Share: req.workspace.Share, Class: req.class, Deadline: req.deadline}
+	item := workspace.Request{ID: id, Workspace: req.workspace.ID, Weight: req.workspace.Weight, Class: req.class, Deadline: req.deadline}
 	admitted := make(chan bool, 1)
-	var decision workspace.Verdict
+	var decision workspace.Decision
 	var retryAfter time.Duration
 	s.locked(func() {
 		decision, retryAfter = q.Offer(item, s.clock.Now(), s.random)
-		if decision == workspace.Wait {
+		if decision == workspace.Queued {
 			s.waiters[id] = admitted
 		}
 	})
 	switch decision {
-	case workspace.Refuse:
-		refused := newRefusal(contract.RefusedLimit, contract.NotRun, contract.StepAdmit, "the workspace's share is used up for longer than the request can wait")
+	case workspace.Rejected:
+		refused := newRefusal(contract.RefusedLimitReached, contract.OutcomeNotRun, contract.StepAdmit, "the workspace's share is used up for longer than the request can wait")
 		return nil, refused.WithRetryAfter(retryAfter)
-	case workspace.Wait:
+	case workspace.Queued:
 		if refused := s.waitForSlot(ctx, q, id, admitted); refused != nil {
 			return nil, refused
 		}
@@ -45,7 +45,7 @@
 
 // waitForSlot blocks until a queued request gets a slot, its deadline passes or its caller disconnects.
 func (s *Server) waitForSlot(ctx context.Context, q *workspace.Queue, id workspace.ID, admitted chan bool) *contract.Refusal {
-	expired := newRefusal(contract.RefusedDeadline, contract.NotRun, contract.StepAdmit, "the deadline came while the request waited")
+	expired := newRefusal(contract.RefusedDeadlinePassed, contract.OutcomeNotRun, contract.StepAdmit, "the deadline came while the request waited")
 	expired.RetryAfter = stoppingRetryAfter
 	select {
 	case ok := <-admitted:
@@ -57,7 +57,7 @@
 	}
 	abandoned := false
 	s.locked(func() {
-		if abandoned = q.Abandon(id); abandoned {
+		if abandoned = q.Cancel(id); abandoned {
 			delete(s.waiters, id)
 		}
 	})
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -24,7 +24,7 @@
 	v := s.view.Load()
 	w, ok := v.snapshot.Config.Workspaces[j.chat.workspace.ID]
 	if !ok || w.KeyHash != j.chat.workspace.KeyHash {
-		return newRefusal(contract.RefusedKey, contract.NotRun, contract.StepPermit, "the workspace was removed or its key changed")
+		return newRefusal(contract.RefusedUnknownKey, contract.OutcomeNotRun, contract.StepPermit, "the workspace was removed or its key changed")
 	}
 	return permit.Check(v.snapshot, w, j.version, j.kind, s.clock.Now())
 }
@@ -34,7 +34,7 @@
 func (s *Server) engineCall(j *job, url string) engine.Call {
 	return engine.Call{
 		URL: url, Upstream: j.upstream, RequestID: j.chat.id, Version: j.version, Body: j.body,
-		Permit: func() error {
+		CheckPermission: func() error {
 			if refused := s.checkPermit(j); refused != nil {
 				return refused
 			}
@@ -63,7 +63,7 @@
 	s.locked(func() {
 		for _, q := range queries {
 			if j.upstream, err = s.upstreams.Pick(q, s.clock.Now(), s.random); err == nil {
-				s.upstreams.Sent(j.upstream)
+				s.upstreams.RecordSent(j.upstream)
 				url = s.upstreams.URL(j.upstream)
 				return
 			}
@@ -81,7 +81,7 @@
 
 // recordAttemptEnd updates the upstream's state with the result of an attempt that began at startedAt.
 func (s *Server) recordAttemptEnd(ctx context.Context, j *job, startedAt time.Time, err error) {
-	result := upstream.Good
+	result := upstream.Succeeded
 	var refused *contract.Refusal
 	backoff := s.requestedBackoff(j, err)
 	switch {
@@ -89,16 +89,16 @@
 	case errors.As(err, &refused), ctx.Err() != nil:
 		result = upstream.Abandoned // the router or the caller ended the attempt: not a fault of the upstream
 	case backoff > 0:
-		result = upstream.TurnedAway // the upstream is healthy and has sent a Retry-After
+		result = upstream.Rejected // the upstream is healthy and has sent a Retry-After
 	default:
 		result = upstream.Failed
 	}
 	now := s.clock.Now()
 	s.locked(func() {
-		s.upstreams.TakeWord(s.upstreams.Life(j.upstream), upstream.Said{Rest: backoff}, now)
-		s.upstreams.Done(j.upstream, result, now.Sub(startedAt), now)
+		s.upstreams.ApplyNotices(s.upstreams.Instance(j.upstream), upstream.Notices{Backoff: backoff}, now)
+		s.upstreams.RecordDone(j.upstream, result, now.Sub(startedAt), now)
 	})
-	if errors.Is(err, engine.ErrWrongVersion) || errors.Is(err, engine.ErrCrossed) {
+	if errors.Is(err, engine.ErrWrongVersion) || errors.Is(err, engine.ErrMismatchedResponse) {
 		s.metrics.wrongAnswers.Inc(1)
 	}
 }
@@ -110,10 +110,10 @@
 	if !errors.As(err, &ce) {
 		return 0
 	}
-	if ce.Unread != nil {
-		s.log.Warn("word-not-understood", zap.String("upstream", string(j.upstream)), zap.String("request", string(j.chat.id)), zap.Error(ce.Unread))
+	if ce.RetryAfterErr != nil {
+		s.log.Warn("word-not-understood", zap.String("upstream", string(j.upstream)), zap.String("request", string(j.chat.id)), zap.Error(ce.RetryAfterErr))
 	}
-	backoff := min(ce.RetryAfter, upstream.DefaultLongestRest)
+	backoff := min(ce.RetryAfter, upstream.DefaultMaxBackoff)
 	if backoff > 0 {
 		s.log.Info("upstream-rests", zap.String("upstream", string(j.upstream)), zap.String("request", string(j.chat.id)), zap.Duration("for", backoff))
 	}
@@ -121,8 +121,8 @@
 }
 
 // answerWithRetries sends the job to engines until one returns a complete answer or no retry is allowed.
-func (s *Server) answerWithRetries(ctx context.Context, j *job) (*engine.Answer, *contract.Refusal) {
-	s.locked(s.retryBudget.First)
+func (s *Server) answerWithRetries(ctx context.Context, j *job) (*engine.ChatResponse, *contract.Refusal) {
+	s.locked(s.retryBudget.RecordFirstAttempt)
 	for attempt := 1; ; attempt++ {
 		if refused := s.checkPermit(j); refused != nil {
 			refused.Outcome = j.outcome
@@ -157,7 +157,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
 	if err := s.engine.Cancel(ctx, url, id); err != nil {
-		s.log.Debug("cancel-failed", logs.Failure(err)...)
+		s.log.Debug("cancel-failed", logs.ErrorFields(err)...)
 	}
 }
 
@@ -167,23 +167,23 @@
 	j.mergeOutcome(err)
 	var decision retry.Decision
 	s.locked(func() {
-		decision = s.retryBudget.Decide(retry.Attempt{
+		decision = s.retryBudget.TryRetry(retry.Attempt{
 			Number: attempt, Outcome: j.outcome, Repeatable: j.chat.repeatable,
-			Deadline: j.chat.deadline, Expected: elapsed / 2,
+			Deadline: j.chat.deadline, ExpectedDuration: elapsed / 2,
 		}, s.clock.Now(), s.random)
 	})
-	if !decision.Again || ctx.Err() != nil {
-		return s.finalRefusal(j, err, decision.Why)
+	if !decision.Retry || ctx.Err() != nil {
+		return s.finalRefusal(j, err, decision.Reason)
 	}
 	s.metrics.retries.Inc(1)
 	j.excluded = append(j.excluded, j.upstream)
-	clock.Pause(ctx, decision.Pause)
+	clock.Sleep(ctx, decision.Pause)
 	return nil
 }
 
 // mergeOutcome combines the outcome of a failed attempt with the outcome of the job so far.
 func (j *job) mergeOutcome(err error) {
-	outcome := contract.Unknown
+	outcome := contract.OutcomeUnknown
 	var ce *engine.CallError
 	if errors.As(err, &ce) {
 		outcome = ce.Outcome
@@ -192,7 +192,7 @@
 		j.attempted, j.outcome = true, outcome
 		return
 	}
-	j.outcome = j.outcome.Worse(outcome)
+	j.outcome = j.outcome.Combine(outcome)
 }
 
 // upstreamRetryAfter is the Retry-After sent when an upstream failed and the request may be sent again.
@@ -205,9 +205,9 @@
 		refused.Outcome = j.outcome
 		return refused
 	}
-	r := newRefusal(contract.RefusedUpstream, j.outcome, contract.StepSend, fmt.Sprintf("%v; not tried again: %s", publicError(err), why))
+	r := newRefusal(contract.RefusedUpstreamFailed, j.outcome, contract.StepSend, fmt.Sprintf("%v; not tried again: %s", publicError(err), why))
 	r.Peer = string(j.upstream)
-	if j.chat.repeatable || j.outcome == contract.NotRun {
+	if j.chat.repeatable || j.outcome == contract.OutcomeNotRun {
 		r.RetryAfter = upstreamRetryAfter
 	}
 	return r
@@ -215,7 +215,7 @@
 
 // publicError reduces an upstream's failure to its kind, so that callers see no internal addresses.
 func publicError(err error) error {
-	for _, known := range []error{engine.ErrCrossed, engine.ErrWrongVersion, engine.ErrTruncated, engine.ErrTooLarge, engine.ErrMalformed, context.DeadlineExceeded} {
+	for _, known := range []error{engine.ErrMismatchedResponse, engine.ErrWrongVersion, engine.ErrTruncated, engine.ErrTooLarge, engine.ErrMalformed, context.DeadlineExceeded} {
 		if errors.Is(err, known) {
 			return known
 		}
--- a/entry/bills.go
+++ b/entry/bills.go
@@ -44,14 +44,14 @@
 		recent = s.clock.Now().Sub(s.lastCopiedAt) < recentCopyAge
 	})
 	if full {
-		r := newRefusal(contract.RefusedBill, contract.NotRun, contract.StepBill, bill.ErrFull.Error())
+		r := newRefusal(contract.RefusedBillNotStored, contract.OutcomeNotRun, contract.StepBill, bill.ErrFull.Error())
 		return r.WithRetryAfter(billRetryAfter)
 	}
-	if recent || ws.Bill == config.BillServe {
+	if recent || ws.BillPolicy == config.BillServe {
 		return nil
 	}
-	if err := s.copyRecords(context.Background(), protocol.Records{}); err != nil {
-		r := newRefusal(contract.RefusedBill, contract.NotRun, contract.StepBill, "neither a peer nor the platform takes bill records, and the workspace is not served unbilled")
+	if err := s.copyRecords(context.Background(), protocol.BillRecords{}); err != nil {
+		r := newRefusal(contract.RefusedBillNotStored, contract.OutcomeNotRun, contract.StepBill, "neither a peer nor the platform takes bill records, and the workspace is not served unbilled")
 		return r.WithRetryAfter(billRetryAfter)
 	}
 	return nil
@@ -67,27 +67,27 @@
 // saveBillRecord does the work of saveBill for a given record.
 func (s *Server) saveBillRecord(ctx context.Context, req *request, record bill.Record) *contract.Refusal {
 	var err error
-	s.locked(func() { err = s.bills.Keep(record, s.clock.Now()) })
+	s.locked(func() { err = s.bills.Add(record, s.clock.Now()) })
 	if err == nil {
-		err = s.copyRecords(ctx, protocol.Records{Records: []bill.Record{record}})
+		err = s.copyRecords(ctx, protocol.BillRecords{Records: []bill.Record{record}})
 	}
 	if err == nil {
-		s.locked(func() { s.bills.Copied(record) })
+		s.locked(func() { s.bills.MarkCopied(record) })
 		return nil
 	}
-	s.log.Warn("bill-at-risk", append(logs.Failure(err), zap.String("request", string(record.ID)), zap.Int64("amount", int64(record.Amount)))...)
-	if req.workspace.Bill == config.BillServe {
+	s.log.Warn("bill-at-risk", append(logs.ErrorFields(err), zap.String("request", string(record.ID)), zap.Int64("amount", int64(record.Amount)))...)
+	if req.workspace.BillPolicy == config.BillServe {
 		return nil
 	}
 	// The caller does not get the answer, so its record is dropped and not billed.
-	s.locked(func() { s.bills.Filed([]bill.Record{record}) })
-	refused := newRefusal(contract.RefusedBill, contract.Ran, contract.StepBill, "the bill could be kept neither by a peer nor by the platform")
+	s.locked(func() { s.bills.MarkFiled([]bill.Record{record}) })
+	refused := newRefusal(contract.RefusedBillNotStored, contract.OutcomeRan, contract.StepBill, "the bill could be kept neither by a peer nor by the platform")
 	return refused.WithRetryAfter(billRetryAfter)
 }
 
 // copyRecords stores the records at one peer or, failing that, at the platform. A target that fails or does
 // not answer within hedgeDelay causes the next one to be tried as well. The first success is enough.
-func (s *Server) copyRecords(ctx context.Context, records protocol.Records) error {
+func (s *Server) copyRecords(ctx context.Context, records protocol.BillRecords) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), copyTimeout)
 	defer cancel()
 	var targets []func() error
@@ -124,10 +124,10 @@
 }
 
 // copyToPeer stores the records at one peer. A failure is logged and makes copyPeers avoid the peer.
-func (s *Server) copyToPeer(ctx context.Context, m vm.Member, records protocol.Records) error {
-	_, err := link.Call[protocol.Records, protocol.Done](ctx, s.endpoint, m.EntryLink, link.KindKeep, records)
+func (s *Server) copyToPeer(ctx context.Context, m vm.Member, records protocol.BillRecords) error {
+	_, err := link.Call[protocol.BillRecords, protocol.Ack](ctx, s.endpoint, m.EntryAddress, link.KindCopyBills, records)
 	if err != nil {
-		s.log.Warn("keep-failed", append(logs.Failure(err), zap.String("keeper", string(m.VM)))...)
+		s.log.Warn("keep-failed", append(logs.ErrorFields(err), zap.String("keeper", string(m.VM)))...)
 		s.locked(func() { s.copyFailedAt[m.VM] = s.clock.Now() })
 	}
 	return err
@@ -191,7 +191,7 @@
 // submitLoop periodically submits the bill records stored on this VM to the platform.
 func (s *Server) submitLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		clock.Pause(ctx, submitInterval)
+		clock.Sleep(ctx, submitInterval)
 		s.submitDue(ctx)
 	}
 }
@@ -203,13 +203,13 @@
 	if len(due) == 0 {
 		return
 	}
-	records := protocol.Records{Records: due}
+	records := protocol.BillRecords{Records: due}
 	if err := s.submit(ctx, records); err != nil {
-		s.log.Warn("filing-failed", logs.Failure(err)...)
+		s.log.Warn("filing-failed", logs.ErrorFields(err)...)
 		s.copyAtRisk(ctx)
 		return
 	}
-	s.locked(func() { s.bills.Filed(due) })
+	s.locked(func() { s.bills.MarkFiled(due) })
 	s.notifySubmitted(ctx, records)
 }
 
@@ -217,20 +217,20 @@
 // planned shutdown waits for these records; without the copy it would wait until a platform outage ends.
 func (s *Server) copyAtRisk(ctx context.Context) {
 	var atRisk []bill.Record
-	s.locked(func() { atRisk = s.bills.Risky(maxSubmitRecords) })
+	s.locked(func() { atRisk = s.bills.Uncopied(maxSubmitRecords) })
 	if len(atRisk) == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
 	for _, peer := range s.copyPeers() {
-		if s.copyToPeer(ctx, peer, protocol.Records{Records: atRisk}) != nil {
+		if s.copyToPeer(ctx, peer, protocol.BillRecords{Records: atRisk}) != nil {
 			continue // copyToPeer has logged the failure
 		}
 		s.markCopied()
 		s.locked(func() {
 			for _, r := range atRisk {
-				s.bills.Copied(r)
+				s.bills.MarkCopied(r)
 			}
 		})
 		return
@@ -239,14 +239,14 @@
 
 // submit has a control process write the records to the platform. It tries this VM's control process first,
 // then those of peers, because this VM's own may have crashed or lost its connection.
-func (s *Server) submit(ctx context.Context, records protocol.Records) error {
+func (s *Server) submit(ctx context.Context, records protocol.BillRecords) error {
 	var err error
 	for i, address := range s.controlAddresses() {
 		if i > maxCopyPeers {
 			break
 		}
 		call, cancel := context.WithTimeout(ctx, submitTimeout)
-		_, err = link.Call[protocol.Records, protocol.Done](call, s.endpoint, address, link.KindFile, records)
+		_, err = link.Call[protocol.BillRecords, protocol.Ack](call, s.endpoint, address, link.KindFileBills, records)
 		cancel()
 		if err == nil {
 			s.markCopied()
@@ -258,7 +258,7 @@
 
 // notifySubmitted tells the peers to drop their copies of submitted records. If a message is lost, the peer
 // submits the record again, which is harmless because the platform stores each record ID once.
-func (s *Server) notifySubmitted(ctx context.Context, records protocol.Records) {
+func (s *Server) notifySubmitted(ctx context.Context, records protocol.BillRecords) {
 	for _, m := range s.view.Load().members {
 		if m.VM == s.origin.VM || m.EntryIncarnation == 0 {
 			continue
@@ -266,7 +266,7 @@
 		go func() {
 			call, cancel := context.WithTimeout(ctx, copyTimeout)
 			defer cancel()
-			_, _ = link.Call[protocol.Records, protocol.Done](call, s.endpoint, m.EntryLink, link.KindFiled, records)
+			_, _ = link.Call[protocol.BillRecords, protocol.Ack](call, s.endpoint, m.EntryAddress, link.KindBillsFiled, records)
 		}()
 	}
 }
@@ -277,10 +277,10 @@
 	for ctx.Err() == nil {
 		s.submitDue(ctx)
 		due, atRisk := 0, 0
-		s.locked(func() { due, atRisk = len(s.bills.Due(s.clock.Now(), maxSubmitRecords)), s.bills.AtRisk() })
+		s.locked(func() { due, atRisk = len(s.bills.Due(s.clock.Now(), maxSubmitRecords)), s.bills.AtRiskCount() })
 		if due == 0 || atRisk == 0 {
 			return
 		}
-		clock.Pause(ctx, submitInterval)
+		clock.Sleep(ctx, submitInterval)
 	}
 }
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -21,7 +21,7 @@
 // chatRequest is a parsed chat request. Only the fields that the router uses are decoded.
 type chatRequest struct {
 	*request
-	engine.Request
+	engine.ChatRequest
 	// fields holds every field of the body undecoded, so that fields unknown to the router reach the engine.
 	fields map[string]json.RawMessage
 	// prefix is the hash of the first message. It is used to select engines that likely have
@@ -46,7 +46,7 @@
 func (s *Server) enginePriority(req *request) byte {
 	priority := byte(0)
 	s.locked(func() {
-		if !s.engineQueue.Within(req.workspace.ID) {
+		if !s.engineQueue.WithinShare(req.workspace.ID) {
 			priority += overSharePenalty
 		}
 	})
@@ -95,12 +95,12 @@
 func (s *Server) readChat(req *request) (*chatRequest, *contract.Refusal) {
 	c := &chatRequest{request: req}
 	invalid := func(detail string) (*chatRequest, *contract.Refusal) {
-		return nil, newRefusal(contract.RefusedRequest, contract.NotRun, contract.StepRead, detail)
+		return nil, newRefusal(contract.RefusedInvalidRequest, contract.OutcomeNotRun, contract.StepRead, detail)
 	}
 	if err := json.Unmarshal(req.body, &c.fields); err != nil {
 		return invalid("body is not a JSON object: " + err.Error())
 	}
-	if err := json.Unmarshal(req.body, &c.Request); err != nil {
+	if err := json.Unmarshal(req.body, &c.ChatRequest); err != nil {
 		return invalid("body is not a chat request: " + err.Error())
 	}
 	if c.Model == "" || len(c.Messages) == 0 {
@@ -139,7 +139,7 @@
 }
 
 // deliverAnswer stores the bill record of a complete answer, then sends the answer to the caller.
-func (s *Server) deliverAnswer(ctx context.Context, w http.ResponseWriter, j *job, a *engine.Answer, plan plan) *contract.Refusal {
+func (s *Server) deliverAnswer(ctx context.Context, w http.ResponseWriter, j *job, a *engine.ChatResponse, plan plan) *contract.Refusal {
 	if refused := s.saveBill(ctx, j, a.Completion.Usage); refused != nil {
 		return refused
 	}
@@ -179,7 +179,7 @@
 
 // newJob returns a job that runs a chat request on version v.
 func (s *Server) newJob(c *chatRequest, v contract.VersionID) *job {
-	j := &job{chat: c, outcome: contract.NotRun}
+	j := &job{chat: c, outcome: contract.OutcomeNotRun}
 	if c.sessionToken != nil && c.sessionToken.Version == v {
 		j.kind = permit.InSession
 	}
@@ -237,14 +237,14 @@
 	if !ok {
 		return 0
 	}
-	return m.Input.Cost(usage.Prompt) + m.Output.Cost(usage.Completion)
+	return m.InputPrice.Cost(usage.Prompt) + m.OutputPrice.Cost(usage.Completion)
 }
 
 // newBillRecord returns the bill record of a job whose answer used the given tokens.
 func (s *Server) newBillRecord(j *job, usage engine.Usage) bill.Record {
 	return bill.Record{
 		ID: j.chat.billID(), Workspace: j.chat.workspace.ID, Version: j.version,
-		Input: usage.Prompt, Output: usage.Completion, Amount: s.cost(j.version, usage), Inside: j.cascadeCost,
+		Input: usage.Prompt, Output: usage.Completion, Amount: s.cost(j.version, usage), InternalCost: j.cascadeCost,
 		At: s.clock.Now(), Origin: s.origin,
 	}
 }
--- a/entry/health.go
+++ b/entry/health.go
@@ -24,7 +24,7 @@
 // and it is not stopping, and otherwise 503. Conditions of a single request are checked when it arrives.
 func (s *Server) serveReady(w http.ResponseWriter, _ *http.Request) {
 	anyAnswered := false
-	s.locked(func() { anyAnswered = s.upstreams.Heard() })
+	s.locked(func() { anyAnswered = s.upstreams.HasReport() })
 	if s.stopping.Load() || s.view.Load().revision == 0 || !anyAnswered {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
@@ -70,7 +70,7 @@
 	st.Arbiters, st.Keepers = len(s.arbiters()), len(s.copyPeers())
 	s.locked(func() {
 		st.Waiting = s.engineQueue.Waiting() + s.serviceQueue.Waiting()
-		st.BillsHeld, st.BillsAtRisk = s.bills.Len(), s.bills.AtRisk()
+		st.BillsHeld, st.BillsAtRisk = s.bills.Len(), s.bills.AtRiskCount()
 		st.Tickets = s.ticketRegister.Len()
 	})
 	return st
--- a/entry/load_reports.go
+++ b/entry/load_reports.go
@@ -22,7 +22,7 @@
 		var upstreams []config.Upstream
 		s.locked(func() {
 			s.updateCapacity()
-			upstreams = s.upstreams.Every()
+			upstreams = s.upstreams.All()
 		})
 		for _, u := range upstreams {
 			go s.fetchLoad(ctx, u)
@@ -43,10 +43,10 @@
 	load, err := s.engine.Load(ctx, u.URL)
 	if err != nil {
 		s.metrics.reportFailures.Inc(1)
-		s.log.Debug("report-failed", logs.Failure(err)...)
+		s.log.Debug("report-failed", logs.ErrorFields(err)...)
 		return
 	}
-	s.locked(func() { s.upstreams.Reported(u.ID, load, askedAt) })
+	s.locked(func() { s.upstreams.ApplyReport(u.ID, load, askedAt) })
 }
 
 // expireInterval is the interval at which the queues are checked for requests past their deadline.
@@ -55,7 +55,7 @@
 // expireLoop removes queued requests whose deadline has passed, so that they are refused.
 func (s *Server) expireLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		clock.Pause(ctx, expireInterval)
+		clock.Sleep(ctx, expireInterval)
 		s.locked(func() {
 			now := s.clock.Now()
 			for _, item := range append(s.engineQueue.Expire(now), s.serviceQueue.Expire(now)...) {
--- a/entry/members.go
+++ b/entry/members.go
@@ -48,8 +48,8 @@
 	m.EntryIncarnation = max(m.EntryIncarnation, old.EntryIncarnation)
 	m.Revision = max(m.Revision, old.Revision)
 	m.Leaving = m.Leaving || old.Leaving // a VM that has started to leave does not come back in the same incarnation
-	if m.EntryLink == "" {
-		m.EntryLink = old.EntryLink
+	if m.EntryAddress == "" {
+		m.EntryAddress = old.EntryAddress
 	}
 	return m
 }
--- a/entry/members_test.go
+++ b/entry/members_test.go
@@ -14,7 +14,7 @@
 // losing the entry process of the peer that stores copies of this VM's bill records.
 func TestMergeMembersKeepsNewestState(t *testing.T) {
 	now := time.Unix(1000, 0)
-	peer := vm.Member{VM: "p", DataCentre: "e", Incarnation: 7, EntryIncarnation: 9, EntryLink: "p:1", Revision: 4}
+	peer := vm.Member{VM: "p", DataCentre: "e", Incarnation: 7, EntryIncarnation: 9, EntryAddress: "p:1", Revision: 4}
 	peerWith := func(change func(m *vm.Member)) []vm.Member {
 		m := peer
 		change(&m)
@@ -27,7 +27,7 @@
 		want    []vm.Member
 	}{
 		"same entry":                               {[]vm.Member{peer}, time.Second, []vm.Member{peer}},
-		"no entry process":                         {peerWith(func(m *vm.Member) { m.EntryIncarnation, m.EntryLink = 0, "" }), time.Second, []vm.Member{peer}},
+		"no entry process":                         {peerWith(func(m *vm.Member) { m.EntryIncarnation, m.EntryAddress = 0, "" }), time.Second, []vm.Member{peer}},
 		"earlier revision":                         {peerWith(func(m *vm.Member) { m.Revision = 1 }), time.Second, []vm.Member{peer}},
 		"earlier incarnation":                      {peerWith(func(m *vm.Member) { m.Incarnation = 6 }), time.Second, []vm.Member{peer}},
 		"later incarnation":                        {[]vm.Member{restarted}, time.Second, []vm.Member{restarted}},
--- a/entry/plan.go
+++ b/entry/plan.go
@@ -35,11 +35,11 @@
 	}
 	token, err := s.sessionTokens.Open(c.session, c.workspace.ID)
 	if err != nil {
-		return newRefusal(contract.RefusedSession, contract.NotRun, contract.StepSession,
+		return newRefusal(contract.RefusedInvalidSession, contract.OutcomeNotRun, contract.StepSession,
 			`the token was not made for this workspace: open a session with "`+HeaderSession+`: new"`)
 	}
 	if c.Model != string(token.Version.Model()) && c.Model != string(token.Version) {
-		return newRefusal(contract.RefusedSession, contract.NotRun, contract.StepSession, "the session is of model "+string(token.Version.Model()))
+		return newRefusal(contract.RefusedInvalidSession, contract.OutcomeNotRun, contract.StepSession, "the session is of model "+string(token.Version.Model()))
 	}
 	c.sessionToken = &token
 	return nil
@@ -60,7 +60,7 @@
 	}
 	version := s.versionForNewWork(c.workspace, v, contract.ModelID(c.Model))
 	if version == "" {
-		return plan{}, newRefusal(contract.RefusedNotAllowed, contract.NotRun, contract.StepRoute, "no such model, version or cascade: "+c.Model)
+		return plan{}, newRefusal(contract.RefusedVersionNotAllowed, contract.OutcomeNotRun, contract.StepRoute, "no such model, version or cascade: "+c.Model)
 	}
 	return plan{version: version}, nil
 }
@@ -70,8 +70,8 @@
 func (s *Server) versionForNewWork(w *config.Workspace, v *view, m contract.ModelID) contract.VersionID {
 	draw := 0.0
 	s.locked(func() { draw = s.random.Float64() })
-	chosen := rollout.Choose(v.snapshot.Config, m, v.snapshot.Halted, draw)
-	if ro, ok := v.snapshot.Config.Rollouts[m]; ok && chosen == ro.To && !w.Allow[chosen] {
+	chosen := rollout.ChooseVersion(v.snapshot.Config, m, v.snapshot.Halted, draw)
+	if ro, ok := v.snapshot.Config.Rollouts[m]; ok && chosen == ro.To && !w.AllowedVersions[chosen] {
 		return ro.From
 	}
 	return chosen
@@ -100,7 +100,7 @@
 		models = append(models, cascade.Model{ID: m, Cost: float64(s.cost(id, u))})
 	}
 	if len(models) == 0 {
-		return plan{}, newRefusal(contract.RefusedNotAllowed, contract.NotRun, contract.StepRoute, "no version of the cascade may be used by this workspace now")
+		return plan{}, newRefusal(contract.RefusedVersionNotAllowed, contract.OutcomeNotRun, contract.StepRoute, "no version of the cascade may be used by this workspace now")
 	}
 	last := versions[models[len(models)-1].ID]
 	if len(models) == 1 || !c.repeatable || c.Stream || c.session != "" {
@@ -109,13 +109,13 @@
 	var p cascade.Plan
 	s.locked(func() {
 		p = s.cascades.Decide(cascade.Query{
-			Workspace: c.workspace.ID, Class: c.cascadeClass(), Models: models, Target: c.workspace.Quality,
+			Workspace: c.workspace.ID, Class: c.cascadeClass(), Models: models, Target: c.workspace.MinQuality,
 		}, s.random)
 	})
 	if !p.Check {
 		return plan{version: versions[p.First]}, nil
 	}
-	return plan{version: versions[p.First], escalateTo: versions[p.Then]}, nil
+	return plan{version: versions[p.First], escalateTo: versions[p.Fallback]}, nil
 }
 
 // ratingService is the name by which a configuration declares the platform's rating service.
@@ -125,7 +125,7 @@
 const ratingTimeout = 2 * time.Second
 
 // rateAnswer asks the rating service whether an answer is good.
-func (s *Server) rateAnswer(ctx context.Context, j *job, a *engine.Answer) (bool, error) {
+func (s *Server) rateAnswer(ctx context.Context, j *job, a *engine.ChatResponse) (bool, error) {
 	service, ok := s.view.Load().snapshot.Config.Services[ratingService]
 	if !ok {
 		return false, upstream.ErrNone
@@ -145,15 +145,15 @@
 	r, err := s.ratings.Rate(ctx, url, rating.Answer{
 		Request: j.chat.id, Workspace: j.chat.workspace.ID, Version: j.version, Text: a.Completion.Choices[0].Message.Content,
 	})
-	return r.Score >= rating.Good, err
+	return r.Score >= rating.GoodScore, err
 }
 
 // passesCheck reports whether the answer of a cascade's cheaper model is rated good. It is false if the
 // rating fails.
-func (s *Server) passesCheck(ctx context.Context, j *job, a *engine.Answer) bool {
+func (s *Server) passesCheck(ctx context.Context, j *job, a *engine.ChatResponse) bool {
 	good, err := s.rateAnswer(ctx, j, a)
 	if err != nil {
-		s.log.Warn("rating-failed", logs.Failure(err)...)
+		s.log.Warn("rating-failed", logs.ErrorFields(err)...)
 		return false
 	}
 	s.recordRating(j, good)
@@ -163,7 +163,7 @@
 // recordRating passes a rating to the cascade's estimates and to the rollout's samples.
 func (s *Server) recordRating(j *job, good bool) {
 	s.locked(func() {
-		s.cascades.Rated(cascade.Arm{Workspace: j.chat.workspace.ID, Model: j.version.Model(), Class: j.chat.cascadeClass()}, good)
+		s.cascades.RecordRating(cascade.Arm{Workspace: j.chat.workspace.ID, Model: j.version.Model(), Class: j.chat.cascadeClass()}, good)
 	})
 	s.recordRolloutResult(j, !good)
 }
@@ -173,7 +173,7 @@
 
 // rateInBackground rates a random sample of the delivered answers, and every answer of a version in rollout,
 // without delaying the caller. It skips an answer that the cascade has already rated.
-func (s *Server) rateInBackground(j *job, p plan, a *engine.Answer) {
+func (s *Server) rateInBackground(j *job, p plan, a *engine.ChatResponse) {
 	if p.escalateTo != "" && j.version == p.version {
 		return
 	}
@@ -245,7 +245,7 @@
 		Session: ulid.Make().String(), Workspace: j.chat.workspace.ID, Version: j.version, Revision: s.view.Load().revision,
 	}, s.clock.Now())
 	if err != nil {
-		return newRefusal(contract.RefusedSession, contract.NotRun, contract.StepSession, "the token could not be made")
+		return newRefusal(contract.RefusedInvalidSession, contract.OutcomeNotRun, contract.StepSession, "the token could not be made")
 	}
 	w.Header().Set(HeaderSession, text)
 	return nil
@@ -255,7 +255,7 @@
 func (s *Server) handleModels(_ context.Context, w http.ResponseWriter, _ *http.Request, req *request) *contract.Refusal {
 	v := s.view.Load()
 	list := modelList{Object: "list", Data: []modelEntry{}}
-	for id := range req.workspace.Allow {
+	for id := range req.workspace.AllowedVersions {
 		if permit.Check(v.snapshot, req.workspace, id, permit.NewWork, s.clock.Now()) == nil {
 			list.Data = append(list.Data, modelEntry{ID: string(id), Object: "model", OwnedBy: "woaddoor"})
 		}
--- a/entry/request.go
+++ b/entry/request.go
@@ -130,11 +130,11 @@
 // readRequest authenticates the caller, checks the headers and reads the body of a request.
 func (s *Server) readRequest(w http.ResponseWriter, r *http.Request, id contract.RequestID) (*request, *contract.Refusal) {
 	if s.stopping.Load() {
-		return nil, newRefusal(contract.RefusedStopping, contract.NotRun, contract.StepRead, "this VM is stopping").WithRetryAfter(stoppingRetryAfter)
+		return nil, newRefusal(contract.RefusedStopping, contract.OutcomeNotRun, contract.StepRead, "this VM is stopping").WithRetryAfter(stoppingRetryAfter)
 	}
 	ws, ok := s.authenticate(r)
 	if !ok {
-		return nil, newRefusal(contract.RefusedKey, contract.NotRun, contract.StepAuth, "no workspace has this key")
+		return nil, newRefusal(contract.RefusedUnknownKey, contract.OutcomeNotRun, contract.StepAuth, "no workspace has this key")
 	}
 	now := s.clock.Now()
 	req := &request{
@@ -147,22 +147,22 @@
 		req.class = workspace.Bulk
 	}
 	if len(req.idempotencyKey) > maxIdempotencyKey {
-		return nil, newRefusal(contract.RefusedRequest, contract.NotRun, contract.StepRead, HeaderIdempotency+" is longer than 255 characters")
+		return nil, newRefusal(contract.RefusedInvalidRequest, contract.OutcomeNotRun, contract.StepRead, HeaderIdempotency+" is longer than 255 characters")
 	}
 	if text := r.Header.Get(HeaderTimeout); text != "" {
 		d, err := time.ParseDuration(text)
 		if err != nil || d <= 0 || d > maxTimeout {
-			return nil, newRefusal(contract.RefusedRequest, contract.NotRun, contract.StepRead, HeaderTimeout+": expected a duration such as 30s, at most 1h")
+			return nil, newRefusal(contract.RefusedInvalidRequest, contract.OutcomeNotRun, contract.StepRead, HeaderTimeout+": expected a duration such as 30s, at most 1h")
 		}
 		req.deadline = now.Add(d)
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(s.opts.Settings.Entry.MaxBody)))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, newRefusal(contract.RefusedTooLarge, contract.NotRun, contract.StepRead, tooLarge.Error())
+		return nil, newRefusal(contract.RefusedRequestTooLarge, contract.OutcomeNotRun, contract.StepRead, tooLarge.Error())
 	}
 	if err != nil {
-		return nil, newRefusal(contract.RefusedRequest, contract.NotRun, contract.StepRead, "body could not be read")
+		return nil, newRefusal(contract.RefusedInvalidRequest, contract.OutcomeNotRun, contract.StepRead, "body could not be read")
 	}
 	req.body = body
 	return req, nil
@@ -175,5 +175,5 @@
 	if !ok || key == "" {
 		return nil, false
 	}
-	return s.view.Load().snapshot.Config.ByKey(keys.HashKey(key))
+	return s.view.Load().snapshot.Config.WorkspaceByKeyHash(keys.HashAPIKey(key))
 }
--- a/entry/server.go
+++ b/entry/server.go
@@ -40,7 +40,7 @@
 // Options configures a Server.
 type Options struct {
 	Settings *settings.Settings
-	Keys     *keys.Set
+	Keys     *keys.KeySet
 	Clock    clock.Clock
 	Log      *zap.Logger
 	// Seed seeds the random number generator. If it is zero, the seed is taken from the clock.
@@ -60,8 +60,8 @@
 
 	engine        *engine.Client
 	endpoint      *link.Endpoint
-	sessionTokens *session.Keeper
-	ticketTokens  *ticket.Office
+	sessionTokens *session.Signer
+	ticketTokens  *ticket.Signer
 	streamTokens  *streamTokenSigner
 	ratings       *rating.Client
 	metrics       *serverMetrics
@@ -85,8 +85,8 @@
 	serviceQueue   *workspace.Queue
 	waiters        map[workspace.ID]chan bool
 	retryBudget    *retry.Budget
-	ticketRegister *ticket.Register
-	bills          *bill.Holder
+	ticketRegister *ticket.VoteStore
+	bills          *bill.RecordBuffer
 	rolloutMonitor *rollout.Monitor
 	cascades       *cascade.Learner
 	// copyFailedAt is the time of the last failed copy of bill records to each peer.
@@ -97,7 +97,7 @@
 
 // New returns a Server. It opens the listener for calls from other processes, but serves nothing until Run.
 func New(opts *Options) (*Server, error) {
-	endpoint, err := link.Listen(opts.Settings.Entry.Link, opts.Keys)
+	endpoint, err := link.Listen(opts.Settings.Entry.LinkAddress, opts.Keys)
 	if err != nil {
 		return nil, err
 	}
@@ -110,8 +110,8 @@
 		opts: opts, clock: opts.Clock, log: opts.Log,
 		incarnation: contract.NewIncarnation(now),
 		engine:      engine.NewClient(), endpoint: endpoint,
-		sessionTokens: session.NewKeeper(opts.Keys.Signing), ticketTokens: ticket.NewOffice(opts.Keys.Signing),
-		streamTokens: newStreamTokenSigner(opts.Keys.Signing), ratings: rating.NewClient(), metrics: newServerMetrics(metrics.NewRegistry()),
+		sessionTokens: session.NewSigner(opts.Keys.SigningKey), ticketTokens: ticket.NewSigner(opts.Keys.SigningKey),
+		streamTokens: newStreamTokenSigner(opts.Keys.SigningKey), ratings: rating.NewClient(), metrics: newServerMetrics(metrics.NewRegistry()),
 		random:    rand.New(rand.NewPCG(seed, uint64(len(opts.Settings.VM)))),
 		upstreams: upstream.NewTable(upstream.Options{}),
 		waiters:   make(map[workspace.ID]chan bool), reconfigured: make(chan struct{}, 1),
@@ -119,12 +119,12 @@
 		retryBudget:  retry.NewBudget(retry.Options{}),
 	}
 	s.origin = bill.Origin{VM: opts.Settings.VM, Incarnation: s.incarnation}
-	s.arbiter = ticket.Arbiter{VM: opts.Settings.VM, Incarnation: s.incarnation, Link: opts.Settings.Entry.Advertise}
+	s.arbiter = ticket.Arbiter{VM: opts.Settings.VM, Incarnation: s.incarnation, Address: opts.Settings.Entry.AdvertisedLink}
 	limits := opts.Settings.Entry
 	s.engineQueue = workspace.NewQueue(workspace.Options{Capacity: limits.MaxInFlight, MaxQueue: limits.MaxQueue})
 	s.serviceQueue = workspace.NewQueue(workspace.Options{Capacity: limits.MaxInFlight, MaxQueue: limits.MaxQueue})
-	s.ticketRegister = ticket.NewRegister(s.arbiter, limits.MaxTickets)
-	s.bills = bill.NewHolder(s.origin, limits.MaxBills)
+	s.ticketRegister = ticket.NewVoteStore(s.arbiter, limits.MaxTickets)
+	s.bills = bill.NewRecordBuffer(s.origin, limits.MaxBills)
 	s.rolloutMonitor = rollout.NewMonitor(rollout.Observer{VM: s.origin.VM, Incarnation: s.incarnation})
 	s.cascades = cascade.NewLearner(cascade.Options{})
 	s.view.Store(emptyView())
@@ -137,16 +137,16 @@
 func (s *Server) Run(ctx context.Context) error {
 	callers, err := net.Listen("tcp", s.opts.Settings.Entry.Callers)
 	if err != nil {
-		return contract.Fail(contract.StepSettings, s.opts.Settings.Entry.Callers, err)
+		return contract.WrapStep(contract.StepSettings, s.opts.Settings.Entry.Callers, err)
 	}
 	health, err := net.Listen("tcp", s.opts.Settings.Entry.Health)
 	if err != nil {
-		return contract.Fail(contract.StepSettings, s.opts.Settings.Entry.Health, err)
+		return contract.WrapStep(contract.StepSettings, s.opts.Settings.Entry.Health, err)
 	}
 	// Background work gets its own context, because the shutdown after ctx still calls other processes.
 	background, cancelBackground := context.WithCancel(context.Background())
 	defer cancelBackground()
-	drainable := drain.Listen(callers, 0)
+	drainable := drain.NewListener(callers, 0)
 	servers := []*http.Server{
 		{Handler: s.callerRoutes(), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeader, ConnState: drainable.ConnState},
 		{Handler: s.healthRoutes(), ReadHeaderTimeout: headerTimeout},
@@ -177,7 +177,7 @@
 // serveHTTP serves a listener until the server is closed.
 func (s *Server) serveHTTP(server *http.Server, l net.Listener) {
 	if err := server.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) {
-		s.log.Error("listener-failed", logs.Failure(err)...)
+		s.log.Error("listener-failed", logs.ErrorFields(err)...)
 	}
 }
 
@@ -187,13 +187,13 @@
 
 // stop performs a planned shutdown step by step. A second stop signal has no effect.
 func (s *Server) stop(callers *drain.Listener) {
-	s.log.Info("stopping", zap.Duration("drain", s.opts.Settings.Entry.Drain))
+	s.log.Info("stopping", zap.Duration("drain", s.opts.Settings.Entry.DrainTimeout))
 	s.stopping.Store(true)
 	time.Sleep(notReadyPeriod)
-	ctx, cancel := context.WithTimeout(context.Background(), s.opts.Settings.Entry.Drain)
+	ctx, cancel := context.WithTimeout(context.Background(), s.opts.Settings.Entry.DrainTimeout)
 	defer cancel()
 	if !callers.Drain(ctx) {
-		s.log.Error("drain-cut-short", zap.Duration("drain", s.opts.Settings.Entry.Drain))
+		s.log.Error("drain-cut-short", zap.Duration("drain", s.opts.Settings.Entry.DrainTimeout))
 	}
 	s.flushBills(ctx)
 }
--- a/entry/service.go
+++ b/entry/service.go
@@ -25,7 +25,7 @@
 	vars := mux.Vars(r)
 	service, ok := s.view.Load().snapshot.Config.Services[contract.ServiceID(vars["service"])]
 	if !ok {
-		return newRefusal(contract.RefusedNotAllowed, contract.NotRun, contract.StepRoute, "no such service: "+vars["service"])
+		return newRefusal(contract.RefusedVersionNotAllowed, contract.OutcomeNotRun, contract.StepRoute, "no such service: "+vars["service"])
 	}
 	path := "/" + strings.TrimPrefix(vars["path"], "/")
 	req.repeatable = req.repeatable && service.Repeatable(r.Method, path)
@@ -86,17 +86,17 @@
 }
 
 // serviceWithRetries sends the call to upstreams until one answers or no retry is allowed.
-func (s *Server) serviceWithRetries(ctx context.Context, c *serviceCall) (*engine.PlainAnswer, *contract.Refusal) {
-	s.locked(s.retryBudget.First)
+func (s *Server) serviceWithRetries(ctx context.Context, c *serviceCall) (*engine.PlainResponse, *contract.Refusal) {
+	s.locked(s.retryBudget.RecordFirstAttempt)
 	// Retries are decided as for chat requests, so the call is represented by a job.
-	j := &job{chat: &chatRequest{request: c.request}, outcome: contract.NotRun}
+	j := &job{chat: &chatRequest{request: c.request}, outcome: contract.OutcomeNotRun}
 	for attempt := 1; ; attempt++ {
 		url, refused := s.pickServiceUpstream(c, j)
 		if refused != nil {
 			return nil, refused
 		}
 		startedAt := s.clock.Now()
-		a, err := s.engine.Plain(ctx, engine.Call{
+		a, err := s.engine.CallPlain(ctx, engine.Call{
 			URL: url, Upstream: j.upstream, RequestID: c.id, Body: c.body, ContentType: c.contentType,
 		}, c.method, c.path)
 		s.recordAttemptEnd(ctx, j, startedAt, err)
--- a/entry/streaming.go
+++ b/entry/streaming.go
@@ -54,13 +54,13 @@
 	// earlierUsage counts the tokens generated before the answer was continued on another engine.
 	earlierUsage engine.Usage
 	// recovery is the state by which stream.Decide selects how to recover a broken stream.
-	recovery      stream.Broken
+	recovery      stream.Interruption
 	engineChanged bool // another engine than the first one generates the answer now
 }
 
 // answerStream answers a job as a stream.
 func (s *Server) answerStream(ctx context.Context, w http.ResponseWriter, j *job) *contract.Refusal {
-	s.locked(s.retryBudget.First)
+	s.locked(s.retryBudget.RecordFirstAttempt)
 	r := &streamRelay{server: s, job: j, w: w, flush: w.(http.Flusher).Flush, singleChoice: true}
 	return r.run(ctx, "")
 }
@@ -75,7 +75,7 @@
 			return r.finish(ctx, usage)
 		}
 		if ctx.Err() != nil && !s.clock.Now().Before(r.job.chat.deadline) {
-			return r.endWithRefusal(newRefusal(contract.RefusedDeadline, r.recovery.Outcome(), contract.StepStream, "the deadline came before the end of the stream"))
+			return r.endWithRefusal(newRefusal(contract.RefusedDeadlinePassed, r.recovery.Outcome(), contract.StepStream, "the deadline came before the end of the stream"))
 		}
 		if ctx.Err() != nil {
 			return r.endWithRefusal(newRefusal(contract.RefusedStreamCut, r.recovery.Outcome(), contract.StepStream, "the caller went"))
@@ -92,16 +92,16 @@
 // if the stream cannot be recovered.
 func (r *streamRelay) prepareRecovery(ctx context.Context, attempt int, err error, lastEventID *string) *contract.Refusal {
 	s := r.server
-	s.log.Warn("stream-broken", append(logs.Failure(err), zap.String("request", string(r.job.chat.id)), zap.Int("delivered", r.eventsSent))...)
-	r.recovery.Delivered, r.recovery.Repeatable = r.eventsSent, r.job.chat.repeatable
+	s.log.Warn("stream-broken", append(logs.ErrorFields(err), zap.String("request", string(r.job.chat.id)), zap.Int("delivered", r.eventsSent))...)
+	r.recovery.DeliveredChunks, r.recovery.Repeatable = r.eventsSent, r.job.chat.repeatable
 	r.recovery.Permitted = s.checkPermit(r.job) == nil
-	r.recovery.Plain, r.recovery.Deadline = r.singleChoice, r.job.chat.deadline
-	action := stream.Decide(r.recovery, s.clock.Now())
+	r.recovery.SingleText, r.recovery.Deadline = r.singleChoice, r.job.chat.deadline
+	action := stream.NextAction(r.recovery, s.clock.Now())
 	s.log.Info("stream-goes-on", zap.String("request", string(r.job.chat.id)), zap.Int("action", int(action)))
 	switch action {
 	case stream.Resume:
-		r.recovery.Resumed++
-		r.recovery.Recovered++
+		r.recovery.ResumeAttempts++
+		r.recovery.Recoveries++
 		s.metrics.streamsRecovered.Inc(1)
 		*lastEventID = r.lastEventID
 		return nil
@@ -109,7 +109,7 @@
 		*lastEventID = ""
 		return s.prepareRetry(ctx, r.job, attempt, err, 0)
 	case stream.Continue:
-		r.recovery.Recovered++
+		r.recovery.Recoveries++
 		s.metrics.streamsRecovered.Inc(1)
 		r.continueOnOtherUpstream()
 		*lastEventID = ""
@@ -140,7 +140,7 @@
 	call := s.engineCall(r.job, url)
 	if lastEventID != "" {
 		// Resuming an answer that the engine is still generating is not new work, so it needs no permission.
-		call.LastEvent, call.Permit, call.NotAfter = lastEventID, nil, time.Time{}
+		call.LastEventID, call.CheckPermission, call.NotAfter = lastEventID, nil, time.Time{}
 	}
 	startedAt := s.clock.Now()
 	usage, err := r.relayEvents(ctx, cancel, call)
@@ -171,7 +171,7 @@
 	url := ""
 	s.locked(func() {
 		url = s.upstreams.URL(r.job.upstream)
-		s.upstreams.Sent(r.job.upstream)
+		s.upstreams.RecordSent(r.job.upstream)
 	})
 	if url == "" {
 		return "", errors.New("the engine of the stream is no longer configured")
@@ -186,8 +186,8 @@
 // is overdue, it cancels the call with errStalled.
 func (r *streamRelay) relayEvents(ctx context.Context, cancel context.CancelCauseFunc, call engine.Call) (engine.Usage, error) {
 	s := r.server
-	pace := stream.NewPace(stream.PaceOptions{Longest: s.opts.Settings.Entry.StallAfter}, s.clock.Now())
-	timer := time.AfterFunc(time.Until(pace.Due()), func() { cancel(errStalled) })
+	pace := stream.NewStallDetector(stream.StallOptions{MaxGap: s.opts.Settings.Entry.StallAfter}, s.clock.Now())
+	timer := time.AfterFunc(time.Until(pace.Deadline()), func() { cancel(errStalled) })
 	defer timer.Stop()
 	events, err := s.engine.Stream(ctx, call)
 	if err != nil {
@@ -203,8 +203,8 @@
 			return events.Usage(), nil
 		}
 		now := s.clock.Now()
-		pace.Chunk(now)
-		timer.Reset(pace.Due().Sub(now))
+		pace.RecordChunk(now)
+		timer.Reset(pace.Deadline().Sub(now))
 		if err := r.forward(e, now); err != nil {
 			return engine.Usage{}, err
 		}
@@ -221,7 +221,7 @@
 	data := r.recordChunk(e)
 	r.lastEventID = e.ID
 	r.eventsSent++
-	r.recovery.Resumed = 0 // an event arrived, so the engine makes progress again
+	r.recovery.ResumeAttempts = 0 // an event arrived, so the engine makes progress again
 	if _, err := r.w.Write(sseEvent(r.eventID(e), data)); err != nil {
 		return err
 	}
@@ -282,7 +282,7 @@
 // sendHead sets the response headers, including the session token and the token for resuming the stream.
 func (r *streamRelay) sendHead(now time.Time) error {
 	s, j := r.server, r.job
-	j.attempted, j.outcome = true, contract.Ran // the engine has sent output, so the request ran even if a later step fails
+	j.attempted, j.outcome = true, contract.OutcomeRan // the engine has sent output, so the request ran even if a later step fails
 	if refused := s.issueSession(r.w, j); refused != nil {
 		return refused
 	}
@@ -309,7 +309,7 @@
 		return r.endWithRefusal(refused)
 	}
 	r.server.saveResult(ctx, r.job.chat.claim, http.StatusOK, "", nil)
-	_, err := r.w.Write(sseEvent(strconv.Itoa(r.eventsSent+1), []byte(engine.StreamEnd)))
+	_, err := r.w.Write(sseEvent(strconv.Itoa(r.eventsSent+1), []byte(engine.StreamEndMarker)))
 	r.flush()
 	r.server.metrics.answerTime.Update(int64(r.server.clock.Now().Sub(r.job.chat.arrived)))
 	r.server.logAnswered(r.job, usage, err)
@@ -318,8 +318,8 @@
 }
 
 // textAnswer returns an answer with the given text, for rating.
-func textAnswer(text []byte) *engine.Answer {
-	return &engine.Answer{Completion: engine.Completion{Choices: []engine.Choice{{Message: engine.AnswerMessage{Content: string(text)}}}}}
+func textAnswer(text []byte) *engine.ChatResponse {
+	return &engine.ChatResponse{Completion: engine.ChatCompletion{Choices: []engine.Choice{{Message: engine.ResponseMessage{Content: string(text)}}}}}
 }
 
 // endWithRefusal ends an incomplete stream. If nothing was sent yet, it returns the refusal. Otherwise it sends
@@ -351,11 +351,11 @@
 // The stream may have been served by another VM.
 func (s *Server) resumeStream(ctx context.Context, w http.ResponseWriter, req *request) *contract.Refusal {
 	var token streamToken
-	if err := s.streamTokens.key.Open(req.streamToken, &token); err != nil || token.Workspace != req.workspace.ID {
-		return newRefusal(contract.RefusedStreamForbidden, contract.NotRun, contract.StepStream, "the token was not made for this workspace")
+	if err := s.streamTokens.key.Verify(req.streamToken, &token); err != nil || token.Workspace != req.workspace.ID {
+		return newRefusal(contract.RefusedInvalidStreamToken, contract.OutcomeNotRun, contract.StepStream, "the token was not made for this workspace")
 	}
 	if _, err := strconv.Atoi(req.lastEventID); err != nil {
-		return newRefusal(contract.RefusedRequest, contract.Unknown, contract.StepStream, "Last-Event-ID is needed, the id of the last event received")
+		return newRefusal(contract.RefusedInvalidRequest, contract.OutcomeUnknown, contract.StepStream, "Last-Event-ID is needed, the id of the last event received")
 	}
 	c := &chatRequest{request: req}
 	c.id = token.RequestID // the request ID by which the engine knows the stream
@@ -367,7 +367,7 @@
 	c.originalBillID = token.Bill
 	// The token was sent with the first event, so the request did run, and no later failure can change the
 	// outcome to "not run".
-	j := &job{chat: c, version: token.Version, upstream: token.Upstream, body: emptyBody, attempted: true, outcome: contract.Ran}
+	j := &job{chat: c, version: token.Version, upstream: token.Upstream, body: emptyBody, attempted: true, outcome: contract.OutcomeRan}
 	r := &streamRelay{server: s, job: j, w: w, flush: w.(http.Flusher).Flush, lastEventID: req.lastEventID}
 	return r.run(ctx, req.lastEventID)
 }
