--- a/entry/tickets.go
+++ b/entry/tickets.go
@@ -37,7 +37,7 @@
 func (s *Server) handleNewTicket(_ context.Context, w http.ResponseWriter, _ *http.Request, req *request) *contract.Refusal {
 	text, err := s.newTicket(req)
 	if err != nil {
-		return newRefusal(contract.RefusedTicket, contract.NotRun, contract.StepClaim, "the ticket could not be made")
+		return newRefusal(contract.RefusedInvalidTicket, contract.OutcomeNotRun, contract.StepClaim, "the ticket could not be made")
 	}
 	w.Header().Set(HeaderTicket, text)
 	return s.writeJSON(w, ticketResponse{Ticket: text, Expires: s.clock.Now().Add(ticket.Lifetime).Unix()})
@@ -47,7 +47,7 @@
 func (s *Server) newTicket(req *request) (string, error) {
 	return s.ticketTokens.Issue(ticket.Ticket{
 		ID: ulid.Make().String(), Workspace: req.workspace.ID,
-		Home: s.opts.Settings.DataCentre, Arbiters: s.arbiters(),
+		HomeDataCentre: s.opts.Settings.DataCentre, Arbiters: s.arbiters(),
 	}, s.clock.Now())
 }
 
@@ -63,7 +63,7 @@
 		if m.VM == s.arbiter.VM || m.EntryIncarnation == 0 || m.Leaving {
 			continue
 		}
-		chosen = append(chosen, ticket.Arbiter{VM: m.VM, Incarnation: m.EntryIncarnation, Link: m.EntryLink})
+		chosen = append(chosen, ticket.Arbiter{VM: m.VM, Incarnation: m.EntryIncarnation, Address: m.EntryAddress})
 	}
 	return chosen
 }
@@ -86,10 +86,10 @@
 	// The ticket was not won and no arbiter knows a result. Try to prove that the request never ran: ask the
 	// arbiters that have not voted yet to vote for no claimant, so that nobody can win the ticket later.
 	proof := s.collectVotes(ctx, t, ticket.Nobody)
-	if proof.Outcome() == contract.NotRun {
-		return nil, newRefusal(contract.RefusedArbiters, contract.NotRun, contract.StepClaim, "too few arbiters of the ticket answer; it did not run and never will: take a new ticket")
+	if proof.Outcome() == contract.OutcomeNotRun {
+		return nil, newRefusal(contract.RefusedArbitersUnreachable, contract.OutcomeNotRun, contract.StepClaim, "too few arbiters of the ticket answer; it did not run and never will: take a new ticket")
 	}
-	r := newRefusal(contract.RefusedClaimed, contract.Unknown, contract.StepClaim, "another attempt holds the ticket, or its arbiters are gone; what became of it is not known here")
+	r := newRefusal(contract.RefusedTicketClaimed, contract.OutcomeUnknown, contract.StepClaim, "another attempt holds the ticket, or its arbiters are gone; what became of it is not known here")
 	return nil, r.WithRetryAfter(claimRetryAfter)
 }
 
@@ -102,12 +102,12 @@
 		if text, err := s.newTicket(req); err == nil {
 			w.Header().Set(HeaderTicket, text)
 		}
-		return ticket.Ticket{}, newRefusal(contract.RefusedTicketNeeded, contract.NotRun, contract.StepClaim,
+		return ticket.Ticket{}, newRefusal(contract.RefusedTicketNeeded, contract.OutcomeNotRun, contract.StepClaim,
 			"a request that may not be repeated needs a ticket: send it again with the "+HeaderTicket+" header of this answer, the same one at each try")
 	}
 	t, err := s.ticketTokens.Open(req.ticket, req.workspace.ID)
 	if err != nil {
-		return t, newRefusal(contract.RefusedTicket, contract.NotRun, contract.StepClaim, "the ticket was not made for this workspace")
+		return t, newRefusal(contract.RefusedInvalidTicket, contract.OutcomeNotRun, contract.StepClaim, "the ticket was not made for this workspace")
 	}
 	return t, nil
 }
@@ -135,10 +135,10 @@
 	for range t.Arbiters {
 		result := <-answers
 		if result.err != nil {
-			s.log.Warn("vote-failed", logs.Failure(result.err)...)
-			c.Silent(result.arbiter)
+			s.log.Warn("vote-failed", logs.ErrorFields(result.err)...)
+			c.NoReply(result.arbiter)
 		} else {
-			c.Voted(result.arbiter, result.vote)
+			c.AddVote(result.arbiter, result.vote)
 		}
 		// A won claim need not wait for the other votes. Without a win, wait for all arbiters, because a
 		// later answer may contain the result of the request.
@@ -154,7 +154,7 @@
 	if a.VM == s.arbiter.VM && a.Incarnation == s.incarnation {
 		return s.voteLocally(t, claimant)
 	}
-	return link.Call[protocol.VoteRequest, ticket.Vote](ctx, s.endpoint, a.Link, link.KindVote, protocol.VoteRequest{Ticket: t, Claimant: claimant})
+	return link.Call[protocol.VoteRequest, ticket.Vote](ctx, s.endpoint, a.Address, link.KindTicketVote, protocol.VoteRequest{Ticket: t, Claimant: claimant})
 }
 
 // voteLocally returns this process's own vote on a ticket.
@@ -165,14 +165,14 @@
 
 // replayResult answers a request with the stored result of an earlier attempt.
 func (s *Server) replayResult(w http.ResponseWriter, req *request, result *ticket.Result) *contract.Refusal {
-	if result.Outcome == contract.NotRun {
-		return newRefusal(contract.RefusedClaimed, contract.NotRun, contract.StepClaim, "the attempt that held the ticket did not run: take a new ticket")
+	if result.Outcome == contract.OutcomeNotRun {
+		return newRefusal(contract.RefusedTicketClaimed, contract.OutcomeNotRun, contract.StepClaim, "the attempt that held the ticket did not run: take a new ticket")
 	}
-	if !result.Whole {
-		return newRefusal(contract.RefusedClaimed, result.Outcome, contract.StepClaim, "the request was answered before; its answer is not kept")
+	if !result.BodyComplete {
+		return newRefusal(contract.RefusedTicketClaimed, result.Outcome, contract.StepClaim, "the request was answered before; its answer is not kept")
 	}
 	w.Header().Set(HeaderReplayed, "yes")
-	w.Header().Set("Content-Type", result.Type)
+	w.Header().Set("Content-Type", result.ContentType)
 	w.WriteHeader(result.Status)
 	_, _ = w.Write(result.Body)
 	return nil
@@ -184,7 +184,7 @@
 	if c == nil {
 		return
 	}
-	s.settleAtArbiters(ctx, c, ticket.Result{Outcome: contract.Ran, Status: status, Type: contentType, Body: body, Whole: body != nil})
+	s.settleAtArbiters(ctx, c, ticket.Result{Outcome: contract.OutcomeRan, Status: status, ContentType: contentType, Body: body, BodyComplete: body != nil})
 }
 
 // settleRefused reports the outcome of a refused request to the arbiters, unless its claim is settled.
@@ -201,8 +201,8 @@
 // ticket.MaxKept is left out.
 func (s *Server) settleAtArbiters(ctx context.Context, c *claim, result ticket.Result) {
 	c.settled = true
-	if contract.Bytes(len(result.Body)) > ticket.MaxKept {
-		result.Body, result.Whole = nil, false
+	if contract.Bytes(len(result.Body)) > ticket.MaxStoredBody {
+		result.Body, result.BodyComplete = nil, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, voteTimeout)
 	defer cancel()
@@ -212,7 +212,7 @@
 	}
 	for range c.ticket.Arbiters {
 		if err := <-results; err != nil {
-			s.log.Warn("settle-failed", logs.Failure(err)...)
+			s.log.Warn("settle-failed", logs.ErrorFields(err)...)
 		}
 	}
 }
@@ -220,11 +220,11 @@
 // settleAtArbiter sends the result of a claimed request to one arbiter, which may be this process.
 func (s *Server) settleAtArbiter(ctx context.Context, a ticket.Arbiter, c *claim, result ticket.Result) error {
 	if a.VM == s.arbiter.VM && a.Incarnation == s.incarnation {
-		s.locked(func() { s.ticketRegister.Settle(c.ticket.ID, c.claimant, result) })
+		s.locked(func() { s.ticketRegister.StoreResult(c.ticket.ID, c.claimant, result) })
 		return nil
 	}
 	req := protocol.SettleRequest{TicketID: c.ticket.ID, Claimant: c.claimant, Result: result}
-	_, err := link.Call[protocol.SettleRequest, protocol.Done](ctx, s.endpoint, a.Link, link.KindSettled, req)
+	_, err := link.Call[protocol.SettleRequest, protocol.Ack](ctx, s.endpoint, a.Address, link.KindTicketSettled, req)
 	return err
 }
 
@@ -232,7 +232,7 @@
 func (s *Server) writeJSON(w http.ResponseWriter, v any) *contract.Refusal {
 	w.Header().Set("Content-Type", contentTypeJSON)
 	if err := json.NewEncoder(w).Encode(v); err != nil && !errors.Is(err, context.Canceled) {
-		s.log.Info("caller-gone", logs.Failure(err)...)
+		s.log.Info("caller-gone", logs.ErrorFields(err)...)
 	}
 	return nil
 }
--- a/entry/view.go
+++ b/entry/view.go
@@ -45,7 +45,7 @@
 // emptyView returns the view of a process that has not received a configuration yet.
 func emptyView() *view {
 	r := document.NewReplica()
-	return &view{snapshot: permit.Snapshot{Config: &config.Config{}}, replica: r, held: r.Held()}
+	return &view{snapshot: permit.Snapshot{Config: &config.Config{}}, replica: r, held: r.Document()}
 }
 
 // Timings of the pulls from control processes.
@@ -63,9 +63,9 @@
 // process as alive. It asks no other control process, so that an unreachable peer cannot delay it.
 func (s *Server) pullLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		if err := s.pullFrom(ctx, s.opts.Settings.Control.Link); err != nil {
+		if err := s.pullFrom(ctx, s.opts.Settings.Control.LinkAddress); err != nil {
 			s.recordPullFailure(err)
-			clock.Pause(ctx, pullRetryDelay)
+			clock.Sleep(ctx, pullRetryDelay)
 		}
 	}
 }
@@ -81,12 +81,12 @@
 func (s *Server) peerPullLoop(ctx context.Context) {
 	for next := 0; ctx.Err() == nil; {
 		if s.view.Load().age(s.clock.Now()) < staleAfter {
-			clock.Pause(ctx, pullRetryDelay)
+			clock.Sleep(ctx, pullRetryDelay)
 			continue
 		}
 		peers := s.peerControlAddresses()
 		if len(peers) == 0 {
-			clock.Pause(ctx, pullRetryDelay)
+			clock.Sleep(ctx, pullRetryDelay)
 			continue
 		}
 		if err := s.pullFrom(ctx, peers[next%len(peers)]); err != nil {
@@ -99,12 +99,12 @@
 // recordPullFailure counts and logs a failed pull.
 func (s *Server) recordPullFailure(err error) {
 	s.metrics.pullFailures.Inc(1)
-	s.log.Warn("pull-failed", logs.Failure(err)...)
+	s.log.Warn("pull-failed", logs.ErrorFields(err)...)
 }
 
 // controlAddresses returns the addresses of the control processes, this VM's own first.
 func (s *Server) controlAddresses() []string {
-	return append([]string{s.opts.Settings.Control.Link}, s.peerControlAddresses()...)
+	return append([]string{s.opts.Settings.Control.LinkAddress}, s.peerControlAddresses()...)
 }
 
 // peerControlAddresses returns the addresses of the control processes of live peers, those in this VM's data
@@ -115,9 +115,9 @@
 		switch {
 		case m.VM == s.opts.Settings.VM:
 		case m.DataCentre == s.opts.Settings.DataCentre:
-			local = append(local, m.ControlLink)
+			local = append(local, m.ControlAddress)
 		default:
-			remote = append(remote, m.ControlLink)
+			remote = append(remote, m.ControlAddress)
 		}
 	}
 	addresses := append(local, remote...)
@@ -137,30 +137,30 @@
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	askedAt := s.clock.Now()
-	req := protocol.PullRequest{Have: held.Revision, Hash: held.Hash().Short(), Wait: pullMaxWait}
+	req := protocol.PullRequest{HeldRevision: held.Revision, HeldHash: held.Hash().Short(), MaxWait: pullMaxWait}
 	if askedAt.Sub(v.membersAskedAt) >= membersInterval {
-		req.Members = protocol.AllMembers
+		req.MemberScope = protocol.AllMembers
 	}
-	if address == s.opts.Settings.Control.Link {
+	if address == s.opts.Settings.Control.LinkAddress {
 		req.Entry = s.entryState()
 	}
-	answer, err := link.Call[protocol.PullRequest, protocol.PullAnswer](ctx, s.endpoint, address, link.KindPull, req)
+	answer, err := link.Call[protocol.PullRequest, protocol.PullResponse](ctx, s.endpoint, address, link.KindPullConfig, req)
 	if err != nil {
 		return err
 	}
-	return contract.Fail(contract.StepPull, address, s.applyPull(answer, held.Revision, askedAt))
+	return contract.WrapStep(contract.StepPull, address, s.applyPull(answer, held.Revision, askedAt))
 }
 
 // entryState returns the state that this process reports to its control process with each pull.
 func (s *Server) entryState() *protocol.EntryState {
 	st := &protocol.EntryState{
-		Incarnation: s.incarnation, Link: s.opts.Settings.Entry.Advertise,
-		Revision: s.view.Load().revision, Leaving: s.stopping.Load(),
+		Incarnation: s.incarnation, Address: s.opts.Settings.Entry.AdvertisedLink,
+		Revision: s.view.Load().revision, Stopping: s.stopping.Load(),
 	}
 	s.locked(func() {
-		st.Evidence = s.rolloutMonitor.Evidence()
+		st.RolloutEvidence = s.rolloutMonitor.Evidence()
 		for v := range s.rolloutMonitor.Halted() {
-			st.Halts = append(st.Halts, v)
+			st.HaltedVersions = append(st.HaltedVersions, v)
 		}
 	})
 	return st
@@ -171,11 +171,11 @@
 
 // applyPull applies the answer of a pull and stores the resulting view. It returns an error if the patch no
 // longer applies because the other pull loop changed the document first; the next pull then gets the rest.
-func (s *Server) applyPull(answer protocol.PullAnswer, askedRevision contract.Revision, askedAt time.Time) error {
+func (s *Server) applyPull(answer protocol.PullResponse, askedRevision contract.Revision, askedAt time.Time) error {
 	s.applyMu.Lock()
 	defer s.applyMu.Unlock()
 	v := s.view.Load()
-	doc := v.replica.Held()
+	doc := v.replica.Document()
 	if answer.Patch != nil && answer.Patch.To > doc.Revision {
 		next, err := answer.Patch.Apply(doc)
 		if err != nil {
@@ -184,26 +184,26 @@
 		doc = next
 	}
 	behind := answer.Patch != nil && answer.Patch.To < doc.Revision
-	switch freshAt := askedAt.Add(-answer.Age); {
-	case !answer.Known || behind:
+	switch freshAt := askedAt.Add(-answer.ConfigAge); {
+	case !answer.AgeKnown || behind:
 	case answer.Patch == nil:
 		// The answer confirms askedRevision as the newest. That may no longer be the held revision, because
 		// the other pull loop may have changed it in the meantime.
 		v.replica.Confirm(askedRevision, freshAt)
 	default:
-		v.replica.Learn(doc, freshAt)
+		v.replica.Update(doc, freshAt)
 	}
 	next := *v
-	next.held = v.replica.Held()
+	next.held = v.replica.Document()
 	next.revision = next.held.Revision
 	if answer.Members != nil {
 		next.members, next.lastListed = mergeMembers(v.members, v.lastListed, answer.Members, askedAt)
 		next.membersAskedAt = askedAt
 	}
 	if next.revision != v.revision {
-		c, err := config.FromDocument(v.replica.Held())
+		c, err := config.FromDocument(v.replica.Document())
 		if err != nil {
-			s.log.Error("configuration-unusable", logs.Failure(err)...)
+			s.log.Error("configuration-unusable", logs.ErrorFields(err)...)
 			return errors.Join(errInvalidConfig, err)
 		}
 		next.snapshot.Config = c
@@ -211,16 +211,16 @@
 	}
 	next.snapshot.FreshAt = v.replica.FreshAt()
 	s.locked(func() {
-		for _, halted := range answer.Halts {
+		for _, halted := range answer.HaltedVersions {
 			s.rolloutMonitor.Halt(halted)
 		}
 		next.snapshot.Halted = s.rolloutMonitor.Halted()
 		s.applyConfig(&next, next.revision != v.revision)
-		leaving := make(map[contract.UpstreamID]bool, len(answer.Leaving))
-		for _, id := range answer.Leaving {
+		leaving := make(map[contract.UpstreamID]bool, len(answer.LeavingUpstreams))
+		for _, id := range answer.LeavingUpstreams {
 			leaving[id] = true
 		}
-		s.upstreams.Unlisted(leaving)
+		s.upstreams.MarkLeaving(leaving)
 		// The view is stored with mu held, as in haltLocally, so that a concurrent halt is not lost.
 		s.view.Store(&next)
 	})
@@ -235,13 +235,13 @@
 	}
 	c := v.snapshot.Config
 	s.upstreams.Configure(c.Pools)
-	s.rolloutMonitor.Forget(c.Progress)
+	s.rolloutMonitor.Prune(c.Progress)
 	total := 0
 	for _, w := range c.Workspaces {
-		total += max(w.Share, 1)
+		total += max(w.Weight, 1)
 	}
-	s.engineQueue.SetTotalShare(total)
-	s.serviceQueue.SetTotalShare(total)
+	s.engineQueue.SetTotalWeight(total)
+	s.serviceQueue.SetTotalWeight(total)
 	select {
 	case s.reconfigured <- struct{}{}:
 	default:
@@ -270,7 +270,7 @@
 			vms++
 		}
 	}
-	slots := s.upstreams.Places(kind, dataCentre, s.clock.Now())
+	slots := s.upstreams.UsableSlots(kind, dataCentre, s.clock.Now())
 	share := admissionFactor * float64(slots) / float64(max(vms, 1))
 	return min(max(int(share), 1), s.opts.Settings.Entry.MaxInFlight)
 }
--- a/exchange/barred_test.go
+++ b/exchange/barred_test.go
@@ -17,7 +17,7 @@
 func TestBarredRequestIsNotSent(t *testing.T) {
 	is := is.New(t)
 	server, err := replica.Start("u", func(c *replica.Conn, r *replica.Request) bool {
-		c.Whole(http.StatusOK, r.ID(), "whole")
+		c.Respond(http.StatusOK, r.ID(), "whole")
 		return true
 	})
 	is.NoErr(err)
@@ -26,7 +26,7 @@
 	defer pool.Close()
 	errBarred := errors.New("no")
 	send := func(barred error) error {
-		resp, err := pool.Do(context.Background(), &Request{Method: "GET", URI: "/", Host: "h", Header: http.Header{}, Barred: func() error { return barred }},
+		resp, err := pool.Do(context.Background(), &Request{Method: "GET", URI: "/", Host: "h", Header: http.Header{}, BeforeSend: func() error { return barred }},
 			func(http.Header) bool { return true })
 		if err == nil {
 			resp.Close()
@@ -42,6 +42,6 @@
 	is.NoErr(send(nil))
 	time.Sleep(20 * time.Millisecond)
 	is.Equal(len(server.Requests()), 1)
-	_, dialled := pool.Count()
+	_, dialled := pool.Stats()
 	is.True(dialled <= 2) // one for the barred requests and one for the request that was sent
 }
--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -48,14 +48,14 @@
 // tcpUserTimeoutOption is the TCP_USER_TIMEOUT socket option of RFC 5482, in milliseconds.
 const tcpUserTimeoutOption = 18
 
-// NothingListens reports whether a connection error shows that the machine is reachable but
+// IsConnectionRefused reports whether a connection error shows that the machine is reachable but
 // accepts no connections on this port.
-func NothingListens(err error) bool {
+func IsConnectionRefused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// Reach checks whether a connection to the address can be opened.
-func Reach(ctx context.Context, address string) error {
+// Probe checks whether a connection to the address can be opened.
+func Probe(ctx context.Context, address string) error {
 	c, err := dial(ctx, address)
 	if err != nil {
 		return err
@@ -140,5 +140,5 @@
 	if c.keepAlive > 0 && now.Sub(c.idleSince) > time.Duration(keepAliveShare*float64(c.keepAlive)) {
 		return false
 	}
-	return peek.Look(c.Conn) == peek.Quiet
+	return peek.Inspect(c.Conn) == peek.Idle
 }
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -34,14 +34,14 @@
 	// MaxIdle bounds how long a connection may have been idle to be used for the request.
 	// Zero means no bound.
 	MaxIdle time.Duration
-	// Barred is called when a connection is available, just before the first byte is written.
+	// BeforeSend is called when a connection is available, just before the first byte is written.
 	// If it returns an error, the request is not sent. Nil means that the request is always
 	// sent.
-	Barred func() error
+	BeforeSend func() error
 }
 
-// Answer is a response whose body has not been read yet. The caller of Do must close it.
-type Answer struct {
+// Response is a response whose body has not been read yet. The caller of Do must close it.
+type Response struct {
 	Status int
 	Header http.Header
 	// Delimited reports whether the end of the body is marked. Otherwise the body ends when
@@ -60,10 +60,10 @@
 	// Sent reports whether any byte of the request may have reached the upstream. If it is
 	// false, the request has not run.
 	Sent bool
-	// Fresh reports whether the connection was opened for this request, which means that the
+	// NewConnection reports whether the connection was opened for this request, which means that the
 	// upstream was reachable when the request was sent.
-	Fresh bool
-	Err   error
+	NewConnection bool
+	Err           error
 }
 
 // Error returns the error message.
@@ -80,15 +80,15 @@
 // Outcome returns whether the request is known not to have run.
 func (e *Error) Outcome() contract.Outcome {
 	if e.Sent {
-		return contract.Unknown
+		return contract.OutcomeUnknown
 	}
-	return contract.NotRun
+	return contract.OutcomeNotRun
 }
 
 // Errors returned by Do.
 var (
-	// ErrBusy means that all connections allowed by the pool's limit are in use.
-	ErrBusy = errors.New("all connections to the upstream are in use")
+	// ErrPoolExhausted means that all connections allowed by the pool's limit are in use.
+	ErrPoolExhausted = errors.New("all connections to the upstream are in use")
 	// ErrMismatchedResponse means that only responses to other requests were received.
 	ErrMismatchedResponse = errors.New("response belongs to another request")
 )
@@ -106,13 +106,13 @@
 // Do sends a request and returns the response with its headers. The body can be read until
 // ctx ends. Then the connection is closed, which tells the upstream that no one waits for the
 // response.
-func (p *Pool) Do(ctx context.Context, r *Request, match MatchFunc) (*Answer, error) {
+func (p *Pool) Do(ctx context.Context, r *Request, match MatchFunc) (*Response, error) {
 	c, err := p.acquire(ctx, r.MaxIdle)
 	if err != nil {
 		return nil, &Error{Err: err}
 	}
-	if r.Barred != nil {
-		if err := r.Barred(); err != nil {
+	if r.BeforeSend != nil {
+		if err := r.BeforeSend(); err != nil {
 			p.putIdle(c)
 			return nil, &Error{Err: err}
 		}
@@ -128,7 +128,7 @@
 		if ctx.Err() != nil {
 			err = fmt.Errorf("%w: %w", context.Cause(ctx), err)
 		}
-		return nil, &Error{Sent: c.writeStarted.Load(), Fresh: !c.reused, Err: err}
+		return nil, &Error{Sent: c.writeStarted.Load(), NewConnection: !c.reused, Err: err}
 	}
 	a.stopAbort = stop
 	return a, nil
@@ -143,7 +143,7 @@
 	return errors.Is(err, syscall.ETIMEDOUT)
 }
 
-func (p *Pool) roundTrip(c *conn, r *Request, match MatchFunc) (*Answer, error) {
+func (p *Pool) roundTrip(c *conn, r *Request, match MatchFunc) (*Response, error) {
 	c.writeResult = make(chan error, 1)
 	go func() { c.writeResult <- c.write(r) }()
 	for range maxMismatched + 1 {
@@ -165,11 +165,11 @@
 	return nil, ErrMismatchedResponse
 }
 
-func (p *Pool) newAnswer(c *conn, resp *http.Response) *Answer {
+func (p *Pool) newAnswer(c *conn, resp *http.Response) *Response {
 	c.closeAfter = resp.Close
 	c.keepAlive = parseKeepAlive(resp.Header)
 	delimited := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
-	return &Answer{Status: resp.StatusCode, Header: resp.Header, Delimited: delimited, body: resp.Body, conn: c, pool: p}
+	return &Response{Status: resp.StatusCode, Header: resp.Header, Delimited: delimited, body: resp.Body, conn: c, pool: p}
 }
 
 // maxKeepAlive is the longest keep-alive timeout of an upstream that is accepted as valid.
@@ -190,7 +190,7 @@
 }
 
 // Read reads the body. It returns io.EOF when the body is complete.
-func (a *Answer) Read(p []byte) (int, error) {
+func (a *Response) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	if errors.Is(err, io.EOF) {
 		a.bodyRead = true
@@ -200,11 +200,11 @@
 
 // Abort makes current and further reads of the body fail with os.ErrDeadlineExceeded. It may
 // be called concurrently with Read.
-func (a *Answer) Abort() { _ = a.conn.SetReadDeadline(time.Unix(1, 0)) }
+func (a *Response) Abort() { _ = a.conn.SetReadDeadline(time.Unix(1, 0)) }
 
 // Close ends the exchange. The connection is kept for reuse only if the response was read
 // completely and no data followed it.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	stopped := a.stopAbort()
 	if !a.bodyRead || !stopped || a.conn.closeAfter || !a.Delimited || !a.conn.reusable() {
 		a.pool.discard(a.conn)
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -111,7 +111,7 @@
 		go func() { done <- send(t.Context(), pool, &Request{Method: "GET", URI: "/", Host: "a"}) }()
 	}
 	for {
-		if open, _ := pool.Count(); open == n {
+		if open, _ := pool.Stats(); open == n {
 			break
 		}
 		time.Sleep(time.Millisecond)
--- a/exchange/pool.go
+++ b/exchange/pool.go
@@ -31,8 +31,8 @@
 	p.mu.Unlock()
 }
 
-// Count returns how many connections are open and how many were opened so far.
-func (p *Pool) Count() (open int, dialed int64) {
+// Stats returns how many connections are open and how many were opened so far.
+func (p *Pool) Stats() (open int, dialed int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open, p.dialed
@@ -44,7 +44,7 @@
 	for {
 		c, busy := p.reserve()
 		if busy {
-			return nil, ErrBusy
+			return nil, ErrPoolExhausted
 		}
 		if c == nil {
 			break
--- a/history/history.go
+++ b/history/history.go
@@ -35,7 +35,7 @@
 		return Snapshot{Document: document.New(0, "", nil)}, nil
 	}
 	if err != nil {
-		return Snapshot{}, contract.Fail(contract.StepWatch, "platform", err)
+		return Snapshot{}, contract.WrapStep(contract.StepWatch, "platform", err)
 	}
 	return ReadSnapshot(ctx, st, rootObject)
 }
@@ -44,14 +44,14 @@
 func ReadSnapshot(ctx context.Context, st store.Store, rootObject store.Object) (Snapshot, error) {
 	var root document.Root
 	if err := json.Unmarshal(rootObject.Value, &root); err != nil {
-		return Snapshot{}, contract.Fail(contract.StepWatch, "platform", err)
+		return Snapshot{}, contract.WrapStep(contract.StepWatch, "platform", err)
 	}
 	content, err := st.Read(ctx, document.ContentName(root.Hash))
 	if err != nil {
-		return Snapshot{}, contract.Fail(contract.StepWatch, "platform", err)
+		return Snapshot{}, contract.WrapStep(contract.StepWatch, "platform", err)
 	}
 	d, err := document.DecodeContent(root, content.Value)
-	return Snapshot{Root: root, Version: rootObject.Version, Document: d}, contract.Fail(contract.StepWatch, "platform", err)
+	return Snapshot{Root: root, Version: rootObject.Version, Document: d}, contract.WrapStep(contract.StepWatch, "platform", err)
 }
 
 // ReadSnapshotSince returns the configuration that a root object points at, for a
@@ -61,7 +61,7 @@
 func ReadSnapshotSince(ctx context.Context, st store.Store, held *document.Document, rootObject store.Object) (Snapshot, error) {
 	var root document.Root
 	if err := json.Unmarshal(rootObject.Value, &root); err != nil {
-		return Snapshot{}, contract.Fail(contract.StepWatch, "platform", err)
+		return Snapshot{}, contract.WrapStep(contract.StepWatch, "platform", err)
 	}
 	if root.Revision != held.Revision+1 || held.Revision == 0 {
 		return ReadSnapshot(ctx, st, rootObject)
@@ -77,41 +77,41 @@
 	return Snapshot{Root: root, Version: rootObject.Version, Document: d}, nil
 }
 
-// Author is the author, the reason and the time of a change.
-type Author struct {
-	Who, Why string
-	At       time.Time
+// ChangeInfo is the author, the reason and the time of a change.
+type ChangeInfo struct {
+	Author, Reason string
+	At             time.Time
 }
 
-// Conflict means that another change was accepted first. No part of the rejected
+// ConflictError means that another change was accepted first. No part of the rejected
 // change is in force.
-type Conflict struct {
+type ConflictError struct {
 	Winner document.Change
 	// CommonSections are the names of the sections that both changes modify.
 	CommonSections []string
 }
 
 // Error names the change that was accepted, and the sections that both changes modify.
-func (c *Conflict) Error() string {
+func (c *ConflictError) Error() string {
 	return fmt.Sprintf("revision %d was accepted first: %s by %s at %s; both changes modify the sections %v",
-		c.Winner.ToRevision, c.Winner.ID, c.Winner.Who, c.Winner.At.Format(time.RFC3339), c.CommonSections)
+		c.Winner.ToRevision, c.Winner.ID, c.Winner.Author, c.Winner.At.Format(time.RFC3339), c.CommonSections)
 }
 
-// Unsettled means that it is unknown whether a change was accepted, because the
+// UnknownOutcomeError means that it is unknown whether a change was accepted, because the
 // platform could not be read or the write may still be in progress. The ID of the
 // change shows the outcome later.
-type Unsettled struct {
+type UnknownOutcomeError struct {
 	Change contract.ChangeID
 	Err    error
 }
 
 // Error names the change whose outcome is unknown.
-func (u *Unsettled) Error() string {
+func (u *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("it is not known whether change %s was accepted: %v; ask again with its id", u.Change, u.Err)
 }
 
 // Unwrap returns the error that left the outcome unknown.
-func (u *Unsettled) Unwrap() error { return u.Err }
+func (u *UnknownOutcomeError) Unwrap() error { return u.Err }
 
 // Publish makes a configuration with the given sections the successor of base.
 //
@@ -119,7 +119,7 @@
 // root object last. If it is interrupted, it leaves objects that cannot be reached
 // from the root. If the reply to the write of the root is lost, Publish reads the root
 // to find out the outcome, and never writes it again.
-func Publish(ctx context.Context, st store.Store, base Snapshot, sections map[string]document.Section, author Author) (document.Root, error) {
+func Publish(ctx context.Context, st store.Store, base Snapshot, sections map[string]document.Section, author ChangeInfo) (document.Root, error) {
 	change := contract.ChangeID(ulid.Make().String())
 	nextDocument := document.New(base.Root.Revision+1, change, sections)
 	if _, err := config.FromDocument(nextDocument); err != nil {
@@ -127,15 +127,15 @@
 	}
 	content, err := document.EncodeContent(nextDocument)
 	if err != nil {
-		return document.Root{}, contract.Fail(contract.StepApply, "", err)
+		return document.Root{}, contract.WrapStep(contract.StepApply, "", err)
 	}
 	record := document.Change{
 		ID: change, Previous: base.Root.Change, FromRevision: base.Root.Revision, ToRevision: nextDocument.Revision,
-		Who: author.Who, Why: author.Why, At: author.At, Hash: nextDocument.Hash(), Sections: document.Diff(base.Document, nextDocument),
+		Author: author.Author, Reason: author.Reason, At: author.At, Hash: nextDocument.Hash(), Sections: document.Diff(base.Document, nextDocument),
 	}
 	encodedRecord, err := json.Marshal(record)
 	if err != nil {
-		return document.Root{}, contract.Fail(contract.StepApply, "", err)
+		return document.Root{}, contract.WrapStep(contract.StepApply, "", err)
 	}
 	if err := createIfAbsent(ctx, st, document.ContentName(nextDocument.Hash()), content); err != nil {
 		return document.Root{}, err
@@ -154,7 +154,7 @@
 	if err == nil || errors.Is(err, store.ErrExists) {
 		return nil
 	}
-	return contract.Fail(contract.StepApply, "platform", err)
+	return contract.WrapStep(contract.StepApply, "platform", err)
 }
 
 // updateRoot makes the root object point at a change, and finds out the outcome if the
@@ -162,7 +162,7 @@
 func updateRoot(ctx context.Context, st store.Store, base Snapshot, root document.Root, record document.Change) error {
 	value, err := json.Marshal(root)
 	if err != nil {
-		return contract.Fail(contract.StepApply, "", err)
+		return contract.WrapStep(contract.StepApply, "", err)
 	}
 	if base.Version == 0 {
 		_, err = st.Create(ctx, document.RootName, value)
@@ -180,19 +180,19 @@
 func resolveOutcome(ctx context.Context, st store.Store, record document.Change, cause error) error {
 	accepted, err := AcceptedChange(ctx, st, record.ID, record.ToRevision)
 	if err != nil {
-		return &Unsettled{Change: record.ID, Err: errors.Join(cause, err)}
+		return &UnknownOutcomeError{Change: record.ID, Err: errors.Join(cause, err)}
 	}
 	if accepted.ID == record.ID {
 		return nil
 	}
-	if accepted.ID == "" && errors.Is(cause, store.ErrTooMany) {
-		return contract.Fail(contract.StepApply, "platform", cause)
+	if accepted.ID == "" && errors.Is(cause, store.ErrRateLimited) {
+		return contract.WrapStep(contract.StepApply, "platform", cause)
 	}
 	if accepted.ID == "" {
 		// The root object has not changed, but the write may still take effect.
-		return &Unsettled{Change: record.ID, Err: cause}
+		return &UnknownOutcomeError{Change: record.ID, Err: cause}
 	}
-	return &Conflict{Winner: accepted, CommonSections: commonSections(record, accepted)}
+	return &ConflictError{Winner: accepted, CommonSections: commonSections(record, accepted)}
 }
 
 // commonSections returns the names of the sections that both changes modify.
@@ -216,7 +216,7 @@
 // change.
 func AcceptedChange(ctx context.Context, st store.Store, id contract.ChangeID, revision contract.Revision) (document.Change, error) {
 	accepted := document.Change{}
-	err := Walk(ctx, st, func(c document.Change) bool {
+	err := WalkChanges(ctx, st, func(c document.Change) bool {
 		if c.ToRevision == revision {
 			accepted = c
 		}
@@ -225,19 +225,19 @@
 	return accepted, err
 }
 
-// Walk calls visit for each accepted change, from the newest to the oldest, until visit
+// WalkChanges calls visit for each accepted change, from the newest to the oldest, until visit
 // returns false.
-func Walk(ctx context.Context, st store.Store, visit func(document.Change) bool) error {
+func WalkChanges(ctx context.Context, st store.Store, visit func(document.Change) bool) error {
 	rootObject, err := st.Read(ctx, document.RootName)
 	if errors.Is(err, store.ErrNotFound) {
 		return nil
 	}
 	if err != nil {
-		return contract.Fail(contract.StepWatch, "platform", err)
+		return contract.WrapStep(contract.StepWatch, "platform", err)
 	}
 	var root document.Root
 	if err := json.Unmarshal(rootObject.Value, &root); err != nil {
-		return contract.Fail(contract.StepWatch, "platform", err)
+		return contract.WrapStep(contract.StepWatch, "platform", err)
 	}
 	for id := root.Change; id != ""; {
 		change, err := ReadChange(ctx, st, id)
@@ -257,7 +257,7 @@
 	var change document.Change
 	object, err := st.Read(ctx, document.ChangeName(id))
 	if err != nil {
-		return change, contract.Fail(contract.StepWatch, "platform", err)
+		return change, contract.WrapStep(contract.StepWatch, "platform", err)
 	}
-	return change, contract.Fail(contract.StepWatch, "platform", json.Unmarshal(object.Value, &change))
+	return change, contract.WrapStep(contract.StepWatch, "platform", json.Unmarshal(object.Value, &change))
 }
--- a/history/history_test.go
+++ b/history/history_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-var testAuthor = Author{Who: "ana", Why: "test", At: time.Unix(0, 0)}
+var testAuthor = ChangeInfo{Author: "ana", Reason: "test", At: time.Unix(0, 0)}
 
 // TestConcurrentPublishConflicts checks that of two changes made from the same
 // configuration only the first is accepted, and that the error for the second names
@@ -35,10 +35,10 @@
 	is.NoErr(err)
 	_, err = Publish(t.Context(), store, base, testSections(1), testAuthor)
 	is.NoErr(err)
-	_, err = Publish(t.Context(), store, base, testSections(2), Author{Who: "ben"})
-	var conflict *Conflict
+	_, err = Publish(t.Context(), store, base, testSections(2), ChangeInfo{Author: "ben"})
+	var conflict *ConflictError
 	is.True(errors.As(err, &conflict))
-	is.Equal(conflict.Winner.Who, "ana")
+	is.Equal(conflict.Winner.Author, "ana")
 	is.Equal(conflict.CommonSections, []string{"model m", "version m@1"})
 	now, err := Load(t.Context(), store)
 	is.NoErr(err)
@@ -83,8 +83,8 @@
 				t.Fatal(err)
 			}
 			platform.SetFaults(standin.Faults{
-				LoseReplies:   rapid.IntRange(0, 4).Draw(t, "lost"),
-				LoseRepliesTo: rapid.SampledFrom([]string{"", document.RootName, document.ChangeName("")}).Draw(t, "of"),
+				DropReplies:       rapid.IntRange(0, 4).Draw(t, "lost"),
+				DropRepliesPrefix: rapid.SampledFrom([]string{"", document.RootName, document.ChangeName("")}).Draw(t, "of"),
 			})
 			root, err := Publish(t.Context(), store, base, testSections(i), testAuthor)
 			platform.SetFaults(standin.Faults{})
@@ -99,7 +99,7 @@
 				t.Fatalf("Publish returned error %v, root object is %+v, want revision %d", err, now.Root, wantRevision)
 			}
 			records := 0
-			if err := Walk(t.Context(), store, func(document.Change) bool { records++; return true }); err != nil {
+			if err := WalkChanges(t.Context(), store, func(document.Change) bool { records++; return true }); err != nil {
 				t.Fatal(err)
 			}
 			if records != int(wantRevision) {
@@ -109,7 +109,7 @@
 		naivePlatform := standin.New()
 		naivePlatform.View("a")
 		lostReplies := rapid.IntRange(0, 2).Draw(t, "naive lost")
-		naivePlatform.SetFaults(standin.Faults{LoseReplies: 2 * lostReplies})
+		naivePlatform.SetFaults(standin.Faults{DropReplies: 2 * lostReplies})
 		naivePublish(t, naivePlatform.View("a"), testSections(0))
 		if now, err := Load(t.Context(), naivePlatform.View("a")); err == nil && now.Root.Revision > 1 {
 			naiveAcceptedTwice++
--- a/internal/bench/control.go
+++ b/internal/bench/control.go
@@ -58,7 +58,7 @@
 			peers = append(peers, settings.Peer{VM: contract.VMID(name), DataCentre: contract.DataCentreID(fmt.Sprintf("dc%d", dc)), EntryLink: address, ControlLink: address})
 		}
 	}
-	if err := keys.Make(c.dir, names); err != nil {
+	if err := keys.GenerateFiles(c.dir, names); err != nil {
 		return nil, err
 	}
 	ctx, c.cancel = context.WithCancel(ctx)
@@ -81,8 +81,8 @@
 		return err
 	}
 	vmSettings := settings.Settings{VM: peers[i].VM, DataCentre: peers[i].DataCentre}
-	vmSettings.Control = settings.Control{Health: "127.0.0.1:0", Link: peers[i].ControlLink, Advertise: peers[i].ControlLink, Watchers: 2, WatchWait: time.Second, FileEvery: time.Second}
-	vmSettings.Entry.Link, vmSettings.Entry.Advertise = peers[i].EntryLink, peers[i].EntryLink
+	vmSettings.Control = settings.Control{Health: "127.0.0.1:0", LinkAddress: peers[i].ControlLink, AdvertisedLink: peers[i].ControlLink, Watchers: 2, WatchWait: time.Second, BillFilingInterval: time.Second}
+	vmSettings.Entry.LinkAddress, vmSettings.Entry.AdvertisedLink = peers[i].EntryLink, peers[i].EntryLink
 	for j, p := range peers {
 		// The settings list the first four VMs of the own data centre and the first VM
 		// of every other, as real settings list a few VMs instead of the whole fleet.
@@ -122,9 +122,9 @@
 func (c *controlFleet) simulateEntry(ctx context.Context, endpoint *link.Endpoint, vmSettings *settings.Settings) {
 	revision := contract.Revision(0)
 	for ctx.Err() == nil {
-		answer, err := link.Call[protocol.PullRequest, protocol.PullAnswer](ctx, endpoint, vmSettings.Control.Link, link.KindPull, protocol.PullRequest{
-			Have: revision, Wait: 500 * time.Millisecond,
-			Entry: &protocol.EntryState{Incarnation: 1, Link: vmSettings.Entry.Link, Revision: revision},
+		answer, err := link.Call[protocol.PullRequest, protocol.PullResponse](ctx, endpoint, vmSettings.Control.LinkAddress, link.KindPullConfig, protocol.PullRequest{
+			HeldRevision: revision, MaxWait: 500 * time.Millisecond,
+			Entry: &protocol.EntryState{Incarnation: 1, Address: vmSettings.Entry.LinkAddress, Revision: revision},
 		})
 		if err == nil && answer.Patch != nil {
 			revision = answer.Patch.To
@@ -192,7 +192,7 @@
 		return 0, err
 	}
 	began := time.Now()
-	root, err := op.Apply(ctx, "site.ini", fmt.Appendf(nil, configTemplate, 30+n), int64(base.Root.Revision), history.Author{Who: "bench", Why: "bench", At: began})
+	root, err := op.Apply(ctx, "site.ini", fmt.Appendf(nil, configTemplate, 30+n), int64(base.Root.Revision), history.ChangeInfo{Author: "bench", Reason: "bench", At: began})
 	if err != nil {
 		return 0, err
 	}
--- a/internal/bench/entry.go
+++ b/internal/bench/entry.go
@@ -49,7 +49,7 @@
 		return nil, err
 	}
 	req.Header.Set("Authorization", "Bearer "+c.key)
-	req.Header.Set(engine.HeaderRequest, "direct")
+	req.Header.Set(engine.HeaderRequestID, "direct")
 	return c.client.Do(req)
 }
 
@@ -74,7 +74,7 @@
 func newCallers(f *fleet.Fleet) (direct, routed caller) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2000}}
 	direct = caller{f.EngineURL("dc1-engine-1"), "", "chat-small@1", client}
-	routed = caller{f.VMs[0].Callers, fleet.KeyNorte, "chat-small", client}
+	routed = caller{f.VMs[0].APIURL, fleet.APIKeyNorte, "chat-small", client}
 	return direct, routed
 }
 
--- a/internal/bench/process.go
+++ b/internal/bench/process.go
@@ -53,8 +53,8 @@
 		return nil, nil, err
 	}
 	opts := &fleet.Options{
-		Dir: dir, BinDir: binDir, VMs: vms, Engines: 2,
-		Engine:        engine.Options{Versions: []contract.VersionID{"chat-small@1", "chat-small@2", "chat-large@1"}, PerToken: perToken, Slots: 4096},
+		WorkDir: dir, BinDir: binDir, VMs: vms, Engines: 2,
+		Engine:        engine.Options{Versions: []contract.VersionID{"chat-small@1", "chat-small@2", "chat-large@1"}, TokenTime: perToken, Slots: 4096},
 		EntrySettings: "max-in-flight = 100000",
 	}
 	for i := range dcs {
@@ -70,9 +70,9 @@
 		return nil, nil, err
 	}
 	text := strings.ReplaceAll(f.Config(""), "slots = 8", "slots = 4096")
-	if _, err = f.Operator().Apply(ctx, "site.ini", []byte(text), -1, history.Author{Who: "bench", Why: "bench", At: time.Now()}); err == nil {
+	if _, err = f.Operator().Apply(ctx, "site.ini", []byte(text), -1, history.ChangeInfo{Author: "bench", Reason: "bench", At: time.Now()}); err == nil {
 		if err = f.WaitForPeers(ctx); err == nil {
-			err = f.Serving(ctx, "chat-small")
+			err = f.WaitUntilServing(ctx, "chat-small")
 		}
 	}
 	if err != nil {
--- a/internal/fleet/caller.go
+++ b/internal/fleet/caller.go
@@ -22,7 +22,7 @@
 
 // Call sends an API request to a VM. headers alternates names and values.
 func (vm *VM) Call(ctx context.Context, key, method, path, body string, headers ...string) (Reply, error) {
-	req, err := http.NewRequestWithContext(ctx, method, vm.Callers+path, bytes.NewBufferString(body))
+	req, err := http.NewRequestWithContext(ctx, method, vm.APIURL+path, bytes.NewBufferString(body))
 	if err != nil {
 		return Reply{}, err
 	}
@@ -52,9 +52,9 @@
 // pollInterval is the time between two checks of Until.
 const pollInterval = 50 * time.Millisecond
 
-// Until polls holds until it returns true or ctx ends. It returns nil once holds
+// WaitFor polls holds until it returns true or ctx ends. It returns nil once holds
 // is true, even if ctx has ended meanwhile.
-func Until(ctx context.Context, holds func() bool) error {
+func WaitFor(ctx context.Context, holds func() bool) error {
 	for !holds() {
 		select {
 		case <-time.After(pollInterval):
@@ -70,7 +70,7 @@
 // (keepers).
 func (f *Fleet) WaitForPeers(ctx context.Context) error {
 	for _, vm := range f.VMs {
-		err := Until(ctx, func() bool {
+		err := WaitFor(ctx, func() bool {
 			st, err := vm.Status(ctx)
 			return err == nil && st.Arbiters == min(f.opts.VMs, ticket.MaxArbiters) && st.Keepers == f.expectedKeepers()
 		})
@@ -123,11 +123,11 @@
 	return st, json.NewDecoder(resp.Body).Decode(&st)
 }
 
-// Serving waits until every VM answers a chat request to model with status 200.
-func (f *Fleet) Serving(ctx context.Context, model string) error {
+// WaitUntilServing waits until every VM answers a chat request to model with status 200.
+func (f *Fleet) WaitUntilServing(ctx context.Context, model string) error {
 	for _, vm := range f.VMs {
-		err := Until(ctx, func() bool {
-			r, err := vm.Chat(ctx, KeyNorte, model, "are you there")
+		err := WaitFor(ctx, func() bool {
+			r, err := vm.Chat(ctx, APIKeyNorte, model, "are you there")
 			return err == nil && r.Status == http.StatusOK
 		})
 		if err != nil {
--- a/internal/fleet/client_test.go
+++ b/internal/fleet/client_test.go
@@ -17,7 +17,7 @@
 	t.Parallel()
 	is := is.New(t)
 	f, ctx := startFleet(t, 1, 1, 0)
-	client := openai.NewClient(option.WithBaseURL(f.VMs[0].Callers+"/v1"), option.WithAPIKey(KeyNorte), option.WithMaxRetries(0))
+	client := openai.NewClient(option.WithBaseURL(f.VMs[0].APIURL+"/v1"), option.WithAPIKey(APIKeyNorte), option.WithMaxRetries(0))
 	params := openai.ChatCompletionNewParams{
 		Model: "chat-small", Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("milk is out")},
 	}
--- a/internal/fleet/cutoff_test.go
+++ b/internal/fleet/cutoff_test.go
@@ -36,9 +36,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			session, err := isolated.Chat(ctx, KeyNorte, "chat-small", "hello", "Woaddoor-Session", "new")
+			session, err := isolated.Chat(ctx, APIKeyNorte, "chat-small", "hello", "Woaddoor-Session", "new")
 			is.NoErr(err)
-			foreign, err := connected.Call(ctx, KeyMbio, http.MethodPost, "/v1/tickets", "")
+			foreign, err := connected.Call(ctx, APIKeyMbio, http.MethodPost, "/v1/tickets", "")
 			is.NoErr(err)
 			f.CutFromPlatform("dc2", c.platform)
 			f.CutFromPeers("dc2", c.peers)
@@ -47,22 +47,22 @@
 			}
 			status := chatStatus(ctx, t, isolated, "chat-small@2")
 			is.Equal(status == http.StatusOK, c.shortLived)
-			r, err := isolated.Chat(ctx, KeyNorte, "chat-small", "and then", "Woaddoor-Session", session.Header.Get("Woaddoor-Session"))
+			r, err := isolated.Chat(ctx, APIKeyNorte, "chat-small", "and then", "Woaddoor-Session", session.Header.Get("Woaddoor-Session"))
 			is.NoErr(err)
 			is.Equal(r.Status, http.StatusOK)
 
-			own, err := isolated.Call(ctx, KeyMbio, http.MethodPost, "/v1/tickets", "")
+			own, err := isolated.Call(ctx, APIKeyMbio, http.MethodPost, "/v1/tickets", "")
 			is.NoErr(err)
-			r, err = isolated.Call(ctx, KeyMbio, http.MethodPost, rulingPath, "own "+c.name, "Woaddoor-Ticket", own.Header.Get("Woaddoor-Ticket"))
+			r, err = isolated.Call(ctx, APIKeyMbio, http.MethodPost, rulingPath, "own "+c.name, "Woaddoor-Ticket", own.Header.Get("Woaddoor-Ticket"))
 			is.NoErr(err)
 			is.Equal(r.Status, http.StatusOK)
-			r, err = isolated.Call(ctx, KeyMbio, http.MethodPost, rulingPath, "foreign "+c.name, "Woaddoor-Ticket", foreign.Header.Get("Woaddoor-Ticket"))
+			r, err = isolated.Call(ctx, APIKeyMbio, http.MethodPost, rulingPath, "foreign "+c.name, "Woaddoor-Ticket", foreign.Header.Get("Woaddoor-Ticket"))
 			is.NoErr(err)
 			if c.foreign {
 				is.Equal(r.Status, http.StatusOK)
 			} else {
-				is.Equal(parseRefusal(t, r), refusal{string(contract.RefusedClaimed), "unknown"})
-				is.Equal(f.Boards.Runs("foreign "+c.name), 0)
+				is.Equal(parseRefusal(t, r), refusal{string(contract.RefusedTicketClaimed), "unknown"})
+				is.Equal(f.Boards.RunCount("foreign "+c.name), 0)
 			}
 			is.Equal(chatStatus(ctx, t, connected, "chat-small@2"), http.StatusOK) // the connected data centre still serves
 			f.CutFromPlatform("dc2", false)
@@ -78,7 +78,7 @@
 // chatStatus sends a chat request and returns the HTTP status.
 func chatStatus(ctx context.Context, t *testing.T, vm *VM, model string) int {
 	t.Helper()
-	r, err := vm.Chat(ctx, KeyNorte, model, "hello")
+	r, err := vm.Chat(ctx, APIKeyNorte, model, "hello")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,7 +93,7 @@
 	is := is.New(t)
 	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
-	f, err := Start(&Options{Dir: t.TempDir(), BinDir: binDir, VMs: 4, Engines: 1, DataCentres: []contract.DataCentreID{"dc1"}, ListedPeers: 1})
+	f, err := Start(&Options{WorkDir: t.TempDir(), BinDir: binDir, VMs: 4, Engines: 1, DataCentres: []contract.DataCentreID{"dc1"}, ListedPeers: 1})
 	t.Cleanup(func() { f.stopAndCheckLogs(t) })
 	is.NoErr(err)
 	f.apply(ctx, t, f.Config(""))
@@ -171,7 +171,7 @@
 	}
 	waitUntil(ctx, t, "all VMs serve the latest configuration", func() bool {
 		for _, vm := range f.VMs {
-			r, err := vm.Chat(ctx, KeyNorte, "chat-small", "hello")
+			r, err := vm.Chat(ctx, APIKeyNorte, "chat-small", "hello")
 			st, statusErr := vm.Status(ctx)
 			if err != nil || statusErr != nil || r.Status != http.StatusOK || st.Revision != 2 {
 				return false
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -28,8 +28,8 @@
 
 // Options configure a Fleet.
 type Options struct {
-	// Dir is where settings, keys and logs are written; BinDir holds the compiled programs.
-	Dir, BinDir string
+	// WorkDir is where settings, keys and logs are written; BinDir holds the compiled programs.
+	WorkDir, BinDir string
 	// DataCentres lists the names of the data centres. Each gets VMs virtual
 	// machines and Engines engines.
 	DataCentres []contract.DataCentreID
@@ -63,7 +63,7 @@
 type VM struct {
 	Name       contract.VMID
 	DataCentre contract.DataCentreID
-	Callers    string // URL for API requests
+	APIURL     string // URL for API requests
 	HealthURL  string // URL of the entry process's health and status pages
 	Entry      *Process
 	Control    *Process
@@ -72,8 +72,8 @@
 
 // API keys of the workspaces norte and mbio.
 const (
-	KeyNorte = "key-norte"
-	KeyMbio  = "key-mbio"
+	APIKeyNorte = "key-norte"
+	APIKeyMbio  = "key-mbio"
 )
 
 // IDs of the service upstreams that every fleet has.
@@ -230,7 +230,7 @@
 
 // LogFile returns the path of the log file of one of a VM's programs.
 func (f *Fleet) LogFile(program string, vm *VM) string {
-	return filepath.Join(f.opts.Dir, string(vm.Name)+"-"+program+".log")
+	return filepath.Join(f.opts.WorkDir, string(vm.Name)+"-"+program+".log")
 }
 
 // CutFromPeers blocks the links between data centre dc and all others when cut
@@ -239,7 +239,7 @@
 	for _, a := range f.VMs {
 		for _, b := range f.VMs {
 			if a.DataCentre == dc && b.DataCentre != dc {
-				f.Net.Cut(string(a.Name), string(b.Name), cut)
+				f.Net.SetCut(string(a.Name), string(b.Name), cut)
 			}
 		}
 	}
@@ -250,7 +250,7 @@
 func (f *Fleet) CutFromPlatform(dc contract.DataCentreID, cut bool) {
 	for _, vm := range f.VMs {
 		if vm.DataCentre == dc {
-			f.Platform.Cut(string(vm.Name), cut)
+			f.Platform.SetDisconnected(string(vm.Name), cut)
 		}
 	}
 }
@@ -271,5 +271,5 @@
 
 // makeKeys generates the key files of all VMs.
 func (f *Fleet) makeKeys(names []string) error {
-	return keys.Make(filepath.Join(f.opts.Dir, "keys"), names)
+	return keys.GenerateFiles(filepath.Join(f.opts.WorkDir, "keys"), names)
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -45,8 +45,8 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 2*waitTimeout)
 	t.Cleanup(cancel)
 	opts := &Options{
-		Dir: t.TempDir(), BinDir: binDir, VMs: vms, Engines: 2,
-		Engine: engine.Options{Versions: []contract.VersionID{"chat-small@1", "chat-small@2", "chat-large@1"}, PerToken: perToken},
+		WorkDir: t.TempDir(), BinDir: binDir, VMs: vms, Engines: 2,
+		Engine: engine.Options{Versions: []contract.VersionID{"chat-small@1", "chat-small@2", "chat-large@1"}, TokenTime: perToken},
 	}
 	for i := range dcs {
 		opts.DataCentres = append(opts.DataCentres, contract.DataCentreID(fmt.Sprintf("dc%d", i+1)))
@@ -56,7 +56,7 @@
 	is.NoErr(err)
 	f.apply(ctx, t, f.Config(""))
 	is.NoErr(f.WaitForPeers(ctx))
-	is.NoErr(f.Serving(ctx, "chat-small"))
+	is.NoErr(f.WaitUntilServing(ctx, "chat-small"))
 	return f, ctx
 }
 
@@ -66,7 +66,7 @@
 	is := is.New(t)
 	base, err := history.Load(ctx, f.Operator().Store)
 	is.NoErr(err)
-	_, err = f.Operator().Apply(ctx, "site.ini", []byte(text), int64(base.Root.Revision), history.Author{Who: "test", Why: "test", At: time.Now()})
+	_, err = f.Operator().Apply(ctx, "site.ini", []byte(text), int64(base.Root.Revision), history.ChangeInfo{Author: "test", Reason: "test", At: time.Now()})
 	is.NoErr(err)
 }
 
@@ -107,7 +107,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
-	if err := Until(ctx, holds); err != nil {
+	if err := WaitFor(ctx, holds); err != nil {
 		t.Fatalf("condition not reached: %s", what)
 	}
 }
--- a/internal/fleet/guarantees_test.go
+++ b/internal/fleet/guarantees_test.go
@@ -46,14 +46,14 @@
 		vm.Control.Kill()
 	}
 	for _, vm := range f.VMs {
-		r, err := vm.Chat(ctx, KeyMbio, "chat-small", "hello")
+		r, err := vm.Chat(ctx, APIKeyMbio, "chat-small", "hello")
 		is.NoErr(err)
 		is.Equal(r.Status, http.StatusOK)
 	}
 	// chat-small@2 may be served for 5 s without a recent configuration.
 	waitUntil(ctx, t, "chat-small@2 is refused for lack of a recent configuration", func() bool {
-		r, err := f.VMs[0].Chat(ctx, KeyMbio, "chat-small@2", "hello")
-		return err == nil && r.Status == http.StatusServiceUnavailable && parseRefusal(t, r).Type == string(contract.RefusedNoWord)
+		r, err := f.VMs[0].Chat(ctx, APIKeyMbio, "chat-small@2", "hello")
+		return err == nil && r.Status == http.StatusServiceUnavailable && parseRefusal(t, r).Type == string(contract.RefusedStaleConfiguration)
 	})
 }
 
@@ -66,49 +66,49 @@
 	f, ctx := startFleet(t, 2, 1, 0)
 	connected, isolated := f.VMs[0], f.VMs[1]
 	for _, vm := range f.VMs {
-		r, err := vm.Chat(ctx, KeyNorte, "chat-small@2", "hello")
+		r, err := vm.Chat(ctx, APIKeyNorte, "chat-small@2", "hello")
 		is.NoErr(err)
 		is.Equal(r.Status, http.StatusOK)
 	}
 	f.CutFromPeers("dc2", true)
 	f.CutFromPlatform("dc2", true)
-	root, err := f.Operator().Withdraw(ctx, "chat-small@2", history.Author{Who: "ana", Why: "bad", At: time.Now()})
+	root, err := f.Operator().Withdraw(ctx, "chat-small@2", history.ChangeInfo{Author: "ana", Reason: "bad", At: time.Now()})
 	is.NoErr(err)
 	waitUntil(ctx, t, "the connected VM refuses the version", func() bool {
-		r, err := connected.Chat(ctx, KeyNorte, "chat-small@2", "hello")
+		r, err := connected.Chat(ctx, APIKeyNorte, "chat-small@2", "hello")
 		return err == nil && r.Status == http.StatusGone
 	})
-	var force datacentre.Force
+	var force datacentre.RevisionStatus
 	waitUntil(ctx, t, "the withdrawal is reported in force on the connected VM", func() bool {
-		force, err = f.Operator().Force(ctx, root)
+		force, err = f.Operator().RevisionStatus(ctx, root)
 		return err == nil && slices.Contains(force.InForce, connected.Name)
 	})
 	is.Equal(len(force.Pending), 1)
 	is.Equal(force.Pending[0].VM, isolated.Name)
-	is.True(!force.Everywhere(time.Now())) // not yet in force on the VM that is cut off
+	is.True(!force.InForceEverywhere(time.Now())) // not yet in force on the VM that is cut off
 	waitUntil(ctx, t, "the VM that is cut off refuses the version", func() bool {
-		r, err := isolated.Chat(ctx, KeyMbio, "chat-small@2", "hello")
+		r, err := isolated.Chat(ctx, APIKeyMbio, "chat-small@2", "hello")
 		return err == nil && r.Status != http.StatusOK
 	})
 	// After SureAt no VM sends new work to the withdrawn version.
 	runs := func() int {
 		n := 0
 		for _, e := range f.Engines {
-			n += e.RunsOf("chat-small@2")
+			n += e.RunCountOfVersion("chat-small@2")
 		}
 		return n
 	}
-	waitUntil(ctx, t, "SureAt has passed", func() bool { return time.Now().After(force.SureAt) })
+	waitUntil(ctx, t, "SureAt has passed", func() bool { return time.Now().After(force.EnforcedAt) })
 	before := runs()
 	for range 5 {
-		_, err := isolated.Chat(ctx, KeyMbio, "chat-small@2", "hello")
+		_, err := isolated.Chat(ctx, APIKeyMbio, "chat-small@2", "hello")
 		is.NoErr(err)
 	}
 	is.Equal(runs(), before)
 	f.CutFromPeers("dc2", false)
 	f.CutFromPlatform("dc2", false)
 	waitUntil(ctx, t, "the reconnected VM has the withdrawal", func() bool {
-		r, err := isolated.Chat(ctx, KeyMbio, "chat-small@2", "hello")
+		r, err := isolated.Chat(ctx, APIKeyMbio, "chat-small@2", "hello")
 		return err == nil && r.Status == http.StatusGone
 	})
 }
@@ -125,17 +125,17 @@
 	vm.Control.Suspend()
 	answered := make(chan Reply, 1)
 	go func() { // arrives while the VM is suspended
-		r, _ := vm.Chat(ctx, KeyMbio, "chat-small@2", "frozen")
+		r, _ := vm.Chat(ctx, APIKeyMbio, "chat-small@2", "frozen")
 		answered <- r
 	}()
-	root, err := f.Operator().Withdraw(ctx, "chat-small@2", history.Author{Who: "ana", Why: "bad", At: time.Now()})
+	root, err := f.Operator().Withdraw(ctx, "chat-small@2", history.ChangeInfo{Author: "ana", Reason: "bad", At: time.Now()})
 	is.NoErr(err)
-	force, err := f.Operator().Force(ctx, root)
+	force, err := f.Operator().RevisionStatus(ctx, root)
 	is.NoErr(err)
-	waitUntil(ctx, t, "the permission has expired", func() bool { return time.Now().After(force.SureAt) })
+	waitUntil(ctx, t, "the permission has expired", func() bool { return time.Now().After(force.EnforcedAt) })
 	before := 0
 	for _, e := range f.Engines {
-		before += e.RunsOf("chat-small@2")
+		before += e.RunCountOfVersion("chat-small@2")
 	}
 	vm.Control.Resume()
 	vm.Entry.Resume()
@@ -143,7 +143,7 @@
 	is.True(r.Status != http.StatusOK)
 	after := 0
 	for _, e := range f.Engines {
-		after += e.RunsOf("chat-small@2")
+		after += e.RunCountOfVersion("chat-small@2")
 	}
 	is.Equal(after, before)
 }
@@ -155,7 +155,7 @@
 	t.Parallel()
 	is := is.New(t)
 	f, ctx := startFleet(t, 1, 2, 0)
-	first, err := f.VMs[0].Chat(ctx, KeyNorte, "chat-small", "hello", "Woaddoor-Session", "new")
+	first, err := f.VMs[0].Chat(ctx, APIKeyNorte, "chat-small", "hello", "Woaddoor-Session", "new")
 	is.NoErr(err)
 	token := first.Header.Get("Woaddoor-Session")
 	is.Equal(first.Header.Get("Woaddoor-Version"), "chat-small@1")
@@ -168,19 +168,19 @@
 		is.NoErr(f.StartVM(vm))
 	}
 	waitUntil(ctx, t, "new work goes to the new version", func() bool {
-		r, err := f.VMs[1].Chat(ctx, KeyNorte, "chat-small", "hello")
+		r, err := f.VMs[1].Chat(ctx, APIKeyNorte, "chat-small", "hello")
 		return err == nil && r.Header.Get("Woaddoor-Version") == "chat-small@2"
 	})
-	r, err := f.VMs[1].Chat(ctx, KeyNorte, "chat-small", "and then", "Woaddoor-Session", token)
+	r, err := f.VMs[1].Chat(ctx, APIKeyNorte, "chat-small", "and then", "Woaddoor-Session", token)
 	is.NoErr(err)
 	is.Equal(r.Header.Get("Woaddoor-Version"), "chat-small@1")
-	r, err = f.VMs[1].Chat(ctx, KeyMbio, "chat-small", "and then", "Woaddoor-Session", token)
+	r, err = f.VMs[1].Chat(ctx, APIKeyMbio, "chat-small", "and then", "Woaddoor-Session", token)
 	is.NoErr(err)
-	is.Equal(parseRefusal(t, r), refusal{string(contract.RefusedSession), "not run"})
-	_, err = f.Operator().Withdraw(ctx, "chat-small@1", history.Author{Who: "ana", Why: "bad", At: time.Now()})
+	is.Equal(parseRefusal(t, r), refusal{string(contract.RefusedInvalidSession), "not run"})
+	_, err = f.Operator().Withdraw(ctx, "chat-small@1", history.ChangeInfo{Author: "ana", Reason: "bad", At: time.Now()})
 	is.NoErr(err)
 	waitUntil(ctx, t, "the session is refused because its version is withdrawn", func() bool {
-		r, err := f.VMs[1].Chat(ctx, KeyNorte, "chat-small", "and then", "Woaddoor-Session", token)
+		r, err := f.VMs[1].Chat(ctx, APIKeyNorte, "chat-small", "and then", "Woaddoor-Session", token)
 		return err == nil && r.Status == http.StatusGone
 	})
 }
@@ -196,23 +196,23 @@
 	t.Parallel()
 	is := is.New(t)
 	f, ctx := startFleet(t, 2, 2, 0)
-	r, err := f.VMs[0].Call(ctx, KeyMbio, http.MethodPost, rulingPath, "run 7: valid")
+	r, err := f.VMs[0].Call(ctx, APIKeyMbio, http.MethodPost, rulingPath, "run 7: valid")
 	is.NoErr(err)
 	is.Equal(parseRefusal(t, r), refusal{string(contract.RefusedTicketNeeded), "not run"})
 	ticket := r.Header.Get("Woaddoor-Ticket")
 	is.True(ticket != "")
 	f.Boards.SetFaults(service.Faults{Delay: time.Second})
 	go func() {
-		_, _ = f.VMs[0].Call(ctx, KeyMbio, http.MethodPost, rulingPath, "run 7: valid", "Woaddoor-Ticket", ticket)
+		_, _ = f.VMs[0].Call(ctx, APIKeyMbio, http.MethodPost, rulingPath, "run 7: valid", "Woaddoor-Ticket", ticket)
 	}()
-	waitUntil(ctx, t, "the service has started the ruling", func() bool { return f.Boards.Runs("run 7: valid") == 1 })
+	waitUntil(ctx, t, "the service has started the ruling", func() bool { return f.Boards.RunCount("run 7: valid") == 1 })
 	f.VMs[0].Entry.Kill()
 	for _, vm := range f.VMs[1:] {
-		r, err := vm.Call(ctx, KeyMbio, http.MethodPost, rulingPath, "run 7: valid", "Woaddoor-Ticket", ticket)
+		r, err := vm.Call(ctx, APIKeyMbio, http.MethodPost, rulingPath, "run 7: valid", "Woaddoor-Ticket", ticket)
 		is.NoErr(err)
-		is.Equal(parseRefusal(t, r), refusal{string(contract.RefusedClaimed), "unknown"})
+		is.Equal(parseRefusal(t, r), refusal{string(contract.RefusedTicketClaimed), "unknown"})
 	}
-	is.Equal(f.Boards.Runs("run 7: valid"), 1)
+	is.Equal(f.Boards.RunCount("run 7: valid"), 1)
 }
 
 // TestRulingAnswerReplayed kills the VM that has answered a ruling and retries on
@@ -222,18 +222,18 @@
 	t.Parallel()
 	is := is.New(t)
 	f, ctx := startFleet(t, 1, 3, 0)
-	r, err := f.VMs[0].Call(ctx, KeyMbio, http.MethodPost, "/v1/tickets", "")
+	r, err := f.VMs[0].Call(ctx, APIKeyMbio, http.MethodPost, "/v1/tickets", "")
 	is.NoErr(err)
 	ticket := r.Header.Get("Woaddoor-Ticket")
-	r, err = f.VMs[0].Call(ctx, KeyMbio, http.MethodPost, rulingPath, "run 8", "Woaddoor-Ticket", ticket)
+	r, err = f.VMs[0].Call(ctx, APIKeyMbio, http.MethodPost, rulingPath, "run 8", "Woaddoor-Ticket", ticket)
 	is.NoErr(err)
 	is.Equal(r.Body, "done run 8")
 	f.VMs[0].Entry.Kill()
-	r, err = f.VMs[1].Call(ctx, KeyMbio, http.MethodPost, rulingPath, "run 8", "Woaddoor-Ticket", ticket)
+	r, err = f.VMs[1].Call(ctx, APIKeyMbio, http.MethodPost, rulingPath, "run 8", "Woaddoor-Ticket", ticket)
 	is.NoErr(err)
 	is.Equal(r.Body, "done run 8")
 	is.Equal(r.Header.Get("Woaddoor-Replayed"), "yes")
-	is.Equal(f.Boards.Runs("run 8"), 1)
+	is.Equal(f.Boards.RunCount("run 8"), 1)
 }
 
 // TestTicketOfKilledVMNeverRuns kills the VM that issued a ticket before the ticket
@@ -242,14 +242,14 @@
 	t.Parallel()
 	is := is.New(t)
 	f, ctx := startFleet(t, 1, 2, 0)
-	r, err := f.VMs[0].Call(ctx, KeyMbio, http.MethodPost, "/v1/tickets", "")
+	r, err := f.VMs[0].Call(ctx, APIKeyMbio, http.MethodPost, "/v1/tickets", "")
 	is.NoErr(err)
 	ticket := r.Header.Get("Woaddoor-Ticket")
 	f.VMs[0].Entry.Kill()
-	r, err = f.VMs[1].Call(ctx, KeyMbio, http.MethodPost, rulingPath, "run 9", "Woaddoor-Ticket", ticket)
+	r, err = f.VMs[1].Call(ctx, APIKeyMbio, http.MethodPost, rulingPath, "run 9", "Woaddoor-Ticket", ticket)
 	is.NoErr(err)
-	is.Equal(parseRefusal(t, r).Type, string(contract.RefusedClaimed)) // VM 1 voted for its own claim, and VM 0 cannot vote: no majority
-	is.Equal(f.Boards.Runs("run 9"), 0)
+	is.Equal(parseRefusal(t, r).Type, string(contract.RefusedTicketClaimed)) // VM 1 voted for its own claim, and VM 0 cannot vote: no majority
+	is.Equal(f.Boards.RunCount("run 9"), 0)
 }
 
 // TestBillingSurvivesKill kills a VM right after its answers while the platform is
@@ -262,9 +262,9 @@
 	f.Platform.SetFaults(platform.Faults{Down: true})
 	const answers = 5
 	for i := range answers {
-		key := KeyNorte
+		key := APIKeyNorte
 		if i%2 == 1 {
-			key = KeyMbio
+			key = APIKeyMbio
 		}
 		r, err := f.VMs[0].Chat(ctx, key, "chat-large", "hello", "Idempotency-Key", "the same of both")
 		is.NoErr(err)
@@ -275,7 +275,7 @@
 	}
 	f.VMs[0].Entry.Kill()
 	f.VMs[0].Control.Kill()
-	f.Platform.SetFaults(platform.Faults{LoseReplies: 2})
+	f.Platform.SetFaults(platform.Faults{DropReplies: 2})
 	// norte: 1 for each of the 2 VMs to see that it serves, 3 without an
 	// idempotency key, 1 for all that share the key.
 	want := map[contract.WorkspaceID]int{"norte": 2 + 3 + 1, "mbio": 2 + 1}
@@ -304,7 +304,7 @@
 	is := is.New(t)
 	f, ctx := startFleet(t, 1, 2, 0)
 	f.Platform.SetFaults(platform.Faults{Down: true})
-	r, err := f.VMs[0].Chat(ctx, KeyMbio, "chat-large", "hello")
+	r, err := f.VMs[0].Chat(ctx, APIKeyMbio, "chat-large", "hello")
 	is.NoErr(err)
 	is.Equal(r.Status, http.StatusOK)
 	f.VMs[0].Entry.Terminate()
@@ -328,7 +328,7 @@
 	f, ctx := startFleet(t, 1, 2, 0)
 	f.Platform.SetFaults(platform.Faults{Down: true})
 	f.VMs[1].Entry.Suspend()
-	r, err := f.VMs[0].Chat(ctx, KeyMbio, "chat-large", "hello")
+	r, err := f.VMs[0].Chat(ctx, APIKeyMbio, "chat-large", "hello")
 	is.NoErr(err)
 	is.Equal(r.Status, http.StatusOK)
 	st, err := f.VMs[0].Status(ctx)
@@ -353,15 +353,15 @@
 	f, ctx := startFleet(t, 1, 1, 0)
 	f.Platform.SetFaults(platform.Faults{Down: true})
 	waitUntil(ctx, t, "requests of norte are refused", func() bool {
-		r, err := f.VMs[0].Chat(ctx, KeyNorte, "chat-large", "hello")
-		return err == nil && r.Status == http.StatusServiceUnavailable && parseRefusal(t, r) == refusal{string(contract.RefusedBill), "not run"}
+		r, err := f.VMs[0].Chat(ctx, APIKeyNorte, "chat-large", "hello")
+		return err == nil && r.Status == http.StatusServiceUnavailable && parseRefusal(t, r) == refusal{string(contract.RefusedBillNotStored), "not run"}
 	})
-	before := f.Engines["dc1-engine-1"].TotalRuns() + f.Engines["dc1-engine-2"].TotalRuns()
-	r, err := f.VMs[0].Chat(ctx, KeyNorte, "chat-large", "hello")
+	before := f.Engines["dc1-engine-1"].TotalRunCount() + f.Engines["dc1-engine-2"].TotalRunCount()
+	r, err := f.VMs[0].Chat(ctx, APIKeyNorte, "chat-large", "hello")
 	is.NoErr(err)
 	is.Equal(r.Status, http.StatusServiceUnavailable)
-	is.Equal(f.Engines["dc1-engine-1"].TotalRuns()+f.Engines["dc1-engine-2"].TotalRuns(), before)
-	r, err = f.VMs[0].Chat(ctx, KeyMbio, "chat-large", "hello")
+	is.Equal(f.Engines["dc1-engine-1"].TotalRunCount()+f.Engines["dc1-engine-2"].TotalRunCount(), before)
+	r, err = f.VMs[0].Chat(ctx, APIKeyMbio, "chat-large", "hello")
 	is.NoErr(err)
 	is.Equal(r.Status, http.StatusOK)
 	st, err := f.VMs[0].Status(ctx)
@@ -380,10 +380,10 @@
 	t.Parallel()
 	is := is.New(t)
 	f, ctx := startFleet(t, 1, 3, 0)
-	_, err := f.Operator().Withdraw(ctx, "chat-small@2", history.Author{Who: "ana", Why: "bad", At: time.Now()})
+	_, err := f.Operator().Withdraw(ctx, "chat-small@2", history.ChangeInfo{Author: "ana", Reason: "bad", At: time.Now()})
 	is.NoErr(err)
 	waitUntil(ctx, t, "chat-small@2 is withdrawn", func() bool {
-		r, err := f.VMs[1].Chat(ctx, KeyNorte, "chat-small@2", "hello")
+		r, err := f.VMs[1].Chat(ctx, APIKeyNorte, "chat-small@2", "hello")
 		return err == nil && r.Status == http.StatusGone
 	})
 	f.Platform.SetFaults(platform.Faults{Down: true})
@@ -391,10 +391,10 @@
 	f.VMs[0].Control.Kill()
 	is.NoErr(f.StartVM(f.VMs[0]))
 	waitUntil(ctx, t, "the restarted VM serves", func() bool {
-		r, err := f.VMs[0].Chat(ctx, KeyNorte, "chat-small", "hello")
+		r, err := f.VMs[0].Chat(ctx, APIKeyNorte, "chat-small", "hello")
 		return err == nil && r.Status == http.StatusOK
 	})
-	r, err := f.VMs[0].Chat(ctx, KeyNorte, "chat-small@2", "hello")
+	r, err := f.VMs[0].Chat(ctx, APIKeyNorte, "chat-small@2", "hello")
 	is.NoErr(err)
 	is.Equal(r.Status, http.StatusGone)
 }
@@ -410,20 +410,20 @@
 	draining, remaining := f.Engines["dc1-engine-1"], f.Engines["dc1-engine-2"]
 	draining.Drain()
 	waitUntil(ctx, t, "the draining engine gets no more requests", func() bool {
-		before := draining.TotalRuns()
+		before := draining.TotalRunCount()
 		for range 10 {
-			if r, err := f.VMs[0].Chat(ctx, KeyMbio, "chat-small", "hello"); err != nil || r.Status != http.StatusOK {
+			if r, err := f.VMs[0].Chat(ctx, APIKeyMbio, "chat-small", "hello"); err != nil || r.Status != http.StatusOK {
 				return false
 			}
 		}
-		return draining.TotalRuns() == before
+		return draining.TotalRunCount() == before
 	})
-	remaining.SetFaults(standin.Faults{Silent: true})
+	remaining.SetFaults(standin.Faults{DropLoadCalls: true})
 	waitUntil(ctx, t, "no engine is available", func() bool {
-		r, err := f.VMs[0].Chat(ctx, KeyMbio, "chat-small", "hello")
+		r, err := f.VMs[0].Chat(ctx, APIKeyMbio, "chat-small", "hello")
 		return err == nil && r.Status == http.StatusServiceUnavailable
 	})
-	r, err := f.VMs[0].Chat(ctx, KeyMbio, "chat-small", "hello")
+	r, err := f.VMs[0].Chat(ctx, APIKeyMbio, "chat-small", "hello")
 	is.NoErr(err)
 	is.Equal(parseRefusal(t, r), refusal{string(contract.RefusedNoUpstream), "not run"})
 	is.True(r.Header.Get("Retry-After") != "")
@@ -435,13 +435,13 @@
 	t.Parallel()
 	f, ctx := startFleet(t, 1, 1, 0)
 	for name, faults := range map[string]standin.Faults{
-		"other version": {HeldVersion: "chat-large@1"}, "crossed": {Crossed: true}, "truncated": {TruncateAt: 1},
+		"other version": {RunsVersion: "chat-large@1"}, "crossed": {WrongRequestID: true}, "truncated": {TruncateAt: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			f.Engines["dc1-engine-1"].SetFaults(faults)
 			for range 10 {
-				r, err := f.VMs[0].Chat(ctx, KeyNorte, "chat-small", "hello")
+				r, err := f.VMs[0].Chat(ctx, APIKeyNorte, "chat-small", "hello")
 				is.NoErr(err)
 				if r.Status == http.StatusOK {
 					is.True(strings.Contains(r.Body, `"model":"chat-small@1"`))
--- a/internal/fleet/hostile_test.go
+++ b/internal/fleet/hostile_test.go
@@ -18,7 +18,9 @@
 	t.Parallel()
 	f, ctx := startFleet(t, 1, 1, 0)
 	vm := f.VMs[0]
-	runs := func() int { return f.Engines["dc1-engine-1"].TotalRuns() + f.Engines["dc1-engine-2"].TotalRuns() }
+	runs := func() int {
+		return f.Engines["dc1-engine-1"].TotalRunCount() + f.Engines["dc1-engine-2"].TotalRunCount()
+	}
 	before := runs()
 	const chat = "/v1/chat/completions"
 	valid := ChatBody("chat-small", "hello", 4, false)
@@ -28,19 +30,19 @@
 		status          int
 		kind            contract.RefusalKind
 	}{
-		"no key":            {"nobody", chat, valid, nil, http.StatusUnauthorized, contract.RefusedKey},
-		"not JSON":          {KeyNorte, chat, "{", nil, http.StatusBadRequest, contract.RefusedRequest},
-		"no messages":       {KeyNorte, chat, `{"model":"chat-small"}`, nil, http.StatusBadRequest, contract.RefusedRequest},
-		"wrong types":       {KeyNorte, chat, `{"model":7,"messages":"x"}`, nil, http.StatusBadRequest, contract.RefusedRequest},
-		"too large":         {KeyNorte, chat, strings.Repeat("x", 2<<20), nil, http.StatusRequestEntityTooLarge, contract.RefusedTooLarge},
-		"wrong unit":        {KeyNorte, chat, valid, []string{"Woaddoor-Timeout", "30"}, http.StatusBadRequest, contract.RefusedRequest},
-		"endless timeout":   {KeyNorte, chat, valid, []string{"Woaddoor-Timeout", "9000h"}, http.StatusBadRequest, contract.RefusedRequest},
-		"long idempotency":  {KeyNorte, chat, valid, []string{"Idempotency-Key", strings.Repeat("k", 300)}, http.StatusBadRequest, contract.RefusedRequest},
-		"forged session":    {KeyNorte, chat, valid, []string{"Woaddoor-Session", "a.b"}, http.StatusForbidden, contract.RefusedSession},
-		"forged ticket":     {KeyNorte, chat, valid, []string{"Woaddoor-Repeatable", "no", "Woaddoor-Ticket", "a.b"}, http.StatusForbidden, contract.RefusedTicket},
-		"forged stream":     {KeyNorte, chat, valid, []string{"Woaddoor-Stream", "a.b", "Last-Event-ID", "1"}, http.StatusForbidden, contract.RefusedStreamForbidden},
-		"no such service":   {KeyNorte, "/services/none/x", valid, nil, http.StatusForbidden, contract.RefusedNotAllowed},
-		"version not there": {KeyNorte, chat, ChatBody("chat-small@77", "hello", 4, false), nil, http.StatusForbidden, contract.RefusedNotAllowed},
+		"no key":            {"nobody", chat, valid, nil, http.StatusUnauthorized, contract.RefusedUnknownKey},
+		"not JSON":          {APIKeyNorte, chat, "{", nil, http.StatusBadRequest, contract.RefusedInvalidRequest},
+		"no messages":       {APIKeyNorte, chat, `{"model":"chat-small"}`, nil, http.StatusBadRequest, contract.RefusedInvalidRequest},
+		"wrong types":       {APIKeyNorte, chat, `{"model":7,"messages":"x"}`, nil, http.StatusBadRequest, contract.RefusedInvalidRequest},
+		"too large":         {APIKeyNorte, chat, strings.Repeat("x", 2<<20), nil, http.StatusRequestEntityTooLarge, contract.RefusedRequestTooLarge},
+		"wrong unit":        {APIKeyNorte, chat, valid, []string{"Woaddoor-Timeout", "30"}, http.StatusBadRequest, contract.RefusedInvalidRequest},
+		"endless timeout":   {APIKeyNorte, chat, valid, []string{"Woaddoor-Timeout", "9000h"}, http.StatusBadRequest, contract.RefusedInvalidRequest},
+		"long idempotency":  {APIKeyNorte, chat, valid, []string{"Idempotency-Key", strings.Repeat("k", 300)}, http.StatusBadRequest, contract.RefusedInvalidRequest},
+		"forged session":    {APIKeyNorte, chat, valid, []string{"Woaddoor-Session", "a.b"}, http.StatusForbidden, contract.RefusedInvalidSession},
+		"forged ticket":     {APIKeyNorte, chat, valid, []string{"Woaddoor-Repeatable", "no", "Woaddoor-Ticket", "a.b"}, http.StatusForbidden, contract.RefusedInvalidTicket},
+		"forged stream":     {APIKeyNorte, chat, valid, []string{"Woaddoor-Stream", "a.b", "Last-Event-ID", "1"}, http.StatusForbidden, contract.RefusedInvalidStreamToken},
+		"no such service":   {APIKeyNorte, "/services/none/x", valid, nil, http.StatusForbidden, contract.RefusedVersionNotAllowed},
+		"version not there": {APIKeyNorte, chat, ChatBody("chat-small@77", "hello", 4, false), nil, http.StatusForbidden, contract.RefusedVersionNotAllowed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -53,7 +55,7 @@
 	}
 	t.Run("large header", func(t *testing.T) {
 		is := is.New(t)
-		r, err := vm.Call(ctx, KeyNorte, http.MethodPost, chat, valid, "X-Large", strings.Repeat("x", 1<<20))
+		r, err := vm.Call(ctx, APIKeyNorte, http.MethodPost, chat, valid, "X-Large", strings.Repeat("x", 1<<20))
 		is.True(err != nil || r.Status == http.StatusRequestHeaderFieldsTooLarge)
 	})
 	is := is.New(t)
@@ -61,6 +63,6 @@
 	for _, program := range programs {
 		raw, err := os.ReadFile(f.LogFile(program, vm))
 		is.NoErr(err)
-		is.True(!bytes.Contains(raw, []byte(KeyNorte)))
+		is.True(!bytes.Contains(raw, []byte(APIKeyNorte)))
 	}
 }
--- a/internal/fleet/layout.go
+++ b/internal/fleet/layout.go
@@ -36,8 +36,8 @@
 			addresses = append(addresses, a)
 			f.VMs = append(f.VMs, &VM{
 				Name: contract.VMID(name), DataCentre: dc,
-				Callers: "http://" + a.callers, HealthURL: "http://" + a.entryHealth,
-				settings: filepath.Join(f.opts.Dir, name+".ini"),
+				APIURL: "http://" + a.callers, HealthURL: "http://" + a.entryHealth,
+				settings: filepath.Join(f.opts.WorkDir, name+".ini"),
 			})
 		}
 	}
@@ -71,10 +71,10 @@
 			return a, err
 		}
 	}
-	if a.entryAdvertised, err = f.Net.Relay(name, a.entryLink); err != nil {
+	if a.entryAdvertised, err = f.Net.StartRelay(name, a.entryLink); err != nil {
 		return a, err
 	}
-	if a.controlAdvertised, err = f.Net.Relay(name, a.controlLink); err != nil {
+	if a.controlAdvertised, err = f.Net.StartRelay(name, a.controlLink); err != nil {
 		return a, err
 	}
 	a.platform, err = f.serve(f.Platform.View(name).Handler())
@@ -104,8 +104,8 @@
 // service. extra holds additional sections.
 func (f *Fleet) Config(extra string) string {
 	var b strings.Builder
-	for _, workspace := range []struct{ name, key, bill string }{{"norte", KeyNorte, "refuse"}, {"mbio", KeyMbio, "serve"}} {
-		fmt.Fprintf(&b, "[workspace %s]\nkey-hash = %s\nallow = chat-small@1, chat-small@2, chat-large@1\nquality = 0.9\nbill-at-risk = %s\n\n", workspace.name, keys.HashKey(workspace.key), workspace.bill)
+	for _, workspace := range []struct{ name, key, bill string }{{"norte", APIKeyNorte, "refuse"}, {"mbio", APIKeyMbio, "serve"}} {
+		fmt.Fprintf(&b, "[workspace %s]\nkey-hash = %s\nallow = chat-small@1, chat-small@2, chat-large@1\nquality = 0.9\nbill-at-risk = %s\n\n", workspace.name, keys.HashAPIKey(workspace.key), workspace.bill)
 	}
 	b.WriteString("[model chat-small]\nserve = chat-small@1\ninput-price = 100000\noutput-price = 400000\n\n")
 	b.WriteString("[model chat-large]\nserve = chat-large@1\ninput-price = 2000000\noutput-price = 8000000\n\n")
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -15,30 +15,30 @@
 	is := is.New(t)
 	f, ctx := startFleet(t, 1, 2, 0)
 	f.Rating.SetScore("chat-small@1", 0)
-	r, err := f.VMs[0].Chat(ctx, KeyMbio, "chat", "hello", "Idempotency-Key", "one")
+	r, err := f.VMs[0].Chat(ctx, APIKeyMbio, "chat", "hello", "Idempotency-Key", "one")
 	is.NoErr(err)
 	is.Equal(r.Status, http.StatusOK)
 	is.Equal(r.Header.Get("Woaddoor-Version"), "chat-large@1")
-	is.True(f.Rating.Rated() > 0)
+	is.True(f.Rating.RatedCount() > 0)
 	waitUntil(ctx, t, "the request is billed", func() bool {
 		sums, err := f.Operator().Bills(ctx)
 		if err != nil || len(sums) != 2 {
 			return false
 		}
 		is.Equal(sums[0].Requests, 1) // sums are sorted: mbio comes before norte
-		is.True(sums[0].Inside > 0)
+		is.True(sums[0].InternalCost > 0)
 		return true
 	})
 	// A non-repeatable request goes straight to the larger model.
-	ticket, err := f.VMs[0].Call(ctx, KeyMbio, http.MethodPost, "/v1/tickets", "")
+	ticket, err := f.VMs[0].Call(ctx, APIKeyMbio, http.MethodPost, "/v1/tickets", "")
 	is.NoErr(err)
-	rated := f.Rating.Rated()
-	small := f.Engines["dc1-engine-1"].RunsOf("chat-small@1") + f.Engines["dc1-engine-2"].RunsOf("chat-small@1")
-	r, err = f.VMs[0].Chat(ctx, KeyMbio, "chat", "a ruling", "Woaddoor-Repeatable", "no", "Woaddoor-Ticket", ticket.Header.Get("Woaddoor-Ticket"))
+	rated := f.Rating.RatedCount()
+	small := f.Engines["dc1-engine-1"].RunCountOfVersion("chat-small@1") + f.Engines["dc1-engine-2"].RunCountOfVersion("chat-small@1")
+	r, err = f.VMs[0].Chat(ctx, APIKeyMbio, "chat", "a ruling", "Woaddoor-Repeatable", "no", "Woaddoor-Ticket", ticket.Header.Get("Woaddoor-Ticket"))
 	is.NoErr(err)
 	is.Equal(r.Header.Get("Woaddoor-Version"), "chat-large@1")
-	is.Equal(f.Engines["dc1-engine-1"].RunsOf("chat-small@1")+f.Engines["dc1-engine-2"].RunsOf("chat-small@1"), small)
-	is.True(f.Rating.Rated() <= rated+1) // at most the delivered answer is rated afterwards
+	is.Equal(f.Engines["dc1-engine-1"].RunCountOfVersion("chat-small@1")+f.Engines["dc1-engine-2"].RunCountOfVersion("chat-small@1"), small)
+	is.True(f.Rating.RatedCount() <= rated+1) // at most the delivered answer is rated afterwards
 }
 
 // TestRulingWithSuspendedArbiters suspends one of three arbiters: the remaining
@@ -48,27 +48,27 @@
 	t.Parallel()
 	is := is.New(t)
 	f, ctx := startFleet(t, 1, 3, 0)
-	first, err := f.VMs[0].Call(ctx, KeyMbio, http.MethodPost, "/v1/tickets", "")
+	first, err := f.VMs[0].Call(ctx, APIKeyMbio, http.MethodPost, "/v1/tickets", "")
 	is.NoErr(err)
-	second, err := f.VMs[0].Call(ctx, KeyMbio, http.MethodPost, "/v1/tickets", "")
+	second, err := f.VMs[0].Call(ctx, APIKeyMbio, http.MethodPost, "/v1/tickets", "")
 	is.NoErr(err)
 	f.VMs[1].Entry.Suspend()
-	r, err := f.VMs[0].Call(ctx, KeyMbio, http.MethodPost, rulingPath, "run 10", "Woaddoor-Ticket", first.Header.Get("Woaddoor-Ticket"))
+	r, err := f.VMs[0].Call(ctx, APIKeyMbio, http.MethodPost, rulingPath, "run 10", "Woaddoor-Ticket", first.Header.Get("Woaddoor-Ticket"))
 	is.NoErr(err)
 	is.Equal(r.Body, "done run 10")
 	f.VMs[2].Entry.Suspend()
-	r, err = f.VMs[0].Call(ctx, KeyMbio, http.MethodPost, rulingPath, "run 11", "Woaddoor-Ticket", second.Header.Get("Woaddoor-Ticket"))
+	r, err = f.VMs[0].Call(ctx, APIKeyMbio, http.MethodPost, rulingPath, "run 11", "Woaddoor-Ticket", second.Header.Get("Woaddoor-Ticket"))
 	is.NoErr(err)
 	is.Equal(parseRefusal(t, r).Outcome, "unknown")
-	is.Equal(f.Boards.Runs("run 11"), 0)
+	is.Equal(f.Boards.RunCount("run 11"), 0)
 	// After the arbiters resume, the same ticket still cannot run: their votes
 	// went to the attempt that has already been refused.
 	f.VMs[1].Entry.Resume()
 	f.VMs[2].Entry.Resume()
 	for _, vm := range f.VMs {
-		r, err = vm.Call(ctx, KeyMbio, http.MethodPost, rulingPath, "run 11", "Woaddoor-Ticket", second.Header.Get("Woaddoor-Ticket"))
+		r, err = vm.Call(ctx, APIKeyMbio, http.MethodPost, rulingPath, "run 11", "Woaddoor-Ticket", second.Header.Get("Woaddoor-Ticket"))
 		is.NoErr(err)
 		is.True(r.Status != http.StatusOK)
 	}
-	is.Equal(f.Boards.Runs("run 11"), 0)
+	is.Equal(f.Boards.RunCount("run 11"), 0)
 }
--- a/internal/fleet/rollout_test.go
+++ b/internal/fleet/rollout_test.go
@@ -35,14 +35,14 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 2*waitTimeout)
 	t.Cleanup(cancel)
 	f, err := Start(&Options{
-		Dir: t.TempDir(), BinDir: binDir, VMs: 3, Engines: 2, DataCentres: []contract.DataCentreID{"dc1"},
+		WorkDir: t.TempDir(), BinDir: binDir, VMs: 3, Engines: 2, DataCentres: []contract.DataCentreID{"dc1"},
 		Engine: engine.Options{Versions: []contract.VersionID{"chat-small@1", "chat-large@1"}, IgnoreFencing: true},
 	})
 	t.Cleanup(func() { f.stopAndCheckLogs(t) })
 	is.NoErr(err)
 	f.apply(ctx, t, f.Config(""))
 	is.NoErr(f.WaitForPeers(ctx))
-	is.NoErr(f.Serving(ctx, "chat-small"))
+	is.NoErr(f.WaitUntilServing(ctx, "chat-small"))
 	f.apply(ctx, t, f.Config(rolloutPlan))
 	return f, ctx
 }
@@ -80,7 +80,7 @@
 	waitUntil(ctx, t, what, func() bool {
 		for range 10 {
 			sent++
-			r, err := f.VMs[1+sent%2].Chat(ctx, KeyNorte, "chat-small", fmt.Sprint("hello ", sent))
+			r, err := f.VMs[1+sent%2].Chat(ctx, APIKeyNorte, "chat-small", fmt.Sprint("hello ", sent))
 			if err == nil && r.Status == http.StatusOK && r.Header.Get("Woaddoor-Version") == "chat-small@2" {
 				onNew++
 			}
@@ -106,7 +106,7 @@
 	})
 	is.Equal(acceptedStates(ctx, t, f), []string{"ramping 0", "ramping 1", "done 1"})
 	for _, e := range f.Engines {
-		is.True(e.RunsOf("chat-small@2") > 0)
+		is.True(e.RunCountOfVersion("chat-small@2") > 0)
 	}
 }
 
@@ -124,11 +124,11 @@
 	is.True(answeredByNew > 0)
 	is.True(answeredByNew < 100)
 	waitUntil(ctx, t, "the halt is in force", func() bool {
-		r, err := f.VMs[1].Chat(ctx, KeyNorte, "chat-small@2", "hello")
+		r, err := f.VMs[1].Chat(ctx, APIKeyNorte, "chat-small@2", "hello")
 		return err == nil && r.Status == http.StatusGone
 	})
 	for range 20 {
-		r, err := f.VMs[1].Chat(ctx, KeyNorte, "chat-small", "hello")
+		r, err := f.VMs[1].Chat(ctx, APIKeyNorte, "chat-small", "hello")
 		is.NoErr(err)
 		is.Equal(r.Header.Get("Woaddoor-Version"), "chat-small@1")
 	}
--- a/internal/fleet/slow_engine_test.go
+++ b/internal/fleet/slow_engine_test.go
@@ -23,29 +23,29 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 2*waitTimeout)
 	defer cancel()
 	f, err := Start(&Options{
-		Dir: t.TempDir(), BinDir: binDir, VMs: 2, Engines: 2, DataCentres: []contract.DataCentreID{"dc1"},
-		Engine: engine.Options{Versions: []contract.VersionID{"chat-small@1", "chat-large@1"}, Prefill: 2 * time.Millisecond},
+		WorkDir: t.TempDir(), BinDir: binDir, VMs: 2, Engines: 2, DataCentres: []contract.DataCentreID{"dc1"},
+		Engine: engine.Options{Versions: []contract.VersionID{"chat-small@1", "chat-large@1"}, PrefillTime: 2 * time.Millisecond},
 	})
 	t.Cleanup(func() { f.stopAndCheckLogs(t) })
 	is.NoErr(err)
 	f.apply(ctx, t, f.Config(""))
 	is.NoErr(f.WaitForPeers(ctx))
-	is.NoErr(f.Serving(ctx, "chat-small"))
+	is.NoErr(f.WaitUntilServing(ctx, "chat-small"))
 	slow := f.Engines["dc1-engine-1"]
 	slow.SetFaults(engine.Faults{SlowFactor: 200})
 	n := 0
 	sendChats := func(d time.Duration) {
 		for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 			n++
-			r, err := f.VMs[n%2].Chat(ctx, KeyNorte, "chat-small", fmt.Sprint("hello ", n))
+			r, err := f.VMs[n%2].Chat(ctx, APIKeyNorte, "chat-small", fmt.Sprint("hello ", n))
 			is.NoErr(err)
 			is.Equal(r.Status, http.StatusOK)
 		}
 	}
 	sendChats(2 * time.Second)
 	slow.SetFaults(engine.Faults{})
-	before := slow.RunsOf("chat-small@1")
+	before := slow.RunCountOfVersion("chat-small@1")
 	sendChats(5 * time.Second)
-	t.Logf("the engine served %d requests after it recovered; %d were sent in total", slow.RunsOf("chat-small@1")-before, n)
-	is.True(slow.RunsOf("chat-small@1") > before)
+	t.Logf("the engine served %d requests after it recovered; %d were sent in total", slow.RunCountOfVersion("chat-small@1")-before, n)
+	is.True(slow.RunCountOfVersion("chat-small@1") > before)
 }
--- a/internal/fleet/stream_test.go
+++ b/internal/fleet/stream_test.go
@@ -18,11 +18,11 @@
 // of the response. headers alternates names and values.
 func openStream(ctx context.Context, t *testing.T, vm *VM, body string, headers ...string) (*http.Response, *bufio.Scanner) {
 	t.Helper()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, vm.Callers+"/v1/chat/completions", strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, vm.APIURL+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
-	req.Header.Set("Authorization", "Bearer "+KeyNorte)
+	req.Header.Set("Authorization", "Bearer "+APIKeyNorte)
 	for i := 0; i+1 < len(headers); i += 2 {
 		req.Header.Set(headers[i], headers[i+1])
 	}
@@ -80,7 +80,7 @@
 	vm.Entry.Terminate()
 	vm.Entry.Terminate()
 	waitUntil(ctx, t, "new requests are refused", func() bool {
-		r, err := vm.Chat(ctx, KeyNorte, "chat-small", "hello")
+		r, err := vm.Chat(ctx, APIKeyNorte, "chat-small", "hello")
 		return err != nil || r.Status == http.StatusServiceUnavailable
 	})
 	_, _, complete := readStream(lines, 0)
@@ -97,7 +97,7 @@
 	is := is.New(t)
 	f, ctx := startFleet(t, 1, 2, 20*time.Millisecond)
 	body := ChatBody("chat-small", "long", 60, true)
-	whole, err := f.VMs[1].Call(ctx, KeyNorte, http.MethodPost, "/v1/chat/completions", strings.Replace(body, `"stream":true`, `"stream":false`, 1))
+	whole, err := f.VMs[1].Call(ctx, APIKeyNorte, http.MethodPost, "/v1/chat/completions", strings.Replace(body, `"stream":true`, `"stream":false`, 1))
 	is.NoErr(err)
 
 	resp, lines := openStream(ctx, t, f.VMs[0], body)
@@ -114,9 +114,9 @@
 
 	// The engines have lost the stream: the refusal must not say that it did not run.
 	for _, e := range f.Engines {
-		e.Forget()
+		e.DropGenerations()
 	}
-	r, err := f.VMs[1].Call(ctx, KeyNorte, http.MethodPost, "/v1/chat/completions", "", "Woaddoor-Stream", token, "Last-Event-ID", last)
+	r, err := f.VMs[1].Call(ctx, APIKeyNorte, http.MethodPost, "/v1/chat/completions", "", "Woaddoor-Stream", token, "Last-Event-ID", last)
 	is.NoErr(err)
 	is.Equal(parseRefusal(t, r).Outcome, "ran")
 }
--- a/internal/layers/fields_test.go
+++ b/internal/layers/fields_test.go
@@ -13,22 +13,22 @@
 // field that is never read is received and ignored: a Retry-After time of engines was once decoded
 // without effect, and engines that asked for a back-off did not get one.
 var receivedTypes = map[string][]string{
-	"woaddoor/relay":      {"Head", "Load", "Request", "Rest", "Sent", "Opinion"},
-	"woaddoor/upstream":   {"Entry", "Said"},
-	"woaddoor/engine":     {"CallError", "PlainAnswer"},
+	"woaddoor/relay":      {"ResponseHead", "Load", "Request", "Backoff", "SentPrompt", "ConfidenceReport"},
+	"woaddoor/upstream":   {"Entry", "Notices"},
+	"woaddoor/engine":     {"CallError", "PlainResponse"},
 	"woaddoor/route":      {"Route", "Service", "Workspace", "Limits"},
-	"woaddoor/rollout":    {"Order"},
-	"woaddoor/scaling":    {"Limits", "Work"},
+	"woaddoor/rollout":    {"ReleaseOrder"},
+	"woaddoor/scaling":    {"Limits", "Load"},
 	"woaddoor/site":       {"Evacuation", "GossipMessage", "UpstreamReport", "LeaseStatus", "UsageReport"},
-	"woaddoor/contract":   {"Load", "Life"},
-	"woaddoor/quarantine": {"Held", "Told", "ToldEnd"},
+	"woaddoor/contract":   {"LoadReport", "UpstreamInstance"},
+	"woaddoor/quarantine": {"QuarantinedContent", "Update", "CrashUpdate"},
 }
 
 // unreadFields lists the fields that are deliberately not read, and why.
 var unreadFields = map[string]string{
 	"route.Limits.Header":        "a listener is opened before a configuration is known; callers stay within the limit",
 	"route.Limits.HeaderTimeout": "as for Header",
-	"route.Limits.Idling":        "as for Header; idle connections are kept for longer than callers use them",
+	"route.Limits.IdleTimeout":   "as for Header; idle connections are kept for longer than callers use them",
 	"relay.Load.Slots":           "the upstream's entry holds the same number, which does not change",
 	"route.Service.ID":           "services are stored under this key",
 }
--- a/internal/measure/cascades.go
+++ b/internal/measure/cascades.go
@@ -70,13 +70,13 @@
 }
 
 func (p learnedPolicy) recordRating(class int, m contract.ModelID, good bool) {
-	p.learner.Rated(cascade.Arm{Workspace: "w", Model: m, Class: cascade.Class(class)}, good)
+	p.learner.RecordRating(cascade.Arm{Workspace: "w", Model: m, Class: cascade.Class(class)}, good)
 }
 
 var (
 	planLarge = cascade.Plan{First: "large"}
 	planSmall = cascade.Plan{First: "small"}
-	planCheck = cascade.Plan{First: "small", Check: true, Then: "large"}
+	planCheck = cascade.Plan{First: "small", Check: true, Fallback: "large"}
 )
 
 // delayedRating is a rating that arrives after request number dueAt.
--- a/internal/measure/choice.go
+++ b/internal/measure/choice.go
@@ -84,18 +84,18 @@
 	return o.index[id]
 }
 
-func (o *woaddoorChooser) sent(i int, _ uint64) { o.table.Sent(model.UpstreamID(i)) }
+func (o *woaddoorChooser) sent(i int, _ uint64) { o.table.RecordSent(model.UpstreamID(i)) }
 
 func (o *woaddoorChooser) done(i int, took time.Duration, failed bool, now time.Time) {
-	result := upstream.Good
+	result := upstream.Succeeded
 	if failed {
 		result = upstream.Failed
 	}
-	o.table.Done(model.UpstreamID(i), result, took, now)
+	o.table.RecordDone(model.UpstreamID(i), result, took, now)
 }
 
 func (o *woaddoorChooser) report(i, running, waiting int, age time.Duration, now time.Time) {
-	o.table.Reported(model.UpstreamID(i), contract.Load{
+	o.table.ApplyReport(model.UpstreamID(i), contract.LoadReport{
 		Incarnation: 1, Running: running, Waiting: waiting, AgeMillis: age.Milliseconds(), Versions: []contract.VersionID{version},
 	}, now)
 }
--- a/internal/measure/queue.go
+++ b/internal/measure/queue.go
@@ -40,7 +40,7 @@
 			onRun: make(map[workspace.ID]func()), onExpire: make(map[workspace.ID]func()),
 		}
 		if capacity > 0 {
-			vm.queue = workspace.NewQueue(workspace.Options{Capacity: capacity, TotalShare: totalShare})
+			vm.queue = workspace.NewQueue(workspace.Options{Capacity: capacity, TotalWeight: totalShare})
 			s.clock.Every(20*time.Millisecond, func() bool { vm.expire(); return true })
 			s.clock.Every(reportInterval, func() bool {
 				usable := len(s.engines) - s.silentEngines // the entry process sizes its queue in the same way
@@ -71,14 +71,14 @@
 		vm.run(began, w, func(e requestResult) { done(e) })
 		return
 	}
-	item := workspace.Item{ID: id, Workspace: w, Class: class, Deadline: began.Add(deadline)}
+	item := workspace.Request{ID: id, Workspace: w, Class: class, Deadline: began.Add(deadline)}
 	decision, after := vm.queue.Offer(item, began, vm.random)
 	switch decision {
-	case workspace.Refuse:
+	case workspace.Rejected:
 		done(requestResult{refused: true, retryAfter: after})
-	case workspace.Run:
+	case workspace.Admitted:
 		vm.run(began, w, done)
-	case workspace.Wait:
+	case workspace.Queued:
 		vm.onRun[id] = func() { vm.run(began, w, done) }
 		vm.onExpire[id] = func() { done(requestResult{refused: true, retryAfter: time.Second}) }
 	}
@@ -88,7 +88,7 @@
 // that the queue then releases.
 func (vm *queuedVM) run(began time.Time, w contract.WorkspaceID, done func(requestResult)) {
 	started := vm.site.clock.Now()
-	preferred := vm.queue != nil && vm.queue.Within(w)
+	preferred := vm.queue != nil && vm.queue.WithinShare(w)
 	vm.site.sendRequest(vm.chooser, preferred, func(_, _ time.Duration, a model.Result) {
 		now := vm.site.clock.Now()
 		done(requestResult{latency: now.Sub(began), answer: a, failed: a.Failed})
--- a/internal/measure/retries.go
+++ b/internal/measure/retries.go
@@ -138,7 +138,7 @@
 func (t *retryTrial) newRetryingVMs() []*retryingVM {
 	var retryingVMs []*retryingVM
 	for _, vm := range t.site.vms {
-		n := &retryingVM{vm: vm, budget: retry.NewBudget(retry.Options{}), queue: workspace.NewQueue(workspace.Options{Capacity: queueCapacity(), TotalShare: 1}), waiting: make(map[workspace.ID]func(bool))}
+		n := &retryingVM{vm: vm, budget: retry.NewBudget(retry.Options{}), queue: workspace.NewQueue(workspace.Options{Capacity: queueCapacity(), TotalWeight: 1}), waiting: make(map[workspace.ID]func(bool))}
 		t.site.clock.Every(20*time.Millisecond, func() bool {
 			for _, i := range n.queue.Expire(t.site.clock.Now()) {
 				n.resolve(i.ID, false)
@@ -172,7 +172,7 @@
 			return
 		}
 		began := t.site.clock.Now()
-		n.budget.First()
+		n.budget.RecordFirstAttempt()
 		t.attempt(n, 1, deadline, func(good bool) {
 			if good {
 				t.answeredPerBucket[bucket]++
@@ -184,12 +184,12 @@
 			}
 		})
 	}
-	switch v, _ := n.queue.Offer(workspace.Item{ID: id, Workspace: w, Deadline: deadline}, now, t.random); v {
-	case workspace.Run:
+	switch v, _ := n.queue.Offer(workspace.Request{ID: id, Workspace: w, Deadline: deadline}, now, t.random); v {
+	case workspace.Admitted:
 		run(true)
-	case workspace.Wait:
+	case workspace.Queued:
 		n.waiting[id] = run
-	case workspace.Refuse:
+	case workspace.Rejected:
 		t.failed++
 	}
 }
@@ -203,8 +203,8 @@
 			return
 		}
 		now := t.site.clock.Now()
-		d := n.budget.Decide(retry.Attempt{Number: number, Outcome: contract.Unknown, Repeatable: true, Deadline: deadline, Expected: uncachedServiceTime}, now, t.random)
-		if !d.Again {
+		d := n.budget.TryRetry(retry.Attempt{Number: number, Outcome: contract.OutcomeUnknown, Repeatable: true, Deadline: deadline, ExpectedDuration: uncachedServiceTime}, now, t.random)
+		if !d.Retry {
 			done(false)
 			return
 		}
--- a/internal/measure/rollouts.go
+++ b/internal/measure/rollouts.go
@@ -25,7 +25,7 @@
 
 var rolloutPlan = &config.Rollout{
 	Model: "m", From: "m@1", To: "m@2", Steps: []float64{1, 5, 25, 100},
-	GoodRate: 0.02, BadRate: 0.08, FalseAlarm: 0.01, Miss: 0.01, RatingsWithin: 30 * time.Minute,
+	GoodRate: 0.02, BadRate: 0.08, FalseAlarmProbability: 0.01, MissProbability: 0.01, RatingTimeout: 30 * time.Minute,
 }
 
 // versionModel gives the share of bad answers of a new version, by roll-out step and
@@ -121,7 +121,7 @@
 		for _, m := range monitors {
 			evidence = rollout.Merge(evidence, m.Evidence())
 		}
-		next, _ := rollout.Next(rollout.Situation{Rollout: rolloutPlan, Progress: progress, Evidence: evidence, Halted: halted, StepSince: stepSince, LastRating: lastRating, Loaded: true}, now)
+		next, _ := rollout.Next(rollout.StepInput{Rollout: rolloutPlan, Progress: progress, Evidence: evidence, Halted: halted, StepSince: stepSince, LastRating: lastRating, Loaded: true}, now)
 		if next == nil {
 			continue
 		}
@@ -154,7 +154,7 @@
 	t := &table{
 		title: "Roll-outs",
 		description: fmt.Sprintf("%.0f requests a second over %d workspaces and %d VMs, steps %v%%, every answer rated at once, %d runs each; good rate %.2f, bad rate %.2f, false alarm %.2f, miss %.2f; the fixed ramp takes a step every %v and halts at over %.0f%% bad in a step; seed %d.",
-			rolloutRate, workspaceCount, rolloutVMs, rolloutPlan.Steps, rolloutRuns, rolloutPlan.GoodRate, rolloutPlan.BadRate, rolloutPlan.FalseAlarm, rolloutPlan.Miss, fixedStepDuration, fixedHaltRate*100, seed),
+			rolloutRate, workspaceCount, rolloutVMs, rolloutPlan.Steps, rolloutRuns, rolloutPlan.GoodRate, rolloutPlan.BadRate, rolloutPlan.FalseAlarmProbability, rolloutPlan.MissProbability, fixedStepDuration, fixedHaltRate*100, seed),
 		columns: []string{"version", "way", "halted", "bad answers given, median", "90th percentile", "time to the end, median"},
 	}
 	for _, v := range versionModels {
--- a/internal/measure/stalls.go
+++ b/internal/measure/stalls.go
@@ -19,8 +19,8 @@
 
 // stallDetector decides when a stream counts as stalled.
 type stallDetector interface {
-	Chunk(now time.Time)
-	Due() time.Time
+	RecordChunk(now time.Time)
+	Deadline() time.Time
 }
 
 // fixedTimeout uses the same timeout between chunks for every stream.
@@ -29,11 +29,11 @@
 	last    time.Time
 }
 
-// Chunk records the arrival of a chunk.
-func (f *fixedTimeout) Chunk(now time.Time) { f.last = now }
+// RecordChunk records the arrival of a chunk.
+func (f *fixedTimeout) RecordChunk(now time.Time) { f.last = now }
 
-// Due returns the time by which the next chunk must arrive.
-func (f *fixedTimeout) Due() time.Time { return f.last.Add(f.timeout) }
+// Deadline returns the time by which the next chunk must arrive.
+func (f *fixedTimeout) Deadline() time.Time { return f.last.Add(f.timeout) }
 
 // meanGaps are the mean times between chunks of healthy streams: of a fast model, of a
 // loaded model, and of a slow model.
@@ -61,7 +61,7 @@
 	}{
 		{"fixed 30 s", func(now time.Time) stallDetector { return &fixedTimeout{30 * time.Second, now} }},
 		{"fixed 2 s", func(now time.Time) stallDetector { return &fixedTimeout{2 * time.Second, now} }},
-		{"woaddoor", func(now time.Time) stallDetector { return stream.NewPace(stream.PaceOptions{}, now) }},
+		{"woaddoor", func(now time.Time) stallDetector { return stream.NewStallDetector(stream.StallOptions{}, now) }},
 	} {
 		waits, alarms, healthy := runStreams(seed, strategy.make)
 		q := model.QuantilesOf(waits)
@@ -87,14 +87,14 @@
 		alarm := false
 		for n := range chunksPerStream {
 			if n == stallAt {
-				waits = append(waits, detector.Due().Sub(now)+resumeDelay)
+				waits = append(waits, detector.Deadline().Sub(now)+resumeDelay)
 				break
 			}
 			next := now.Add(randomGap(r, mean))
-			if n > 0 && !next.Before(detector.Due()) {
+			if n > 0 && !next.Before(detector.Deadline()) {
 				alarm = true
 			}
-			detector.Chunk(next)
+			detector.RecordChunk(next)
 			now = next
 		}
 		if alarm && stallAt < 0 {
--- a/internal/rounds/experiment.go
+++ b/internal/rounds/experiment.go
@@ -57,7 +57,7 @@
 
 // readExperiment parses an experiment's file. The error lists all faults of the file.
 func readExperiment(name string, text []byte) (*experiment, error) {
-	f, err := config.ReadFile(name, text)
+	f, err := config.ParseINI(name, text)
 	if err != nil {
 		return nil, err
 	}
@@ -69,7 +69,7 @@
 		case section == sectionExperiment:
 			x.days = r.List("days")
 			x.seeds, x.jobs = r.Int("seeds", defaultSeeds, minSeeds, maxSeeds), r.Int("jobs", defaultJobs, 1, maxJobs)
-			r.Done()
+			r.RejectUnknownKeys()
 		case strings.HasPrefix(section, prefixVariant):
 			x.variants = append(x.variants, readVariant(strings.TrimPrefix(section, prefixVariant), r))
 		case strings.HasPrefix(section, prefixDeployment):
@@ -93,14 +93,14 @@
 }
 
 // readVariant reads the settings of one variant and checks them.
-func readVariant(name string, r *config.Reader) variant {
+func readVariant(name string, r *config.SectionReader) variant {
 	w := variant{name: name}
 	for _, key := range r.Keys() {
 		if !slices.Contains(settings.PolicyKeys, key) {
 			r.Fault(key, "is not a policy setting: expected one of %s", strings.Join(settings.PolicyKeys, ", "))
 			continue
 		}
-		w.settings = append(w.settings, key+" = "+r.Text(key, ""))
+		w.settings = append(w.settings, key+" = "+r.String(key, ""))
 	}
 	if err := settings.CheckPolicy(strings.Join(w.settings, "\n")); err != nil {
 		r.Fault(r.Keys()[0], "%v", err)
@@ -109,9 +109,9 @@
 }
 
 // readDeployment reads the site file and the size of one deployment.
-func readDeployment(name string, r *config.Reader) deployment {
-	e := deployment{name: name, site: r.Need("site", "expected a site file"), small: r.OneOf("small", "yes", "yes", "no") == "yes"}
-	r.Done()
+func readDeployment(name string, r *config.SectionReader) deployment {
+	e := deployment{name: name, site: r.Required("site", "expected a site file"), small: r.OneOf("small", "yes", "yes", "no") == "yes"}
+	r.RejectUnknownKeys()
 	return e
 }
 
--- a/internal/rounds/set.go
+++ b/internal/rounds/set.go
@@ -43,7 +43,7 @@
 
 // readSet parses a regression set: one section for each deployment, sorted by name.
 func readSet(name string, text []byte) ([]deployment, error) {
-	f, err := config.ReadFile(name, text)
+	f, err := config.ParseINI(name, text)
 	if err != nil {
 		return nil, err
 	}
@@ -52,7 +52,7 @@
 	for _, section := range slices.Sorted(maps.Keys(f.Sections())) {
 		r := config.NewReader(f, section, &faults)
 		e := deployment{
-			name: section, site: r.Need("site", "expected a site file"),
+			name: section, site: r.Required("site", "expected a site file"),
 			seeds: r.Int("seeds", defaultSeeds, minSeeds, maxSeeds), jobs: r.Int("jobs", defaultJobs, 1, maxJobs),
 			small:          r.OneOf("small", "no", "yes", "no") == "yes",
 			referenceWorth: r.Number("reached", 0, 0, 1),
@@ -60,7 +60,7 @@
 		if e.days = r.List("days"); len(e.days) == 0 {
 			e.days = allDays
 		}
-		r.Done()
+		r.RejectUnknownKeys()
 		set = append(set, e)
 	}
 	if len(faults) > 0 {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -57,8 +57,8 @@
 			time.AfterFunc(d, func() { vmAt(n).callerLink.setFault(0, false) })
 		}},
 		"store-down":    {failureGroup, func(_ int, d time.Duration) { f.injectStoreFault(objects.Faults{Down: true}, d) }},
-		"store-silent":  {failureGroup, func(_ int, d time.Duration) { f.injectStoreFault(objects.Faults{Silent: true}, d) }},
-		"store-loses":   {failureGroup, func(int, time.Duration) { f.store.SetFaults(objects.Faults{LoseAnswers: 3}) }},
+		"store-silent":  {failureGroup, func(_ int, d time.Duration) { f.injectStoreFault(objects.Faults{Hang: true}, d) }},
+		"store-loses":   {failureGroup, func(int, time.Duration) { f.store.SetFaults(objects.Faults{DropAnswers: 3}) }},
 		"store-forgets": {failureGroup, func(int, time.Duration) { f.store.Compact() }},
 		"store-cut": {failureGroup, func(_ int, d time.Duration) {
 			f.exemptAll(d)
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -81,7 +81,7 @@
 	if limit.sentToVM[vmIncarnation].IsZero() {
 		limit.sentToVM[vmIncarnation] = time.Now()
 	}
-	return []string{replica.Limit(limit.perSecond)}
+	return []string{replica.LimitHeader(limit.perSecond)}
 }
 
 // checkArrival checks a request that has reached an upstream incarnation through a link. The link
--- a/internal/soak/upstreams.go
+++ b/internal/soak/upstreams.go
@@ -148,11 +148,11 @@
 	if slot.backoff > 0 && chance < backoffRejectPercent {
 		backoff := slot.backoff
 		u.mu.Unlock()
-		u.reject(c, r, incarnation, link, append(headers, replica.Rest(backoff)), backoff)
+		u.reject(c, r, incarnation, link, append(headers, replica.RetryAfterHeader(backoff)), backoff)
 		return true
 	}
 	u.runCounts[r.ID()]++
-	runs, hanging, body := u.runCounts[r.ID()], slot.hanging, string(r.Payload)
+	runs, hanging, body := u.runCounts[r.ID()], slot.hanging, string(r.BodyBytes)
 	poison := body == bodyPoison && !u.ignorePoison
 	if body == bodyPoison {
 		u.poisonArrivals = append(u.poisonArrivals, time.Now())
@@ -170,7 +170,7 @@
 	}
 	switch {
 	case hanging:
-		c.WaitGone(10 * time.Second)
+		c.WaitClosed(10 * time.Second)
 		return false
 	case poison:
 		time.Sleep(poisonExitDelay)
@@ -185,13 +185,13 @@
 		time.Sleep(10 * time.Millisecond)
 		return false
 	case chance < lostAnswerPercent+crossedAnswerPercent: // a late answer to another request precedes the right one
-		c.Whole(http.StatusOK, "id-of-another", "answer to another")
+		c.Respond(http.StatusOK, "id-of-another", "answer to another")
 	case fails && !strings.HasPrefix(r.URL.Path, "/once/"):
-		c.Whole(http.StatusInternalServerError, r.ID(), "failed", headers...)
+		c.Respond(http.StatusInternalServerError, r.ID(), "failed", headers...)
 		return true
 	}
 	time.Sleep(10 * time.Millisecond)
-	c.Whole(http.StatusOK, r.ID(), answerBody(r.ID()), headers...)
+	c.Respond(http.StatusOK, r.ID(), answerBody(r.ID()), headers...)
 	return true
 }
 
@@ -201,7 +201,7 @@
 	if !slot.leaving {
 		return nil
 	}
-	return []string{replica.Leaving, fmt.Sprintf("%s: %d", headerUpstreamIncarnation, slot.incarnation)}
+	return []string{replica.LeavingHeader, fmt.Sprintf("%s: %d", headerUpstreamIncarnation, slot.incarnation)}
 }
 
 // reject refuses a request and asks for a back-off.
@@ -209,7 +209,7 @@
 	u.signals.checkArrival(r, incarnation, link)
 	u.limits.checkArrival(r, incarnation, link)
 	u.signals.recordBackoff(r.Header.Get(headerVMIncarnation), incarnation, backoff)
-	c.Shed(r.ID(), headers...)
+	c.RejectNotRun(r.ID(), headers...)
 }
 
 // Percentages of requests whose answer is lost or broken off, and of those whose answer is
--- a/internal/standin/duties/duties.go
+++ b/internal/standin/duties/duties.go
@@ -17,8 +17,8 @@
 type Faults struct {
 	// Down answers every call with 503.
 	Down bool
-	// LoseAnswers is how many of the next calls are processed and then cut off without an answer.
-	LoseAnswers int
+	// DropAnswers is how many of the next calls are processed and then cut off without an answer.
+	DropAnswers int
 	// Refuse is the status that answers every call; zero for none.
 	Refuse int
 }
@@ -28,8 +28,8 @@
 	Counts map[string]int64
 	At     time.Time
 	Holder string
-	// Times is how often the window was reported.
-	Times int
+	// Count is how often the window was reported.
+	Count int
 }
 
 // ScaleOrder is the latest ordered number of upstreams for a ScaleTarget.
@@ -98,15 +98,15 @@
 	return maps.Clone(p.scaleOrders)
 }
 
-// Broken returns a description of each violation of the protocol.
-func (p *Platform) Broken() []string {
+// Violations returns a description of each violation of the protocol.
+func (p *Platform) Violations() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]string(nil), p.violations...)
 }
 
-// Calls returns how many calls were received.
-func (p *Platform) Calls() int {
+// CallCount returns how many calls were received.
+func (p *Platform) CallCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
@@ -139,8 +139,8 @@
 	default:
 		w.WriteHeader(http.StatusNotFound)
 	}
-	if p.faults.LoseAnswers > 0 {
-		p.faults.LoseAnswers--
+	if p.faults.DropAnswers > 0 {
+		p.faults.DropAnswers--
 		panic(http.ErrAbortHandler) // the connection ends without an answer
 	}
 }
@@ -157,10 +157,10 @@
 	p.recordCall("usage", holder, token)
 	report, ok := p.reports[body.WindowId]
 	if !ok {
-		p.reports[body.WindowId] = &UsageReport{Counts: body.Counts, At: time.Now(), Holder: holder, Times: 1}
+		p.reports[body.WindowId] = &UsageReport{Counts: body.Counts, At: time.Now(), Holder: holder, Count: 1}
 		return
 	}
-	report.Times++
+	report.Count++
 	if !maps.Equal(report.Counts, body.Counts) {
 		p.recordViolation("window %d was reported as %v and as %v", body.WindowId, report.Counts, body.Counts)
 	}
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -23,9 +23,9 @@
 	Versions []contract.VersionID
 	// Slots is how many requests run at once. Zero means 8.
 	Slots int
-	// PerToken is the time to generate one token, and Prefill the time to process a prompt whose
+	// TokenTime is the time to generate one token, and Prefill the time to process a prompt whose
 	// prefix is not cached. Zero means none.
-	PerToken, Prefill time.Duration
+	TokenTime, PrefillTime time.Duration
 	// PrefixCacheSize is how many prompt prefixes are cached. Zero means 32.
 	PrefixCacheSize int
 	// ReportLag is how old the reported load is. Zero means none.
@@ -37,10 +37,10 @@
 // Faults are the faults of the engine. Some apply to a number of requests and count down, the
 // others apply until they are replaced.
 type Faults struct {
-	// DropBefore is how many of the next connections are closed before the request is read.
-	DropBefore int
-	// DropAfter is how many of the next requests run and are then cut off without an answer.
-	DropAfter int
+	// DropBeforeRead is how many of the next connections are closed before the request is read.
+	DropBeforeRead int
+	// DropAfterRun is how many of the next requests run and are then cut off without an answer.
+	DropAfterRun int
 	// TruncateAt breaks off each stream after that many tokens, and any other answer half-way.
 	// Zero means never.
 	TruncateAt int
@@ -49,12 +49,12 @@
 	StallAt int
 	// Refuse is how many of the next requests are answered with 503.
 	Refuse int
-	// Crossed makes answers carry the id of another request.
-	Crossed bool
-	// HeldVersion is the version that runs, whichever version a request names.
-	HeldVersion contract.VersionID
-	// Silent makes the engine close calls for its load without an answer.
-	Silent bool
+	// WrongRequestID makes answers carry the id of another request.
+	WrongRequestID bool
+	// RunsVersion is the version that runs, whichever version a request names.
+	RunsVersion contract.VersionID
+	// DropLoadCalls makes the engine close calls for its load without an answer.
+	DropLoadCalls bool
 	// SlowFactor multiplies PerToken and Prefill. Zero means 1.
 	SlowFactor int
 }
@@ -68,7 +68,7 @@
 	mu             sync.Mutex
 	faults         Faults
 	loadedVersions map[contract.VersionID]bool
-	fencing        contract.FencingNumber
+	fencing        contract.FencingToken
 	draining       bool
 	running        int
 	queue          waitQueue
@@ -121,15 +121,15 @@
 	e.draining = true
 }
 
-// Runs returns how often a request was run.
-func (e *Engine) Runs(id contract.RequestID) int {
+// RunCount returns how often a request was run.
+func (e *Engine) RunCount(id contract.RequestID) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs[id]
 }
 
-// TotalRuns returns how often requests were run in all.
-func (e *Engine) TotalRuns() int {
+// TotalRunCount returns how often requests were run in all.
+func (e *Engine) TotalRunCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	total := 0
@@ -139,15 +139,15 @@
 	return total
 }
 
-// Forget drops every generation, so that no stream can be resumed.
-func (e *Engine) Forget() {
+// DropGenerations drops every generation, so that no stream can be resumed.
+func (e *Engine) DropGenerations() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	clear(e.generations)
 }
 
-// RunsOf returns how often requests were run on a version.
-func (e *Engine) RunsOf(v contract.VersionID) int {
+// RunCountOfVersion returns how often requests were run on a version.
+func (e *Engine) RunCountOfVersion(v contract.VersionID) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runsByVersion[v]
@@ -260,8 +260,8 @@
 }
 
 // laggedLoad returns the load as it was ReportLag ago. The caller holds mu.
-func (e *Engine) laggedLoad() contract.Load {
-	load := contract.Load{Incarnation: e.incarnation, Draining: e.draining, AgeMillis: e.opts.ReportLag.Milliseconds()}
+func (e *Engine) laggedLoad() contract.LoadReport {
+	load := contract.LoadReport{Incarnation: e.incarnation, Draining: e.draining, AgeMillis: e.opts.ReportLag.Milliseconds()}
 	for v := range e.loadedVersions {
 		load.Versions = append(load.Versions, v)
 	}
@@ -306,7 +306,7 @@
 
 // addCacheEvent adds an event that a prefix was cached or evicted. The caller holds mu.
 func (e *Engine) addCacheEvent(hash uint64, held bool) {
-	e.cacheEvents = append(e.cacheEvents, engine.CacheEvent{Seq: uint64(len(e.cacheEvents) + 1), Prefix: hash, Held: held})
+	e.cacheEvents = append(e.cacheEvents, engine.CacheEvent{Seq: uint64(len(e.cacheEvents) + 1), Prefix: hash, Cached: held})
 }
 
 // sleep waits for the duration times SlowFactor, or until ctx ends.
--- a/internal/standin/engine/generation.go
+++ b/internal/standin/engine/generation.go
@@ -27,7 +27,7 @@
 }
 
 // startGeneration counts a run of the request and keeps its generation, so that it can be resumed.
-func (e *Engine) startGeneration(id, version string, req engine.Request, tokens int) *generation {
+func (e *Engine) startGeneration(id, version string, req engine.ChatRequest, tokens int) *generation {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &generation{
 		id: id, version: version, created: time.Now().Unix(), totalTokens: tokens,
@@ -48,7 +48,7 @@
 func (e *Engine) generate(g *generation) {
 	defer e.releaseSlot()
 	for range g.totalTokens {
-		e.sleep(g.ctx, e.opts.PerToken)
+		e.sleep(g.ctx, e.opts.TokenTime)
 		if g.ctx.Err() != nil {
 			return
 		}
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -25,13 +25,13 @@
 	r.HandleFunc(engine.PathCancel, e.serveCancel).Methods(http.MethodPost)
 	r.HandleFunc(engine.PathLoad, e.serveLoad).Methods(http.MethodGet)
 	r.HandleFunc(engine.PathOrders, e.serveOrder).Methods(http.MethodPost)
-	r.HandleFunc(engine.PathCache, e.serveCache).Methods(http.MethodGet)
+	r.HandleFunc(engine.PathCacheEvents, e.serveCache).Methods(http.MethodGet)
 	return r
 }
 
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	silent, load := e.faults.Silent, e.laggedLoad()
+	silent, load := e.faults.DropLoadCalls, e.laggedLoad()
 	e.mu.Unlock()
 	if silent {
 		panic(http.ErrAbortHandler)
@@ -60,7 +60,7 @@
 
 func (e *Engine) serveCancel(_ http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
-	g, ok := e.generations[r.Header.Get(engine.HeaderRequest)]
+	g, ok := e.generations[r.Header.Get(engine.HeaderRequestID)]
 	e.mu.Unlock()
 	if ok {
 		g.cancel()
@@ -70,7 +70,7 @@
 // serveChat applies the faults that concern the start of a request, and then runs or resumes it.
 func (e *Engine) serveChat(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
-	drop, refuse := countDown(&e.faults.DropBefore), false
+	drop, refuse := countDown(&e.faults.DropBeforeRead), false
 	if !drop {
 		refuse = countDown(&e.faults.Refuse) || e.draining
 	}
@@ -78,13 +78,13 @@
 	if drop {
 		panic(http.ErrAbortHandler)
 	}
-	var req engine.Request
+	var req engine.ChatRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	id := r.Header.Get(engine.HeaderRequest)
-	w.Header().Set(engine.HeaderRequest, e.responseID(id))
+	id := r.Header.Get(engine.HeaderRequestID)
+	w.Header().Set(engine.HeaderRequestID, e.responseID(id))
 	if refuse {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "draining", http.StatusServiceUnavailable)
@@ -94,7 +94,7 @@
 		http.Error(w, "permission has ended", http.StatusServiceUnavailable)
 		return
 	}
-	if lastEventID := r.Header.Get(engine.HeaderLastEvent); lastEventID != "" {
+	if lastEventID := r.Header.Get(engine.HeaderLastEventID); lastEventID != "" {
 		e.serveResume(w, r, id, lastEventID)
 		return
 	}
@@ -110,7 +110,7 @@
 func (e *Engine) responseID(id string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.faults.Crossed {
+	if e.faults.WrongRequestID {
 		return "another-" + id
 	}
 	return id
@@ -120,8 +120,8 @@
 func (e *Engine) selectVersion(requested string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.faults.HeldVersion != "" {
-		return string(e.faults.HeldVersion)
+	if e.faults.RunsVersion != "" {
+		return string(e.faults.RunsVersion)
 	}
 	if !e.loadedVersions[contract.VersionID(requested)] {
 		return ""
@@ -129,7 +129,7 @@
 	return requested
 }
 
-func (e *Engine) serveGeneration(w http.ResponseWriter, r *http.Request, id string, req engine.Request) {
+func (e *Engine) serveGeneration(w http.ResponseWriter, r *http.Request, id string, req engine.ChatRequest) {
 	version := e.selectVersion(req.Model)
 	if version == "" {
 		http.Error(w, "version is not held", http.StatusNotFound)
@@ -144,7 +144,7 @@
 	}
 	g := e.startGeneration(id, version, req, tokens)
 	if !e.usePrefix(prefixHash(req.Messages)) {
-		e.sleep(r.Context(), e.opts.Prefill)
+		e.sleep(r.Context(), e.opts.PrefillTime)
 	}
 	go e.generate(g)
 	if req.Stream {
@@ -170,14 +170,14 @@
 func (e *Engine) sendCompletion(w http.ResponseWriter, r *http.Request, g *generation) {
 	generated, _ := g.await(r.Context(), g.totalTokens)
 	e.mu.Lock()
-	drop, truncate := countDown(&e.faults.DropAfter), e.faults.TruncateAt
+	drop, truncate := countDown(&e.faults.DropAfterRun), e.faults.TruncateAt
 	e.mu.Unlock()
 	if drop || generated < g.totalTokens {
 		panic(http.ErrAbortHandler)
 	}
-	body, _ := json.Marshal(engine.Completion{
+	body, _ := json.Marshal(engine.ChatCompletion{
 		ID: "chatcmpl-" + g.id, Object: "chat.completion", Created: g.created, Model: g.version,
-		Choices: []engine.Choice{{Message: engine.AnswerMessage{Role: "assistant", Content: strings.Join(g.tokens, "")}, FinishReason: "stop"}},
+		Choices: []engine.Choice{{Message: engine.ResponseMessage{Role: "assistant", Content: strings.Join(g.tokens, "")}, FinishReason: "stop"}},
 		Usage:   g.usage(),
 	})
 	w.Header().Set("Content-Type", "application/json")
@@ -204,7 +204,7 @@
 	}
 	usage := g.usage()
 	writeEvent(w, g.totalTokens+1, engine.Chunk{ID: "chatcmpl-" + g.id, Object: "chat.completion.chunk", Created: g.created, Model: g.version, Choices: []engine.ChunkChoice{}, Usage: &usage})
-	fmt.Fprintf(w, "id: %d\ndata: %s\n\n", g.totalTokens+2, engine.StreamEnd)
+	fmt.Fprintf(w, "id: %d\ndata: %s\n\n", g.totalTokens+2, engine.StreamEndMarker)
 	flusher.Flush()
 }
 
@@ -231,7 +231,7 @@
 	}
 	writeEvent(w, i+1, engine.Chunk{
 		ID: "chatcmpl-" + g.id, Object: "chat.completion.chunk", Created: g.created, Model: g.version,
-		Choices: []engine.ChunkChoice{{Delta: engine.AnswerMessage{Role: "assistant", Content: g.tokens[i]}, FinishReason: finish}},
+		Choices: []engine.ChunkChoice{{Delta: engine.ResponseMessage{Role: "assistant", Content: g.tokens[i]}, FinishReason: finish}},
 	})
 }
 
--- a/internal/standin/objects/sample.go
+++ b/internal/standin/objects/sample.go
@@ -1,12 +1,12 @@
 package objects
 
-// Sample describes a deployment with one route, one service and one upstream.
-type Sample struct {
-	// Prefix is the path prefix of the route, on the host SampleHost.
-	Prefix string
-	// Attempts is how many upstreams one request may be sent to, one after another.
-	Attempts  int
-	Resumable bool
+// SampleDeployment describes a deployment with one route, one service and one upstream.
+type SampleDeployment struct {
+	// PathPrefix is the path prefix of the route, on the host SampleHost.
+	PathPrefix string
+	// MaxAttempts is how many upstreams one request may be sent to, one after another.
+	MaxAttempts int
+	Resumable   bool
 	// Workspace and Key name the workspace whose requests are accepted, and its key. If Key is
 	// empty, all requests are accepted.
 	Workspace, Key string
@@ -19,12 +19,12 @@
 
 // PutSample writes the configuration, as the operator would, and the upstream's entry, as the
 // upstream would.
-func (s *Store) PutSample(sample Sample) {
+func (s *Store) PutSample(sample SampleDeployment) {
 	config := map[string]any{
 		"Version": 1,
 		"Routes": []map[string]any{{
-			"Name": "r", "Host": SampleHost, "PathPrefix": sample.Prefix, "Kind": "streaming", "Service": "s",
-			"TimeoutMs": 9000, "TargetLatencyMs": 1000, "MaxAttempts": sample.Attempts, "Resumable": sample.Resumable,
+			"Name": "r", "Host": SampleHost, "PathPrefix": sample.PathPrefix, "Kind": "streaming", "Service": "s",
+			"TimeoutMs": 9000, "TargetLatencyMs": 1000, "MaxAttempts": sample.MaxAttempts, "Resumable": sample.Resumable,
 		}},
 		"Services": []map[string]any{{"Name": "s", "MaxConnections": 40}},
 	}
--- a/internal/standin/objects/store.go
+++ b/internal/standin/objects/store.go
@@ -34,20 +34,20 @@
 type Faults struct {
 	// Down answers every call with 503.
 	Down bool
-	// Silent leaves every call unanswered until the fault is cleared or the caller disconnects.
-	Silent bool
-	// LoseAnswers is how many of the next writes are applied and then cut off without an answer.
-	LoseAnswers int
-	// DeafWatches makes watches wait until they time out, even if there are changes.
-	DeafWatches bool
+	// Hang leaves every call unanswered until the fault is cleared or the caller disconnects.
+	Hang bool
+	// DropAnswers is how many of the next writes are applied and then cut off without an answer.
+	DropAnswers int
+	// StallWatches makes watches wait until they time out, even if there are changes.
+	StallWatches bool
 	// RateLimited is the set of IP addresses whose calls are answered with 429.
 	RateLimited map[string]bool
 }
 
 // Store is the stand-in, an http.Handler.
 type Store struct {
-	// Page is the number of objects on a page. Zero means 500.
-	Page int
+	// PageSize is the number of objects on a page. Zero means 500.
+	PageSize int
 
 	mu          sync.Mutex
 	revision    int64
@@ -205,7 +205,7 @@
 		case faults.Down:
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return false
-		case !faults.Silent:
+		case !faults.Hang:
 			return true
 		}
 		select {
@@ -227,7 +227,7 @@
 		}
 	}
 	sort.Strings(names)
-	size := s.Page
+	size := s.PageSize
 	if size == 0 {
 		size = 500
 	}
@@ -260,7 +260,7 @@
 	for {
 		s.mu.Lock()
 		events, revision, compacted, changed := s.changesSince(kind, afterRevision), s.revision, afterRevision < s.compactedTo, s.changed
-		hold := s.faults.DeafWatches
+		hold := s.faults.StallWatches
 		s.mu.Unlock()
 		if compacted {
 			w.WriteHeader(http.StatusGone)
@@ -319,8 +319,8 @@
 		updated.Spec = received.Spec
 	}
 	s.putLocked(kind, name, updated)
-	if s.faults.LoseAnswers > 0 {
-		s.faults.LoseAnswers--
+	if s.faults.DropAnswers > 0 {
+		s.faults.DropAnswers--
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, http.StatusOK, s.objects[kind][name])
--- a/internal/standin/rating/rating.go
+++ b/internal/standin/rating/rating.go
@@ -32,8 +32,8 @@
 	s.scores[version] = score
 }
 
-// Rated returns how many answers were rated.
-func (s *Service) Rated() int {
+// RatedCount returns how many answers were rated.
+func (s *Service) RatedCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ratedCount
@@ -43,7 +43,7 @@
 func (s *Service) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc(engine.PathLoad, func(w http.ResponseWriter, _ *http.Request) {
-		_ = json.NewEncoder(w).Encode(contract.Load{Incarnation: 1})
+		_ = json.NewEncoder(w).Encode(contract.LoadReport{Incarnation: 1})
 	})
 	r.HandleFunc(rating.Path, s.serveRating).Methods(http.MethodPost)
 	return r
--- a/internal/standin/replica/replica.go
+++ b/internal/standin/replica/replica.go
@@ -16,7 +16,7 @@
 // Request is a received request with its body.
 type Request struct {
 	*http.Request
-	Payload []byte
+	BodyBytes []byte
 }
 
 // Conn is the connection on which a request was received.
@@ -63,11 +63,11 @@
 	}
 }
 
-// Deafen closes the listener, so that new connections are refused. Open connections stay open.
-func (r *Replica) Deafen() { _ = r.listener.Close() }
+// CloseListener closes the listener, so that new connections are refused. Open connections stay open.
+func (r *Replica) CloseListener() { _ = r.listener.Close() }
 
-// Handle replaces the handler.
-func (r *Replica) Handle(h Handler) {
+// SetHandler replaces the handler.
+func (r *Replica) SetHandler(h Handler) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.handler = h
@@ -125,8 +125,8 @@
 // Signature returns the signature that the replica puts on its answers.
 func (c *Conn) Signature() string { return "seal-" + c.replica.ID }
 
-// Whole sends a complete answer with a Content-Length, to the request with the given id.
-func (c *Conn) Whole(status int, id, body string, headers ...string) {
+// Respond sends a complete answer with a Content-Length, to the request with the given id.
+func (c *Conn) Respond(status int, id, body string, headers ...string) {
 	fmt.Fprintf(c, "HTTP/1.1 %d S\r\nX-Attempt-Id: %s\r\nX-Response-Signature: %s\r\nX-Instance-Load: 1,0,4\r\n", status, id, c.Signature())
 	for _, h := range headers {
 		fmt.Fprintf(c, "%s\r\n", h)
@@ -134,8 +134,8 @@
 	fmt.Fprintf(c, "Content-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// Shed rejects a request with 503 and states that it has not run.
-func (c *Conn) Shed(id string, headers ...string) {
+// RejectNotRun rejects a request with 503 and states that it has not run.
+func (c *Conn) RejectNotRun(id string, headers ...string) {
 	fmt.Fprintf(c, "HTTP/1.1 503 S\r\nX-Attempt-Id: %s\r\nX-Not-Executed: 1\r\n", id)
 	for _, h := range headers {
 		fmt.Fprintf(c, "%s\r\n", h)
@@ -143,15 +143,15 @@
 	fmt.Fprint(c, "Content-Length: 0\r\n\r\n")
 }
 
-// Leaving is the header line by which an upstream announces that it will end soon.
-const Leaving = "Server-Leaving: 1"
+// LeavingHeader is the header line by which an upstream announces that it will end soon.
+const LeavingHeader = "Server-Leaving: 1"
 
-// Rest returns the header line by which an upstream that rejects a request asks for a back-off.
-func Rest(d time.Duration) string { return fmt.Sprintf("Retry-After: %g", d.Seconds()) }
+// RetryAfterHeader returns the header line by which an upstream that rejects a request asks for a back-off.
+func RetryAfterHeader(d time.Duration) string { return fmt.Sprintf("Retry-After: %g", d.Seconds()) }
 
-// Limit returns the header line by which an upstream advertises how many requests per second it
+// LimitHeader returns the header line by which an upstream advertises how many requests per second it
 // accepts from all VMs together.
-func Limit(perSecond float64) string { return fmt.Sprintf("Server-Limit: %g", perSecond) }
+func LimitHeader(perSecond float64) string { return fmt.Sprintf("Server-Limit: %g", perSecond) }
 
 // BeginStream sends the status line and headers of a chunked event stream.
 func (c *Conn) BeginStream(id string, headers ...string) {
@@ -171,9 +171,9 @@
 // EndStream sends the final chunk of a stream.
 func (c *Conn) EndStream() { fmt.Fprint(c, "0\r\n\r\n") }
 
-// WaitGone waits until the peer closes the connection, at most for the given time, and returns
+// WaitClosed waits until the peer closes the connection, at most for the given time, and returns
 // whether it did.
-func (c *Conn) WaitGone(bound time.Duration) bool {
+func (c *Conn) WaitClosed(bound time.Duration) bool {
 	_ = c.SetReadDeadline(time.Now().Add(bound))
 	var buf [1]byte
 	_, err := c.Read(buf[:])
--- a/internal/standin/replica/replica_test.go
+++ b/internal/standin/replica/replica_test.go
@@ -12,7 +12,7 @@
 func TestRefusesRequestForAnotherReplica(t *testing.T) {
 	is := is.New(t)
 	r, err := Start("u1", func(c *Conn, request *Request) bool {
-		c.Whole(http.StatusOK, request.ID(), "whole")
+		c.Respond(http.StatusOK, request.ID(), "whole")
 		return true
 	})
 	is.NoErr(err)
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -47,8 +47,8 @@
 	s.faults = f
 }
 
-// Runs returns how often a call with this body was run.
-func (s *Service) Runs(body string) int {
+// RunCount returns how often a call with this body was run.
+func (s *Service) RunCount(body string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[body]
@@ -63,7 +63,7 @@
 }
 
 func (s *Service) serveLoad(w http.ResponseWriter, _ *http.Request) {
-	_ = json.NewEncoder(w).Encode(contract.Load{Incarnation: s.incarnation})
+	_ = json.NewEncoder(w).Encode(contract.LoadReport{Incarnation: s.incarnation})
 }
 
 func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
@@ -95,6 +95,6 @@
 	if drop {
 		panic(http.ErrAbortHandler)
 	}
-	w.Header().Set(engine.HeaderRequest, r.Header.Get(engine.HeaderRequest))
+	w.Header().Set(engine.HeaderRequestID, r.Header.Get(engine.HeaderRequestID))
 	_, _ = w.Write([]byte("done " + string(body)))
 }
--- a/internal/standin/store/http.go
+++ b/internal/standin/store/http.go
@@ -38,7 +38,7 @@
 		status = http.StatusNotModified
 	case errors.Is(err, store.ErrExists), errors.Is(err, store.ErrConflict):
 		status = http.StatusPreconditionFailed
-	case errors.Is(err, store.ErrTooMany):
+	case errors.Is(err, store.ErrRateLimited):
 		status = http.StatusTooManyRequests
 	case errors.Is(err, errUnreachable):
 		panic(http.ErrAbortHandler) // closes the connection without an answer
@@ -54,7 +54,7 @@
 		var after contract.ObjectVersion
 		d, err = time.ParseDuration(wait)
 		if err == nil {
-			after, err = store.ParseETag(r.Header.Get(store.HeaderIfNone))
+			after, err = store.ParseETag(r.Header.Get(store.HeaderIfNoneMatch))
 		}
 		if err == nil {
 			o, err = v.Watch(r.Context(), objectName(r), after, d)
@@ -77,11 +77,11 @@
 		return
 	}
 	var version contract.ObjectVersion
-	if r.Header.Get(store.HeaderIfNone) == "*" {
+	if r.Header.Get(store.HeaderIfNoneMatch) == "*" {
 		version, err = v.Create(r.Context(), objectName(r), value)
 	} else {
 		var oldVersion contract.ObjectVersion
-		oldVersion, err = store.ParseETag(r.Header.Get(store.HeaderIfHas))
+		oldVersion, err = store.ParseETag(r.Header.Get(store.HeaderIfMatch))
 		if err == nil {
 			version, err = v.Update(r.Context(), objectName(r), value, oldVersion)
 		}
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -19,10 +19,10 @@
 type Faults struct {
 	// Down makes every call fail before it takes effect.
 	Down bool
-	// LoseReplies is how many of the next writes take effect although the client sees a failure.
-	LoseReplies int
-	// LoseRepliesTo limits LoseReplies to objects whose name has this prefix.
-	LoseRepliesTo string
+	// DropReplies is how many of the next writes take effect although the client sees a failure.
+	DropReplies int
+	// DropRepliesPrefix limits LoseReplies to objects whose name has this prefix.
+	DropRepliesPrefix string
 	// Latency is the time by which each call is delayed.
 	Latency time.Duration
 	// StaleReads answers reads and watches from the state at the time when the fault was set, as a
@@ -81,8 +81,8 @@
 	s.notifyWatches()
 }
 
-// Cut disconnects a client, by its name, from the store, or reconnects it.
-func (s *Store) Cut(client string, cut bool) {
+// SetDisconnected disconnects a client, by its name, from the store, or reconnects it.
+func (s *Store) SetDisconnected(client string, cut bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.disconnected[client] = cut
@@ -201,7 +201,7 @@
 	defer s.mu.Unlock()
 	s.counts.Writes++
 	if s.exceedsWriteLimit() {
-		return 0, store.ErrTooMany
+		return 0, store.ErrRateLimited
 	}
 	if contract.Bytes(len(value)) > contract.MiB {
 		return 0, errors.New("value is larger than 1 MiB")
@@ -213,8 +213,8 @@
 	s.version++
 	s.objects[name] = store.Object{Name: name, Version: s.version, Value: slices.Clone(value)}
 	s.notifyWatches()
-	if s.faults.LoseReplies > 0 && strings.HasPrefix(name, s.faults.LoseRepliesTo) {
-		s.faults.LoseReplies--
+	if s.faults.DropReplies > 0 && strings.HasPrefix(name, s.faults.DropRepliesPrefix) {
+		s.faults.DropReplies--
 		return 0, errUnreachable
 	}
 	return s.version, nil
@@ -248,7 +248,7 @@
 		}
 	}
 	slices.Sort(names)
-	return names[:min(len(names), store.ListPage)], nil
+	return names[:min(len(names), store.ListPageSize)], nil
 }
 
 // Watch waits until an object has a version other than the given one. If there is none within the
--- a/internal/standin/store/store_test.go
+++ b/internal/standin/store/store_test.go
@@ -49,14 +49,14 @@
 	server := httptest.NewServer(st.View("a").Handler())
 	t.Cleanup(server.Close)
 	c := store.NewClient(&store.Options{URL: server.URL})
-	st.SetFaults(Faults{LoseReplies: 1})
+	st.SetFaults(Faults{DropReplies: 1})
 	_, err := c.Create(t.Context(), "woaddoor/x", []byte("one"))
 	is.True(err != nil)
 	o, err := c.Read(t.Context(), "woaddoor/x")
 	is.NoErr(err)
 	is.Equal(string(o.Value), "one")
 
-	st.Cut("a", true)
+	st.SetDisconnected("a", true)
 	_, err = c.Read(t.Context(), "woaddoor/x")
 	is.True(err != nil)
 }
--- a/internal/standin/wire/wire.go
+++ b/internal/standin/wire/wire.go
@@ -22,8 +22,8 @@
 	return &Net{vmByAddress: make(map[string]string), cutPairs: make(map[[2]string]bool)}
 }
 
-// Cut disconnects two VMs from each other, or reconnects them.
-func (n *Net) Cut(a, b string, cut bool) {
+// SetCut disconnects two VMs from each other, or reconnects them.
+func (n *Net) SetCut(a, b string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cutPairs[[2]string{a, b}], n.cutPairs[[2]string{b, a}] = cut, cut
@@ -38,9 +38,9 @@
 // maxPacketSize is larger than any packet that the VMs send to each other.
 const maxPacketSize = 2048
 
-// Relay starts a relay for a VM and returns the address through which other VMs reach it.
+// StartRelay starts a relay for a VM and returns the address through which other VMs reach it.
 // vmAddress is the address on which the VM's process listens.
-func (n *Net) Relay(vm, vmAddress string) (string, error) {
+func (n *Net) StartRelay(vm, vmAddress string) (string, error) {
 	target, err := net.ResolveUDPAddr("udp", vmAddress)
 	if err != nil {
 		return "", err
--- a/internal/trial/main.go
+++ b/internal/trial/main.go
@@ -40,8 +40,8 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	f, err := fleet.Start(&fleet.Options{
-		Dir: dir, BinDir: "bin", DataCentres: []contract.DataCentreID{"avellaneda", "palermo", "tigre"}, VMs: 2, Engines: 2,
-		Engine: engine.Options{Versions: []contract.VersionID{"chat-small@1", "chat-small@2", "chat-large@1"}, PerToken: 5 * time.Millisecond},
+		WorkDir: dir, BinDir: "bin", DataCentres: []contract.DataCentreID{"avellaneda", "palermo", "tigre"}, VMs: 2, Engines: 2,
+		Engine: engine.Options{Versions: []contract.VersionID{"chat-small@1", "chat-small@2", "chat-large@1"}, TokenTime: 5 * time.Millisecond},
 	})
 	defer f.Stop()
 	if err != nil {
@@ -73,16 +73,16 @@
 		return err
 	}
 	operator := f.Operator()
-	root, err := operator.Apply(ctx, file, []byte(text), -1, history.Author{Who: "trial", Why: "first configuration", At: time.Now()})
+	root, err := operator.Apply(ctx, file, []byte(text), -1, history.ChangeInfo{Author: "trial", Reason: "first configuration", At: time.Now()})
 	if err != nil {
 		return err
 	}
-	if _, err := operator.Wait(ctx, root, func(w datacentre.Force) {
+	if _, err := operator.Wait(ctx, root, func(w datacentre.RevisionStatus) {
 		fmt.Printf("revision %d: in force on %d VMs, pending on %d\n", w.Revision, len(w.InForce), len(w.Pending))
 	}); err != nil {
 		return err
 	}
-	if err := f.Serving(ctx, "chat-small"); err != nil {
+	if err := f.WaitUntilServing(ctx, "chat-small"); err != nil {
 		return err
 	}
 	return sendRequests(ctx, f)
@@ -97,17 +97,17 @@
 		fmt.Printf("\n%s: status %d on VM %s, upstream %s, version %s\n%.300s\n", what, r.Status,
 			r.Header.Get("Woaddoor-Vm"), r.Header.Get("Woaddoor-Upstream"), r.Header.Get("Woaddoor-Version"), r.Body)
 	}
-	chat, err := f.VMs[0].Chat(ctx, fleet.KeyNorte, "chat-small", "milk is out, what else?", "Woaddoor-Session", "new")
+	chat, err := f.VMs[0].Chat(ctx, fleet.APIKeyNorte, "chat-small", "milk is out, what else?", "Woaddoor-Session", "new")
 	if err != nil {
 		return err
 	}
 	show("chat", chat)
-	stream, err := f.VMs[2].Call(ctx, fleet.KeyMbio, http.MethodPost, "/v1/chat/completions", fleet.ChatBody("chat-large", "review this run", 4, true))
+	stream, err := f.VMs[2].Call(ctx, fleet.APIKeyMbio, http.MethodPost, "/v1/chat/completions", fleet.ChatBody("chat-large", "review this run", 4, true))
 	if err != nil {
 		return err
 	}
 	show("stream", stream)
-	plain, err := f.VMs[4].Call(ctx, fleet.KeyMbio, http.MethodGet, "/services/boards/scores", "")
+	plain, err := f.VMs[4].Call(ctx, fleet.APIKeyMbio, http.MethodGet, "/services/boards/scores", "")
 	if err != nil {
 		return err
 	}
@@ -119,7 +119,7 @@
 // configuration.
 func showBills(ctx context.Context, f *fleet.Fleet) error {
 	operator := f.Operator()
-	if err := fleet.Until(ctx, func() bool {
+	if err := fleet.WaitFor(ctx, func() bool {
 		sums, err := operator.Bills(ctx)
 		filed := 0
 		for _, sum := range sums {
@@ -142,7 +142,7 @@
 		return err
 	}
 	for _, c := range changes {
-		fmt.Printf("audit: revision %d by %s: %s (%d sections)\n", c.ToRevision, c.Who, c.Why, len(c.Sections))
+		fmt.Printf("audit: revision %d by %s: %s (%d sections)\n", c.ToRevision, c.Author, c.Reason, len(c.Sections))
 	}
 	return nil
 }
@@ -151,7 +151,7 @@
 	fmt.Printf("\nThe fleet is up. Try:\n")
 	fmt.Printf("  export WOADDOOR_PLATFORM=%s\n", f.OperatorURL)
 	fmt.Printf("  bin/woaddoor status; bin/woaddoor history; bin/woaddoor bill; bin/woaddoor show\n")
-	fmt.Printf("  curl -s %s/v1/chat/completions -H 'Authorization: Bearer %s' -d '%s'\n", f.VMs[1].Callers, fleet.KeyNorte, fleet.ChatBody("chat-small", "hello", 8, false))
+	fmt.Printf("  curl -s %s/v1/chat/completions -H 'Authorization: Bearer %s' -d '%s'\n", f.VMs[1].APIURL, fleet.APIKeyNorte, fleet.ChatBody("chat-small", "hello", 8, false))
 	fmt.Printf("  bin/woaddoor withdraw chat-small@1 --why trial\n")
 	fmt.Printf("  kill -9 %d   # the control process of %s; requests are still served\n", f.VMs[1].Control.PID(), f.VMs[1].Name)
 	fmt.Printf("Logs and settings are in %s. Interrupt once to stop.\n", dir)
--- a/internal/trial/platform.go
+++ b/internal/trial/platform.go
@@ -63,8 +63,8 @@
 	}
 	p.upstream = upstream
 	store := objects.New()
-	store.PutSample(objects.Sample{
-		Prefix: "/chat/", Attempts: 2, Resumable: true, Workspace: "norte", Key: workspaceKey, Address: upstream.Address(), DataCentre: "avellaneda",
+	store.PutSample(objects.SampleDeployment{
+		PathPrefix: "/chat/", MaxAttempts: 2, Resumable: true, Workspace: "norte", Key: workspaceKey, Address: upstream.Address(), DataCentre: "avellaneda",
 	})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/keys/address.go
+++ b/keys/address.go
@@ -17,9 +17,9 @@
 	isKnown     func(ip string) bool
 }
 
-// NewByAddress returns an AddressIdentity with a new key pair. isKnown returns whether
+// NewAddressIdentity returns an AddressIdentity with a new key pair. isKnown returns whether
 // an IP address belongs to a VM of the system.
-func NewByAddress(name string, isKnown func(ip string) bool) (*AddressIdentity, error) {
+func NewAddressIdentity(name string, isKnown func(ip string) bool) (*AddressIdentity, error) {
 	der, privateKey, err := newCertificate(name)
 	if err != nil {
 		return nil, err
@@ -27,9 +27,9 @@
 	return &AddressIdentity{certificate: tls.Certificate{Certificate: [][]byte{der}, PrivateKey: privateKey}, isKnown: isKnown}, nil
 }
 
-// Peer returns the IP address of a peer, or ErrUnknownPeer if it does not belong to a
+// VerifyPeer returns the IP address of a peer, or ErrUnknownPeer if it does not belong to a
 // known VM.
-func (b *AddressIdentity) Peer(_ [][]byte, address net.Addr) (string, error) {
+func (b *AddressIdentity) VerifyPeer(_ [][]byte, address net.Addr) (string, error) {
 	host, _, err := net.SplitHostPort(address.String())
 	if err != nil {
 		return "", fmt.Errorf("%w: %w", ErrUnknownPeer, err)
@@ -40,8 +40,8 @@
 	return host, nil
 }
 
-// TLS returns the TLS configuration of a link. It accepts any peer certificate.
-func (b *AddressIdentity) TLS(protocol string) *tls.Config {
+// TLSConfig returns the TLS configuration of a link. It accepts any peer certificate.
+func (b *AddressIdentity) TLSConfig(protocol string) *tls.Config {
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		NextProtos:   []string{protocol},
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -32,14 +32,14 @@
 // Pin is the hex-encoded SHA-256 hash of a public key.
 type Pin string
 
-// Set holds the keys of one process.
-type Set struct {
+// KeySet holds the keys of one process.
+type KeySet struct {
 	Certificate tls.Certificate
 	// Pins maps each pinned key to the name of the peer that it belongs to.
 	Pins map[Pin]string
-	// Signing is the key that signs session tokens and tickets. All processes of
+	// SigningKey is the key that signs session tokens and tickets. All processes of
 	// the fleet share it.
-	Signing []byte
+	SigningKey []byte
 }
 
 // Names and formats of the files that Make writes.
@@ -58,9 +58,9 @@
 // expiry.
 const certificateLifetime = 20 * 365 * 24 * time.Hour
 
-// HashKey returns the hash of a workspace's API key. Settings identify the API key by
+// HashAPIKey returns the hash of a workspace's API key. Settings identify the API key by
 // this hash.
-func HashKey(key string) config.KeyHash {
+func HashAPIKey(key string) config.KeyHash {
 	sum := sha256.Sum256([]byte(key))
 	return config.KeyHash(hex.EncodeToString(sum[:]))
 }
@@ -75,9 +75,9 @@
 	return Pin(hex.EncodeToString(sum[:])), nil
 }
 
-// Make writes a new key pair for each name, a file with all their pins, and a new
+// GenerateFiles writes a new key pair for each name, a file with all their pins, and a new
 // signing key into dir.
-func Make(dir string, names []string) error {
+func GenerateFiles(dir string, names []string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
@@ -138,24 +138,24 @@
 }
 
 // Load reads the key pair of a process, the pins and the signing key from files.
-func Load(keyPairFile, pinsFile, signingFile string) (*Set, error) {
+func Load(keyPairFile, pinsFile, signingFile string) (*KeySet, error) {
 	keyPair, err := tls.LoadX509KeyPair(keyPairFile, keyPairFile)
 	if err != nil {
-		return nil, contract.Fail(contract.StepSettings, keyPairFile, err)
+		return nil, contract.WrapStep(contract.StepSettings, keyPairFile, err)
 	}
 	pins, err := loadPins(pinsFile)
 	if err != nil {
-		return nil, contract.Fail(contract.StepSettings, pinsFile, err)
+		return nil, contract.WrapStep(contract.StepSettings, pinsFile, err)
 	}
 	encodedKey, err := os.ReadFile(signingFile)
 	if err != nil {
-		return nil, contract.Fail(contract.StepSettings, signingFile, err)
+		return nil, contract.WrapStep(contract.StepSettings, signingFile, err)
 	}
 	signingKey, err := hex.DecodeString(strings.TrimSpace(string(encodedKey)))
 	if err != nil || len(signingKey) != signingKeySize {
-		return nil, contract.Fail(contract.StepSettings, signingFile, fmt.Errorf("expected %d bytes in hex", signingKeySize))
+		return nil, contract.WrapStep(contract.StepSettings, signingFile, fmt.Errorf("expected %d bytes in hex", signingKeySize))
 	}
-	return &Set{Certificate: keyPair, Pins: pins, Signing: signingKey}, nil
+	return &KeySet{Certificate: keyPair, Pins: pins, SigningKey: signingKey}, nil
 }
 
 // loadPins reads the pins file.
@@ -164,7 +164,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f, err := config.ReadFile(path, text)
+	f, err := config.ParseINI(path, text)
 	if err != nil {
 		return nil, err
 	}
@@ -180,10 +180,10 @@
 	return pins, nil
 }
 
-// Peer returns the name of the peer whose pinned key is in the first certificate, or
+// VerifyPeer returns the name of the peer whose pinned key is in the first certificate, or
 // ErrUnknownPeer if that key is not pinned. It compares every pin, each in constant
 // time.
-func (s *Set) Peer(raw [][]byte, _ net.Addr) (string, error) {
+func (s *KeySet) VerifyPeer(raw [][]byte, _ net.Addr) (string, error) {
 	if len(raw) == 0 {
 		return "", ErrUnknownPeer
 	}
@@ -203,8 +203,8 @@
 	return name, nil
 }
 
-// TLS returns the TLS configuration of a link. Both sides have to present a pinned key.
-func (s *Set) TLS(protocol string) *tls.Config {
+// TLSConfig returns the TLS configuration of a link. Both sides have to present a pinned key.
+func (s *KeySet) TLSConfig(protocol string) *tls.Config {
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		NextProtos:   []string{protocol},
@@ -214,7 +214,7 @@
 		// certificate authority. Both sides verify the pin instead.
 		InsecureSkipVerify: true,
 		VerifyPeerCertificate: func(raw [][]byte, _ [][]*x509.Certificate) error {
-			_, err := s.Peer(raw, nil)
+			_, err := s.VerifyPeer(raw, nil)
 			return err
 		},
 	}
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -19,10 +19,10 @@
 	"woaddoor/logs"
 )
 
-// Act is a task that the lease holder runs for all VMs. It runs often and makes at most one
+// Task is a task that the lease holder runs for all VMs. It runs often and makes at most one
 // call to the platform each time, under the fencing number n.
-type Act interface {
-	Run(ctx context.Context, n contract.FencingNumber)
+type Task interface {
+	Run(ctx context.Context, n contract.FencingToken)
 }
 
 // RefusedError is the error of a call that the platform has permanently refused.
@@ -36,16 +36,16 @@
 
 // Options configure a Leader.
 type Options struct {
-	Keeper *Keeper
-	// Turn returns how long this VM waits before it takes an available lease, and whether
+	Lease *LeaseClient
+	// TakeoverDelay returns how long this VM waits before it takes an available lease, and whether
 	// it may take the lease at all. Only a few VMs of each data centre may, each after
 	// a different delay.
-	Turn func() (time.Duration, bool)
-	// Changed is called when other VMs have to learn of a change of the lease at once. It
+	TakeoverDelay func() (time.Duration, bool)
+	// OnChange is called when other VMs have to learn of a change of the lease at once. It
 	// must not block.
-	Changed func()
-	Acts    []Act
-	Log     *zap.Logger
+	OnChange func()
+	Tasks    []Task
+	Log      *zap.Logger
 	// Registry counts changes of the lease and failed calls to its store.
 	Registry metrics.Registry
 }
@@ -59,8 +59,8 @@
 	mu sync.Mutex
 	// mu guards the fields below. loggedHolder and loggedFencing are the values that were
 	// logged last.
-	loggedHolder  contract.VMLife
-	loggedFencing contract.FencingNumber
+	loggedHolder  contract.VMInstance
+	loggedFencing contract.FencingToken
 	resigned      bool
 	// failedCalls counts consecutive failed calls. No call is made before retryAt.
 	failedCalls int
@@ -89,7 +89,7 @@
 func (l *Leader) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.tick(ctx)
-		clock.Pause(ctx, tickInterval)
+		clock.Sleep(ctx, tickInterval)
 	}
 }
 
@@ -98,11 +98,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.resigned = true
-	if !l.opts.Keeper.Mine() {
+	if !l.opts.Lease.HeldBySelf() {
 		return
 	}
-	if err := l.opts.Keeper.Resign(ctx); err != nil {
-		l.opts.Log.Warn("lease-not-resigned", logs.Failure(err)...)
+	if err := l.opts.Lease.Resign(ctx); err != nil {
+		l.opts.Log.Warn("lease-not-resigned", logs.ErrorFields(err)...)
 		return
 	}
 	l.logChange()
@@ -119,8 +119,8 @@
 		l.syncLease(ctx)
 	}
 	l.logChange()
-	for _, act := range l.opts.Acts {
-		if n, ready := l.opts.Keeper.Ready(true); ready && ctx.Err() == nil {
+	for _, act := range l.opts.Tasks {
+		if n, ready := l.opts.Lease.ActiveFencing(true); ready && ctx.Err() == nil {
 			act.Run(ctx, n)
 		}
 	}
@@ -132,16 +132,16 @@
 	if now.Before(l.retryAt) {
 		return false
 	}
-	if l.opts.Keeper.Mine() {
+	if l.opts.Lease.HeldBySelf() {
 		return true
 	}
-	delay, eligible := l.opts.Turn()
+	delay, eligible := l.opts.TakeoverDelay()
 	if !eligible {
 		l.eligibleSince = time.Time{}
 		return false
 	}
-	if _, _, known := l.opts.Keeper.Known(); known {
-		return l.opts.Keeper.AvailableIn()+delay <= 0
+	if _, _, known := l.opts.Lease.Latest(); known {
+		return l.opts.Lease.AvailableIn()+delay <= 0
 	}
 	if l.eligibleSince.IsZero() {
 		l.eligibleSince = now
@@ -151,7 +151,7 @@
 
 // syncLease reads or writes the lease object if that is due.
 func (l *Leader) syncLease(ctx context.Context) {
-	err := l.opts.Keeper.Step(ctx)
+	err := l.opts.Lease.Sync(ctx)
 	if err == nil {
 		if l.failedCalls > 0 {
 			l.opts.Log.Info("lease-store-regained", zap.Int("failed_calls", l.failedCalls))
@@ -160,12 +160,12 @@
 		return
 	}
 	failed := l.failedCalls
-	if l.opts.Keeper.Mine() {
+	if l.opts.Lease.HeldBySelf() {
 		failed = max(failed-holderFastRetries, 0)
 	}
 	l.retryAt = time.Now().Add(backoff(failed, minLeaseBackoff, maxLeaseBackoff))
 	if l.failedCalls == 0 {
-		l.opts.Log.Warn("lease-store-lost", append(logs.Failure(err), zap.Bool("holds", l.opts.Keeper.Mine()))...)
+		l.opts.Log.Warn("lease-store-lost", append(logs.ErrorFields(err), zap.Bool("holds", l.opts.Lease.HeldBySelf()))...)
 	}
 	l.failedCalls++
 	l.incrementCounter("lease_calls_failed_total")
@@ -180,16 +180,16 @@
 
 // logChange logs a change of the holder and notifies other VMs of it.
 func (l *Leader) logChange() {
-	seen, age, known := l.opts.Keeper.Known()
+	seen, age, known := l.opts.Lease.Latest()
 	if !known || seen.Object.Holder == l.loggedHolder && seen.Object.Fencing == l.loggedFencing {
 		return
 	}
 	l.opts.Log.Info("lease", zap.String("holder", string(seen.Object.Holder.VM)), zap.Uint64("fencing", uint64(seen.Object.Fencing)),
 		zap.String("before", string(l.loggedHolder.VM)), zap.Uint64("fencing_before", uint64(l.loggedFencing)),
-		zap.Uint64("version", uint64(seen.Version)), zap.Duration("age", age.Round(time.Millisecond)), zap.Bool("mine", l.opts.Keeper.Mine()))
+		zap.Uint64("version", uint64(seen.Version)), zap.Duration("age", age.Round(time.Millisecond)), zap.Bool("mine", l.opts.Lease.HeldBySelf()))
 	l.loggedHolder, l.loggedFencing = seen.Object.Holder, seen.Object.Fencing
 	l.incrementCounter("lease_changes_total")
-	l.opts.Changed()
+	l.opts.OnChange()
 }
 
 func (l *Leader) incrementCounter(name string) {
--- a/leader/keeper.go
+++ b/leader/lease_client.go
@@ -15,23 +15,23 @@
 // Errors of a LeaseStore. After any other error a write may have taken effect, or may still
 // take effect while its condition holds.
 var (
-	// ErrTaken means that the stored object has another version than the write requires.
-	ErrTaken = errors.New("lease object has another version")
-	// ErrGone means that the store has no object.
-	ErrGone = errors.New("lease object does not exist")
+	// ErrConflict means that the stored object has another version than the write requires.
+	ErrConflict = errors.New("lease object has another version")
+	// ErrNotFound means that the store has no object.
+	ErrNotFound = errors.New("lease object does not exist")
 )
 
 // LeaseStore reads and writes the object of one lease.
 type LeaseStore interface {
 	// Read returns the object, or ErrGone.
-	Read(ctx context.Context) (lease.Seen, error)
+	Read(ctx context.Context) (lease.VersionedObject, error)
 	// Write makes the write of a proposal and returns the object with its new version. With
 	// ErrTaken it may return the stored object; version zero means that it does not.
-	Write(ctx context.Context, p lease.Proposal) (lease.Seen, error)
+	Write(ctx context.Context, p lease.Proposal) (lease.VersionedObject, error)
 }
 
-// KeeperOptions configure a Keeper.
-type KeeperOptions struct {
+// LeaseClientOptions configure a Keeper.
+type LeaseClientOptions struct {
 	lease.Options
 	Store LeaseStore
 	Clock clock.Clock
@@ -39,34 +39,34 @@
 	Timeout time.Duration
 }
 
-// Keeper acquires, renews and resigns a lease in a store on behalf of one process. It is safe
+// LeaseClient acquires, renews and resigns a lease in a store on behalf of one process. It is safe
 // for concurrent use, except that Look, Step and Resign must be called by one goroutine.
-type Keeper struct {
-	opts *KeeperOptions
+type LeaseClient struct {
+	opts *LeaseClientOptions
 
 	// mu guards handle. It is not held during calls to the store.
 	mu     sync.Mutex
 	handle *lease.Handle
 }
 
-// NewKeeper returns a keeper that does not hold the lease.
-func NewKeeper(opts *KeeperOptions) *Keeper {
-	return &Keeper{opts: opts, handle: lease.NewHandle(opts.Options)}
+// NewLeaseClient returns a keeper that does not hold the lease.
+func NewLeaseClient(opts *LeaseClientOptions) *LeaseClient {
+	return &LeaseClient{opts: opts, handle: lease.NewHandle(opts.Options)}
 }
 
-func (k *Keeper) withHandle(f func(h *lease.Handle, now time.Time)) {
+func (k *LeaseClient) withHandle(f func(h *lease.Handle, now time.Time)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	f(k.handle, k.opts.Clock.Now())
 }
 
-// Look reads the lease object from the store.
-func (k *Keeper) Look(ctx context.Context) error {
+// Read reads the lease object from the store.
+func (k *LeaseClient) Read(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, k.opts.Timeout)
 	defer cancel()
 	seen, err := k.opts.Store.Read(ctx)
 	switch {
-	case errors.Is(err, ErrGone):
+	case errors.Is(err, ErrNotFound):
 		k.withHandle(func(h *lease.Handle, now time.Time) { h.ObserveMissing(now) })
 	case err != nil:
 		return err
@@ -76,12 +76,12 @@
 	return nil
 }
 
-// Step reads the lease object if necessary and makes the write that is due, if any.
-func (k *Keeper) Step(ctx context.Context) error {
+// Sync reads the lease object if necessary and makes the write that is due, if any.
+func (k *LeaseClient) Sync(ctx context.Context) error {
 	needsRead := false
 	k.withHandle(func(h *lease.Handle, now time.Time) { needsRead = h.NeedsRead(now) })
 	if needsRead {
-		if err := k.Look(ctx); err != nil {
+		if err := k.Read(ctx); err != nil {
 			return err
 		}
 	}
@@ -89,10 +89,10 @@
 }
 
 // Resign gives the lease up if this process holds it.
-func (k *Keeper) Resign(ctx context.Context) error { return k.write(ctx, (*lease.Handle).Resign) }
+func (k *LeaseClient) Resign(ctx context.Context) error { return k.write(ctx, (*lease.Handle).Resign) }
 
 // write makes the write that decide returns, if any.
-func (k *Keeper) write(ctx context.Context, decide func(*lease.Handle, time.Time) (lease.Proposal, bool)) error {
+func (k *LeaseClient) write(ctx context.Context, decide func(*lease.Handle, time.Time) (lease.Proposal, bool)) error {
 	var p lease.Proposal
 	var sentAt time.Time
 	due := false
@@ -107,11 +107,11 @@
 	defer cancel()
 	seen, err := k.opts.Store.Write(ctx, p)
 	switch {
-	case errors.Is(err, ErrGone):
+	case errors.Is(err, ErrNotFound):
 		k.withHandle(func(h *lease.Handle, now time.Time) { h.ObserveMissing(now) })
-	case errors.Is(err, ErrTaken) && seen.Version == 0:
+	case errors.Is(err, ErrConflict) && seen.Version == 0:
 		k.withHandle(func(h *lease.Handle, _ time.Time) { h.Invalidate() })
-	case errors.Is(err, ErrTaken):
+	case errors.Is(err, ErrConflict):
 		k.withHandle(func(h *lease.Handle, now time.Time) { h.ObserveRead(seen, now) })
 	case err != nil:
 		return err
@@ -121,16 +121,16 @@
 	return nil
 }
 
-// Ready returns the fencing number under which a call may be made now; see
+// ActiveFencing returns the fencing number under which a call may be made now; see
 // lease.Handle.ActiveFencing.
-func (k *Keeper) Ready(ignoresFencing bool) (n contract.FencingNumber, ok bool) {
+func (k *LeaseClient) ActiveFencing(ignoresFencing bool) (n contract.FencingToken, ok bool) {
 	k.withHandle(func(h *lease.Handle, now time.Time) { n, ok = h.ActiveFencing(now, ignoresFencing) })
 	return n, ok
 }
 
 // UpdateRecord applies change to the record and stores the result with the next write,
 // immediately if urgent is true. change gets the pending record, or else the stored one.
-func (k *Keeper) UpdateRecord(change func(record json.RawMessage) (json.RawMessage, error), urgent bool) error {
+func (k *LeaseClient) UpdateRecord(change func(record json.RawMessage) (json.RawMessage, error), urgent bool) error {
 	var err error
 	k.withHandle(func(h *lease.Handle, _ time.Time) {
 		var next json.RawMessage
@@ -141,27 +141,27 @@
 	return err
 }
 
-// Known returns the newest known object and how long it has been unchanged. ok is false if no
+// Latest returns the newest known object and how long it has been unchanged. ok is false if no
 // object is known.
-func (k *Keeper) Known() (seen lease.Seen, age time.Duration, ok bool) {
+func (k *LeaseClient) Latest() (seen lease.VersionedObject, age time.Duration, ok bool) {
 	k.withHandle(func(h *lease.Handle, now time.Time) { seen, age, ok = h.Latest(), h.Age(now), h.Latest().Version != 0 })
 	return seen, age, ok
 }
 
-// Told records a version that another VM knows and that has been unchanged for age.
-func (k *Keeper) Told(s lease.Seen, age time.Duration) {
+// ObservePeer records a version that another VM knows and that has been unchanged for age.
+func (k *LeaseClient) ObservePeer(s lease.VersionedObject, age time.Duration) {
 	k.withHandle(func(h *lease.Handle, now time.Time) { h.ObservePeer(s, now.Add(-max(age, 0))) })
 }
 
-// Mine reports whether the newest known object names this process as the holder.
-func (k *Keeper) Mine() (mine bool) {
+// HeldBySelf reports whether the newest known object names this process as the holder.
+func (k *LeaseClient) HeldBySelf() (mine bool) {
 	k.withHandle(func(h *lease.Handle, _ time.Time) { mine = h.HeldBySelf() })
 	return mine
 }
 
 // AvailableIn returns the time until this process may acquire the lease. It is zero or
 // negative if it may do so now or already holds it.
-func (k *Keeper) AvailableIn() (in time.Duration) {
+func (k *LeaseClient) AvailableIn() (in time.Duration) {
 	k.withHandle(func(h *lease.Handle, now time.Time) { in = h.AvailableAt().Sub(now) })
 	return in
 }
--- a/leader/record.go
+++ b/leader/record.go
@@ -9,8 +9,8 @@
 
 // Record is the record in the lease object. Each task of the holder has its own part of it.
 type Record struct {
-	Usage   usage.Record   `json:"usage"`
-	Scaling scaling.Record `json:"scaling"`
+	Usage   usage.Record  `json:"usage"`
+	Scaling scaling.State `json:"scaling"`
 }
 
 // decodeRecord decodes a record. It returns the zero value for an empty one.
@@ -24,14 +24,14 @@
 }
 
 // storedRecord returns the record in the newest known lease object.
-func storedRecord(k *Keeper) (Record, error) {
-	seen, _, _ := k.Known()
+func storedRecord(k *LeaseClient) (Record, error) {
+	seen, _, _ := k.Latest()
 	return decodeRecord(seen.Object.Record)
 }
 
 // updateRecord stores a change of the record with the next renewal, immediately if urgent is
 // true. It replaces a record that cannot be decoded by a new one.
-func updateRecord(k *Keeper, urgent bool, change func(*Record)) error {
+func updateRecord(k *LeaseClient, urgent bool, change func(*Record)) error {
 	return k.UpdateRecord(func(raw json.RawMessage) (json.RawMessage, error) {
 		r, err := decodeRecord(raw)
 		if err != nil {
--- a/leader/reports.go
+++ b/leader/reports.go
@@ -18,15 +18,15 @@
 // UsageAPI is the part of the platform's API that takes usage reports. The counts of a window
 // may be reported repeatedly if they are the same.
 type UsageAPI interface {
-	Report(ctx context.Context, n contract.FencingNumber, f usage.Fixed) error
+	Report(ctx context.Context, n contract.FencingToken, f usage.ClosedWindow) error
 }
 
-// ReportsOptions configure a UsageReporter.
-type ReportsOptions struct {
-	Keeper   *Keeper
-	Book     *Book
-	Terms    usage.Terms
-	Reporter UsageAPI
+// UsageReporterOptions configure a UsageReporter.
+type UsageReporterOptions struct {
+	Lease  *LeaseClient
+	Ledger *UsageLedger
+	Terms  usage.Rules
+	API    UsageAPI
 	// Now returns the wall-clock time.
 	Now      func() time.Time
 	Log      *zap.Logger
@@ -35,10 +35,10 @@
 
 // UsageReporter reports the usage of each window once. It is an Act.
 type UsageReporter struct {
-	opts *ReportsOptions
+	opts *UsageReporterOptions
 	// fencing is the fencing number of the last run, and fencingSince the time of the first
 	// run under it.
-	fencing      contract.FencingNumber
+	fencing      contract.FencingToken
 	fencingSince time.Time
 	// finished are the windows that this VM has reported or given up, until the stored
 	// record no longer contains them.
@@ -48,8 +48,8 @@
 	retryAt     time.Time
 }
 
-// NewReports returns a usage reporter that has reported nothing.
-func NewReports(opts *ReportsOptions) *UsageReporter {
+// NewUsageReporter returns a usage reporter that has reported nothing.
+func NewUsageReporter(opts *UsageReporterOptions) *UsageReporter {
 	return &UsageReporter{opts: opts, finished: make(map[usage.Window]bool)}
 }
 
@@ -66,7 +66,7 @@
 // Run fixes the counts of windows that are over, or reports the first window that is fixed but not
 // finished. Counts are reported only once the store contains them; otherwise another VM could fix
 // and report different counts for the same window.
-func (r *UsageReporter) Run(ctx context.Context, n contract.FencingNumber) {
+func (r *UsageReporter) Run(ctx context.Context, n contract.FencingToken) {
 	now := r.opts.Now()
 	if n != r.fencing {
 		r.fencing, r.fencingSince = n, now
@@ -75,7 +75,7 @@
 	r.pruneFinished(record)
 	r.expireWindows(record, now)
 	if now.Sub(r.fencingSince) >= collectionDelay {
-		if next, changed := r.opts.Book.CloseWindows(record); changed {
+		if next, changed := r.opts.Ledger.CloseWindows(record); changed {
 			r.writeRecord(next, true)
 			return
 		}
@@ -84,16 +84,16 @@
 	switch {
 	case open && !now.Before(r.retryAt):
 		r.report(ctx, n, f)
-	case !open && len(record.Fixed) > 0:
+	case !open && len(record.Unreported) > 0:
 		r.writeRecord(record, false) // with the next renewal, so that a later holder does not repeat the reports
 	}
 }
 
 // storedUsage returns the usage part of the stored record.
 func (r *UsageReporter) storedUsage() usage.Record {
-	record, err := storedRecord(r.opts.Keeper)
+	record, err := storedRecord(r.opts.Lease)
 	if err != nil {
-		r.opts.Log.Error("lease-record-malformed", logs.Failure(err)...)
+		r.opts.Log.Error("lease-record-malformed", logs.ErrorFields(err)...)
 	}
 	return record.Usage
 }
@@ -101,27 +101,27 @@
 // writeRecord stores a usage record without the finished windows.
 func (r *UsageReporter) writeRecord(next usage.Record, urgent bool) {
 	for w := range r.finished {
-		next = next.Done(w)
+		next = next.Without(w)
 	}
-	if err := updateRecord(r.opts.Keeper, urgent, func(record *Record) { record.Usage = next }); err != nil {
-		r.opts.Log.Error("usage-record-failed", logs.Failure(err)...)
+	if err := updateRecord(r.opts.Lease, urgent, func(record *Record) { record.Usage = next }); err != nil {
+		r.opts.Log.Error("usage-record-failed", logs.ErrorFields(err)...)
 	}
 }
 
 // firstOpen returns the first window that is fixed but not finished.
-func (r *UsageReporter) firstOpen(record usage.Record) (usage.Fixed, bool) {
-	for _, f := range record.Fixed {
+func (r *UsageReporter) firstOpen(record usage.Record) (usage.ClosedWindow, bool) {
+	for _, f := range record.Unreported {
 		if !r.finished[f.Window] {
 			return f, true
 		}
 	}
-	return usage.Fixed{}, false
+	return usage.ClosedWindow{}, false
 }
 
 // pruneFinished forgets finished windows that the stored record no longer contains.
 func (r *UsageReporter) pruneFinished(record usage.Record) {
-	fixed := make(map[usage.Window]bool, len(record.Fixed))
-	for _, f := range record.Fixed {
+	fixed := make(map[usage.Window]bool, len(record.Unreported))
+	for _, f := range record.Unreported {
 		fixed[f.Window] = true
 	}
 	maps.DeleteFunc(r.finished, func(w usage.Window, _ bool) bool { return !fixed[w] })
@@ -129,7 +129,7 @@
 
 // expireWindows gives up the windows whose deadline for reporting has passed.
 func (r *UsageReporter) expireWindows(record usage.Record, now time.Time) {
-	for _, w := range r.opts.Terms.Missed(record, now) {
+	for _, w := range r.opts.Terms.Overdue(record, now) {
 		if !r.finished[w] {
 			r.finish(w, "missed", zap.Duration("after", now.Sub(w.End(r.opts.Terms.Window)).Round(time.Millisecond)))
 		}
@@ -137,8 +137,8 @@
 }
 
 // report sends the report of one window.
-func (r *UsageReporter) report(ctx context.Context, n contract.FencingNumber, f usage.Fixed) {
-	err := r.opts.Reporter.Report(ctx, n, f)
+func (r *UsageReporter) report(ctx context.Context, n contract.FencingToken, f usage.ClosedWindow) {
+	err := r.opts.API.Report(ctx, n, f)
 	var refused *RefusedError
 	total := int64(0)
 	for _, c := range f.Counts {
@@ -149,11 +149,11 @@
 		r.failedCalls = 0
 		r.finish(f.Window, "reported", zap.Uint64("fencing", uint64(n)), zap.Int("workspaces", len(f.Counts)), zap.Int64("requests", total))
 	case errors.As(err, &refused):
-		r.finish(f.Window, "refused", append(logs.Failure(err), zap.Uint64("fencing", uint64(n)))...)
+		r.finish(f.Window, "refused", append(logs.ErrorFields(err), zap.Uint64("fencing", uint64(n)))...)
 	default:
 		r.retryAt = r.opts.Now().Add(backoff(r.failedCalls, minReportBackoff, maxReportBackoff))
 		r.failedCalls++
-		r.opts.Log.Warn("usage-report-failed", append(logs.Failure(err), zap.Int64("window", int64(f.Window)), zap.Uint64("fencing", uint64(n)))...)
+		r.opts.Log.Warn("usage-report-failed", append(logs.ErrorFields(err), zap.Int64("window", int64(f.Window)), zap.Uint64("fencing", uint64(n)))...)
 	}
 }
 
--- a/leader/reports_test.go
+++ b/leader/reports_test.go
@@ -18,20 +18,20 @@
 )
 
 // memoryStore is a lease store in memory.
-type memoryStore struct{ seen lease.Seen }
+type memoryStore struct{ seen lease.VersionedObject }
 
-func (m *memoryStore) Read(context.Context) (lease.Seen, error) {
+func (m *memoryStore) Read(context.Context) (lease.VersionedObject, error) {
 	if m.seen.Version == 0 {
-		return lease.Seen{}, ErrGone
+		return lease.VersionedObject{}, ErrNotFound
 	}
 	return m.seen, nil
 }
 
-func (m *memoryStore) Write(_ context.Context, p lease.Proposal) (lease.Seen, error) {
+func (m *memoryStore) Write(_ context.Context, p lease.Proposal) (lease.VersionedObject, error) {
 	if p.Version != m.seen.Version {
-		return m.seen, ErrTaken
+		return m.seen, ErrConflict
 	}
-	m.seen = lease.Seen{Object: p.Object, Version: m.seen.Version + 1}
+	m.seen = lease.VersionedObject{Object: p.Object, Version: m.seen.Version + 1}
 	return m.seen, nil
 }
 
@@ -41,11 +41,11 @@
 	noReply     bool
 	err         error
 	reported    map[usage.Window]usage.Counts
-	lastFencing contract.FencingNumber
+	lastFencing contract.FencingToken
 	calls       int
 }
 
-func (a *fakeUsageAPI) Report(_ context.Context, n contract.FencingNumber, f usage.Fixed) error {
+func (a *fakeUsageAPI) Report(_ context.Context, n contract.FencingToken, f usage.ClosedWindow) error {
 	a.calls++
 	if n < a.lastFencing {
 		a.t.Errorf("fencing number %d came after %d", n, a.lastFencing)
@@ -64,7 +64,7 @@
 // Settings of the VMs under test.
 const testLease = 3 * time.Second
 
-var testTerms = usage.Terms{Window: 5 * time.Second, Late: 10 * time.Second}
+var testTerms = usage.Rules{Window: 5 * time.Second, ReportDeadline: 10 * time.Second}
 
 // simulation is VMs that share a store and a platform, in simulated time.
 type simulation struct {
@@ -81,25 +81,25 @@
 // testVM is one simulated VM.
 type testVM struct {
 	simulation *simulation
-	book       *Book
-	keeper     *Keeper
+	book       *UsageLedger
+	keeper     *LeaseClient
 	leader     *Leader
 }
 
 func (s *simulation) newVM(name contract.VMID) *testVM {
 	vm := &testVM{simulation: s}
-	vm.keeper = NewKeeper(&KeeperOptions{
-		Options: lease.Options{Self: contract.VMLife{VM: name, Incarnation: 1}, Length: testLease},
+	vm.keeper = NewLeaseClient(&LeaseClientOptions{
+		Options: lease.Options{Self: contract.VMInstance{VM: name, Incarnation: 1}, Duration: testLease},
 		Store:   s.store, Clock: s.clock, Timeout: time.Second,
 	})
-	vm.book = NewBook(&BookOptions{Self: contract.VMLife{VM: name}, Terms: testTerms, Now: s.clock.Now})
+	vm.book = NewUsageLedger(&UsageLedgerOptions{Self: contract.VMInstance{VM: name}, Terms: testTerms, Now: s.clock.Now})
 	registry := metrics.NewRegistry()
-	reports := NewReports(&ReportsOptions{
-		Keeper: vm.keeper, Book: vm.book, Terms: testTerms, Reporter: s.platform, Now: s.clock.Now, Log: zap.NewNop(), Registry: registry,
+	reports := NewUsageReporter(&UsageReporterOptions{
+		Lease: vm.keeper, Ledger: vm.book, Terms: testTerms, API: s.platform, Now: s.clock.Now, Log: zap.NewNop(), Registry: registry,
 	})
 	vm.leader = New(&Options{
-		Keeper: vm.keeper, Turn: func() (time.Duration, bool) { return 0, true }, Changed: func() {},
-		Acts: []Act{reports}, Log: zap.NewNop(), Registry: registry,
+		Lease: vm.keeper, TakeoverDelay: func() (time.Duration, bool) { return 0, true }, OnChange: func() {},
+		Tasks: []Task{reports}, Log: zap.NewNop(), Registry: registry,
 	})
 	return vm
 }
@@ -121,10 +121,10 @@
 	sim := newSimulation(t)
 	a, b := sim.newVM("a"), sim.newVM("b")
 	for range 3 {
-		a.book.Began("w", sim.clock.Now())
+		a.book.CountRequest("w", sim.clock.Now())
 	}
 	for range 5 {
-		b.book.Began("w", sim.clock.Now())
+		b.book.CountRequest("w", sim.clock.Now())
 	}
 	sim.platform.noReply = true
 	sim.run(8*time.Second, a)
@@ -140,13 +140,13 @@
 	is := is.New(t)
 	sim := newSimulation(t)
 	a := sim.newVM("a")
-	a.book.Began("w", sim.clock.Now())
+	a.book.CountRequest("w", sim.clock.Now())
 	sim.run(testTerms.Window, a)
-	a.book.Began("w", sim.clock.Now())
+	a.book.CountRequest("w", sim.clock.Now())
 	sim.run(12*time.Second, a)
 	is.Equal(sim.platform.calls, 2)
 	is.Equal(sim.platform.reported, map[usage.Window]usage.Counts{1000: {"w": 1}, 1001: {"w": 1}})
-	is.Equal(len(a.usageRecord(t).Fixed), 0) // a later lease holder repeats nothing
+	is.Equal(len(a.usageRecord(t).Unreported), 0) // a later lease holder repeats nothing
 }
 
 func (vm *testVM) usageRecord(t *testing.T) usage.Record {
@@ -162,7 +162,7 @@
 	sim := newSimulation(t)
 	sim.platform.err = &RefusedError{errors.New("status 400")}
 	a := sim.newVM("a")
-	a.book.Began("w", sim.clock.Now())
+	a.book.CountRequest("w", sim.clock.Now())
 	sim.run(20*time.Second, a)
 	is.Equal(sim.platform.calls, 1)
 }
@@ -174,16 +174,16 @@
 	sim := newSimulation(t)
 	a := sim.newVM("a")
 	sim.run(2*time.Second, a)
-	a.book.Began("w", sim.clock.Now())
-	a.book.Gathered(contract.VMLife{VM: "hub"}, "other", false)
+	a.book.CountRequest("w", sim.clock.Now())
+	a.book.CollectorReported(contract.VMInstance{VM: "hub"}, "other", false)
 	sim.run(6*time.Second, a) // until 3 s after the end of the window
 	is.Equal(sim.platform.calls, 0)
-	a.book.Hear([]usage.Part{{Life: contract.VMLife{VM: "hub"}, Window: 1000, Counts: usage.Counts{"w": 2}}})
-	a.book.Gathered(contract.VMLife{VM: "hub"}, "other", false)
+	a.book.Merge([]usage.Part{{Source: contract.VMInstance{VM: "hub"}, Window: 1000, Counts: usage.Counts{"w": 2}}})
+	a.book.CollectorReported(contract.VMInstance{VM: "hub"}, "other", false)
 	sim.run(time.Second, a)
 	is.Equal(sim.platform.reported[1000], usage.Counts{"w": 3})
 
-	a.book.Began("w", sim.clock.Now())
-	sim.run(testTerms.Late, a)
+	a.book.CountRequest("w", sim.clock.Now())
+	sim.run(testTerms.ReportDeadline, a)
 	is.Equal(sim.platform.reported[1001], usage.Counts{"w": 1})
 }
--- a/leader/scaler.go
+++ b/leader/scaler.go
@@ -21,27 +21,27 @@
 // ScalingAPI is the part of the platform's API that sets the number of upstreams. Scale returns a
 // *RefusedError if the platform has no upstreams to give at the moment.
 type ScalingAPI interface {
-	Scale(ctx context.Context, n contract.FencingNumber, o scaling.Order) error
+	Scale(ctx context.Context, n contract.FencingToken, o scaling.Order) error
 }
 
 // ScalerOptions configure a Scaler.
 type ScalerOptions struct {
-	Keeper  *Keeper
-	Orderer ScalingAPI
+	Lease *LeaseClient
+	API   ScalingAPI
 	// Services returns the configured services, and Upstreams the upstreams on the store's
 	// list. Age returns the age of that list.
 	Services  func() map[contract.ServiceID]*route.Service
 	Upstreams func() []upstream.Entry
-	Age       func() time.Duration
-	// Work returns the load of all VMs on the upstreams of each service.
-	Work func() map[contract.ServiceID]scaling.Work
-	// Releases reports whether a service has a release roll-out in progress, and whether it
+	ListAge   func() time.Duration
+	// Load returns the load of all VMs on the upstreams of each service.
+	Load func() map[contract.ServiceID]scaling.Load
+	// ReleaseState reports whether a service has a release roll-out in progress, and whether it
 	// has completed one. Objective is the time within which responses should begin.
-	Releases  func(contract.ServiceID) (under, brought bool)
-	Objective func(contract.ServiceID) time.Duration
-	Now       func() time.Time
-	Log       *zap.Logger
-	Registry  metrics.Registry
+	ReleaseState      func(contract.ServiceID) (under, brought bool)
+	ResponseObjective func(contract.ServiceID) time.Duration
+	Now               func() time.Time
+	Log               *zap.Logger
+	Registry          metrics.Registry
 }
 
 // Scaler orders upstreams according to load. It is an Act.
@@ -50,13 +50,13 @@
 	// peaks are the recent peak requirements of each service.
 	peaks map[contract.ServiceID]*scaling.Peak
 	// listedSince is when each listed upstream first appeared on the list.
-	listedSince map[contract.Life]time.Time
+	listedSince map[contract.UpstreamInstance]time.Time
 	// lastRun is when this VM last checked all services. A failed order of a subject is not
 	// repeated before retryAt.
 	lastRun time.Time
-	retryAt map[scaling.Subject]time.Time
+	retryAt map[scaling.Group]time.Time
 	// lastOrders are the last orders of each subject, by this VM or an earlier lease holder.
-	lastOrders map[scaling.Subject]sentOrder
+	lastOrders map[scaling.Group]sentOrder
 	// listedCounts are the numbers of listed upstreams of each service.
 	listedCounts map[contract.ServiceID]listedCount
 }
@@ -77,8 +77,8 @@
 // NewScaler returns a scaler that has ordered nothing.
 func NewScaler(opts *ScalerOptions) *Scaler {
 	return &Scaler{
-		opts: opts, peaks: make(map[contract.ServiceID]*scaling.Peak), listedSince: make(map[contract.Life]time.Time),
-		retryAt: make(map[scaling.Subject]time.Time), lastOrders: make(map[scaling.Subject]sentOrder), listedCounts: make(map[contract.ServiceID]listedCount),
+		opts: opts, peaks: make(map[contract.ServiceID]*scaling.Peak), listedSince: make(map[contract.UpstreamInstance]time.Time),
+		retryAt: make(map[scaling.Group]time.Time), lastOrders: make(map[scaling.Group]sentOrder), listedCounts: make(map[contract.ServiceID]listedCount),
 	}
 }
 
@@ -101,22 +101,22 @@
 )
 
 // Run sends the first order that is due.
-func (s *Scaler) Run(ctx context.Context, n contract.FencingNumber) {
+func (s *Scaler) Run(ctx context.Context, n contract.FencingToken) {
 	now := s.opts.Now()
 	if now.Sub(s.lastRun) < scaleInterval {
 		return
 	}
 	s.lastRun = now
-	if age := s.opts.Age(); age < 0 || age > maxListAge {
+	if age := s.opts.ListAge(); age < 0 || age > maxListAge {
 		return
 	}
 	entries := s.opts.Upstreams()
 	s.trackListed(entries, now)
-	record, err := storedRecord(s.opts.Keeper)
+	record, err := storedRecord(s.opts.Lease)
 	if err != nil {
-		s.opts.Log.Error("lease-record-malformed", logs.Failure(err)...)
+		s.opts.Log.Error("lease-record-malformed", logs.ErrorFields(err)...)
 	}
-	work := s.opts.Work()
+	work := s.opts.Load()
 	services := s.opts.Services()
 	for _, id := range slices.Sorted(maps.Keys(services)) {
 		limits := services[id].Scaling
@@ -131,14 +131,14 @@
 
 // trackListed records when upstreams first appear on the list, and forgets those that left it.
 func (s *Scaler) trackListed(entries []upstream.Entry, now time.Time) {
-	listed := make(map[contract.Life]bool, len(entries))
+	listed := make(map[contract.UpstreamInstance]bool, len(entries))
 	for _, e := range entries {
-		listed[e.Life()] = true
-		if _, ok := s.listedSince[e.Life()]; !ok {
-			s.listedSince[e.Life()] = now
+		listed[e.Instance()] = true
+		if _, ok := s.listedSince[e.Instance()]; !ok {
+			s.listedSince[e.Instance()] = now
 		}
 	}
-	maps.DeleteFunc(s.listedSince, func(l contract.Life, _ time.Time) bool { return !listed[l] })
+	maps.DeleteFunc(s.listedSince, func(l contract.UpstreamInstance, _ time.Time) bool { return !listed[l] })
 }
 
 func entriesOfService(entries []upstream.Entry, id contract.ServiceID) []upstream.Entry {
@@ -147,21 +147,21 @@
 
 // scaleService decides how many upstreams one service needs and sends the first order that is
 // due. It reports whether it sent one.
-func (s *Scaler) scaleService(ctx context.Context, n contract.FencingNumber, id contract.ServiceID, limits scaling.Limits, record scaling.Record, entries []upstream.Entry, work scaling.Work, now time.Time) bool {
+func (s *Scaler) scaleService(ctx context.Context, n contract.FencingToken, id contract.ServiceID, limits scaling.Limits, record scaling.State, entries []upstream.Entry, work scaling.Load, now time.Time) bool {
 	stands := s.countUpstreams(entries, now)
-	sized := record.Sized[id]
+	sized := record.Baseline[id]
 	if sized == nil {
 		s.recordInitialSize(id, stands, now)
 		return false
 	}
 	need := s.requiredUpstreams(id, work, entries, now)
-	releasing, released := s.opts.Releases(id)
-	next := scaling.Next(scaling.Situation{
-		Service: id, Limits: limits, Sized: sized, Stands: stands, Ordered: s.pendingOrders(record.Of(id), limits, now),
-		Need: need, Releasing: releasing, Released: released,
+	releasing, released := s.opts.ReleaseState(id)
+	next := scaling.Plan(scaling.Input{
+		Service: id, Limits: limits, Baseline: sized, Running: stands, InProgress: s.pendingOrders(record.OrdersOf(id), limits, now),
+		Need: need, ReleaseInProgress: releasing, ReleaseDone: released,
 	})
 	for _, o := range next {
-		if now.Before(s.retryAt[o.Subject]) {
+		if now.Before(s.retryAt[o.Group]) {
 			continue
 		}
 		s.sendOrder(ctx, n, o, stands[o.DataCentre], need)
@@ -172,15 +172,15 @@
 
 // pendingOrders returns the orders that the list may not reflect yet. An order of an earlier
 // lease holder counts as sent at the time when this VM first sees it.
-func (s *Scaler) pendingOrders(ordered map[scaling.Subject]int, limits scaling.Limits, now time.Time) map[scaling.Subject]int {
+func (s *Scaler) pendingOrders(ordered map[scaling.Group]int, limits scaling.Limits, now time.Time) map[scaling.Group]int {
 	for subject, count := range ordered {
 		if _, ok := s.lastOrders[subject]; !ok {
 			s.lastOrders[subject] = sentOrder{count, now}
 		}
 	}
-	out := make(map[scaling.Subject]int, len(s.lastOrders))
+	out := make(map[scaling.Group]int, len(s.lastOrders))
 	for subject, o := range s.lastOrders {
-		if now.Sub(o.sentAt) < limits.Boot+listLag {
+		if now.Sub(o.sentAt) < limits.BootTime+listLag {
 			out[subject] = o.count
 		}
 	}
@@ -188,14 +188,14 @@
 }
 
 // countUpstreams counts the upstreams of each data centre that are not leaving.
-func (s *Scaler) countUpstreams(entries []upstream.Entry, now time.Time) map[contract.DataCentreID]scaling.Stand {
-	stands := make(map[contract.DataCentreID]scaling.Stand)
+func (s *Scaler) countUpstreams(entries []upstream.Entry, now time.Time) map[contract.DataCentreID]scaling.UpstreamCounts {
+	stands := make(map[contract.DataCentreID]scaling.UpstreamCounts)
 	for _, e := range entries {
 		if e.Leaving {
 			continue
 		}
 		counts := stands[e.DataCentre]
-		cold := now.Sub(s.listedSince[e.Life()]) < e.Cold
+		cold := now.Sub(s.listedSince[e.Instance()]) < e.Cold
 		if cold {
 			counts.Cold++
 		}
@@ -213,7 +213,7 @@
 }
 
 // recordInitialSize stores how many upstreams a service has before any is ordered.
-func (s *Scaler) recordInitialSize(id contract.ServiceID, stands map[contract.DataCentreID]scaling.Stand, now time.Time) {
+func (s *Scaler) recordInitialSize(id contract.ServiceID, stands map[contract.DataCentreID]scaling.UpstreamCounts, now time.Time) {
 	each := make(map[contract.DataCentreID]int)
 	total := 0
 	for dc, counts := range stands {
@@ -226,15 +226,15 @@
 	if total == 0 || now.Sub(s.listedCounts[id].since) < stableListDelay {
 		return
 	}
-	if err := updateRecord(s.opts.Keeper, true, func(r *Record) { r.Scaling = r.Scaling.Size(id, each) }); err != nil {
-		s.opts.Log.Error("scaling-record-failed", logs.Failure(err)...)
+	if err := updateRecord(s.opts.Lease, true, func(r *Record) { r.Scaling = r.Scaling.WithBaseline(id, each) }); err != nil {
+		s.opts.Log.Error("scaling-record-failed", logs.ErrorFields(err)...)
 		return
 	}
 	s.opts.Log.Info("upstreams-sized", zap.String("service", string(id)), zap.Int("upstreams", total), zap.Int("data_centres", len(each)))
 }
 
 // requiredUpstreams returns how many upstreams the recent peak load requires.
-func (s *Scaler) requiredUpstreams(id contract.ServiceID, w scaling.Work, entries []upstream.Entry, now time.Time) float64 {
+func (s *Scaler) requiredUpstreams(id contract.ServiceID, w scaling.Load, entries []upstream.Entry, now time.Time) float64 {
 	slots := 0
 	for _, e := range entries {
 		slots = max(slots, e.Slots)
@@ -244,12 +244,12 @@
 		p = &scaling.Peak{}
 		s.peaks[id] = p
 	}
-	return p.Note(w.Need(slots, s.opts.Objective(id)), now)
+	return p.Record(w.Need(slots, s.opts.ResponseObjective(id)), now)
 }
 
 // sendOrder sends one order and logs its outcome.
-func (s *Scaler) sendOrder(ctx context.Context, n contract.FencingNumber, o scaling.Order, counts scaling.Stand, need float64) {
-	err := s.opts.Orderer.Scale(ctx, n, o)
+func (s *Scaler) sendOrder(ctx context.Context, n contract.FencingToken, o scaling.Order, counts scaling.UpstreamCounts, need float64) {
+	err := s.opts.API.Scale(ctx, n, o)
 	fields := []zap.Field{
 		zap.String("service", string(o.Service)), zap.String("data_centre", string(o.DataCentre)), zap.Bool("preemptible", o.Preemptible),
 		zap.Int("count", o.Count), zap.Int("standard", counts.Standard), zap.Int("preemptible", counts.Preemptible), zap.Int("cold", counts.Cold),
@@ -258,21 +258,21 @@
 	var refused *RefusedError
 	switch {
 	case err == nil:
-		s.lastOrders[o.Subject] = sentOrder{o.Count, s.opts.Now()}
+		s.lastOrders[o.Group] = sentOrder{o.Count, s.opts.Now()}
 		s.countOutcome("made")
 		s.opts.Log.Info("upstreams-ordered", fields...)
-		if err := updateRecord(s.opts.Keeper, false, func(r *Record) { r.Scaling = r.Scaling.Order(o) }); err != nil {
-			s.opts.Log.Error("scaling-record-failed", logs.Failure(err)...)
+		if err := updateRecord(s.opts.Lease, false, func(r *Record) { r.Scaling = r.Scaling.WithOrder(o) }); err != nil {
+			s.opts.Log.Error("scaling-record-failed", logs.ErrorFields(err)...)
 		}
 		return
 	case errors.As(err, &refused):
-		s.retryAt[o.Subject] = s.opts.Now().Add(refusedOrderBackoff)
+		s.retryAt[o.Group] = s.opts.Now().Add(refusedOrderBackoff)
 		s.countOutcome("refused")
 	default:
-		s.retryAt[o.Subject] = s.opts.Now().Add(failedOrderBackoff)
+		s.retryAt[o.Group] = s.opts.Now().Add(failedOrderBackoff)
 		s.countOutcome("failed")
 	}
-	s.opts.Log.Warn("upstreams-not-ordered", append(fields, logs.Failure(err)...)...)
+	s.opts.Log.Warn("upstreams-not-ordered", append(fields, logs.ErrorFields(err)...)...)
 }
 
 func (s *Scaler) countOutcome(outcome string) {
--- a/leader/book.go
+++ b/leader/usage_ledger.go
@@ -8,30 +8,30 @@
 	"woaddoor/usage"
 )
 
-// BookOptions configure a Book.
-type BookOptions struct {
-	Self       contract.VMLife
+// UsageLedgerOptions configure a Book.
+type UsageLedgerOptions struct {
+	Self       contract.VMInstance
 	DataCentre contract.DataCentreID
-	Terms      usage.Terms
+	Terms      usage.Rules
 	// Now returns the wall-clock time, which determines the usage window.
 	Now func() time.Time
-	// Centres returns the data centres that have VMs. If nil, only the VM's own data
+	// DataCentres returns the data centres that have VMs. If nil, only the VM's own data
 	// centre is considered.
-	Centres func() []contract.DataCentreID
+	DataCentres func() []contract.DataCentreID
 }
 
-// Book stores the usage counts that one VM knows, its own and those received from other VMs,
+// UsageLedger stores the usage counts that one VM knows, its own and those received from other VMs,
 // and how much of them each recipient has acknowledged. It is safe for concurrent use.
-type Book struct {
-	opts *BookOptions
+type UsageLedger struct {
+	opts *UsageLedgerOptions
 
 	// mu guards the fields below.
 	mu   sync.Mutex
-	sums *usage.Sums
+	sums *usage.Counter
 	// acknowledged is the number of the newest change that each recipient has acknowledged.
-	acknowledged map[contract.VMLife]uint64
+	acknowledged map[contract.VMInstance]uint64
 	// collectors are the VMs that collect the counts of other VMs and send them to this one.
-	collectors map[contract.VMLife]collector
+	collectors map[contract.VMInstance]collector
 }
 
 type collector struct {
@@ -39,9 +39,9 @@
 	reportedAt time.Time // when it last sent all counts that it knew
 }
 
-// NewBook returns an empty book.
-func NewBook(opts *BookOptions) *Book {
-	return &Book{opts: opts, sums: usage.NewSums(), acknowledged: make(map[contract.VMLife]uint64), collectors: make(map[contract.VMLife]collector)}
+// NewUsageLedger returns an empty book.
+func NewUsageLedger(opts *UsageLedgerOptions) *UsageLedger {
+	return &UsageLedger{opts: opts, sums: usage.NewCounter(), acknowledged: make(map[contract.VMInstance]uint64), collectors: make(map[contract.VMInstance]collector)}
 }
 
 // Limits of what a book keeps.
@@ -55,24 +55,24 @@
 	maxRecipients = 256
 )
 
-// Began counts a request that an upstream began to run at the wall-clock time at.
-func (b *Book) Began(w contract.WorkspaceID, at time.Time) {
+// CountRequest counts a request that an upstream began to run at the wall-clock time at.
+func (b *UsageLedger) CountRequest(w contract.WorkspaceID, at time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.sums.Began(b.opts.Self, usage.WindowOf(at, b.opts.Terms.Window), w)
+	b.sums.CountStart(b.opts.Self, usage.WindowOf(at, b.opts.Terms.Window), w)
 }
 
-// For returns the counts to send to a recipient, and the number of the newest change among
+// ChangesFor returns the counts to send to a recipient, and the number of the newest change among
 // them, to pass to Answered once the recipient has replied.
-func (b *Book) For(recipient contract.VMLife) ([]usage.Part, uint64) {
+func (b *UsageLedger) ChangesFor(recipient contract.VMInstance) ([]usage.Part, uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.pruneWindows()
-	return b.sums.Since(b.acknowledged[recipient])
+	return b.sums.ChangedSince(b.acknowledged[recipient])
 }
 
-// Answered records that a recipient has all changes up to and including mark.
-func (b *Book) Answered(recipient contract.VMLife, mark uint64) {
+// Acknowledge records that a recipient has all changes up to and including mark.
+func (b *UsageLedger) Acknowledge(recipient contract.VMInstance, mark uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.acknowledged) >= maxRecipients {
@@ -81,18 +81,18 @@
 	b.acknowledged[recipient] = max(b.acknowledged[recipient], mark)
 }
 
-// Hear merges usage counts that another VM has sent.
-func (b *Book) Hear(parts []usage.Part) {
+// Merge merges usage counts that another VM has sent.
+func (b *UsageLedger) Merge(parts []usage.Part) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, p := range parts {
-		b.sums.Told(p)
+		b.sums.Merge(p)
 	}
 }
 
-// Gathered records that a collector has sent all counts that it knows. If final is true, the
+// CollectorReported records that a collector has sent all counts that it knows. If final is true, the
 // collector is shutting down and will send no more.
-func (b *Book) Gathered(from contract.VMLife, dc contract.DataCentreID, final bool) {
+func (b *UsageLedger) CollectorReported(from contract.VMInstance, dc contract.DataCentreID, final bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if final {
@@ -104,10 +104,10 @@
 
 // completeUntil returns the earliest of the times at which the active collectors last sent
 // their counts, or the zero time if a data centre has no active collector.
-func (b *Book) completeUntil() time.Time {
+func (b *UsageLedger) completeUntil() time.Time {
 	var centres []contract.DataCentreID
-	if b.opts.Centres != nil {
-		centres = b.opts.Centres()
+	if b.opts.DataCentres != nil {
+		centres = b.opts.DataCentres()
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -134,7 +134,7 @@
 
 // CloseWindows returns the record with the counts of all windows fixed that can be fixed
 // now, and whether it changed; see usage.Terms.Close.
-func (b *Book) CloseWindows(r usage.Record) (usage.Record, bool) {
+func (b *UsageLedger) CloseWindows(r usage.Record) (usage.Record, bool) {
 	completeUntil := b.completeUntil()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -143,8 +143,8 @@
 }
 
 // pruneWindows drops the windows that cannot be reported any more. The caller holds mu.
-func (b *Book) pruneWindows() {
+func (b *UsageLedger) pruneWindows() {
 	t := b.opts.Terms
-	oldest := b.opts.Now().Add(-t.Late)
-	b.sums.Forget(usage.WindowOf(oldest, t.Window) - extraWindows)
+	oldest := b.opts.Now().Add(-t.ReportDeadline)
+	b.sums.DropBefore(usage.WindowOf(oldest, t.Window) - extraWindows)
 }
--- a/lease/fleet_simulation_test.go
+++ b/lease/fleet_simulation_test.go
@@ -26,19 +26,19 @@
 type fleetSimulation struct {
 	t             *rapid.T
 	now           time.Time
-	stored        Seen
+	stored        VersionedObject
 	vms           []*simulatedVM
 	delayedWrites []Proposal // writes without a reply that may still be applied
 	calls         []simulatedCall
 	// About the calls that have arrived: the last fencing number and VM, the VM that used each
 	// number, and the time of each VM's last call.
-	lastFencing contract.FencingNumber
+	lastFencing contract.FencingToken
 	lastVM      contract.VMID
-	vmByFencing map[contract.FencingNumber]contract.VMID
+	vmByFencing map[contract.FencingToken]contract.VMID
 	lastArrival map[contract.VMID]time.Time
 	// storedRecord is the last record in the store. callers are the VM incarnations that made calls.
 	storedRecord int
-	callers      map[contract.VMLife]bool
+	callers      map[contract.VMInstance]bool
 }
 
 type simulatedVM struct {
@@ -49,14 +49,14 @@
 
 type simulatedCall struct {
 	from      contract.VMID
-	fencing   contract.FencingNumber
+	fencing   contract.FencingToken
 	arrivesAt time.Time
 }
 
 func newFleetSimulation(t *rapid.T, vms int) *fleetSimulation {
 	f := &fleetSimulation{
-		t: t, now: time.Unix(0, 0), vmByFencing: make(map[contract.FencingNumber]contract.VMID),
-		lastArrival: make(map[contract.VMID]time.Time), callers: make(map[contract.VMLife]bool),
+		t: t, now: time.Unix(0, 0), vmByFencing: make(map[contract.FencingToken]contract.VMID),
+		lastArrival: make(map[contract.VMID]time.Time), callers: make(map[contract.VMInstance]bool),
 	}
 	for i := range vms {
 		f.vms = append(f.vms, &simulatedVM{name: contract.VMID("vm" + strconv.Itoa(i))})
@@ -68,7 +68,7 @@
 // start begins a new incarnation of a VM, which knows nothing about the lease.
 func (f *fleetSimulation) start(v *simulatedVM) {
 	v.incarnation++
-	v.handle = NewHandle(Options{Self: contract.VMLife{VM: v.name, Incarnation: v.incarnation}, Length: simulatedLease})
+	v.handle = NewHandle(Options{Self: contract.VMInstance{VM: v.name, Incarnation: v.incarnation}, Duration: simulatedLease})
 }
 
 func (f *fleetSimulation) randomVM() *simulatedVM {
@@ -160,7 +160,7 @@
 	} else {
 		f.storedRecord = record
 	}
-	f.stored = Seen{p.Object, f.stored.Version + 1}
+	f.stored = VersionedObject{p.Object, f.stored.Version + 1}
 	return true
 }
 
@@ -178,7 +178,7 @@
 	if !ok {
 		return
 	}
-	f.callers[contract.VMLife{VM: v.name, Incarnation: v.incarnation}] = true
+	f.callers[contract.VMInstance{VM: v.name, Incarnation: v.incarnation}] = true
 	delay := time.Duration(rapid.Int64Range(0, int64(maxSimulatedCall)).Draw(f.t, "delay"))
 	f.calls = append(f.calls, simulatedCall{v.name, n, f.now.Add(delay)})
 }
@@ -251,26 +251,26 @@
 }
 
 // acquire has a handle write its proposal, and returns what the store then holds.
-func acquire(t *testing.T, h *Handle, s Seen, now time.Time) Seen {
+func acquire(t *testing.T, h *Handle, s VersionedObject, now time.Time) VersionedObject {
 	t.Helper()
 	is := is.New(t)
 	p, ok := h.Propose(now)
 	is.True(ok)
 	is.Equal(p.Version, s.Version)
 	h.ConfirmWrite(p, s.Version+1, now)
-	return Seen{p.Object, s.Version + 1}
+	return VersionedObject{p.Object, s.Version + 1}
 }
 
 // newHolder returns a handle that has acquired the lease, and what the store then holds.
-func newHolder(t *testing.T, now time.Time) (*Handle, Seen) {
+func newHolder(t *testing.T, now time.Time) (*Handle, VersionedObject) {
 	t.Helper()
 	a := newHandle("a", 1)
 	a.ObserveMissing(now)
-	return a, acquire(t, a, Seen{}, now)
+	return a, acquire(t, a, VersionedObject{}, now)
 }
 
 func newHandle(name contract.VMID, incarnation contract.Incarnation) *Handle {
-	return NewHandle(Options{Self: contract.VMLife{VM: name, Incarnation: incarnation}, Length: simulatedLease})
+	return NewHandle(Options{Self: contract.VMInstance{VM: name, Incarnation: incarnation}, Duration: simulatedLease})
 }
 
 // TestResignedVMWaitsFullLease checks VMs that are stopped one after the other, each of which
@@ -279,15 +279,15 @@
 func TestResignedVMWaitsFullLease(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	resign := func(h *Handle, s Seen) Seen {
+	resign := func(h *Handle, s VersionedObject) VersionedObject {
 		p, ok := h.Resign(now)
 		is.True(ok)
 		h.ConfirmWrite(p, s.Version+1, now)
-		return Seen{p.Object, s.Version + 1}
+		return VersionedObject{p.Object, s.Version + 1}
 	}
 	a := newHandle("a", 1)
 	a.ObserveMissing(now)
-	s := resign(a, acquire(t, a, Seen{}, now))
+	s := resign(a, acquire(t, a, VersionedObject{}, now))
 	b := newHandle("b", 1)
 	b.ObserveRead(s, now)
 	s = resign(b, acquire(t, b, s, now))
@@ -333,7 +333,7 @@
 	now := time.Unix(0, 0)
 	a, s := newHolder(t, now)
 	a.ObserveMissing(now)
-	is.True(acquire(t, a, Seen{}, now).Object.Fencing > s.Object.Fencing)
+	is.True(acquire(t, a, VersionedObject{}, now).Object.Fencing > s.Object.Fencing)
 }
 
 // TestLostReplyKeepsStoredRecord checks a renewal that is applied but whose reply is lost. Meanwhile
@@ -346,7 +346,7 @@
 	a.SetRecord(json.RawMessage(`"first"`), true)
 	p, ok := a.Propose(now)
 	is.True(ok)
-	stored := Seen{p.Object, s.Version + 1}
+	stored := VersionedObject{p.Object, s.Version + 1}
 
 	a.SetRecord(json.RawMessage(`"second"`), true)
 	a.ObserveRead(stored, now) // the store reports a version conflict
@@ -368,7 +368,7 @@
 	a.SetRecord(json.RawMessage(`"stored"`), true)
 	p, ok := a.Propose(now)
 	is.True(ok)
-	stored := Seen{p.Object, s.Version + 1}
+	stored := VersionedObject{p.Object, s.Version + 1}
 
 	withoutRecord := stored
 	withoutRecord.Object.Record = nil
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -30,8 +30,8 @@
 // Object is the stored form of a lease.
 type Object struct {
 	// Holder is the VM incarnation that holds the lease; the zero value means no holder.
-	Holder  contract.VMLife        `json:"holder" cbor:"1,keyasint"`
-	Fencing contract.FencingNumber `json:"fencing" cbor:"2,keyasint"`
+	Holder  contract.VMInstance   `json:"holder" cbor:"1,keyasint"`
+	Fencing contract.FencingToken `json:"fencing" cbor:"2,keyasint"`
 	// Renewals counts writes, so that other VMs see each renewal as a change of the object.
 	Renewals uint64 `json:"renewals" cbor:"3,keyasint"`
 	// Resigned lists the VMs that have resigned in succession, since a VM last held the
@@ -41,18 +41,18 @@
 	Record json.RawMessage `json:"record,omitempty" cbor:"-"`
 }
 
-// Seen is a lease object and its version in the store. Version zero means that the store has
+// VersionedObject is a lease object and its version in the store. Version zero means that the store has
 // no object.
-type Seen struct {
+type VersionedObject struct {
 	Object  Object
 	Version contract.ObjectVersion
 }
 
 // Options configure a Handle.
 type Options struct {
-	Self contract.VMLife
-	// Length is how long a lease lasts. Zero means 15 s.
-	Length time.Duration
+	Self contract.VMInstance
+	// Duration is how long a lease lasts. Zero means 15 s.
+	Duration time.Duration
 	// Margin is how long before the end of its lease a holder stops making calls. It must
 	// be longer than the timeout of a call. Zero means a third of Length.
 	Margin time.Duration
@@ -70,7 +70,7 @@
 // Handle is one process's view of a lease and its right to act under it.
 type Handle struct {
 	opts   Options
-	latest Seen
+	latest VersionedObject
 	// unchangedSince is when the latest version was first seen. recordUnknown is true if
 	// the version was learned from another VM, which does not send the record.
 	unchangedSince time.Time
@@ -85,21 +85,21 @@
 
 // NewHandle returns a handle that does not hold the lease.
 func NewHandle(opts Options) *Handle {
-	opts.Length = cmp.Or(opts.Length, defaultDuration)
-	opts.Margin = cmp.Or(opts.Margin, opts.Length/marginDivisor)
+	opts.Duration = cmp.Or(opts.Duration, defaultDuration)
+	opts.Margin = cmp.Or(opts.Margin, opts.Duration/marginDivisor)
 	opts.TakeoverDelay = cmp.Or(opts.TakeoverDelay, opts.Margin)
 	return &Handle{opts: opts}
 }
 
 // Latest returns the newest known object.
-func (h *Handle) Latest() Seen { return h.latest }
+func (h *Handle) Latest() VersionedObject { return h.latest }
 
 // Age returns how long the newest known object has been unchanged, as far as is known.
 func (h *Handle) Age(now time.Time) time.Duration { return now.Sub(h.unchangedSince) }
 
 // ObserveRead records the object as read from the store. It ignores an older version than
 // the known one, which is a stale read.
-func (h *Handle) ObserveRead(s Seen, now time.Time) {
+func (h *Handle) ObserveRead(s VersionedObject, now time.Time) {
 	if s.Version < h.latest.Version {
 		return
 	}
@@ -116,7 +116,7 @@
 // ObservePeer records a version, without its record, that another VM knows and that existed
 // at unchangedSince. That time must not be earlier than the sending of the write that created
 // the version, from which the holder measures its lease.
-func (h *Handle) ObservePeer(s Seen, unchangedSince time.Time) {
+func (h *Handle) ObservePeer(s VersionedObject, unchangedSince time.Time) {
 	if s.Version <= h.latest.Version {
 		return
 	}
@@ -185,7 +185,7 @@
 	// An expired lease of this process is also acquired anew, with a new fencing number:
 	// another process may have held it in between, under a number that was not seen here.
 	next := h.latest.Object
-	if next.Holder != (contract.VMLife{}) {
+	if next.Holder != (contract.VMInstance{}) {
 		next.Resigned = nil // the holder did not resign: the lease ran for its whole length
 	}
 	next.Holder = h.opts.Self
@@ -197,12 +197,12 @@
 
 // renew returns the renewal of this process's lease, if it is due.
 func (h *Handle) renew(now time.Time) (Proposal, bool) {
-	notDue := h.expiresAt.Sub(now) > h.opts.Length-h.opts.Margin
+	notDue := h.expiresAt.Sub(now) > h.opts.Duration-h.opts.Margin
 	if notDue && !(h.urgent && h.pendingRecord != nil) {
 		return Proposal{}, false
 	}
 	next := h.latest.Object
-	if now.Sub(h.acquiredAt) >= h.opts.Length {
+	if now.Sub(h.acquiredAt) >= h.opts.Duration {
 		next.Resigned = nil
 	}
 	return h.propose(next), true
@@ -223,11 +223,11 @@
 // the first one again, all within the length of one lease.
 func (h *Handle) AvailableAt() time.Time {
 	o := h.latest.Object
-	available := h.latest.Version == 0 || o.Holder == contract.VMLife{} && !slices.Contains(o.Resigned, h.opts.Self.VM)
+	available := h.latest.Version == 0 || o.Holder == contract.VMInstance{} && !slices.Contains(o.Resigned, h.opts.Self.VM)
 	if available || h.HeldBySelf() {
 		return time.Time{}
 	}
-	return h.unchangedSince.Add(h.opts.Length)
+	return h.unchangedSince.Add(h.opts.Duration)
 }
 
 // Resign returns the write that gives up this process's lease, or false if it holds none.
@@ -238,7 +238,7 @@
 	}
 	h.expiresAt = time.Time{}
 	next := h.latest.Object
-	next.Holder = contract.VMLife{}
+	next.Holder = contract.VMInstance{}
 	next.Resigned = append(slices.Clone(next.Resigned), h.opts.Self.VM)
 	return h.propose(next), true
 }
@@ -253,17 +253,17 @@
 	if bytes.Equal(p.Object.Record, h.pendingRecord) {
 		h.pendingRecord = nil
 	}
-	h.latest, h.unchangedSince, h.recordUnknown = Seen{p.Object, version}, sentAt, false
+	h.latest, h.unchangedSince, h.recordUnknown = VersionedObject{p.Object, version}, sentAt, false
 	h.expiresAt = time.Time{}
 	if p.Object.Holder == h.opts.Self {
-		h.expiresAt = sentAt.Add(h.opts.Length)
+		h.expiresAt = sentAt.Add(h.opts.Duration)
 	}
 }
 
 // ActiveFencing returns the fencing number under which a call may be made now. It returns
 // false while the stored record is unknown. ignoresFencing means that the recipient of the
 // call accepts old fencing numbers.
-func (h *Handle) ActiveFencing(now time.Time, ignoresFencing bool) (contract.FencingNumber, bool) {
+func (h *Handle) ActiveFencing(now time.Time, ignoresFencing bool) (contract.FencingToken, bool) {
 	if h.recordUnknown || h.expiresAt.IsZero() || !now.Before(h.expiresAt.Add(-h.opts.Margin)) {
 		return 0, false
 	}
