--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -24,11 +24,11 @@
 	// calls are in progress, each with its fencing number.
 	calls []call
 	// engineFencing is the fencing number of the last call that arrived at the engine.
-	engineFencing contract.FencingNumber
+	engineFencing contract.FencingToken
 }
 
 type call struct {
-	fencing   contract.FencingNumber
+	fencing   contract.FencingToken
 	arrivesAt time.Time
 }
 
@@ -36,7 +36,7 @@
 	h := s.handles[rapid.IntRange(0, len(s.handles)-1).Draw(s.t, "process")]
 	switch rapid.SampledFrom([]string{"read", "write", "write, reply lost", "call", "call", "time passes"}).Draw(s.t, "event") {
 	case "read":
-		h.ObserveRead(Seen{s.object, s.version}, s.now)
+		h.ObserveRead(VersionedObject{s.object, s.version}, s.now)
 	case "write":
 		s.write(h, true)
 	case "write, reply lost":
@@ -92,11 +92,11 @@
 // an engine that ignores fencing numbers, no call of a former holder may arrive after one of a later
 // holder.
 func TestFormerHolderCallsNeverArriveLast(t *testing.T) {
-	highestFencing := contract.FencingNumber(0)
+	highestFencing := contract.FencingToken(0)
 	rapid.Check(t, func(t *rapid.T) {
 		s := &engineSimulation{t: t, now: time.Unix(0, 0)}
 		for i := range 3 {
-			s.handles = append(s.handles, NewHandle(Options{Self: contract.VMLife{VM: contract.VMID(rune('a' + i)), Incarnation: 1}}))
+			s.handles = append(s.handles, NewHandle(Options{Self: contract.VMInstance{VM: contract.VMID(rune('a' + i)), Incarnation: 1}}))
 		}
 		for range rapid.IntRange(10, 150).Draw(t, "events") {
 			s.randomEvent()
@@ -114,12 +114,12 @@
 func TestPausedHolderMakesNoCalls(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	a := NewHandle(Options{Self: contract.VMLife{VM: "a"}})
-	b := NewHandle(Options{Self: contract.VMLife{VM: "b"}})
+	a := NewHandle(Options{Self: contract.VMInstance{VM: "a"}})
+	b := NewHandle(Options{Self: contract.VMInstance{VM: "b"}})
 	p, ok := a.Propose(now)
 	is.True(ok)
 	a.ConfirmWrite(p, 1, now)
-	b.ObserveRead(Seen{p.Object, 1}, now)
+	b.ObserveRead(VersionedObject{p.Object, 1}, now)
 	naiveHolds := a.latest.Object.Holder == a.opts.Self
 	now = now.Add(defaultDuration) // a is suspended
 	p, ok = b.Propose(now)
@@ -130,7 +130,7 @@
 	is.True(!ok)
 	n, ok := b.ActiveFencing(now, false)
 	is.True(ok)
-	is.Equal(n, contract.FencingNumber(2))
+	is.Equal(n, contract.FencingToken(2))
 	_, ok = b.ActiveFencing(now, true)
 	is.True(!ok) // waits for calls of a that may still be in progress
 }
--- a/link/client.go
+++ b/link/client.go
@@ -24,17 +24,17 @@
 	defer cancel()
 	body, err := Encode(req)
 	if err != nil {
-		return resp, contract.Fail(contract.StepLink, address, err)
+		return resp, contract.WrapStep(contract.StepLink, address, err)
 	}
 	frame, err := e.roundTrip(ctx, address, requestFrame{Kind: kind, Body: body})
 	if err != nil {
-		return resp, contract.Fail(contract.StepLink, address, err)
+		return resp, contract.WrapStep(contract.StepLink, address, err)
 	}
 	if frame.Error != "" {
-		return resp, contract.Fail(contract.StepLink, address, &RemoteError{Text: frame.Error})
+		return resp, contract.WrapStep(contract.StepLink, address, &RemoteError{Text: frame.Error})
 	}
 	err = Decode(frame.Body, &resp)
-	return resp, contract.Fail(contract.StepLink, address, err)
+	return resp, contract.WrapStep(contract.StepLink, address, err)
 }
 
 // roundTrip sends a request to the peer at address, over an existing connection
@@ -98,7 +98,7 @@
 	if err != nil {
 		return nil, err
 	}
-	dialed, err := e.transport.Dial(ctx, udpAddr, e.identity.TLS(alpnProtocol), e.quicConfig())
+	dialed, err := e.transport.Dial(ctx, udpAddr, e.identity.TLSConfig(alpnProtocol), e.quicConfig())
 	if err != nil {
 		return nil, err
 	}
--- a/link/fuzz_test.go
+++ b/link/fuzz_test.go
@@ -8,7 +8,7 @@
 // FuzzDecode checks that arbitrary bytes from a peer neither make the decoder panic
 // nor decode to a body that is larger than its frame.
 func FuzzDecode(f *testing.F) {
-	valid, err := Encode(requestFrame{Kind: KindVote, Body: []byte{0xf6}})
+	valid, err := Encode(requestFrame{Kind: KindTicketVote, Body: []byte{0xf6}})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -26,7 +26,7 @@
 	is.NoErr(err)
 	e, err := Listen("127.0.0.1:0", keySet)
 	is.NoErr(err)
-	Handle(e, KindVote, func(_ context.Context, peer string, req echoMessage) (echoMessage, error) {
+	Handle(e, KindTicketVote, func(_ context.Context, peer string, req echoMessage) (echoMessage, error) {
 		if req.Text == "fail" {
 			return echoMessage{}, errors.New("asked to fail")
 		}
@@ -42,18 +42,18 @@
 func TestCallReturnsResponseOrRemoteError(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
-	is.NoErr(keys.Make(dir, []string{"a", "b"}))
+	is.NoErr(keys.GenerateFiles(dir, []string{"a", "b"}))
 	a, b := newEndpoint(t, dir, "a"), newEndpoint(t, dir, "b")
 
-	got, err := Call[echoMessage, echoMessage](t.Context(), a, b.Address(), KindVote, echoMessage{Text: "hello"})
+	got, err := Call[echoMessage, echoMessage](t.Context(), a, b.Address(), KindTicketVote, echoMessage{Text: "hello"})
 	is.NoErr(err)
 	is.Equal(got.Text, "a: hello")
 
-	_, err = Call[echoMessage, echoMessage](t.Context(), a, b.Address(), KindVote, echoMessage{Text: "fail"})
+	_, err = Call[echoMessage, echoMessage](t.Context(), a, b.Address(), KindTicketVote, echoMessage{Text: "fail"})
 	var remote *RemoteError
 	is.True(errors.As(err, &remote)) // an error of the peer's handler differs from a lost call
 
-	_, err = Call[echoMessage, echoMessage](t.Context(), a, b.Address(), KindPull, echoMessage{})
+	_, err = Call[echoMessage, echoMessage](t.Context(), a, b.Address(), KindPullConfig, echoMessage{})
 	is.True(errors.As(err, &remote)) // the peer has no handler for this kind
 }
 
@@ -62,13 +62,13 @@
 func TestUnpinnedPeerIsRejected(t *testing.T) {
 	is := is.New(t)
 	pinnedDir, otherDir := t.TempDir(), t.TempDir()
-	is.NoErr(keys.Make(pinnedDir, []string{"a"}))
-	is.NoErr(keys.Make(otherDir, []string{"a"}))
+	is.NoErr(keys.GenerateFiles(pinnedDir, []string{"a"}))
+	is.NoErr(keys.GenerateFiles(otherDir, []string{"a"}))
 	a := newEndpoint(t, pinnedDir, "a")
 	unpinned := newEndpoint(t, otherDir, "a")
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
-	_, err := Call[echoMessage, echoMessage](ctx, unpinned, a.Address(), KindVote, echoMessage{Text: "hello"})
+	_, err := Call[echoMessage, echoMessage](ctx, unpinned, a.Address(), KindTicketVote, echoMessage{Text: "hello"})
 	is.True(err != nil)
 	var remote *RemoteError
 	is.True(!errors.As(err, &remote)) // the handler has not run
@@ -79,13 +79,13 @@
 func TestCallToClosedPeerFails(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
-	is.NoErr(keys.Make(dir, []string{"a", "b"}))
+	is.NoErr(keys.GenerateFiles(dir, []string{"a", "b"}))
 	a, b := newEndpoint(t, dir, "a"), newEndpoint(t, dir, "b")
 	address := b.Address()
-	_, err := Call[echoMessage, echoMessage](t.Context(), a, address, KindVote, echoMessage{Text: "one"})
+	_, err := Call[echoMessage, echoMessage](t.Context(), a, address, KindTicketVote, echoMessage{Text: "one"})
 	is.NoErr(err)
 	is.NoErr(b.Close())
-	_, err = Call[echoMessage, echoMessage](t.Context(), a, address, KindVote, echoMessage{Text: "two"})
+	_, err = Call[echoMessage, echoMessage](t.Context(), a, address, KindTicketVote, echoMessage{Text: "two"})
 	is.True(err != nil)
 }
 
@@ -96,16 +96,16 @@
 func TestTimedOutCallDropsConnection(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
-	is.NoErr(keys.Make(dir, []string{"a", "b"}))
+	is.NoErr(keys.GenerateFiles(dir, []string{"a", "b"}))
 	a, b := newEndpoint(t, dir, "a"), newEndpoint(t, dir, "b")
 	address := b.Address()
-	_, err := Call[echoMessage, echoMessage](t.Context(), a, address, KindVote, echoMessage{Text: "one"})
+	_, err := Call[echoMessage, echoMessage](t.Context(), a, address, KindTicketVote, echoMessage{Text: "one"})
 	is.NoErr(err)
 	// Close the socket without notifying the peer, as happens when a process is killed.
 	is.NoErr(b.transport.Conn.Close())
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
-	_, err = Call[echoMessage, echoMessage](ctx, a, address, KindVote, echoMessage{Text: "two"})
+	_, err = Call[echoMessage, echoMessage](ctx, a, address, KindTicketVote, echoMessage{Text: "two"})
 	is.True(err != nil)
 	a.mu.Lock()
 	_, kept := a.conns[address]
--- a/link/message.go
+++ b/link/message.go
@@ -22,37 +22,37 @@
 
 // The kinds of messages.
 const (
-	// KindPull requests the newest configuration from a control process.
-	KindPull Kind = iota + 1
+	// KindPullConfig requests the newest configuration from a control process.
+	KindPullConfig Kind = iota + 1
 	// KindHeartbeat sends a control process the list of live VMs.
 	KindHeartbeat
-	// KindVote requests a vote on a ticket from an entry process.
-	KindVote
-	// KindKeep asks an entry process to store copies of bill records.
-	KindKeep
-	// KindFile asks a control process to write bill records to the platform.
-	KindFile
-	// KindFiled notifies an entry process that bill records have been written to the
+	// KindTicketVote requests a vote on a ticket from an entry process.
+	KindTicketVote
+	// KindCopyBills asks an entry process to store copies of bill records.
+	KindCopyBills
+	// KindFileBills asks a control process to write bill records to the platform.
+	KindFileBills
+	// KindBillsFiled notifies an entry process that bill records have been written to the
 	// platform, so that it can delete its copies.
-	KindFiled
-	// KindSettled notifies an entry process of the outcome of a ticket.
-	KindSettled
-	// KindWord is the periodic gossip message: it sends a VM the list of live VMs and
+	KindBillsFiled
+	// KindTicketSettled notifies an entry process of the outcome of a ticket.
+	KindTicketSettled
+	// KindGossip is the periodic gossip message: it sends a VM the list of live VMs and
 	// the newest revisions that the sender knows.
-	KindWord
-	// KindChanges requests from a VM the objects that changed after a revision.
-	KindChanges
-	// KindReads sends a VM the prompts that the sender has sent to upstreams and what
+	KindGossip
+	// KindObjectChanges requests from a VM the objects that changed after a revision.
+	KindObjectChanges
+	// KindUpstreamReport sends a VM the prompts that the sender has sent to upstreams and what
 	// it has learned about these upstreams.
-	KindReads
-	// KindUsage sends the lease holder the usage that the sender has aggregated.
-	KindUsage
+	KindUpstreamReport
+	// KindUsageReport sends the lease holder the usage that the sender has aggregated.
+	KindUsageReport
 )
 
 // kindNames maps each kind to its label in metrics.
 var kindNames = map[Kind]string{
-	KindPull: "pull", KindHeartbeat: "heartbeat", KindVote: "vote", KindKeep: "keep", KindFile: "file", KindFiled: "filed",
-	KindSettled: "settled", KindWord: "word", KindChanges: "changes", KindReads: "reads", KindUsage: "usage",
+	KindPullConfig: "pull", KindHeartbeat: "heartbeat", KindTicketVote: "vote", KindCopyBills: "keep", KindFileBills: "file", KindBillsFiled: "filed",
+	KindTicketSettled: "settled", KindGossip: "word", KindObjectChanges: "changes", KindUpstreamReport: "reads", KindUsageReport: "usage",
 }
 
 // String returns the label of the kind in metrics.
--- a/link/oneway.go
+++ b/link/oneway.go
@@ -9,32 +9,32 @@
 	"woaddoor/contract"
 )
 
-// Note sends a one-way message, which may be lost. It uses a QUIC datagram, which
+// SendOneWay sends a one-way message, which may be lost. It uses a QUIC datagram, which
 // needs no stream on either side. A message that does not fit into a datagram is sent as
 // a call, and its response is discarded.
-func Note[Req any](ctx context.Context, e *Endpoint, address string, kind Kind, req Req) error {
+func SendOneWay[Req any](ctx context.Context, e *Endpoint, address string, kind Kind, req Req) error {
 	body, err := Encode(req)
 	if err != nil {
-		return contract.Fail(contract.StepLink, address, err)
+		return contract.WrapStep(contract.StepLink, address, err)
 	}
 	raw, err := Encode(requestFrame{Kind: kind, Body: body})
 	if err != nil {
-		return contract.Fail(contract.StepLink, address, err)
+		return contract.WrapStep(contract.StepLink, address, err)
 	}
 	pc, err := e.connect(ctx, address)
 	if err != nil {
-		return contract.Fail(contract.StepLink, address, err)
+		return contract.WrapStep(contract.StepLink, address, err)
 	}
 	err = pc.conn.SendDatagram(raw)
 	var tooLarge *quic.DatagramTooLargeError
 	if errors.As(err, &tooLarge) {
 		_, err = e.roundTrip(ctx, address, requestFrame{Kind: kind, Body: body})
-		return contract.Fail(contract.StepLink, address, err)
+		return contract.WrapStep(contract.StepLink, address, err)
 	}
 	if err == nil {
 		e.countSent(address, kind, len(raw))
 	}
-	return contract.Fail(contract.StepLink, address, err)
+	return contract.WrapStep(contract.StepLink, address, err)
 }
 
 // serveDatagrams handles one-way messages until the connection ends.
--- a/link/server.go
+++ b/link/server.go
@@ -30,11 +30,11 @@
 // Option changes a default of an Endpoint.
 type Option func(*Endpoint)
 
-// ShareLinks lets both ends of a connection make calls over it, whichever end opened it,
+// ShareConnections lets both ends of a connection make calls over it, whichever end opened it,
 // and closes connections that were idle for idleTimeout. Without it each end opens its own
 // connection and keeps it open with keep-alive packets: 57 VMs that have each called all
 // others once keep 3,192 connections open with about 1,600 keep-alive packets a second.
-func ShareLinks(e *Endpoint) { e.sharedConns = true }
+func ShareConnections(e *Endpoint) { e.sharedConns = true }
 
 func (e *Endpoint) quicConfig() *quic.Config {
 	c := &quic.Config{
@@ -52,11 +52,11 @@
 
 // Identity provides the TLS credentials of a process and authenticates its peers.
 type Identity interface {
-	// TLS returns the TLS configuration for a connection with the given ALPN protocol.
-	TLS(protocol string) *tls.Config
-	// Peer returns the name of a peer, given its certificates and its address. If it
+	// TLSConfig returns the TLS configuration for a connection with the given ALPN protocol.
+	TLSConfig(protocol string) *tls.Config
+	// VerifyPeer returns the name of a peer, given its certificates and its address. If it
 	// returns an error, the connection is rejected.
-	Peer(certificates [][]byte, from net.Addr) (string, error)
+	VerifyPeer(certificates [][]byte, from net.Addr) (string, error)
 }
 
 // Endpoint is a process's side of its connections: it makes calls and serves them, all
@@ -66,12 +66,12 @@
 	transport *quic.Transport
 	listener  *quic.Listener
 	handlers  map[Kind]handler
-	// Far reports whether the peer at an address is in another data centre. Sent counts
+	// InOtherDataCentre reports whether the peer at an address is in another data centre. Sent counts
 	// messages to such peers separately. Far may be nil, and must be set before Serve
 	// is called.
-	Far         func(address string) bool
-	sharedConns bool
-	traffic     traffic
+	InOtherDataCentre func(address string) bool
+	sharedConns       bool
+	traffic           traffic
 
 	// mu guards conns and closed.
 	mu     sync.Mutex
@@ -96,11 +96,11 @@
 func Listen(address string, identity Identity, options ...Option) (*Endpoint, error) {
 	udpAddr, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
-		return nil, contract.Fail(contract.StepLink, address, err)
+		return nil, contract.WrapStep(contract.StepLink, address, err)
 	}
 	socket, err := net.ListenUDP("udp", udpAddr)
 	if err != nil {
-		return nil, contract.Fail(contract.StepLink, address, err)
+		return nil, contract.WrapStep(contract.StepLink, address, err)
 	}
 	e := &Endpoint{
 		identity: identity, transport: &quic.Transport{Conn: socket},
@@ -109,10 +109,10 @@
 	for _, apply := range options {
 		apply(e)
 	}
-	e.listener, err = e.transport.Listen(identity.TLS(alpnProtocol), e.quicConfig())
+	e.listener, err = e.transport.Listen(identity.TLSConfig(alpnProtocol), e.quicConfig())
 	if err != nil {
 		socket.Close()
-		return nil, contract.Fail(contract.StepLink, address, err)
+		return nil, contract.WrapStep(contract.StepLink, address, err)
 	}
 	return e, nil
 }
@@ -162,7 +162,7 @@
 	for _, cert := range conn.ConnectionState().TLS.PeerCertificates {
 		raw = append(raw, cert.Raw)
 	}
-	return e.identity.Peer(raw, conn.RemoteAddr())
+	return e.identity.VerifyPeer(raw, conn.RemoteAddr())
 }
 
 // serveStreams handles the requests and one-way messages of an authenticated peer until the
--- a/link/traffic.go
+++ b/link/traffic.go
@@ -17,7 +17,7 @@
 // countSent counts one message sent to the peer at address.
 func (e *Endpoint) countSent(address string, kind Kind, bytes int) {
 	location := sameDataCentre
-	if e.Far != nil && e.Far(address) {
+	if e.InOtherDataCentre != nil && e.InOtherDataCentre(address) {
 		location = otherDataCentre
 	}
 	if int(kind) < maxKinds {
@@ -32,36 +32,36 @@
 	otherDataCentre
 )
 
-// Sent is the number of messages of one kind, requests and responses together, that an
+// SentCount is the number of messages of one kind, requests and responses together, that an
 // endpoint has sent to peers in its own data centre or, if Far is set, in other data
 // centres, and their total size in bytes before encryption.
-type Sent struct {
+type SentCount struct {
 	Kind            Kind
-	Far             bool
+	OtherDataCentre bool
 	Messages, Bytes int64
 }
 
-// Sent returns the counts of the messages that the endpoint has sent so far. Kinds that
+// SentCounts returns the counts of the messages that the endpoint has sent so far. Kinds that
 // were never sent are omitted.
-func (e *Endpoint) Sent() []Sent {
-	var counts []Sent
+func (e *Endpoint) SentCounts() []SentCount {
+	var counts []SentCount
 	for kind := range maxKinds {
 		for location := range e.traffic.messages {
 			if n := e.traffic.messages[location][kind].Load(); n > 0 {
-				counts = append(counts, Sent{Kind(kind), location == otherDataCentre, n, e.traffic.bytes[location][kind].Load()})
+				counts = append(counts, SentCount{Kind(kind), location == otherDataCentre, n, e.traffic.bytes[location][kind].Load()})
 			}
 		}
 	}
 	return counts
 }
 
-// Traffic returns the numbers of bytes sent and received so far.
-func (e *Endpoint) Traffic() (sent, received int64) {
-	for _, s := range e.Sent() {
+// TrafficBytes returns the numbers of bytes sent and received so far.
+func (e *Endpoint) TrafficBytes() (sent, received int64) {
+	for _, s := range e.SentCounts() {
 		sent += s.Bytes
 	}
 	return sent, e.traffic.receivedBytes.Load()
 }
 
-// Dialed returns the number of connections that this endpoint has opened so far.
-func (e *Endpoint) Dialed() int64 { return e.traffic.dials.Load() }
+// DialCount returns the number of connections that this endpoint has opened so far.
+func (e *Endpoint) DialCount() int64 { return e.traffic.dials.Load() }
--- a/logs/logs.go
+++ b/logs/logs.go
@@ -51,9 +51,9 @@
 	return e.Encoder.EncodeEntry(entry, fields)
 }
 
-// Failure returns the log fields for an error: its text, and the step and the peer if it
+// ErrorFields returns the log fields for an error: its text, and the step and the peer if it
 // wraps a contract.StepError.
-func Failure(err error) []zap.Field {
+func ErrorFields(err error) []zap.Field {
 	fields := []zap.Field{zap.String("error", err.Error())}
 	var stepErr *contract.StepError
 	if errors.As(err, &stepErr) {
--- a/logs/queue.go
+++ b/logs/queue.go
@@ -23,10 +23,10 @@
 	maxBatchBytes = 32 << 10
 )
 
-// Bounded writes log lines in the background, so that a logging call never blocks. Lines
+// LineQueue writes log lines in the background, so that a logging call never blocks. Lines
 // are queued up to a limit. When the queue is full, further lines are dropped and counted,
 // and the next line that is logged carries the number of lines dropped before it.
-type Bounded struct {
+type LineQueue struct {
 	out                io.Writer
 	lines              chan *buffer.Buffer
 	droppedSinceReport atomic.Int64 // reported and reset by the next line logged
@@ -35,23 +35,23 @@
 	writing            sync.WaitGroup
 }
 
-// NewBounded returns a logger that writes to w through a bounded queue, and that queue,
+// NewQueued returns a logger that writes to w through a bounded queue, and that queue,
 // which must be closed before the process exits.
-func NewBounded(w io.Writer, fields ...zap.Field) (*zap.Logger, *Bounded) {
-	b := &Bounded{out: w, lines: make(chan *buffer.Buffer, maxQueuedLines), stop: make(chan struct{})}
+func NewQueued(w io.Writer, fields ...zap.Field) (*zap.Logger, *LineQueue) {
+	b := &LineQueue{out: w, lines: make(chan *buffer.Buffer, maxQueuedLines), stop: make(chan struct{})}
 	b.writing.Add(1)
 	go b.writeLoop()
 	core := &queueCore{LevelEnabler: zapcore.InfoLevel, encoder: newEncoder(), queue: b}
 	return zap.New(core).With(fields...), b
 }
 
-// LeftOut returns the number of lines dropped so far.
-func (b *Bounded) LeftOut() int64 { return b.droppedTotal.Load() }
+// Dropped returns the number of lines dropped so far.
+func (b *LineQueue) Dropped() int64 { return b.droppedTotal.Load() }
 
 // Close waits until the queued lines are written, but no longer than timeout, so that a
 // blocked standard output does not delay the exit of the process. Lines logged after
 // Close are not written. It must be called only once.
-func (b *Bounded) Close(timeout time.Duration) {
+func (b *LineQueue) Close(timeout time.Duration) {
 	close(b.stop)
 	done := make(chan struct{})
 	go func() { b.writing.Wait(); close(done) }()
@@ -62,7 +62,7 @@
 }
 
 // writeLoop writes queued lines, in batches, until Close is called and the queue is empty.
-func (b *Bounded) writeLoop() {
+func (b *LineQueue) writeLoop() {
 	defer b.writing.Done()
 	batch := make([]byte, 0, maxBatchBytes)
 	for {
@@ -81,7 +81,7 @@
 
 // fillBatch appends queued lines to batch until it reaches maxBatchBytes or the queue is
 // empty.
-func (b *Bounded) fillBatch(batch []byte) []byte {
+func (b *LineQueue) fillBatch(batch []byte) []byte {
 	for len(batch) < maxBatchBytes {
 		select {
 		case next := <-b.lines:
@@ -94,14 +94,14 @@
 }
 
 // appendLine appends a line to batch and frees the line's buffer.
-func (b *Bounded) appendLine(batch []byte, line *buffer.Buffer) []byte {
+func (b *LineQueue) appendLine(batch []byte, line *buffer.Buffer) []byte {
 	batch = append(batch, line.Bytes()...)
 	line.Free()
 	return batch
 }
 
 // enqueue queues a line, or drops it if there is no room for its level.
-func (b *Bounded) enqueue(level zapcore.Level, line *buffer.Buffer) {
+func (b *LineQueue) enqueue(level zapcore.Level, line *buffer.Buffer) {
 	if level < zapcore.WarnLevel && len(b.lines) >= maxQueuedLines-reservedForWarnings {
 		b.drop(line)
 		return
@@ -114,7 +114,7 @@
 }
 
 // drop frees a line and counts it as dropped.
-func (b *Bounded) drop(line *buffer.Buffer) {
+func (b *LineQueue) drop(line *buffer.Buffer) {
 	line.Free()
 	b.droppedSinceReport.Add(1)
 	b.droppedTotal.Add(1)
@@ -124,7 +124,7 @@
 type queueCore struct {
 	zapcore.LevelEnabler
 	encoder zapcore.Encoder
-	queue   *Bounded
+	queue   *LineQueue
 }
 
 // With returns a core that adds the fields to every line.
--- a/logs/queue_test.go
+++ b/logs/queue_test.go
@@ -31,14 +31,14 @@
 func TestBlockedOutputDropsLines(t *testing.T) {
 	is := is.New(t)
 	output := &blockedWriter{unblock: make(chan struct{})}
-	log, queue := NewBounded(output)
+	log, queue := NewQueued(output)
 	for range 3 * maxQueuedLines {
 		log.Info("delivered") // would block forever if it wrote to the output directly
 	}
 	for range reservedForWarnings / 2 {
 		log.Warn("refused", zap.String("request", "r"))
 	}
-	is.True(queue.LeftOut() >= maxQueuedLines)
+	is.True(queue.Dropped() >= maxQueuedLines)
 	close(output.unblock)
 	queue.Close(5 * time.Second)
 	is.Equal(strings.Count(output.text.String(), "event=refused"), reservedForWarnings/2) // no warning was dropped
@@ -52,11 +52,11 @@
 	r, w, err := os.Pipe()
 	is.NoErr(err)
 	defer r.Close()
-	log, queue := NewBounded(w)
+	log, queue := NewQueued(w)
 	for range 4 * maxQueuedLines {
 		log.Info("delivered", zap.String("padding", strings.Repeat("x", 200)))
 	}
-	is.True(queue.LeftOut() > 0)
+	is.True(queue.Dropped() > 0)
 	queue.Close(10 * time.Millisecond)
 	_ = w.Close()
 }
--- a/operator/bills.go
+++ b/operator/bills.go
@@ -13,16 +13,16 @@
 
 // Bills returns the amount that each workspace owes according to the bill records
 // filed so far. A record that was filed more than once is counted once.
-func (o *Operator) Bills(ctx context.Context) ([]bill.Sum, error) {
+func (o *Operator) Bills(ctx context.Context) ([]bill.WorkspaceTotal, error) {
 	var records []bill.Record
 	after := ""
 	for {
-		names, err := o.Store.List(ctx, bill.Prefix, after)
+		names, err := o.Store.List(ctx, bill.BatchNamePrefix, after)
 		if err != nil {
 			return nil, err
 		}
 		if len(names) == 0 {
-			return bill.Sums(records), nil
+			return bill.TotalsByWorkspace(records), nil
 		}
 		for _, name := range names {
 			obj, err := o.Store.Read(ctx, name)
@@ -31,7 +31,7 @@
 			}
 			var b bill.Batch
 			if err := json.Unmarshal(obj.Value, &b); err != nil {
-				return nil, contract.Fail(contract.StepFile, name, err)
+				return nil, contract.WrapStep(contract.StepFile, name, err)
 			}
 			records = append(records, b.Records...)
 		}
@@ -42,7 +42,7 @@
 // History returns the n latest audit records, latest first.
 func (o *Operator) History(ctx context.Context, n int) ([]document.Change, error) {
 	var changes []document.Change
-	err := history.Walk(ctx, o.Store, func(c document.Change) bool {
+	err := history.WalkChanges(ctx, o.Store, func(c document.Change) bool {
 		changes = append(changes, c)
 		return len(changes) < n
 	})
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -46,7 +46,7 @@
 		for i, s := range c.Sections {
 			names[i] = s.Name
 		}
-		lines = append(lines, fmt.Sprintf("  revision %d by %s, %s: %s", c.ToRevision, c.Who, c.Why, strings.Join(names, ", ")))
+		lines = append(lines, fmt.Sprintf("  revision %d by %s, %s: %s", c.ToRevision, c.Author, c.Reason, strings.Join(names, ", ")))
 	}
 	return strings.Join(append(lines, "run woaddoor show, make your change in its output, and apply that"), "\n")
 }
@@ -81,7 +81,7 @@
 // Apply makes a file the accepted configuration, entirely or not at all. from is
 // the revision that the file is based on. If it is negative, the file's
 // [configuration] section names that revision.
-func (o *Operator) Apply(ctx context.Context, name string, text []byte, from int64, a history.Author) (document.Root, error) {
+func (o *Operator) Apply(ctx context.Context, name string, text []byte, from int64, a history.ChangeInfo) (document.Root, error) {
 	p, err := o.Plan(ctx, name, text)
 	if err != nil {
 		return document.Root{}, err
@@ -112,7 +112,7 @@
 		return nil
 	}
 	stale := &StaleError{BaseRevision: contract.Revision(from), AcceptedRevision: p.BaseRevision}
-	err := history.Walk(ctx, o.Store, func(c document.Change) bool {
+	err := history.WalkChanges(ctx, o.Store, func(c document.Change) bool {
 		if c.ToRevision <= stale.BaseRevision {
 			return false
 		}
@@ -130,7 +130,7 @@
 
 // statedBaseRevision returns the revision that a file's [configuration] section names.
 func statedBaseRevision(name string, text []byte) (int64, error) {
-	f, err := config.ReadFile(name, text)
+	f, err := config.ParseINI(name, text)
 	if err != nil {
 		return 0, err
 	}
@@ -169,7 +169,7 @@
 
 // Withdraw withdraws a version, even if others change the configuration at the
 // same time.
-func (o *Operator) Withdraw(ctx context.Context, v contract.VersionID, a history.Author) (document.Root, error) {
+func (o *Operator) Withdraw(ctx context.Context, v contract.VersionID, a history.ChangeInfo) (document.Root, error) {
 	for n := 1; ; n++ {
 		base, err := history.Load(ctx, o.Store)
 		if err != nil {
@@ -183,7 +183,7 @@
 			return base.Root, nil
 		}
 		root, err := history.Publish(ctx, o.Store, base, sections, a)
-		var conflict *history.Conflict
+		var conflict *history.ConflictError
 		if !errors.As(err, &conflict) || n == maxWithdrawAttempts {
 			return root, err
 		}
@@ -214,16 +214,16 @@
 	return sections, text != old, nil
 }
 
-// Force returns the VMs on which a revision is in force, and those on which it is
+// RevisionStatus returns the VMs on which a revision is in force, and those on which it is
 // pending.
-func (o *Operator) Force(ctx context.Context, root document.Root) (datacentre.Force, error) {
+func (o *Operator) RevisionStatus(ctx context.Context, root document.Root) (datacentre.RevisionStatus, error) {
 	statuses, err := o.statuses(ctx)
 	if err != nil {
-		return datacentre.Force{}, err
+		return datacentre.RevisionStatus{}, err
 	}
 	vms, err := o.VMs.VMs(ctx)
 	if err != nil {
-		return datacentre.Force{}, err
+		return datacentre.RevisionStatus{}, err
 	}
 	expected := make(map[contract.VMID]contract.DataCentreID)
 	for _, e := range vms {
@@ -233,9 +233,9 @@
 	}
 	olderExpireAt, err := o.olderExpireAt(ctx, root)
 	if err != nil {
-		return datacentre.Force{}, err
+		return datacentre.RevisionStatus{}, err
 	}
-	return datacentre.Assess(root.Revision, statuses, expected, olderExpireAt), nil
+	return datacentre.AssessRevision(root.Revision, statuses, expected, olderExpireAt), nil
 }
 
 // statuses returns the status that each data centre has stored.
@@ -252,7 +252,7 @@
 		}
 		var st datacentre.Status
 		if err := json.Unmarshal(obj.Value, &st); err != nil {
-			return nil, contract.Fail(contract.StepApply, name, err)
+			return nil, contract.WrapStep(contract.StepApply, name, err)
 		}
 		statuses = append(statuses, st)
 	}
@@ -270,7 +270,7 @@
 	latest := time.Time{}
 	nextAcceptedAt := time.Time{}
 	var readErr error
-	err := history.Walk(ctx, o.Store, func(c document.Change) bool {
+	err := history.WalkChanges(ctx, o.Store, func(c document.Change) bool {
 		if c.ToRevision < root.Revision && !nextAcceptedAt.IsZero() {
 			longest, err := o.longestServeWithoutUpdate(ctx, c)
 			if err != nil {
@@ -311,14 +311,14 @@
 
 // Wait returns once the revision is in force on every VM, or when ctx ends. It
 // calls progress with the state after each poll.
-func (o *Operator) Wait(ctx context.Context, root document.Root, progress func(datacentre.Force)) (datacentre.Force, error) {
-	var f datacentre.Force
+func (o *Operator) Wait(ctx context.Context, root document.Root, progress func(datacentre.RevisionStatus)) (datacentre.RevisionStatus, error) {
+	var f datacentre.RevisionStatus
 	for {
-		got, err := o.Force(ctx, root)
+		got, err := o.RevisionStatus(ctx, root)
 		if err == nil {
 			f = got
 			progress(f)
-			if f.Everywhere(o.Now()) {
+			if f.InForceEverywhere(o.Now()) {
 				return f, nil
 			}
 		}
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -31,8 +31,8 @@
 	return &Operator{Store: view, VMs: view, Now: func() time.Time { return now }}, store, &now
 }
 
-func testAuthor(who string, at time.Time) history.Author {
-	return history.Author{Who: who, Why: "test", At: at}
+func testAuthor(who string, at time.Time) history.ChangeInfo {
+	return history.ChangeInfo{Author: who, Reason: "test", At: at}
 }
 
 // TestApplyRefusesStaleFile checks that Apply refuses a file based on an older
@@ -51,7 +51,7 @@
 	_, err = o.Apply(ctx, "site.ini", []byte(strings.Replace(anasFile, "10s", "30s", 1)), -1, testAuthor("ana", *now))
 	var stale *StaleError
 	is.True(errors.As(err, &stale))
-	is.Equal(stale.NewerChanges[0].Who, "ben")
+	is.Equal(stale.NewerChanges[0].Author, "ben")
 	is.True(strings.Contains(err.Error(), "version m@1"))
 	_, err = o.Apply(ctx, "site.ini", testFile("30s"), -1, testAuthor("ana", *now))
 	is.True(errors.Is(err, ErrNoBaseRevision))
@@ -68,7 +68,7 @@
 	ctx := t.Context()
 	_, err := o.Apply(ctx, "site.ini", testFile("10s"), -1, testAuthor("ana", *now))
 	is.NoErr(err)
-	st.SetFaults(standin.Faults{LoseReplies: 1})
+	st.SetFaults(standin.Faults{DropReplies: 1})
 	_, err = o.Withdraw(ctx, "m@1", testAuthor("ben", *now))
 	if err != nil { // the reply was lost before the root was written; repeating is safe
 		_, err = o.Withdraw(ctx, "m@1", testAuthor("ben", *now))
@@ -100,11 +100,11 @@
 	*now = startTime.Add(2 * time.Minute)
 	root, err := o.Withdraw(ctx, "m@1", testAuthor("ana", *now))
 	is.NoErr(err)
-	f, err := o.Force(ctx, root)
+	f, err := o.RevisionStatus(ctx, root)
 	is.NoErr(err)
 	// A VM cut off with revision 1 may serve for an hour after revision 2 was accepted.
-	is.Equal(f.SureAt, startTime.Add(time.Minute+time.Hour+maxClockSkew))
+	is.Equal(f.EnforcedAt, startTime.Add(time.Minute+time.Hour+maxClockSkew))
 	is.Equal(f.Pending[0].VM, contract.VMID("a"))
-	is.True(!f.Everywhere(*now))
-	is.True(f.Everywhere(f.SureAt.Add(time.Second)))
+	is.True(!f.InForceEverywhere(*now))
+	is.True(f.InForceEverywhere(f.EnforcedAt.Add(time.Second)))
 }
--- a/peek/peek.go
+++ b/peek/peek.go
@@ -12,20 +12,20 @@
 
 // The states of a connection.
 const (
-	// Quiet means that the connection is open and has no unread bytes. A connection
+	// Idle means that the connection is open and has no unread bytes. A connection
 	// that cannot be inspected counts as Quiet too.
-	Quiet State = iota
+	Idle State = iota
 	// Readable means that bytes have arrived and have not been read yet.
 	Readable
 	// Closed means that either side has closed the connection.
 	Closed
 )
 
-// Look returns the state of c. It may be called while another goroutine reads from c.
-func Look(c net.Conn) State {
+// Inspect returns the state of c. It may be called while another goroutine reads from c.
+func Inspect(c net.Conn) State {
 	syscallConn, ok := c.(syscall.Conn)
 	if !ok {
-		return Quiet
+		return Idle
 	}
 	raw, err := syscallConn.SyscallConn()
 	if err != nil {
@@ -37,7 +37,7 @@
 		n, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case err == syscall.EAGAIN || err == syscall.EINTR:
-			state = Quiet
+			state = Idle
 		case err == nil && n > 0:
 			state = Readable
 		}
--- a/peek/peek_test.go
+++ b/peek/peek_test.go
@@ -19,20 +19,20 @@
 	is.NoErr(err)
 	c, err := l.Accept()
 	is.NoErr(err)
-	is.Equal(Look(c), Quiet)
+	is.Equal(Inspect(c), Idle)
 	_, err = io.WriteString(remote, "x")
 	is.NoErr(err)
-	for Look(c) == Quiet { // busy-wait: loopback delivers almost at once
+	for Inspect(c) == Idle { // busy-wait: loopback delivers almost at once
 	}
-	is.Equal(Look(c), Readable)
+	is.Equal(Inspect(c), Readable)
 	got := make([]byte, 1)
 	_, err = io.ReadFull(c, got)
 	is.NoErr(err)
 	is.Equal(got, []byte("x"))
 	is.NoErr(remote.Close())
-	for Look(c) == Quiet { // busy-wait: loopback delivers almost at once
+	for Inspect(c) == Idle { // busy-wait: loopback delivers almost at once
 	}
-	is.Equal(Look(c), Closed)
+	is.Equal(Inspect(c), Closed)
 	is.NoErr(c.Close())
-	is.Equal(Look(c), Closed)
+	is.Equal(Inspect(c), Closed)
 }
--- a/permit/permit.go
+++ b/permit/permit.go
@@ -41,7 +41,7 @@
 	if s.FreshAt.IsZero() {
 		return time.Time{}
 	}
-	return s.FreshAt.Add(s.Config.ServeWithoutWord(v))
+	return s.FreshAt.Add(s.Config.ServeWithoutUpdate(v))
 }
 
 // staleConfigRetryAfter is the Retry-After sent when the VM's configuration is too old to serve a version.
@@ -50,24 +50,24 @@
 // Check returns nil if workspace w may start work on version id now, and a refusal otherwise. The outcome of the
 // refusal is "not run", because Check is called before anything is sent to an upstream.
 func Check(s Snapshot, w *config.Workspace, id contract.VersionID, kind RequestKind, now time.Time) *contract.Refusal {
-	if !w.Allow[id] {
-		return newRefusal(contract.RefusedNotAllowed, 0, "workspace %s may not use %s", w.ID, id)
+	if !w.AllowedVersions[id] {
+		return newRefusal(contract.RefusedVersionNotAllowed, 0, "workspace %s may not use %s", w.ID, id)
 	}
 	version, ok := s.Config.Versions[id]
 	if !ok {
-		return newRefusal(contract.RefusedNotAllowed, 0, "version %s is not declared", id)
+		return newRefusal(contract.RefusedVersionNotAllowed, 0, "version %s is not declared", id)
 	}
 	switch {
 	case version.State == config.Withdrawn:
-		return newRefusal(contract.RefusedWithdrawn, 0, "version %s is withdrawn", id)
+		return newRefusal(contract.RefusedVersionWithdrawn, 0, "version %s is withdrawn", id)
 	case s.Halted[id]:
-		return newRefusal(contract.RefusedWithdrawn, 0, "version %s is halted", id)
+		return newRefusal(contract.RefusedVersionWithdrawn, 0, "version %s is halted", id)
 	case version.State == config.Draining && kind == NewWork:
-		return newRefusal(contract.RefusedWithdrawn, 0, "version %s takes no new sessions", id)
+		return newRefusal(contract.RefusedVersionWithdrawn, 0, "version %s takes no new sessions", id)
 	}
 	if !now.Before(s.NotAfter(id)) {
-		return newRefusal(contract.RefusedNoWord, staleConfigRetryAfter,
-			"no word from the platform for longer than %s allows, %v", id, s.Config.ServeWithoutWord(id))
+		return newRefusal(contract.RefusedStaleConfiguration, staleConfigRetryAfter,
+			"no word from the platform for longer than %s allows, %v", id, s.Config.ServeWithoutUpdate(id))
 	}
 	return nil
 }
@@ -75,7 +75,7 @@
 // newRefusal returns a refusal of this check. The formatted detail is sent to the caller.
 func newRefusal(kind contract.RefusalKind, retryAfter time.Duration, format string, args ...any) *contract.Refusal {
 	return &contract.Refusal{
-		Kind: kind, Outcome: contract.NotRun, Step: contract.StepPermit,
+		Kind: kind, Outcome: contract.OutcomeNotRun, Step: contract.StepPermit,
 		Detail: fmt.Sprintf(format, args...), RetryAfter: retryAfter,
 	}
 }
--- a/permit/permit_test.go
+++ b/permit/permit_test.go
@@ -19,16 +19,16 @@
 
 func configWith(state config.VersionState) *config.Config {
 	return &config.Config{Versions: map[contract.VersionID]*config.Version{
-		versionID: {ID: versionID, State: state, ServeWithoutWord: maxConfigAge},
+		versionID: {ID: versionID, State: state, ServeWithoutUpdate: maxConfigAge},
 	}}
 }
 
-var workspace = &config.Workspace{ID: "w", Allow: map[contract.VersionID]bool{versionID: true}}
+var workspace = &config.Workspace{ID: "w", AllowedVersions: map[contract.VersionID]bool{versionID: true}}
 
 func TestCheck(t *testing.T) {
 	now := time.Unix(100, 0)
 	fresh := now.Add(-time.Second)
-	unauthorized := &config.Workspace{ID: "x", Allow: map[contract.VersionID]bool{}}
+	unauthorized := &config.Workspace{ID: "x", AllowedVersions: map[contract.VersionID]bool{}}
 	for name, c := range map[string]struct {
 		snapshot  Snapshot
 		workspace *config.Workspace
@@ -36,13 +36,13 @@
 		want      contract.RefusalKind
 	}{
 		"serving":                       {Snapshot{Config: configWith(config.Serving), FreshAt: fresh}, workspace, NewWork, ""},
-		"not allowed":                   {Snapshot{Config: configWith(config.Serving), FreshAt: fresh}, unauthorized, NewWork, contract.RefusedNotAllowed},
-		"withdrawn":                     {Snapshot{Config: configWith(config.Withdrawn), FreshAt: fresh}, workspace, InSession, contract.RefusedWithdrawn},
-		"draining, new work":            {Snapshot{Config: configWith(config.Draining), FreshAt: fresh}, workspace, NewWork, contract.RefusedWithdrawn},
+		"not allowed":                   {Snapshot{Config: configWith(config.Serving), FreshAt: fresh}, unauthorized, NewWork, contract.RefusedVersionNotAllowed},
+		"withdrawn":                     {Snapshot{Config: configWith(config.Withdrawn), FreshAt: fresh}, workspace, InSession, contract.RefusedVersionWithdrawn},
+		"draining, new work":            {Snapshot{Config: configWith(config.Draining), FreshAt: fresh}, workspace, NewWork, contract.RefusedVersionWithdrawn},
 		"draining, in session":          {Snapshot{Config: configWith(config.Draining), FreshAt: fresh}, workspace, InSession, ""},
-		"halted on this VM":             {Snapshot{Config: configWith(config.Serving), FreshAt: fresh, Halted: map[contract.VersionID]bool{versionID: true}}, workspace, InSession, contract.RefusedWithdrawn},
-		"configuration too old":         {Snapshot{Config: configWith(config.Serving), FreshAt: now.Add(-maxConfigAge)}, workspace, NewWork, contract.RefusedNoWord},
-		"configuration never confirmed": {Snapshot{Config: configWith(config.Serving)}, workspace, NewWork, contract.RefusedNoWord},
+		"halted on this VM":             {Snapshot{Config: configWith(config.Serving), FreshAt: fresh, Halted: map[contract.VersionID]bool{versionID: true}}, workspace, InSession, contract.RefusedVersionWithdrawn},
+		"configuration too old":         {Snapshot{Config: configWith(config.Serving), FreshAt: now.Add(-maxConfigAge)}, workspace, NewWork, contract.RefusedStaleConfiguration},
+		"configuration never confirmed": {Snapshot{Config: configWith(config.Serving)}, workspace, NewWork, contract.RefusedStaleConfiguration},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -53,7 +53,7 @@
 			}
 			is.True(got != nil)
 			is.Equal(got.Kind, c.want)
-			is.Equal(got.Outcome, contract.NotRun)
+			is.Equal(got.Outcome, contract.OutcomeNotRun)
 		})
 	}
 }
@@ -86,13 +86,13 @@
 				learnFromPlatform(replicas[i], documents, withdrawnAt, seconds-rapid.Int64Range(0, 30).Draw(t, "lag"))
 			case "peer update":
 				from := replicas[rapid.IntRange(0, 2).Draw(t, "from")]
-				replicas[i].Learn(from.Held(), from.FreshAt())
+				replicas[i].Update(from.Document(), from.FreshAt())
 			case "restart":
 				replicas[i] = document.NewReplica()
 			}
 			now := time.Unix(seconds, 0)
 			for _, r := range replicas {
-				revision := r.Held().Revision
+				revision := r.Document().Revision
 				if revision == 0 {
 					continue
 				}
@@ -118,5 +118,5 @@
 	if askedAt >= withdrawnAt {
 		newest = documents[1]
 	}
-	r.Learn(newest, time.Unix(askedAt, 0))
+	r.Update(newest, time.Unix(askedAt, 0))
 }
--- a/reading/prefill_test.go
+++ b/prefill/prefill_test.go
@@ -1,4 +1,4 @@
-package reading
+package prefill
 
 import (
 	"fmt"
@@ -31,7 +31,7 @@
 		var q Queue
 		first := q.Add(2*second, true, start)
 		q.Add(second, true, start)
-		q.Began(first, start.Add(second))
+		q.AnswerBegan(first, start.Add(second))
 		is.Equal(q.Wait(start.Add(second)), second) // all prompts before it are processed
 	})
 	t.Run("own prompt is overdue", func(t *testing.T) {
@@ -65,10 +65,10 @@
 	first := q.Add(time.Second, true, start)
 	q.Add(time.Second, false, start)
 	third := q.Add(3*time.Second, true, start)
-	is.Equal(q.Began(first, start.Add(time.Second)), BusyInterval{}) // there is no previous answer
-	is.Equal(q.Began(third, start.Add(9*time.Second)), BusyInterval{Took: 8 * time.Second, Planned: 4 * time.Second, Own: 3 * time.Second})
+	is.Equal(q.AnswerBegan(first, start.Add(time.Second)), BusyInterval{}) // there is no previous answer
+	is.Equal(q.AnswerBegan(third, start.Add(9*time.Second)), BusyInterval{Actual: 8 * time.Second, Expected: 4 * time.Second, Newest: 3 * time.Second})
 	late := q.Add(time.Second, true, start.Add(20*time.Second))
-	is.Equal(q.Began(late, start.Add(21*time.Second)), BusyInterval{}) // the engine was idle before
+	is.Equal(q.AnswerBegan(late, start.Add(21*time.Second)), BusyInterval{}) // the engine was idle before
 }
 
 // referenceQueue computes the wait by replaying all prompts from the start.
@@ -120,7 +120,7 @@
 func TestQueueWaitIsNeverNegative(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue
-		var tickets []Ticket
+		var tickets []QueueID
 		now := start
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "elapsed")) * time.Millisecond)
@@ -131,7 +131,7 @@
 				q.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "duration"))*time.Millisecond, false, now)
 			case "began":
 				if len(tickets) > 0 {
-					q.Began(tickets[0], now)
+					q.AnswerBegan(tickets[0], now)
 					tickets = tickets[1:]
 				}
 			case "drop":
@@ -214,17 +214,17 @@
 func TestPrefixCacheMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(500, 4000).Draw(t, "capacity")
-		cache, reference := NewKept(capacity), referenceCache{capacity: capacity}
+		cache, reference := NewPrefixCache(capacity), referenceCache{capacity: capacity}
 		for i := range rapid.IntRange(1, 60).Draw(t, "prompts") {
 			subject := rapid.Uint64Range(1, 8).Draw(t, "subject")
 			parts := []Part{
 				{Key: subject % 2, Tokens: 100}, {Key: 10 + subject, Tokens: 100 * int(subject)}, {Key: uint64(1000 + i), Tokens: 60},
 			}
 			p := Prompt{Model: contract.ModelID(rapid.SampledFrom([]string{"small", "large"}).Draw(t, "model")), Tokens: 160 + 100*int(subject), Parts: parts}
-			if got, want := cache.Of(p), reference.cachedPrefix(p); got != want {
+			if got, want := cache.CachedTokens(p), reference.cachedPrefix(p); got != want {
 				t.Fatalf("%d cached tokens, want %d", got, want)
 			}
-			cache.Read(p)
+			cache.Insert(p)
 			reference.insert(p)
 			if cache.cachedTokens > capacity {
 				t.Fatalf("%d cached tokens exceed the capacity of %d", cache.cachedTokens, capacity)
@@ -237,11 +237,11 @@
 // part is missing, and that models do not share cache entries.
 func TestPrefixCacheNeedsEarlierParts(t *testing.T) {
 	is := is.New(t)
-	cache := NewKept(0)
-	cache.Read(Prompt{Model: "large", Tokens: 300, Parts: []Part{{1, 100}, {2, 100}, {3, 100}}})
-	is.Equal(cache.Of(Prompt{Model: "large", Tokens: 300, Parts: []Part{{1, 100}, {2, 100}, {4, 100}}}), 200)
-	is.Equal(cache.Of(Prompt{Model: "large", Tokens: 300, Parts: []Part{{9, 100}, {2, 100}, {4, 100}}}), 0)
-	is.Equal(cache.Of(Prompt{Model: "small", Tokens: 300, Parts: []Part{{1, 100}, {2, 100}, {4, 100}}}), 0)
+	cache := NewPrefixCache(0)
+	cache.Insert(Prompt{Model: "large", Tokens: 300, Parts: []Part{{1, 100}, {2, 100}, {3, 100}}})
+	is.Equal(cache.CachedTokens(Prompt{Model: "large", Tokens: 300, Parts: []Part{{1, 100}, {2, 100}, {4, 100}}}), 200)
+	is.Equal(cache.CachedTokens(Prompt{Model: "large", Tokens: 300, Parts: []Part{{9, 100}, {2, 100}, {4, 100}}}), 0)
+	is.Equal(cache.CachedTokens(Prompt{Model: "small", Tokens: 300, Parts: []Part{{1, 100}, {2, 100}, {4, 100}}}), 0)
 }
 
 // TestRatesConverge checks that the rate converges from a prior that is far off, although
@@ -254,19 +254,19 @@
 				r := NewRates(map[contract.ModelID]float64{"large": 0.1})
 				for range 400 {
 					tokens := minObservedTokens + random.IntN(20000)
-					elapsed := Base + time.Duration(tokens*c.microsPerToken)*time.Microsecond
+					elapsed := BaseLatency + time.Duration(tokens*c.microsPerToken)*time.Microsecond
 					exact := true
 					switch kind := random.IntN(100); {
 					case kind < c.queuedPercent:
 						elapsed *= 3
 					case kind < c.queuedPercent+c.cachedPercent:
-						elapsed = Base + time.Duration(tokens*c.microsPerToken/4)*time.Microsecond
+						elapsed = BaseLatency + time.Duration(tokens*c.microsPerToken/4)*time.Microsecond
 					case kind > 90:
 						elapsed, exact = 5*elapsed, false
 					}
-					r.Observe("large", tokens, elapsed, exact)
+					r.RecordSample("large", tokens, elapsed, exact)
 				}
-				ratio := r.Reading("large", 10000).Seconds() / 0.01 / float64(c.microsPerToken)
+				ratio := r.PrefillTime("large", 10000).Seconds() / 0.01 / float64(c.microsPerToken)
 				if ratio < 0.6 || ratio > 1.6 {
 					t.Fatalf("seed %d: estimate is %.2f times the true prefill time", seed, ratio)
 				}
@@ -280,13 +280,13 @@
 func TestOwnSamplesOverrideRemoteRate(t *testing.T) {
 	is := is.New(t)
 	r := NewRates(map[contract.ModelID]float64{"large": 0.1})
-	r.Told("large", 100*time.Microsecond)
-	is.True(r.Reading("large", 10000) > 990*time.Millisecond)
+	r.SetRemoteRate("large", 100*time.Microsecond)
+	is.True(r.PrefillTime("large", 10000) > 990*time.Millisecond)
 	for range 20 {
-		r.Observe("large", 10000, Base+500*time.Millisecond, true)
+		r.RecordSample("large", 10000, BaseLatency+500*time.Millisecond, true)
 	}
-	r.Told("large", 100*time.Microsecond)
-	is.True(r.Reading("large", 10000) < 600*time.Millisecond)
+	r.SetRemoteRate("large", 100*time.Microsecond)
+	is.True(r.PrefillTime("large", 10000) < 600*time.Millisecond)
 }
 
 // TestRemoteRatesAreNotPassedOn guards against a feedback loop: VMs adopted rates that
@@ -296,17 +296,17 @@
 func TestRemoteRatesAreNotPassedOn(t *testing.T) {
 	is := is.New(t)
 	a, b := NewRates(nil), NewRates(nil)
-	a.Told("large", 100*time.Microsecond)
+	a.SetRemoteRate("large", 100*time.Microsecond)
 	for range 50 {
 		for _, direction := range [][2]*Rates{{a, b}, {b, a}} {
-			if perToken, ok := direction[0].Known("large"); ok {
-				direction[1].Told("large", 3*perToken)
+			if perToken, ok := direction[0].OwnRate("large"); ok {
+				direction[1].SetRemoteRate("large", 3*perToken)
 			}
 		}
 	}
-	is.True(a.Reading("large", 1) <= 100*time.Microsecond)
+	is.True(a.PrefillTime("large", 1) <= 100*time.Microsecond)
 	for range 100 {
-		a.Observe("large", minObservedTokens, time.Hour, true)
+		a.RecordSample("large", minObservedTokens, time.Hour, true)
 	}
-	is.True(a.Reading("large", 1) <= 2*time.Millisecond)
+	is.True(a.PrefillTime("large", 1) <= 2*time.Millisecond)
 }
--- a/reading/prefixcache.go
+++ b/prefill/prefixcache.go
@@ -1,4 +1,4 @@
-package reading
+package prefill
 
 import (
 	"container/list"
@@ -6,10 +6,10 @@
 	"woaddoor/contract"
 )
 
-// Kept estimates the contents of one engine's prefix cache. All models share the engine's
+// PrefixCache estimates the contents of one engine's prefix cache. All models share the engine's
 // memory, and the least recently used parts are evicted first. Kept is not safe for
 // concurrent use; the caller holds a lock.
-type Kept struct {
+type PrefixCache struct {
 	// capacity is the size of the engine's cache in tokens; zero means unlimited.
 	capacity     int
 	cachedTokens int
@@ -35,17 +35,17 @@
 // little prefill to be worth the memory of a VM.
 const minPartTokens = 48
 
-// NewKept returns the estimate for an engine with an empty cache.
-func NewKept(capacity int) *Kept {
-	return &Kept{capacity: capacity, entries: make(map[cacheKey]*list.Element)}
+// NewPrefixCache returns the estimate for an engine with an empty cache.
+func NewPrefixCache(capacity int) *PrefixCache {
+	return &PrefixCache{capacity: capacity, entries: make(map[cacheKey]*list.Element)}
 }
 
-// Bound sets the size of the engine's cache in tokens; zero means unlimited.
-func (k *Kept) Bound(capacity int) { k.capacity = capacity }
+// SetCapacity sets the size of the engine's cache in tokens; zero means unlimited.
+func (k *PrefixCache) SetCapacity(capacity int) { k.capacity = capacity }
 
-// Of returns the number of tokens of a prompt that need no prefill: the contiguous cached
+// CachedTokens returns the number of tokens of a prompt that need no prefill: the contiguous cached
 // parts at its start.
-func (k *Kept) Of(p Prompt) int {
+func (k *PrefixCache) CachedTokens(p Prompt) int {
 	n := 0
 	for _, part := range p.Parts {
 		if _, ok := k.entries[cacheKey{p.Model, part.Key}]; !ok && part.Tokens >= minPartTokens {
@@ -56,9 +56,9 @@
 	return min(n, p.Tokens)
 }
 
-// Read records that the engine processes a prompt. The last part is unique to its request:
+// Insert records that the engine processes a prompt. The last part is unique to its request:
 // it occupies cache memory but is never found again.
-func (k *Kept) Read(p Prompt) {
+func (k *PrefixCache) Insert(p Prompt) {
 	shared := 0
 	for i, part := range p.Parts {
 		if i == len(p.Parts)-1 && i > 0 {
@@ -76,7 +76,7 @@
 }
 
 // use marks a part as the most recently used and adds it if it is missing.
-func (k *Kept) use(key cacheKey, tokens int) {
+func (k *PrefixCache) use(key cacheKey, tokens int) {
 	if e, ok := k.entries[key]; ok {
 		k.lru.MoveToBack(e)
 		return
@@ -86,7 +86,7 @@
 }
 
 // addUnshared adds tokens that no other request shares. They only occupy cache memory.
-func (k *Kept) addUnshared(tokens int) {
+func (k *PrefixCache) addUnshared(tokens int) {
 	k.cachedTokens += tokens
 	if last := k.lru.Back(); last != nil {
 		if e := last.Value.(*cacheEntry); e.key == (cacheKey{}) {
@@ -97,7 +97,7 @@
 	k.lru.PushBack(&cacheEntry{tokens: tokens})
 }
 
-func (k *Kept) evict() {
+func (k *PrefixCache) evict() {
 	e := k.lru.Remove(k.lru.Front()).(*cacheEntry)
 	k.cachedTokens -= e.tokens
 	delete(k.entries, e.key)
--- a/reading/prompt.go
+++ b/prefill/prompt.go
@@ -1,4 +1,4 @@
-// Package reading models the prefill phase of a model engine: what it does before the first
+// Package prefill models the prefill phase of a model engine: what it does before the first
 // token of an answer. An engine processes the prompts that it has accepted one after the
 // other, in the order of arrival, and caches processed prefixes until its memory is full.
 // Prefill takes most of an engine's time, so the choice of an upstream and of a model
@@ -7,7 +7,7 @@
 // The package performs no I/O and reads no clock. Its state is an estimate derived from
 // what this VM sends, from what other VMs report about their sends, and from the times at
 // which answers begin, which correct it.
-package reading
+package prefill
 
 import "woaddoor/contract"
 
@@ -27,9 +27,9 @@
 	Parts  []Part
 }
 
-// Shared returns the number of tokens that other requests may share: all parts but the
+// SharedTokens returns the number of tokens that other requests may share: all parts but the
 // last, which is unique to the request, or the only part.
-func (p Prompt) Shared() int {
+func (p Prompt) SharedTokens() int {
 	n := 0
 	for i, part := range p.Parts {
 		if i == 0 || i < len(p.Parts)-1 {
--- a/reading/queue.go
+++ b/prefill/queue.go
@@ -1,4 +1,4 @@
-package reading
+package prefill
 
 import (
 	"slices"
@@ -9,17 +9,17 @@
 // for concurrent use; the caller holds a lock.
 type Queue struct {
 	prompts    []queuedPrompt
-	lastTicket Ticket
+	lastTicket QueueID
 	// lastBegan is when the newest answer to a prompt of this VM began.
 	lastBegan time.Time
 }
 
-// Ticket identifies a prompt in a Queue. The zero value identifies none.
-type Ticket uint64
+// QueueID identifies a prompt in a Queue. The zero value identifies none.
+type QueueID uint64
 
 // queuedPrompt is a prompt that is in prefill or waits for it.
 type queuedPrompt struct {
-	ticket   Ticket
+	ticket   QueueID
 	duration time.Duration
 	addedAt  time.Time
 	// doneAt is the expected end of its prefill.
@@ -31,7 +31,7 @@
 
 // Add records a prompt that was sent to the engine and the expected duration of its
 // prefill.
-func (q *Queue) Add(duration time.Duration, sentByThisVM bool, now time.Time) Ticket {
+func (q *Queue) Add(duration time.Duration, sentByThisVM bool, now time.Time) QueueID {
 	q.expire(now)
 	q.lastTicket++
 	q.prompts = append(q.prompts, queuedPrompt{ticket: q.lastTicket, duration: duration, addedAt: now, doneAt: q.idleAt(now).Add(duration), sentByThisVM: sentByThisVM})
@@ -80,24 +80,24 @@
 // BusyInterval is a period in which an engine did nothing but process known prompts. The
 // zero value means that there is none.
 type BusyInterval struct {
-	// Took is its actual duration and Planned its expected one. Own is the part of Planned
+	// Actual is its actual duration and Planned its expected one. Own is the part of Planned
 	// that belongs to the newest prompt.
-	Took, Planned, Own time.Duration
+	Actual, Expected, Newest time.Duration
 }
 
-// Began records that the answer to a prompt has begun, so the prefill of that prompt and of
+// AnswerBegan records that the answer to a prompt has begun, so the prefill of that prompt and of
 // all before it is done. If the prompt was already queued when the previous answer began,
 // the engine was busy between the two answers, and Began returns that interval.
-func (q *Queue) Began(t Ticket, now time.Time) BusyInterval {
+func (q *Queue) AnswerBegan(t QueueID, now time.Time) BusyInterval {
 	i := q.indexOf(t)
 	if i < 0 {
 		return BusyInterval{}
 	}
 	var interval BusyInterval
 	if p := q.prompts[i]; !q.lastBegan.IsZero() && !p.addedAt.After(q.lastBegan) {
-		interval = BusyInterval{Took: now.Sub(q.lastBegan), Own: p.duration}
+		interval = BusyInterval{Actual: now.Sub(q.lastBegan), Newest: p.duration}
 		for _, earlier := range q.prompts[:i+1] {
-			interval.Planned += earlier.duration
+			interval.Expected += earlier.duration
 		}
 	}
 	q.lastBegan = now
@@ -107,7 +107,7 @@
 }
 
 // Drop removes a prompt whose request ended before its answer began.
-func (q *Queue) Drop(t Ticket, now time.Time) {
+func (q *Queue) Drop(t QueueID, now time.Time) {
 	i := q.indexOf(t)
 	if i < 0 {
 		return
@@ -120,7 +120,7 @@
 	q.reschedule(i, from)
 }
 
-func (q *Queue) indexOf(t Ticket) int {
+func (q *Queue) indexOf(t QueueID) int {
 	return slices.IndexFunc(q.prompts, func(p queuedPrompt) bool { return p.ticket == t })
 }
 
--- a/reading/rates.go
+++ b/prefill/rates.go
@@ -1,4 +1,4 @@
-package reading
+package prefill
 
 import (
 	"math"
@@ -57,9 +57,9 @@
 	// and ten times the slowest observed one.
 	minSecondsPerToken = 0.2e-6
 	maxSecondsPerToken = 2e-3
-	// Base is the time to the first token apart from prefill: the network and the first
+	// BaseLatency is the time to the first token apart from prefill: the network and the first
 	// engine step.
-	Base = 20 * time.Millisecond
+	BaseLatency = 20 * time.Millisecond
 )
 
 // NewRates returns rates without any samples.
@@ -70,8 +70,8 @@
 // SetCosts sets the prices of the models.
 func (r *Rates) SetCosts(costs map[contract.ModelID]float64) { r.costs = costs }
 
-// Reading returns the expected prefill time of a number of tokens.
-func (r *Rates) Reading(model contract.ModelID, tokens int) time.Duration {
+// PrefillTime returns the expected prefill time of a number of tokens.
+func (r *Rates) PrefillTime(model contract.ModelID, tokens int) time.Duration {
 	return time.Duration(r.perToken(model) * float64(tokens) * float64(time.Second))
 }
 
@@ -105,15 +105,15 @@
 	return refSecondsPerToken * math.Pow(cost/refCost, costExponent)
 }
 
-// Observe records the time from a send to the beginning of the answer, and the number of
+// RecordSample records the time from a send to the beginning of the answer, and the number of
 // prompt tokens that were expected not to be cached. exact means that neither a queue nor
 // cached parts were expected, so the time is a sample of the rate. Otherwise it is only an
 // upper bound: the prefill took no longer than the answer took to begin.
-func (r *Rates) Observe(m contract.ModelID, uncachedTokens int, elapsed time.Duration, exact bool) {
-	if uncachedTokens < minObservedTokens || elapsed <= Base {
+func (r *Rates) RecordSample(m contract.ModelID, uncachedTokens int, elapsed time.Duration, exact bool) {
+	if uncachedTokens < minObservedTokens || elapsed <= BaseLatency {
 		return
 	}
-	observed := math.Log((elapsed - Base).Seconds() / float64(uncachedTokens))
+	observed := math.Log((elapsed - BaseLatency).Seconds() / float64(uncachedTokens))
 	rate := r.rateOf(m)
 	if !exact {
 		if observed < rate.logSecondsPerToken {
@@ -126,9 +126,9 @@
 	rate.setLog(rate.logSecondsPerToken + max(1/float64(rate.samples+1), minSampleWeight)*min(max(observed-rate.logSecondsPerToken, -step), step))
 }
 
-// Scale records the ratio of the actual to the expected duration of a busy interval. If no
+// RecordRatio records the ratio of the actual to the expected duration of a busy interval. If no
 // engine is ever idle, these are the only available samples.
-func (r *Rates) Scale(m contract.ModelID, ratio float64) {
+func (r *Rates) RecordRatio(m contract.ModelID, ratio float64) {
 	if ratio <= 0 {
 		return
 	}
@@ -149,10 +149,10 @@
 	return rate
 }
 
-// Known returns the prefill time per token if this VM has enough samples of its own. Rates
+// OwnRate returns the prefill time per token if this VM has enough samples of its own. Rates
 // received from other VMs are not passed on, since VMs would then confirm each other's
 // estimates.
-func (r *Rates) Known(m contract.ModelID) (time.Duration, bool) {
+func (r *Rates) OwnRate(m contract.ModelID) (time.Duration, bool) {
 	rate, ok := r.models[m]
 	if !ok || rate.samples < minOwnSamples {
 		return 0, false
@@ -160,9 +160,9 @@
 	return time.Duration(rate.secondsPerToken * float64(time.Second)), true
 }
 
-// Told records a prefill time per token that another VM measured. It is used until this VM
+// SetRemoteRate records a prefill time per token that another VM measured. It is used until this VM
 // has enough samples of its own.
-func (r *Rates) Told(m contract.ModelID, perToken time.Duration) {
+func (r *Rates) SetRemoteRate(m contract.ModelID, perToken time.Duration) {
 	if rate := r.rateOf(m); rate.samples < minOwnSamples && perToken > 0 {
 		rate.setLog(math.Log(perToken.Seconds()))
 	}
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -14,14 +14,14 @@
 func BenchmarkCheckRequest(b *testing.B) {
 	table, now := NewTable(), time.Unix(1000, 0)
 	for n := range 1000 {
-		table.Listed(Held{Print: Print{byte(n), byte(n >> 8)}, Revision: contract.Revision(n + 1)}, now)
+		table.SetStored(QuarantinedContent{Fingerprint: Fingerprint{byte(n), byte(n >> 8)}, Revision: contract.Revision(n + 1)}, now)
 	}
 	for _, size := range []int{0, 2 << 10, 12 << 10, 72 << 10} {
 		body := make([]byte, size)
 		b.Run(fmt.Sprintf("body=%d", size), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if table.Bars(PrintOf("workspace", "host.example", "/path/of/a/request", body), now) {
+				if table.Blocks(FingerprintOf("workspace", "host.example", "/path/of/a/request", body), now) {
 					b.Fatal("unexpectedly held")
 				}
 			}
@@ -34,12 +34,12 @@
 func BenchmarkUpdatesWithoutChanges(b *testing.B) {
 	table, now := NewTable(), time.Unix(1000, 0)
 	for n := range 4000 {
-		table.End(Print{byte(n), byte(n >> 8)}, About{}, End{contract.Life{Upstream: "u", Born: 1}, now, now}, now)
+		table.RecordCrash(Fingerprint{byte(n), byte(n >> 8)}, Source{}, Crash{contract.UpstreamInstance{Upstream: "u", Incarnation: 1}, now, now}, now)
 	}
 	now = now.Add(time.Minute)
 	b.ReportAllocs()
 	for b.Loop() {
-		if len(table.Told(now)) > 0 {
+		if len(table.Updates(now)) > 0 {
 			b.Fatal("unexpected gossip updates")
 		}
 	}
--- a/quarantine/crashes.go
+++ b/quarantine/crashes.go
@@ -6,16 +6,16 @@
 	"woaddoor/contract"
 )
 
-// Suspect is a request whose connection to an upstream broke, so the upstream may have
+// SuspectRequest is a request whose connection to an upstream broke, so the upstream may have
 // crashed while running it.
-type Suspect struct {
-	Print     Print
-	Request   contract.RequestID
-	Service   contract.ServiceID
-	Workspace contract.WorkspaceID
-	Route     string
-	// Sent is when the request was sent to the upstream, Broke when its connection broke.
-	Sent, Broke time.Time
+type SuspectRequest struct {
+	Fingerprint Fingerprint
+	Request     contract.RequestID
+	Service     contract.ServiceID
+	Workspace   contract.WorkspaceID
+	Route       string
+	// SentAt is when the request was sent to the upstream, Broke when its connection broke.
+	SentAt, BrokenAt time.Time
 }
 
 // confirmTimeout bounds how long a suspected upstream crash may stay unconfirmed. An
@@ -27,38 +27,40 @@
 // incarnation.
 const maxSuspectsPerLife = 256
 
-// Doubts tracks upstream incarnations whose connections broke until their crash is
+// CrashTracker tracks upstream incarnations whose connections broke until their crash is
 // confirmed. A single reset connection, a silent upstream, a cut link and a machine without
 // power look the same at first. An upstream counts as crashed only when its machine reports
 // that nothing listens on its port, or when another incarnation is listed under its
 // address.
 //
 // Doubts is not safe for concurrent use; the caller holds a lock.
-type Doubts struct {
-	byLife map[contract.Life]*suspectedCrash
+type CrashTracker struct {
+	byLife map[contract.UpstreamInstance]*suspectedCrash
 }
 
 type suspectedCrash struct {
 	address   string
 	lastBroke time.Time // time of the newest broken connection
 	confirmed bool
-	suspects  []Suspect
+	suspects  []SuspectRequest
 }
 
-// NewDoubts returns an empty crash tracker.
-func NewDoubts() *Doubts { return &Doubts{byLife: make(map[contract.Life]*suspectedCrash)} }
+// NewCrashTracker returns an empty crash tracker.
+func NewCrashTracker() *CrashTracker {
+	return &CrashTracker{byLife: make(map[contract.UpstreamInstance]*suspectedCrash)}
+}
 
-// Broke records that the connection of a request to an upstream incarnation broke. It
+// ConnectionBroke records that the connection of a request to an upstream incarnation broke. It
 // reports whether the caller should probe the upstream's address now, and whether the crash
 // is already confirmed.
-func (d *Doubts) Broke(l contract.Life, address string, s Suspect) (probe, confirmed bool) {
+func (d *CrashTracker) ConnectionBroke(l contract.UpstreamInstance, address string, s SuspectRequest) (probe, confirmed bool) {
 	crash := d.byLife[l]
 	if crash == nil {
 		crash = &suspectedCrash{address: address}
 		d.byLife[l] = crash
 		probe = true
 	}
-	crash.lastBroke = s.Broke
+	crash.lastBroke = s.BrokenAt
 	if crash.confirmed {
 		return false, true
 	}
@@ -68,9 +70,9 @@
 	return probe, false
 }
 
-// Ended marks the crash of an upstream incarnation as confirmed and returns the requests
+// Confirm marks the crash of an upstream incarnation as confirmed and returns the requests
 // that were running on it. Later calls for the same incarnation return nil.
-func (d *Doubts) Ended(l contract.Life) []Suspect {
+func (d *CrashTracker) Confirm(l contract.UpstreamInstance) []SuspectRequest {
 	crash := d.byLife[l]
 	if crash == nil || crash.confirmed {
 		return nil
@@ -80,10 +82,10 @@
 	return out
 }
 
-// Replaced returns the suspected incarnations whose address now belongs to another
+// ReplacedLives returns the suspected incarnations whose address now belongs to another
 // incarnation in the list of upstreams, which confirms their crash.
-func (d *Doubts) Replaced(lifeAt func(address string) (contract.Life, bool)) []contract.Life {
-	var out []contract.Life
+func (d *CrashTracker) ReplacedLives(lifeAt func(address string) (contract.UpstreamInstance, bool)) []contract.UpstreamInstance {
+	var out []contract.UpstreamInstance
 	for l, crash := range d.byLife {
 		if crash.confirmed {
 			continue
@@ -96,10 +98,10 @@
 }
 
 // Any reports whether any upstream incarnation is tracked.
-func (d *Doubts) Any() bool { return len(d.byLife) > 0 }
+func (d *CrashTracker) Any() bool { return len(d.byLife) > 0 }
 
 // Expire forgets incarnations whose newest broken connection is older than confirmTimeout.
-func (d *Doubts) Expire(now time.Time) {
+func (d *CrashTracker) Expire(now time.Time) {
 	for l, crash := range d.byLife {
 		if now.Sub(crash.lastBroke) > confirmTimeout {
 			delete(d.byLife, l)
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -22,12 +22,12 @@
 // match the fingerprint of another caller's request.
 const fingerprintBytes = 16
 
-// Print is the fingerprint of a request's content: workspace, host, path and body. The
+// Fingerprint is the fingerprint of a request's content: workspace, host, path and body. The
 // request id, the headers and the transfer encoding do not affect it.
-type Print [fingerprintBytes]byte
+type Fingerprint [fingerprintBytes]byte
 
-// PrintOf returns the fingerprint of a request.
-func PrintOf(w contract.WorkspaceID, host, uri string, body []byte) Print {
+// FingerprintOf returns the fingerprint of a request.
+func FingerprintOf(w contract.WorkspaceID, host, uri string, body []byte) Fingerprint {
 	h := sha256.New()
 	for _, part := range []string{string(w), host, uri} {
 		var size [8]byte
@@ -36,15 +36,15 @@
 		_, _ = h.Write([]byte(part))
 	}
 	_, _ = h.Write(body)
-	return Print(h.Sum(nil)[:fingerprintBytes])
+	return Fingerprint(h.Sum(nil)[:fingerprintBytes])
 }
 
 // String returns the fingerprint in hexadecimal.
-func (p Print) String() string { return hex.EncodeToString(p[:]) }
+func (p Fingerprint) String() string { return hex.EncodeToString(p[:]) }
 
-// ParsePrint parses a fingerprint in the format of Print.String.
-func ParsePrint(text string) (Print, error) {
-	var p Print
+// ParseFingerprint parses a fingerprint in the format of Print.String.
+func ParseFingerprint(text string) (Fingerprint, error) {
+	var p Fingerprint
 	if len(text) != hex.EncodedLen(fingerprintBytes) {
 		return p, fmt.Errorf("fingerprint %q: has %d digits, want %d", text, len(text), hex.EncodedLen(fingerprintBytes))
 	}
@@ -52,5 +52,5 @@
 	if err != nil {
 		return p, fmt.Errorf("fingerprint %q: %w", text, err)
 	}
-	return Print(raw), nil
+	return Fingerprint(raw), nil
 }
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -44,7 +44,7 @@
 // simSend is a send of the crashing content. All fields are in milliseconds.
 type simSend struct{ at, upFor, connectedFor int }
 
-var crashingContent = Print{1}
+var crashingContent = Fingerprint{1}
 
 func (s *fleetSim) after(ms int, do func()) {
 	s.events = append(s.events, simEvent{s.now + ms, do})
@@ -67,7 +67,7 @@
 // broadcast sends the gossip of one VM to all others. Messages take up to 150 ms; a
 // disconnected VM neither sends nor receives.
 func (s *fleetSim) broadcast(from *simVM) {
-	updates := from.table.Told(at(s.now))
+	updates := from.table.Updates(at(s.now))
 	if s.isolated || len(updates) == 0 || s.now < from.disconnectedUntil {
 		return
 	}
@@ -76,7 +76,7 @@
 			continue
 		}
 		s.after(rapid.IntRange(1, 150).Draw(s.t, "delay"), func() {
-			if s.now >= to.disconnectedUntil && len(to.table.Hear(updates, at(s.now))) > 0 {
+			if s.now >= to.disconnectedUntil && len(to.table.Merge(updates, at(s.now))) > 0 {
 				s.broadcast(to)
 			}
 		})
@@ -93,7 +93,7 @@
 				s.inStore = true
 			}
 			if s.inStore {
-				v.table.Listed(Held{Print: crashingContent, Revision: 1}, at(s.now))
+				v.table.SetStored(QuarantinedContent{Fingerprint: crashingContent, Revision: 1}, at(s.now))
 			}
 		}
 		s.scheduleHeartbeat(v)
@@ -103,19 +103,19 @@
 // send simulates the arrival of the crashing content at a VM, which may try several
 // upstreams in turn.
 func (s *fleetSim) send(v *simVM, attempts int) {
-	if attempts == 0 || v.table.Bars(crashingContent, at(s.now)) {
+	if attempts == 0 || v.table.Blocks(crashingContent, at(s.now)) {
 		return
 	}
 	sent, table := s.now, v.table
 	s.sends = append(s.sends, simSend{s.now, s.now - v.startedAt, s.now - v.disconnectedUntil})
 	s.upstreamCount++
-	life := contract.Life{Upstream: contract.UpstreamID(fmt.Sprint("u", s.upstreamCount)), Born: 1}
+	life := contract.UpstreamInstance{Upstream: contract.UpstreamID(fmt.Sprint("u", s.upstreamCount)), Incarnation: 1}
 	s.after(rapid.IntRange(20, 300).Draw(s.t, "ran"), func() {
 		s.crashes = append(s.crashes, s.now)
 		if v.table != table {
 			return // the VM restarted meanwhile and lost track of the request
 		}
-		if v.table.End(crashingContent, About{}, End{life, at(sent), at(s.now)}, at(s.now)) {
+		if v.table.RecordCrash(crashingContent, Source{}, Crash{life, at(sent), at(s.now)}, at(s.now)) {
 			s.broadcast(v)
 		}
 		s.send(v, attempts-1)
@@ -125,12 +125,12 @@
 // lateSends counts the sends later than propagationMs after the third crash, by VMs that
 // had been running and connected for at least propagationMs.
 func (s *fleetSim) lateSends() int {
-	if len(s.crashes) < Limit {
+	if len(s.crashes) < CrashLimit {
 		return 0
 	}
 	n := 0
 	for _, x := range s.sends {
-		if x.at > s.crashes[Limit-1]+propagationMs && x.upFor >= propagationMs && x.connectedFor >= propagationMs {
+		if x.at > s.crashes[CrashLimit-1]+propagationMs && x.upFor >= propagationMs && x.connectedFor >= propagationMs {
 			n++
 		}
 	}
--- a/quarantine/gossip.go
+++ b/quarantine/gossip.go
@@ -8,27 +8,27 @@
 	"woaddoor/contract"
 )
 
-// Told is a gossip update about one request content. Its times are sent as ages because the
+// Update is a gossip update about one request content. Its times are sent as ages because the
 // clocks of VMs differ.
-type Told struct {
-	Print Print     `cbor:"1,keyasint"`
-	About About     `cbor:"2,keyasint"`
-	Epoch uint32    `cbor:"3,keyasint,omitempty"`
-	Held  bool      `cbor:"4,keyasint,omitempty"`
-	Ends  []ToldEnd `cbor:"5,keyasint,omitempty"`
+type Update struct {
+	Fingerprint Fingerprint   `cbor:"1,keyasint"`
+	About       Source        `cbor:"2,keyasint"`
+	Epoch       uint32        `cbor:"3,keyasint,omitempty"`
+	Held        bool          `cbor:"4,keyasint,omitempty"`
+	Crashes     []CrashUpdate `cbor:"5,keyasint,omitempty"`
 }
 
-// ToldEnd is an upstream crash in a gossip update.
-type ToldEnd struct {
-	Life     contract.Life `cbor:"1,keyasint"`
-	SentAge  time.Duration `cbor:"2,keyasint"`
-	BrokeAge time.Duration `cbor:"3,keyasint"`
+// CrashUpdate is an upstream crash in a gossip update.
+type CrashUpdate struct {
+	Life     contract.UpstreamInstance `cbor:"1,keyasint"`
+	SentAge  time.Duration             `cbor:"2,keyasint"`
+	BrokeAge time.Duration             `cbor:"3,keyasint"`
 }
 
-// Told returns the updates for the next gossip message: contents that changed recently, and
+// Updates returns the updates for the next gossip message: contents that changed recently, and
 // held contents that are not in the store yet. Contents with the most crashes come first.
-func (t *Table) Told(now time.Time) []Told {
-	var records []*Case
+func (t *Table) Updates(now time.Time) []Update {
+	var records []*Record
 	for p, c := range t.gossiping {
 		if now.Sub(c.changedAt) < c.gossipTTL() || c.Held && !c.inStore {
 			records = append(records, c)
@@ -36,13 +36,13 @@
 		}
 		delete(t.gossiping, p)
 	}
-	slices.SortFunc(records, func(a, b *Case) int {
-		return cmp.Or(cmp.Compare(len(b.Ends), len(a.Ends)), b.changedAt.Compare(a.changedAt), slices.Compare(a.Print[:], b.Print[:]))
+	slices.SortFunc(records, func(a, b *Record) int {
+		return cmp.Or(cmp.Compare(len(b.Crashes), len(a.Crashes)), b.changedAt.Compare(a.changedAt), slices.Compare(a.Fingerprint[:], b.Fingerprint[:]))
 	})
-	out := make([]Told, 0, min(len(records), maxUpdates))
+	out := make([]Update, 0, min(len(records), maxUpdates))
 	singles := 0
 	for _, c := range records[:min(len(records), maxUpdates)] {
-		if len(c.Ends) == 1 {
+		if len(c.Crashes) == 1 {
 			singles++
 		}
 		if singles <= maxSingleCrashUpdates {
@@ -55,33 +55,33 @@
 // Urgent reports whether a change must be sent to other VMs at once instead of with the
 // next periodic message. Contents with a single crash are not urgent: most of them merely
 // ran on the crashed upstream, about a dozen per crash.
-func (c *Case) Urgent() bool { return c.Held || countSuccessive(c.Ends) >= Limit-1 }
+func (c *Record) Urgent() bool { return c.Held || countSuccessive(c.Crashes) >= CrashLimit-1 }
 
-func (c *Case) gossipTTL() time.Duration {
-	if len(c.Ends) == 1 && !c.Held {
+func (c *Record) gossipTTL() time.Duration {
+	if len(c.Crashes) == 1 && !c.Held {
 		return singleCrashGossipTTL
 	}
 	return gossipTTL
 }
 
-func (c *Case) update(now time.Time) Told {
-	out := Told{Print: c.Print, About: c.About, Epoch: c.Epoch, Held: c.Held}
-	for _, e := range c.Ends {
-		out.Ends = append(out.Ends, ToldEnd{e.Life, now.Sub(e.Sent), now.Sub(e.Broke)})
+func (c *Record) update(now time.Time) Update {
+	out := Update{Fingerprint: c.Fingerprint, About: c.Source, Epoch: c.Epoch, Held: c.Held}
+	for _, e := range c.Crashes {
+		out.Crashes = append(out.Crashes, CrashUpdate{e.UpstreamInstance, now.Sub(e.SentAt), now.Sub(e.BrokenAt)})
 	}
 	return out
 }
 
-// Hear merges the updates from another VM and returns the records that changed.
-func (t *Table) Hear(updates []Told, now time.Time) []*Case {
-	var changed []*Case
+// Merge merges the updates from another VM and returns the records that changed.
+func (t *Table) Merge(updates []Update, now time.Time) []*Record {
+	var changed []*Record
 	for _, u := range updates[:min(len(updates), maxUpdates)] {
-		other := Case{Print: u.Print, About: u.About, Epoch: u.Epoch, Held: u.Held}
-		for _, e := range u.Ends[:min(len(u.Ends), maxCrashesKept)] {
-			other.Ends = append(other.Ends, End{e.Life, now.Add(-e.SentAge), now.Add(-e.BrokeAge)})
+		other := Record{Fingerprint: u.Fingerprint, Source: u.About, Epoch: u.Epoch, Held: u.Held}
+		for _, e := range u.Crashes[:min(len(u.Crashes), maxCrashesKept)] {
+			other.Crashes = append(other.Crashes, Crash{e.Life, now.Add(-e.SentAge), now.Add(-e.BrokeAge)})
 		}
 		if t.merge(other, now) {
-			changed = append(changed, t.records[u.Print])
+			changed = append(changed, t.records[u.Fingerprint])
 		}
 	}
 	return changed
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -7,11 +7,11 @@
 	"woaddoor/contract"
 )
 
-// Held is a held request content as written to the store, where it survives a power loss of
+// QuarantinedContent is a held request content as written to the store, where it survives a power loss of
 // all VMs.
-type Held struct {
-	Print Print
-	About
+type QuarantinedContent struct {
+	Fingerprint Fingerprint
+	Source
 	// Upstreams lists the upstreams that crashed while running the content.
 	Upstreams []contract.UpstreamID
 	// Trials counts the trial sends granted since the content was held. A trial checks
@@ -21,24 +21,24 @@
 }
 
 // stored returns the store's representation of a record.
-func (c *Case) stored() Held {
-	h := Held{Print: c.Print, About: c.About, Trials: c.trials.count, Revision: c.storeRevision}
-	for _, e := range c.Ends {
+func (c *Record) stored() QuarantinedContent {
+	h := QuarantinedContent{Fingerprint: c.Fingerprint, Source: c.Source, Trials: c.trials.count, Revision: c.storeRevision}
+	for _, e := range c.Crashes {
 		h.Upstreams = append(h.Upstreams, e.Upstream)
 	}
 	return h
 }
 
-// Listed records that the store contains a held content.
-func (t *Table) Listed(h Held, now time.Time) {
-	c := t.records[h.Print]
+// SetStored records that the store contains a held content.
+func (t *Table) SetStored(h QuarantinedContent, now time.Time) {
+	c := t.records[h.Fingerprint]
 	if c != nil && h.Revision <= c.storeRevision {
 		return // already known, or cleared in the meantime
 	}
 	if c == nil {
 		t.makeRoom(now)
-		c = &Case{Print: h.Print, About: h.About}
-		t.records[h.Print] = c
+		c = &Record{Fingerprint: h.Fingerprint, Source: h.Source}
+		t.records[h.Fingerprint] = c
 	}
 	c.storeRevision = h.Revision
 	t.setInStore(c, true)
@@ -46,10 +46,10 @@
 	t.setHeld(c, true)
 }
 
-// Unlisted records that the store no longer contains a content as of a revision, because an
+// SetUnstored records that the store no longer contains a content as of a revision, because an
 // operator released it or an answer cleared it. It reports whether the content was held on
 // this VM.
-func (t *Table) Unlisted(p Print, at contract.Revision, now time.Time) bool {
+func (t *Table) SetUnstored(p Fingerprint, at contract.Revision, now time.Time) bool {
 	c := t.records[p]
 	if c == nil || !c.inStore || at < c.storeRevision {
 		return false
@@ -63,10 +63,10 @@
 	return true
 }
 
-// ListedButFor returns the contents that are believed to be in the store but are missing
+// StoredExcept returns the contents that are believed to be in the store but are missing
 // from the given set.
-func (t *Table) ListedButFor(in map[Print]bool) []Print {
-	var out []Print
+func (t *Table) StoredExcept(in map[Fingerprint]bool) []Fingerprint {
+	var out []Fingerprint
 	for p, c := range t.records {
 		if c.inStore && !in[p] {
 			out = append(out, p)
@@ -76,25 +76,25 @@
 }
 
 // ToStore returns the held contents that still have to be written to the store.
-func (t *Table) ToStore() []Held {
-	return t.recordsWhere(func(c *Case) bool { return c.Held && !c.inStore })
+func (t *Table) ToStore() []QuarantinedContent {
+	return t.recordsWhere(func(c *Record) bool { return c.Held && !c.inStore })
 }
 
-// ToErase returns the cleared contents that still have to be deleted from the store.
-func (t *Table) ToErase() []Held {
-	return t.recordsWhere(func(c *Case) bool { return !c.Held && c.inStore })
+// ToDelete returns the cleared contents that still have to be deleted from the store.
+func (t *Table) ToDelete() []QuarantinedContent {
+	return t.recordsWhere(func(c *Record) bool { return !c.Held && c.inStore })
 }
 
-func (t *Table) recordsWhere(match func(c *Case) bool) []Held {
+func (t *Table) recordsWhere(match func(c *Record) bool) []QuarantinedContent {
 	if t.heldCount == 0 && t.storedCount == 0 {
 		return nil
 	}
-	var out []Held
+	var out []QuarantinedContent
 	for _, c := range t.records {
 		if match(c) {
 			out = append(out, c.stored())
 		}
 	}
-	slices.SortFunc(out, func(a, b Held) int { return slices.Compare(a.Print[:], b.Print[:]) })
+	slices.SortFunc(out, func(a, b QuarantinedContent) int { return slices.Compare(a.Fingerprint[:], b.Fingerprint[:]) })
 	return out
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -8,8 +8,8 @@
 	"woaddoor/contract"
 )
 
-// Limit is the number of successive upstream crashes after which a request content is held.
-const Limit = 3
+// CrashLimit is the number of successive upstream crashes after which a request content is held.
+const CrashLimit = 3
 
 // Crash times received by gossip appear some tens of milliseconds late. A request that was
 // sent shortly after a crash can therefore appear to have been sent before it.
@@ -44,30 +44,30 @@
 	maxSingleCrashUpdates = 8
 )
 
-// About identifies the source of a request content for operators.
-type About struct {
+// Source identifies the source of a request content for operators.
+type Source struct {
 	Service   contract.ServiceID   `cbor:"1,keyasint"`
 	Workspace contract.WorkspaceID `cbor:"2,keyasint,omitempty"`
 	Route     string               `cbor:"3,keyasint"`
-	// By is the VM that observed the first crash.
-	By contract.VMID `cbor:"4,keyasint"`
+	// ObservedBy is the VM that observed the first crash.
+	ObservedBy contract.VMID `cbor:"4,keyasint"`
 }
 
-// End is the crash of an upstream while it ran a request, in the clock of this VM.
-type End struct {
-	contract.Life
-	Sent, Broke time.Time
+// Crash is the crash of an upstream while it ran a request, in the clock of this VM.
+type Crash struct {
+	contract.UpstreamInstance
+	SentAt, BrokenAt time.Time
 }
 
-// Case is the suspicion record of one request content.
-type Case struct {
-	Print Print
-	About
+// Record is the suspicion record of one request content.
+type Record struct {
+	Fingerprint Fingerprint
+	Source
 	// Epoch counts how often the content was cleared. Gossip from earlier epochs is
 	// ignored.
 	Epoch uint32
-	// Ends holds the newest crashes of upstreams that ran this content, oldest first.
-	Ends []End
+	// Crashes holds the newest crashes of upstreams that ran this content, oldest first.
+	Crashes []Crash
 	// Held reports whether the content is blocked from all upstreams.
 	Held bool
 
@@ -82,11 +82,11 @@
 // Table holds one VM's suspicion records. It is not safe for concurrent use; the caller
 // holds a lock.
 type Table struct {
-	records map[Print]*Case
+	records map[Fingerprint]*Record
 	// gossiping is the subset of records that may appear in gossip. It is kept separately
 	// because a hub builds a message for each of its leaf VMs twice a second, while records
 	// may hold thousands of entries.
-	gossiping map[Print]*Case
+	gossiping map[Fingerprint]*Record
 	// heldCount and storedCount count the records that are held and those that are in the
 	// store.
 	heldCount, storedCount int
@@ -94,42 +94,42 @@
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{records: make(map[Print]*Case), gossiping: make(map[Print]*Case)}
+	return &Table{records: make(map[Fingerprint]*Record), gossiping: make(map[Fingerprint]*Record)}
 }
 
 // Empty reports whether no content is under suspicion. In that case requests need no
 // fingerprint.
 func (t *Table) Empty() bool { return len(t.records) == 0 }
 
-// Held returns the number of held contents.
-func (t *Table) Held() int { return t.heldCount }
+// CountQuarantined returns the number of held contents.
+func (t *Table) CountQuarantined() int { return t.heldCount }
 
-// Case returns the record of a content, or nil if there is none.
-func (t *Table) Case(p Print) *Case { return t.records[p] }
+// Record returns the record of a content, or nil if there is none.
+func (t *Table) Record(p Fingerprint) *Record { return t.records[p] }
 
-// End records that an upstream crashed while running a content and reports whether that
+// RecordCrash records that an upstream crashed while running a content and reports whether that
 // changed the record.
 //
 // Every request that ran on the upstream becomes suspect. The one that caused the crash
 // also crashes the next upstream, so a crash counts only if the request was sent to that
 // upstream after the previous counted crash. Simultaneous crashes count as one, and a
 // complete answer clears the content.
-func (t *Table) End(p Print, a About, e End, now time.Time) bool {
-	return t.merge(Case{Print: p, About: a, Epoch: t.epochOf(p), Ends: []End{e}}, now)
+func (t *Table) RecordCrash(p Fingerprint, a Source, e Crash, now time.Time) bool {
+	return t.merge(Record{Fingerprint: p, Source: a, Epoch: t.epochOf(p), Crashes: []Crash{e}}, now)
 }
 
-func (t *Table) epochOf(p Print) uint32 {
+func (t *Table) epochOf(p Fingerprint) uint32 {
 	if c := t.records[p]; c != nil {
 		return c.Epoch
 	}
 	return 0
 }
 
-// Answered records that an upstream completed a request with this content and survived. It
+// RecordAnswer records that an upstream completed a request with this content and survived. It
 // reports whether the content was under suspicion.
-func (t *Table) Answered(p Print, now time.Time) bool {
+func (t *Table) RecordAnswer(p Fingerprint, now time.Time) bool {
 	c := t.records[p]
-	if c == nil || len(c.Ends) == 0 && !c.Held {
+	if c == nil || len(c.Crashes) == 0 && !c.Held {
 		return false
 	}
 	t.resetTo(c, c.Epoch+1, now)
@@ -137,14 +137,14 @@
 }
 
 // resetTo clears a content and moves it to a new epoch.
-func (t *Table) resetTo(c *Case, epoch uint32, now time.Time) {
-	c.Epoch, c.Ends, c.trials = epoch, nil, trials{}
+func (t *Table) resetTo(c *Record, epoch uint32, now time.Time) {
+	c.Epoch, c.Crashes, c.trials = epoch, nil, trials{}
 	t.markChanged(c, now)
 	t.setHeld(c, false)
 }
 
 // setHeld sets Held and keeps heldCount up to date.
-func (t *Table) setHeld(c *Case, held bool) {
+func (t *Table) setHeld(c *Record, held bool) {
 	switch {
 	case held && !c.Held:
 		t.heldCount++
@@ -155,7 +155,7 @@
 }
 
 // setInStore sets inStore and keeps storedCount up to date.
-func (t *Table) setInStore(c *Case, inStore bool) {
+func (t *Table) setInStore(c *Record, inStore bool) {
 	switch {
 	case inStore && !c.inStore:
 		t.storedCount++
@@ -168,15 +168,15 @@
 // merge merges a record from another source and reports whether anything changed. Gossip
 // may arrive late, repeatedly and in any order: a later epoch replaces an earlier one,
 // crashes accumulate within an epoch, and a held content stays held.
-func (t *Table) merge(other Case, now time.Time) bool {
-	c := t.records[other.Print]
+func (t *Table) merge(other Record, now time.Time) bool {
+	c := t.records[other.Fingerprint]
 	if c == nil {
-		if len(other.Ends) == 0 && !other.Held && other.Epoch == 0 {
+		if len(other.Crashes) == 0 && !other.Held && other.Epoch == 0 {
 			return false
 		}
 		t.makeRoom(now)
-		c = &Case{Print: other.Print, About: other.About, Epoch: other.Epoch}
-		t.records[other.Print] = c
+		c = &Record{Fingerprint: other.Fingerprint, Source: other.Source, Epoch: other.Epoch}
+		t.records[other.Fingerprint] = c
 		t.markChanged(c, now)
 	}
 	if other.Epoch < c.Epoch {
@@ -189,12 +189,12 @@
 	if c.Held && !changed {
 		return false // further crashes make no difference to a held content
 	}
-	crashes := mergeCrashes(c.Ends, other.Ends)
-	held := c.Held || other.Held || countSuccessive(crashes) >= Limit
+	crashes := mergeCrashes(c.Crashes, other.Crashes)
+	held := c.Held || other.Held || countSuccessive(crashes) >= CrashLimit
 	// Only a longer list counts as a change. Once the list is full, VMs keep different
 	// newest crashes and would otherwise exchange them forever.
-	changed = changed || len(crashes) > len(c.Ends) || held != c.Held
-	c.Ends = crashes
+	changed = changed || len(crashes) > len(c.Crashes) || held != c.Held
+	c.Crashes = crashes
 	t.setHeld(c, held)
 	if changed {
 		t.markChanged(c, now)
@@ -203,26 +203,26 @@
 }
 
 // markChanged marks a record as changed so that it is included in gossip.
-func (t *Table) markChanged(c *Case, now time.Time) {
+func (t *Table) markChanged(c *Record, now time.Time) {
 	c.changedAt = now
-	t.gossiping[c.Print] = c
+	t.gossiping[c.Fingerprint] = c
 }
 
 // mergeCrashes returns the newest crashes of both lists, oldest first. An incarnation
 // crashes only once; of several reports the earliest is the most accurate, since gossip
 // arrives with a delay.
-func mergeCrashes(a, b []End) []End {
+func mergeCrashes(a, b []Crash) []Crash {
 	out := slices.Clone(a)
 	for _, e := range b {
-		i := slices.IndexFunc(out, func(o End) bool { return o.Life == e.Life })
+		i := slices.IndexFunc(out, func(o Crash) bool { return o.UpstreamInstance == e.UpstreamInstance })
 		if i < 0 {
 			out = append(out, e)
 			continue
 		}
-		out[i].Sent, out[i].Broke = earliest(out[i].Sent, e.Sent), earliest(out[i].Broke, e.Broke)
+		out[i].SentAt, out[i].BrokenAt = earliest(out[i].SentAt, e.SentAt), earliest(out[i].BrokenAt, e.BrokenAt)
 	}
-	slices.SortFunc(out, func(a, b End) int {
-		return cmp.Or(a.Broke.Compare(b.Broke), cmp.Compare(a.Upstream, b.Upstream), cmp.Compare(a.Born, b.Born))
+	slices.SortFunc(out, func(a, b Crash) int {
+		return cmp.Or(a.BrokenAt.Compare(b.BrokenAt), cmp.Compare(a.Upstream, b.Upstream), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
 	return out[max(len(out)-maxCrashesKept, 0):]
 }
@@ -236,23 +236,23 @@
 
 // countSuccessive counts the crashes that happened one after the other. A crash counts if
 // the request was sent after the previous counted crash.
-func countSuccessive(crashes []End) int {
+func countSuccessive(crashes []Crash) int {
 	n := 0
 	var lastBroke time.Time
 	for _, e := range crashes {
-		sentAfter := !e.Sent.Before(lastBroke)
-		apart := !e.Broke.Before(lastBroke.Add(minCrashSpacing)) && !e.Sent.Before(lastBroke.Add(-maxSendSkew))
+		sentAfter := !e.SentAt.Before(lastBroke)
+		apart := !e.BrokenAt.Before(lastBroke.Add(minCrashSpacing)) && !e.SentAt.Before(lastBroke.Add(-maxSendSkew))
 		if n == 0 || sentAfter || apart {
-			n, lastBroke = n+1, e.Broke
+			n, lastBroke = n+1, e.BrokenAt
 		}
 	}
 	return n
 }
 
-// Ended returns the number of successive crashes of upstreams that ran a content.
-func (t *Table) Ended(p Print) int {
+// CrashCount returns the number of successive crashes of upstreams that ran a content.
+func (t *Table) CrashCount(p Fingerprint) int {
 	if c := t.records[p]; c != nil {
-		return countSuccessive(c.Ends)
+		return countSuccessive(c.Crashes)
 	}
 	return 0
 }
@@ -264,7 +264,7 @@
 		return
 	}
 	t.Expire(now)
-	var oldest *Case
+	var oldest *Record
 	for _, c := range t.records {
 		if oldest == nil || !c.Held && oldest.Held || c.Held == oldest.Held && c.changedAt.Before(oldest.changedAt) {
 			oldest = c
@@ -285,11 +285,11 @@
 	}
 }
 
-func (t *Table) remove(c *Case) {
+func (t *Table) remove(c *Record) {
 	if c.Held {
 		t.heldCount--
 	}
 	t.setInStore(c, false)
-	delete(t.records, c.Print)
-	delete(t.gossiping, c.Print)
+	delete(t.records, c.Fingerprint)
+	delete(t.gossiping, c.Fingerprint)
 }
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -17,31 +17,31 @@
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func crash(upstream string, sent, broke int) End {
-	return End{contract.Life{Upstream: contract.UpstreamID(upstream), Born: 1}, at(sent), at(broke)}
+func crash(upstream string, sent, broke int) Crash {
+	return Crash{contract.UpstreamInstance{Upstream: contract.UpstreamID(upstream), Incarnation: 1}, at(sent), at(broke)}
 }
 
 // TestThreeSuccessiveCrashesHoldContent checks that a content is held once it has crashed
 // three upstreams, each of which it was sent to after the previous crash.
 func TestThreeSuccessiveCrashesHoldContent(t *testing.T) {
 	is := is.New(t)
-	table, p := NewTable(), Print{1}
+	table, p := NewTable(), Fingerprint{1}
 	is.True(table.Empty())
-	is.True(table.End(p, About{}, crash("u1", 0, 40), at(40)))
-	is.True(table.End(p, About{}, crash("u2", 100, 140), at(140)))
-	is.True(!table.Bars(p, at(145)))
-	is.Equal(table.Ended(p), 2)
-	is.True(table.End(p, About{}, crash("u3", 200, 240), at(240)))
-	is.True(table.Bars(p, at(241)))
-	is.True(!table.Bars(Print{2}, at(241))) // a different content
-	is.Equal(table.Held(), 1)
+	is.True(table.RecordCrash(p, Source{}, crash("u1", 0, 40), at(40)))
+	is.True(table.RecordCrash(p, Source{}, crash("u2", 100, 140), at(140)))
+	is.True(!table.Blocks(p, at(145)))
+	is.Equal(table.CrashCount(p), 2)
+	is.True(table.RecordCrash(p, Source{}, crash("u3", 200, 240), at(240)))
+	is.True(table.Blocks(p, at(241)))
+	is.True(!table.Blocks(Fingerprint{2}, at(241))) // a different content
+	is.Equal(table.CountQuarantined(), 1)
 }
 
 // TestUnrelatedCrashesDoNotHoldContent checks that simultaneous crashes, overlapping runs,
 // repeated reports of one crash, and crashes before an answer do not hold a content.
 func TestUnrelatedCrashesDoNotHoldContent(t *testing.T) {
-	p := Print{1}
-	for name, crashes := range map[string][]End{
+	p := Fingerprint{1}
+	for name, crashes := range map[string][]Crash{
 		"data centre crashes":             {crash("u1", 0, 40), crash("u2", 5, 41), crash("u3", 8, 42), crash("u4", 9, 43)},
 		"overlapping runs":                {crash("u1", 0, 40), crash("u2", 20, 60), crash("u3", 40, 80), crash("u4", 60, 100)},
 		"ran on all upstreams at once":    {crash("u1", 0, 1000), crash("u2", 10, 2000), crash("u3", 20, 3000)},
@@ -51,31 +51,31 @@
 		t.Run(name, func(t *testing.T) {
 			table := NewTable()
 			for _, c := range crashes {
-				table.End(p, About{}, c, at(4000))
+				table.RecordCrash(p, Source{}, c, at(4000))
 			}
-			is.New(t).True(!table.Bars(p, at(4001)))
+			is.New(t).True(!table.Blocks(p, at(4001)))
 		})
 	}
 	t.Run("answer between crashes", func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable()
-		table.End(p, About{}, crash("u1", 0, 40), at(40))
-		table.End(p, About{}, crash("u2", 100, 140), at(140))
-		is.True(table.Answered(p, at(150)))
-		is.True(!table.Answered(p, at(151))) // not under suspicion any more
-		table.End(p, About{}, crash("u3", 200, 240), at(240))
-		is.True(!table.Bars(p, at(241)))
+		table.RecordCrash(p, Source{}, crash("u1", 0, 40), at(40))
+		table.RecordCrash(p, Source{}, crash("u2", 100, 140), at(140))
+		is.True(table.RecordAnswer(p, at(150)))
+		is.True(!table.RecordAnswer(p, at(151))) // not under suspicion any more
+		table.RecordCrash(p, Source{}, crash("u3", 200, 240), at(240))
+		is.True(!table.Blocks(p, at(241)))
 	})
 }
 
 // randomUpdate generates a gossip update about one content with up to maxCrashesKept
 // crashes.
-func randomUpdate(t *rapid.T, label string) Told {
-	out := Told{Print: Print{1}, Epoch: uint32(rapid.IntRange(0, 2).Draw(t, label+"epoch")), Held: rapid.IntRange(0, 9).Draw(t, label+"held") == 0}
+func randomUpdate(t *rapid.T, label string) Update {
+	out := Update{Fingerprint: Fingerprint{1}, Epoch: uint32(rapid.IntRange(0, 2).Draw(t, label+"epoch")), Held: rapid.IntRange(0, 9).Draw(t, label+"held") == 0}
 	for _, life := range rapid.SliceOfNDistinct(rapid.IntRange(0, maxCrashesKept-1), 0, maxCrashesKept, rapid.ID[int]).Draw(t, label+"incarnations") {
 		broke := rapid.IntRange(0, 20).Draw(t, fmt.Sprint(label, "broke", life))
-		out.Ends = append(out.Ends, ToldEnd{
-			contract.Life{Upstream: contract.UpstreamID(fmt.Sprint("u", life)), Born: 1},
+		out.Crashes = append(out.Crashes, CrashUpdate{
+			contract.UpstreamInstance{Upstream: contract.UpstreamID(fmt.Sprint("u", life)), Incarnation: 1},
 			time.Duration(broke+rapid.IntRange(1, 5).Draw(t, fmt.Sprint(label, "ran", life))) * time.Second, time.Duration(broke) * time.Second,
 		})
 	}
@@ -92,11 +92,11 @@
 		a, b := randomUpdate(t, "a"), randomUpdate(t, "b")
 		first, second := tableAfterUpdates(t, a, b), tableAfterUpdates(t, b, a)
 		x, y := updateOf(first), updateOf(second)
-		if x.Epoch != y.Epoch || !x.Held && !y.Held && !slices.Equal(x.Ends, y.Ends) {
+		if x.Epoch != y.Epoch || !x.Held && !y.Held && !slices.Equal(x.Crashes, y.Crashes) {
 			t.Fatalf("%+v in one order, %+v in the other", x, y)
 		}
-		first.Hear([]Told{y}, start)
-		second.Hear([]Told{x}, start)
+		first.Merge([]Update{y}, start)
+		second.Merge([]Update{x}, start)
 		if x, y = updateOf(first), updateOf(second); x.Held != y.Held {
 			t.Fatalf("%+v and %+v after the VMs exchanged updates", x, y)
 		}
@@ -104,50 +104,50 @@
 }
 
 // tableAfterUpdates applies updates to a new table and checks its invariants after each.
-func tableAfterUpdates(t *rapid.T, updates ...Told) *Table {
+func tableAfterUpdates(t *rapid.T, updates ...Update) *Table {
 	table := NewTable()
 	for _, u := range updates {
 		before := updateOf(table)
-		table.Hear([]Told{u}, start)
-		if len(table.Hear([]Told{u}, start)) > 0 {
+		table.Merge([]Update{u}, start)
+		if len(table.Merge([]Update{u}, start)) > 0 {
 			t.Fatal("a repeated update changed the table")
 		}
 		after := updateOf(table)
 		if before.Held && before.Epoch == after.Epoch && !after.Held {
 			t.Fatal("released by an update of the same epoch")
 		}
-		if len(after.Ends) > maxCrashesKept {
+		if len(after.Crashes) > maxCrashesKept {
 			t.Fatal("more than maxCrashesKept crashes kept")
 		}
-		if held := table.Held() == 1; held != after.Held {
-			t.Fatalf("Held() = %d, but the record says otherwise", table.Held())
+		if held := table.CountQuarantined() == 1; held != after.Held {
+			t.Fatalf("Held() = %d, but the record says otherwise", table.CountQuarantined())
 		}
 	}
 	return table
 }
 
 // updateOf returns a table's gossip update about the content under test.
-func updateOf(table *Table) Told {
-	if c := table.Case(Print{1}); c != nil {
+func updateOf(table *Table) Update {
+	if c := table.Record(Fingerprint{1}); c != nil {
 		return c.update(start)
 	}
-	return Told{}
+	return Update{}
 }
 
 // TestTableSizeIsBounded checks that a table stays within maxRecords when three times as
 // many contents each crash an upstream, and that a held content is not evicted.
 func TestTableSizeIsBounded(t *testing.T) {
 	is := is.New(t)
-	table, crashing := NewTable(), Print{0xff, 0xff, 0xff, 0xff}
+	table, crashing := NewTable(), Fingerprint{0xff, 0xff, 0xff, 0xff}
 	for n, name := range []string{"u1", "u2", "u3"} {
-		table.End(crashing, About{}, crash(name, n*100, n*100+40), at(n*100+40))
+		table.RecordCrash(crashing, Source{}, crash(name, n*100, n*100+40), at(n*100+40))
 	}
 	for n := range 3 * maxRecords {
-		table.End(Print{byte(n), byte(n >> 8), byte(n >> 16)}, About{}, crash("u", 1000+n, 1001+n), at(1001+n))
+		table.RecordCrash(Fingerprint{byte(n), byte(n >> 8), byte(n >> 16)}, Source{}, crash("u", 1000+n, 1001+n), at(1001+n))
 	}
 	is.True(len(table.records) <= maxRecords)
-	is.True(table.Bars(crashing, at(1_000_000)))
-	is.True(len(table.Told(at(1001+3*maxRecords))) <= maxUpdates)
+	is.True(table.Blocks(crashing, at(1_000_000)))
+	is.True(len(table.Updates(at(1001+3*maxRecords))) <= maxUpdates)
 	table.Expire(start.Add(time.Hour))
 	is.Equal(len(table.records), 1)
 }
@@ -158,16 +158,16 @@
 func TestUpdateEncodingIsCompact(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
-	about := About{"service-name", "workspace", "route-name", "vm-of-a-data-centre-1"}
+	about := Source{"service-name", "workspace", "route-name", "vm-of-a-data-centre-1"}
 	for n := range maxUpdates {
 		for k := range 3 {
-			table.End(Print{byte(n)}, about, crash(fmt.Sprint("i-0123456789", k), k*100, k*100+40), at(400))
+			table.RecordCrash(Fingerprint{byte(n)}, about, crash(fmt.Sprint("i-0123456789", k), k*100, k*100+40), at(400))
 		}
 	}
-	updates := table.Told(at(500))
+	updates := table.Updates(at(500))
 	raw, err := link.Encode(updates)
 	is.NoErr(err)
-	var decoded []Told
+	var decoded []Update
 	is.NoErr(link.Decode(raw, &decoded))
 	is.Equal(decoded, updates)
 	is.True(len(raw)/maxUpdates < 200) // with three crashes each
@@ -179,54 +179,54 @@
 // total.
 func TestHeldContentTrials(t *testing.T) {
 	is := is.New(t)
-	table, p := NewTable(), Print{1}
+	table, p := NewTable(), Fingerprint{1}
 	for n, name := range []string{"u1", "u2", "u3"} {
-		table.End(p, About{}, crash(name, n*100, n*100+40), at(n*100+40))
+		table.RecordCrash(p, Source{}, crash(name, n*100, n*100+40), at(n*100+40))
 	}
 	now := start.Add(time.Hour)
-	is.True(table.Bars(p, now))
-	is.Equal(len(table.TrialsWanted()), 0) // not in the store, so no trial can be granted
+	is.True(table.Blocks(p, now))
+	is.Equal(len(table.TrialRequests()), 0) // not in the store, so no trial can be granted
 	is.Equal(len(table.ToStore()), 1)
 	for n, after := range trialDelays {
-		table.Listed(Held{Print: p, Trials: n, Revision: contract.Revision(5 + n)}, now)
+		table.SetStored(QuarantinedContent{Fingerprint: p, Trials: n, Revision: contract.Revision(5 + n)}, now)
 		is.Equal(len(table.ToStore()), 0)
-		is.True(table.Bars(p, now.Add(after-1)))
-		is.Equal(len(table.TrialsWanted()), 0)
+		is.True(table.Blocks(p, now.Add(after-1)))
+		is.Equal(len(table.TrialRequests()), 0)
 		now = now.Add(after)
-		is.True(table.Bars(p, now))
-		wanted := table.TrialsWanted()
+		is.True(table.Blocks(p, now))
+		wanted := table.TrialRequests()
 		is.Equal(len(wanted), 1)
 		is.Equal(wanted[0].Trials, n+1)
-		table.Granted(p, true, now)
-		is.True(!table.Bars(p, now)) // the granted trial
-		is.True(table.Bars(p, now))
+		table.TrialDecided(p, true, now)
+		is.True(!table.Blocks(p, now)) // the granted trial
+		is.True(table.Blocks(p, now))
 	}
-	table.Listed(Held{Print: p, Trials: len(trialDelays), Revision: 9}, now)
-	is.True(table.Bars(p, now.Add(24*time.Hour)))
-	is.Equal(len(table.TrialsWanted()), 0)
+	table.SetStored(QuarantinedContent{Fingerprint: p, Trials: len(trialDelays), Revision: 9}, now)
+	is.True(table.Blocks(p, now.Add(24*time.Hour)))
+	is.Equal(len(table.TrialRequests()), 0)
 }
 
 // TestReleaseByStoreOrAnswer checks that a content is released when it is removed from the
 // store or answered, but not by a store listing that is older than its object.
 func TestReleaseByStoreOrAnswer(t *testing.T) {
 	is := is.New(t)
-	table, p := NewTable(), Print{1}
-	table.Listed(Held{Print: p, Revision: 5}, at(0))
-	is.True(table.Bars(p, at(1)))
-	is.True(!table.Unlisted(p, 4, at(1)))
-	is.True(table.Bars(p, at(1)))
-	is.Equal(table.ListedButFor(map[Print]bool{}), []Print{p})
-	is.True(table.Unlisted(p, 6, at(2)))
-	is.True(!table.Bars(p, at(3)))
-	table.Listed(Held{Print: p, Revision: 5}, at(4)) // outdated notification from the store
-	is.True(!table.Bars(p, at(5)))
-	table.Hear([]Told{{Print: p, Held: true}}, at(6)) // outdated gossip from another VM
-	is.True(!table.Bars(p, at(7)))
-
-	table.Listed(Held{Print: p, Revision: 7}, at(8))
-	is.True(table.Answered(p, at(9)))
-	is.True(!table.Bars(p, at(10)))
-	is.Equal(len(table.ToErase()), 1)
-	is.True(!table.Unlisted(p, 8, at(11))) // already cleared
-	is.Equal(len(table.ToErase()), 0)
+	table, p := NewTable(), Fingerprint{1}
+	table.SetStored(QuarantinedContent{Fingerprint: p, Revision: 5}, at(0))
+	is.True(table.Blocks(p, at(1)))
+	is.True(!table.SetUnstored(p, 4, at(1)))
+	is.True(table.Blocks(p, at(1)))
+	is.Equal(table.StoredExcept(map[Fingerprint]bool{}), []Fingerprint{p})
+	is.True(table.SetUnstored(p, 6, at(2)))
+	is.True(!table.Blocks(p, at(3)))
+	table.SetStored(QuarantinedContent{Fingerprint: p, Revision: 5}, at(4)) // outdated notification from the store
+	is.True(!table.Blocks(p, at(5)))
+	table.Merge([]Update{{Fingerprint: p, Held: true}}, at(6)) // outdated gossip from another VM
+	is.True(!table.Blocks(p, at(7)))
+
+	table.SetStored(QuarantinedContent{Fingerprint: p, Revision: 7}, at(8))
+	is.True(table.RecordAnswer(p, at(9)))
+	is.True(!table.Blocks(p, at(10)))
+	is.Equal(len(table.ToDelete()), 1)
+	is.True(!table.SetUnstored(p, 8, at(11))) // already cleared
+	is.Equal(len(table.ToDelete()), 0)
 }
--- a/quarantine/trials.go
+++ b/quarantine/trials.go
@@ -10,11 +10,11 @@
 // A content that still crashes upstreams can reach at most three more in total, on any VM
 // and over any period: two by trials, and one by a VM that does not know yet that it is
 // held.
-var trialDelays = [...]time.Duration{ComeBack, time.Hour}
+var trialDelays = [...]time.Duration{RetryAfter, time.Hour}
 
-// ComeBack is the earliest time after which the caller of a held content may retry: the
+// RetryAfter is the earliest time after which the caller of a held content may retry: the
 // first trial is due then.
-const ComeBack = 5 * time.Minute
+const RetryAfter = 5 * time.Minute
 
 // grantDuration is how long a granted trial stays valid on a VM.
 const grantDuration = time.Minute
@@ -41,9 +41,9 @@
 	return !s.since.IsZero() && s.count < len(trialDelays) && now.Sub(s.since) >= trialDelays[s.count]
 }
 
-// Bars reports whether a content must not be sent to any upstream now. The call consumes a
+// Blocks reports whether a content must not be sent to any upstream now. The call consumes a
 // granted trial, and requests a trial if one is due.
-func (t *Table) Bars(p Print, now time.Time) bool {
+func (t *Table) Blocks(p Fingerprint, now time.Time) bool {
 	c := t.records[p]
 	if c == nil || !c.Held {
 		return false
@@ -56,17 +56,17 @@
 	return true
 }
 
-// TrialsWanted returns the contents for which a trial should be requested from the store.
-func (t *Table) TrialsWanted() []Held {
-	out := t.recordsWhere(func(c *Case) bool { return c.Held && c.inStore && c.trials.requested })
+// TrialRequests returns the contents for which a trial should be requested from the store.
+func (t *Table) TrialRequests() []QuarantinedContent {
+	out := t.recordsWhere(func(c *Record) bool { return c.Held && c.inStore && c.trials.requested })
 	for i := range out {
 		out[i].Trials++
 	}
 	return out
 }
 
-// Granted records the store's decision on a trial requested by this VM.
-func (t *Table) Granted(p Print, ok bool, now time.Time) {
+// TrialDecided records the store's decision on a trial requested by this VM.
+func (t *Table) TrialDecided(p Fingerprint, ok bool, now time.Time) {
 	c := t.records[p]
 	if c == nil {
 		return
--- a/rating/rating.go
+++ b/rating/rating.go
@@ -16,8 +16,8 @@
 // Path is the URL path of the service's only endpoint.
 const Path = "/rate"
 
-// Good is the minimum score of a good answer.
-const Good = 0.5
+// GoodScore is the minimum score of a good answer.
+const GoodScore = 0.5
 
 // Answer is the request body: the answer to be rated.
 type Answer struct {
@@ -55,15 +55,15 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return rating, contract.Fail(contract.StepRate, url, err)
+		return rating, contract.WrapStep(contract.StepRate, url, err)
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, int64(maxResponseBytes)))
 	if err != nil {
-		return rating, contract.Fail(contract.StepRate, url, err)
+		return rating, contract.WrapStep(contract.StepRate, url, err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return rating, contract.Fail(contract.StepRate, url, fmt.Errorf("status %d", resp.StatusCode))
+		return rating, contract.WrapStep(contract.StepRate, url, fmt.Errorf("status %d", resp.StatusCode))
 	}
-	return rating, contract.Fail(contract.StepRate, url, json.Unmarshal(raw, &rating))
+	return rating, contract.WrapStep(contract.StepRate, url, json.Unmarshal(raw, &rating))
 }
--- a/relay/buffered.go
+++ b/relay/buffered.go
@@ -19,7 +19,7 @@
 // serveBuffered answers a request with one complete answer. The answer is buffered to its end,
 // so that a broken one can be retried or reported as an error.
 func (r *Relay) serveBuffered(ctx context.Context, j *job, c Caller) (RequestEnd, *contract.Refusal) {
-	var failure *Head // most recent answer with an error status
+	var failure *ResponseHead // most recent answer with an error status
 	var failureBody []byte
 	for {
 		e, refused := r.selectUpstream(j)
@@ -50,14 +50,14 @@
 }
 
 // isFinal reports whether an answer is delivered even if other attempts are possible.
-func (h *Head) isFinal(j *job) bool {
+func (h *ResponseHead) isFinal(j *job) bool {
 	return !h.NotRun && (h.Status < http.StatusInternalServerError || !j.Route.Repeatable())
 }
 
-func (r *Relay) deliver(j *job, c Caller, h *Head, body []byte) (RequestEnd, *contract.Refusal) {
-	j.outcome, j.status = contract.Ran, h.Status
-	if err := c.Whole(h, body); err != nil {
-		return Gone, nil
+func (r *Relay) deliver(j *job, c Caller, h *ResponseHead, body []byte) (RequestEnd, *contract.Refusal) {
+	j.outcome, j.status = contract.OutcomeRan, h.Status
+	if err := c.SendResponse(h, body); err != nil {
+		return CallerGone, nil
 	}
 	return Delivered, nil
 }
@@ -68,7 +68,7 @@
 	if errors.Is(context.Cause(ctx), errDeadline) {
 		return Refused, refuseDeadline(j)
 	}
-	return Gone, nil
+	return CallerGone, nil
 }
 
 // errUnsigned means that a successful answer lacks the upstream's signature.
@@ -78,7 +78,7 @@
 var errNotRun = errors.New("upstream did not run the request")
 
 // attemptBuffered makes one attempt and reads the answer to its end.
-func (r *Relay) attemptBuffered(ctx context.Context, j *job, e upstream.Entry) (*Head, []byte, error) {
+func (r *Relay) attemptBuffered(ctx context.Context, j *job, e upstream.Entry) (*ResponseHead, []byte, error) {
 	began := r.opts.Now()
 	a, err := r.send(ctx, j, e, nil, r.firstAnswerTimeout(j))
 	if err != nil {
@@ -103,15 +103,15 @@
 	case err != nil:
 		result = upstream.Broken
 	case h.NotRun:
-		r.recordAttemptEnd(j, a.entry, upstream.TurnedAway, took)
-		j.recordFailure(contract.NotRun, true)
+		r.recordAttemptEnd(j, a.entry, upstream.Rejected, took)
+		j.recordFailure(contract.OutcomeNotRun, true)
 		return nil
-	case h.Status < http.StatusMultipleChoices && !h.Sealed:
+	case h.Status < http.StatusMultipleChoices && !h.Signed:
 		err = errUnsigned
 	case h.Status >= http.StatusInternalServerError:
 		r.observeRelease(j, a, true)
 		r.recordAttemptEnd(j, a.entry, upstream.Failed, took)
-		j.recordFailure(contract.Ran, true)
+		j.recordFailure(contract.OutcomeRan, true)
 		return nil
 	default:
 		a.addTime(j, timeToFirstAnswer, took)
@@ -119,12 +119,12 @@
 		r.observeLatency(j, took)
 		j.firstAnswerAt = r.opts.Now()
 		j.sends++
-		r.recordAttemptEnd(j, a.entry, upstream.Good, took)
+		r.recordAttemptEnd(j, a.entry, upstream.Succeeded, took)
 		r.clearSuspect(j)
 		return nil
 	}
 	r.recordAttemptEnd(j, a.entry, result, took)
-	j.recordFailure(contract.Ran, true)
+	j.recordFailure(contract.OutcomeRan, true)
 	return err
 }
 
--- a/relay/cold.go
+++ b/relay/cold.go
@@ -23,14 +23,14 @@
 		return upstream.ColdBound{}
 	}
 	return upstream.ColdBound{
-		For: s.Cold.For, Bears: s.Cold.PerSecond, Most: s.Cold.PerSecond*max(b.Overshoot, 1) + b.Slack,
+		Duration: s.Cold.Duration, PerSecond: s.Cold.PerSecond, MaxPerSecond: s.Cold.PerSecond*max(b.Overshoot, 1) + b.Slack,
 	}
 }
 
 // logColdUpstreams logs which upstreams are newly considered cold. The caller holds mu.
 func (r *Relay) logColdUpstreams() {
-	for _, c := range r.table.Chilled() {
-		r.log.Info("upstreams-cold", zap.String("why", c.Why), zap.Int("count", len(c.Upstreams)), zap.Duration("for", c.For),
+	for _, c := range r.table.TakeColdTransitions() {
+		r.log.Info("upstreams-cold", zap.String("why", c.Reason), zap.Int("count", len(c.Upstreams)), zap.Duration("for", c.Duration),
 			zap.Strings("upstreams", idStrings(c.Upstreams)))
 	}
 }
@@ -46,9 +46,9 @@
 	return out
 }
 
-// Cold returns how many upstreams are considered cold.
-func (r *Relay) Cold() int {
+// CountCold returns how many upstreams are considered cold.
+func (r *Relay) CountCold() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.table.Cold(r.opts.Now())
+	return r.table.CountCold(r.opts.Now())
 }
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -18,9 +18,9 @@
 const probeTimeout = 1500 * time.Millisecond
 
 // contentPrint returns the hash of the request's content.
-func (j *job) contentPrint() quarantine.Print {
+func (j *job) contentPrint() quarantine.Fingerprint {
 	if j.cachedPrint == nil {
-		p := quarantine.PrintOf(j.Workspace, j.Host, j.URI, j.Body)
+		p := quarantine.FingerprintOf(j.Workspace, j.Host, j.URI, j.Body)
 		j.cachedPrint = &p
 	}
 	return *j.cachedPrint
@@ -41,16 +41,16 @@
 	if !j.upstreamSeen && now.Sub(j.sentAt) < staleConnectionWindow || !r.endIsUnplanned(e) {
 		return
 	}
-	life := e.Life()
-	s := quarantine.Suspect{
-		Print: j.contentPrint(), Request: j.ID, Service: j.service, Workspace: j.Workspace, Route: j.Route.Name, Sent: j.sentAt, Broke: now,
+	life := e.Instance()
+	s := quarantine.SuspectRequest{
+		Fingerprint: j.contentPrint(), Request: j.ID, Service: j.service, Workspace: j.Workspace, Route: j.Route.Name, SentAt: j.sentAt, BrokenAt: now,
 	}
-	probe, ended := r.possibleCrashes.Broke(life, e.Address, s)
+	probe, ended := r.possibleCrashes.ConnectionBroke(life, e.Address, s)
 	if probe {
 		go r.probeUpstream(life, e.Address)
 	}
 	if ended {
-		r.recordCrash(life, "known", []quarantine.Suspect{s})
+		r.recordCrash(life, "known", []quarantine.SuspectRequest{s})
 	}
 }
 
@@ -59,7 +59,7 @@
 // holds mu.
 func (r *Relay) endIsUnplanned(e upstream.Entry) bool {
 	listed, ok := r.entries[e.ID]
-	if !ok || listed.Born != e.Born || r.table.Leaves(e.ID) || r.rolledBack[e.Service][e.Release] {
+	if !ok || listed.Incarnation != e.Incarnation || r.table.IsLeaving(e.ID) || r.rolledBack[e.Service][e.Release] {
 		return false
 	}
 	completed := r.completedReleases[e.Service]
@@ -68,15 +68,15 @@
 
 // probeUpstream connects to the address of an upstream whose connections broke off, to
 // determine whether it has crashed.
-func (r *Relay) probeUpstream(l contract.Life, address string) {
+func (r *Relay) probeUpstream(l contract.UpstreamInstance, address string) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	err := exchange.Reach(ctx, address)
-	if !exchange.NothingListens(err) {
+	err := exchange.Probe(ctx, address)
+	if !exchange.IsConnectionRefused(err) {
 		r.log.Debug("upstream-reached", zap.String("upstream", string(l.Upstream)), zap.Error(err))
 		return
 	}
-	r.withLock(func() { r.recordCrash(l, "nothing listens", r.possibleCrashes.Ended(l)) })
+	r.withLock(func() { r.recordCrash(l, "nothing listens", r.possibleCrashes.Confirm(l)) })
 }
 
 // detectReplaced detects crashes from the upstream list: a new incarnation at the address of
@@ -85,27 +85,27 @@
 	if !r.possibleCrashes.Any() {
 		return
 	}
-	incarnations := make(map[string]contract.Life, len(r.entries))
+	incarnations := make(map[string]contract.UpstreamInstance, len(r.entries))
 	for _, e := range r.entries {
-		incarnations[e.Address] = e.Life()
+		incarnations[e.Address] = e.Instance()
 	}
-	incarnationAt := func(address string) (contract.Life, bool) {
+	incarnationAt := func(address string) (contract.UpstreamInstance, bool) {
 		l, ok := incarnations[address]
 		return l, ok
 	}
-	for _, l := range r.possibleCrashes.Replaced(incarnationAt) {
-		r.recordCrash(l, "another incarnation is listed", r.possibleCrashes.Ended(l))
+	for _, l := range r.possibleCrashes.ReplacedLives(incarnationAt) {
+		r.recordCrash(l, "another incarnation is listed", r.possibleCrashes.Confirm(l))
 	}
 }
 
 // recordCrash records that an upstream crashed while it executed requests. The caller holds
 // mu.
-func (r *Relay) recordCrash(l contract.Life, evidence string, suspects []quarantine.Suspect) {
+func (r *Relay) recordCrash(l contract.UpstreamInstance, evidence string, suspects []quarantine.SuspectRequest) {
 	for _, s := range suspects {
-		r.recordSuspect(l, s, s.Broke)
-		r.log.Warn("upstream-ended", zap.String("upstream", string(l.Upstream)), zap.Int64("born", l.Born), zap.String("by", evidence),
-			zap.String("request", string(s.Request)), zap.Stringer("print", s.Print), zap.String("route", s.Route),
-			zap.String("workspace", string(s.Workspace)), zap.Int64("ran_ms", s.Broke.Sub(s.Sent).Milliseconds()),
+		r.recordSuspect(l, s, s.BrokenAt)
+		r.log.Warn("upstream-ended", zap.String("upstream", string(l.Upstream)), zap.Int64("born", l.Incarnation), zap.String("by", evidence),
+			zap.String("request", string(s.Request)), zap.Stringer("print", s.Fingerprint), zap.String("route", s.Route),
+			zap.String("workspace", string(s.Workspace)), zap.Int64("ran_ms", s.BrokenAt.Sub(s.SentAt).Milliseconds()),
 			zap.Int("beside", len(suspects)-1))
 	}
 	if len(suspects) > 0 {
--- a/relay/evacuation.go
+++ b/relay/evacuation.go
@@ -28,10 +28,10 @@
 
 // evacuationRamp returns how long the load of a data centre takes to move to the others.
 func (r *Relay) evacuationRamp() time.Duration {
-	if r.opts.Evacuation <= 0 {
+	if r.opts.EvacuationBound <= 0 {
 		return maxRamp
 	}
-	return min(r.opts.Evacuation/rampDivisor, maxRamp)
+	return min(r.opts.EvacuationBound/rampDivisor, maxRamp)
 }
 
 // movedFraction returns the fraction of the load that has moved to other data centres.
@@ -51,14 +51,14 @@
 		e, known := previous[dc]
 		if !known {
 			e = evacuation{startedAt: now}
-			r.log.Info("evacuation-begins", zap.String("data_centre", string(dc)), zap.Int("running", r.table.Running(dc)))
+			r.log.Info("evacuation-begins", zap.String("data_centre", string(dc)), zap.Int("running", r.table.InFlightIn(dc)))
 		}
 		r.evacuations[dc] = e
 	}
 	for dc, e := range previous {
 		if _, still := r.evacuations[dc]; !still {
 			r.log.Info("evacuation-ends", zap.String("data_centre", string(dc)), zap.Duration("after", now.Sub(e.startedAt).Round(time.Millisecond)))
-			r.table.TakenBack(dc, now)
+			r.table.EvacuationCancelled(dc, now)
 		}
 	}
 	r.logColdUpstreams()
@@ -67,20 +67,20 @@
 // EvacuationStatus describes the progress of an evacuation as seen by this VM.
 type EvacuationStatus struct {
 	DataCentre contract.DataCentreID
-	// For is the time since this VM learned of the evacuation. Running is the number of its
+	// Elapsed is the time since this VM learned of the evacuation. Running is the number of its
 	// requests that still run in the data centre.
-	For     time.Duration
+	Elapsed time.Duration
 	Running int
 }
 
-// Evacuated returns the status of all evacuated data centres.
-func (r *Relay) Evacuated() []EvacuationStatus {
+// Evacuations returns the status of all evacuated data centres.
+func (r *Relay) Evacuations() []EvacuationStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.opts.Now()
 	var out []EvacuationStatus
 	for dc, e := range r.evacuations {
-		out = append(out, EvacuationStatus{dc, now.Sub(e.startedAt), r.table.Running(dc)})
+		out = append(out, EvacuationStatus{dc, now.Sub(e.startedAt), r.table.InFlightIn(dc)})
 	}
 	return out
 }
--- a/relay/evacuation_test.go
+++ b/relay/evacuation_test.go
@@ -11,7 +11,7 @@
 
 	"woaddoor/contract"
 	"woaddoor/logs"
-	"woaddoor/reading"
+	"woaddoor/prefill"
 	"woaddoor/upstream"
 )
 
@@ -22,8 +22,8 @@
 		Log: zap.NewNop(), Now: func() time.Time { return *now }, VMs: func() int { return 1 }, Seed: 1, DataCentre: "d",
 	})
 	r.SetUpstreams([]upstream.Entry{
-		{ID: "u", Service: "s", Slots: 8, DataCentre: "d", Born: 1, Address: "u"},
-		{ID: "x", Service: "s", Slots: 8, DataCentre: "e", Born: 1, Address: "x"},
+		{ID: "u", Service: "s", Slots: 8, DataCentre: "d", Incarnation: 1, Address: "u"},
+		{ID: "x", Service: "s", Slots: 8, DataCentre: "e", Incarnation: 1, Address: "x"},
 	}, nil)
 	return r
 }
@@ -72,9 +72,9 @@
 	is := is.New(t)
 	r := newTestRelay()
 	is.Equal(r.evacuationRamp(), maxRamp)
-	r.opts.Evacuation = 2 * time.Second
+	r.opts.EvacuationBound = 2 * time.Second
 	is.Equal(r.evacuationRamp(), 400*time.Millisecond)
-	r.opts.Evacuation = time.Minute
+	r.opts.EvacuationBound = time.Minute
 	is.Equal(r.evacuationRamp(), maxRamp)
 }
 
@@ -85,15 +85,15 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	r := newClockedRelay(&now)
-	r.withLock(func() { r.table.Reached("e", false, now) })
+	r.withLock(func() { r.table.RecordDataCentreProbe("e", false, now) })
 	r.updateIsolation()
 	is.True(r.isolatedSince.IsZero())
 	r.SetEvacuated([]contract.DataCentreID{"d"})
 	now = now.Add(maxRamp)
-	r.withLock(func() { r.table.Reached("e", false, now) })
+	r.withLock(func() { r.table.RecordDataCentreProbe("e", false, now) })
 	r.updateIsolation()
 	now = now.Add(isolationDelay)
-	is.True(r.CutOff())
+	is.True(r.Isolated())
 }
 
 // TestReportsOfEarlierIncarnationIgnored checks that late results of own requests and late
@@ -107,23 +107,23 @@
 	j.service, j.PromptTokens = "s", 4000
 	e, refused := r.selectUpstream(j)
 	is.True(refused == nil)
-	is.Equal(r.table.Running("d")+r.table.Running("e"), 1)
+	is.Equal(r.table.InFlightIn("d")+r.table.InFlightIn("e"), 1)
 	restarted := func(id contract.UpstreamID, dc contract.DataCentreID) upstream.Entry {
-		return upstream.Entry{ID: id, Service: "s", Slots: 8, DataCentre: dc, Born: 2, Address: string(id)}
+		return upstream.Entry{ID: id, Service: "s", Slots: 8, DataCentre: dc, Incarnation: 2, Address: string(id)}
 	}
 	r.SetUpstreams([]upstream.Entry{restarted("u", "d"), restarted("x", "e")}, nil)
-	is.Equal(r.table.Running("d")+r.table.Running("e"), 0)
+	is.Equal(r.table.InFlightIn("d")+r.table.InFlightIn("e"), 0)
 	r.recordAttemptEnd(j, e, upstream.Broken, 0)
-	is.Equal(r.table.Running("d")+r.table.Running("e"), 0) // and not negative
+	is.Equal(r.table.InFlightIn("d")+r.table.InFlightIn("e"), 0) // and not negative
 
-	parts := []reading.Part{{Key: 1, Tokens: 3000}, {Key: 2, Tokens: 1000}}
+	parts := []prefill.Part{{Key: 1, Tokens: 3000}, {Key: 2, Tokens: 1000}}
 	cachedTokens := func(born int64) int {
-		r.HearSent([]Sent{{Upstream: "u", Model: "m", Tokens: 4000, Parts: parts, Takes: time.Millisecond, Born: born}})
-		q := upstream.Query{DataCentre: "d", Work: upstream.Work{Prompt: reading.Prompt{Model: "m", Tokens: 4000, Parts: parts}, Objective: time.Second}}
+		r.MergeSent([]SentPrompt{{Upstream: "u", Model: "m", Tokens: 4000, Parts: parts, PrefillTime: time.Millisecond, Incarnation: born}})
+		q := upstream.Query{DataCentre: "d", Work: upstream.Work{Prompt: prefill.Prompt{Model: "m", Tokens: 4000, Parts: parts}, Objective: time.Second}}
 		q.Kind = r.upstreamQuery(j, candidatePools{}, now).Kind
-		got, ok := r.table.Best(q, now, r.random)
+		got, ok := r.table.EstimateBest(q, now, r.random)
 		is.True(ok)
-		return got.Kept
+		return got.CachedTokens
 	}
 	is.Equal(cachedTokens(1), 0)
 	is.Equal(cachedTokens(2), 3000)
--- a/relay/gossip.go
+++ b/relay/gossip.go
@@ -4,44 +4,44 @@
 	"time"
 
 	"woaddoor/contract"
-	"woaddoor/reading"
+	"woaddoor/prefill"
 	"woaddoor/upstream"
 )
 
-// Sent describes a prompt that a VM has sent to an upstream, as reported to other VMs. It
+// SentPrompt describes a prompt that a VM has sent to an upstream, as reported to other VMs. It
 // tells them how much prefill precedes their own prompts, and what the upstream will cache.
-type Sent struct {
+type SentPrompt struct {
 	Upstream contract.UpstreamID `cbor:"1,keyasint"`
 	Model    contract.ModelID    `cbor:"2,keyasint"`
 	Tokens   int                 `cbor:"3,keyasint"`
-	Parts    []reading.Part      `cbor:"4,keyasint"`
-	// Takes is the prefill time that the sending VM expects.
-	Takes time.Duration `cbor:"5,keyasint"`
+	Parts    []prefill.Part      `cbor:"4,keyasint"`
+	// PrefillTime is the prefill time that the sending VM expects.
+	PrefillTime time.Duration `cbor:"5,keyasint"`
 	// TokenTime is the model's prefill time per token as measured by the sending VM; zero if
 	// it has too few samples.
 	TokenTime time.Duration `cbor:"6,keyasint,omitempty"`
-	// Born identifies the incarnation of the upstream that received the prompt.
-	Born int64 `cbor:"7,keyasint,omitempty"`
+	// Incarnation identifies the incarnation of the upstream that received the prompt.
+	Incarnation int64 `cbor:"7,keyasint,omitempty"`
 }
 
-// Opinion is the confidence that a model reported for one of its answers, as exchanged between
+// ConfidenceReport is the confidence that a model reported for one of its answers, as exchanged between
 // VMs.
-type Opinion struct {
+type ConfidenceReport struct {
 	Model contract.ModelID `cbor:"1,keyasint"`
 	// Largest is the model whose answers define good quality.
-	Largest contract.ModelID `cbor:"2,keyasint"`
-	Opinion float64          `cbor:"3,keyasint"`
+	Largest    contract.ModelID `cbor:"2,keyasint"`
+	Confidence float64          `cbor:"3,keyasint"`
 }
 
-// HearOpinions records the confidence that models reported for answers to other VMs' requests.
-func (r *Relay) HearOpinions(opinions []Opinion) {
-	if !r.opts.Policy.Has(upstream.Telling) {
+// MergeConfidence records the confidence that models reported for answers to other VMs' requests.
+func (r *Relay) MergeConfidence(opinions []ConfidenceReport) {
+	if !r.opts.Policy.Has(upstream.Gossip) {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, report := range opinions {
-		r.confidences.Observe(report.Model, report.Largest, report.Opinion)
+		r.confidences.Observe(report.Model, report.Largest, report.Confidence)
 	}
 }
 
@@ -52,8 +52,8 @@
 		return // the model does not report its confidence
 	}
 	r.confidences.Observe(m, largest, confidence)
-	if r.opts.Opinion != nil {
-		r.opts.Opinion(Opinion{m, largest, confidence})
+	if r.opts.OnConfidence != nil {
+		r.opts.OnConfidence(ConfidenceReport{m, largest, confidence})
 	}
 }
 
@@ -61,18 +61,18 @@
 // delays other requests by no more than one or two engine steps.
 const minReportedPrefill = 25 * time.Millisecond
 
-// HearSent records the prompts that another VM has sent to upstreams.
-func (r *Relay) HearSent(sent []Sent) {
-	if !r.opts.Policy.Has(upstream.Telling) {
+// MergeSent records the prompts that another VM has sent to upstreams.
+func (r *Relay) MergeSent(sent []SentPrompt) {
+	if !r.opts.Policy.Has(upstream.Gossip) {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.opts.Now()
 	for _, prompt := range sent {
-		if !r.isCurrent(prompt.Upstream, prompt.Born) {
+		if !r.isCurrent(prompt.Upstream, prompt.Incarnation) {
 			continue // of an earlier incarnation, or not in this VM's list
 		}
-		r.table.Told(prompt.Upstream, reading.Prompt{Model: prompt.Model, Tokens: prompt.Tokens, Parts: prompt.Parts}, prompt.Takes, prompt.TokenTime, now)
+		r.table.RecordRemotePrompt(prompt.Upstream, prefill.Prompt{Model: prompt.Model, Tokens: prompt.Tokens, Parts: prompt.Parts}, prompt.PrefillTime, prompt.TokenTime, now)
 	}
 }
--- a/relay/latency.go
+++ b/relay/latency.go
@@ -74,7 +74,7 @@
 
 // observeLatency records the time from a send to the first answer.
 func (r *Relay) observeLatency(j *job, latency time.Duration) {
-	r.withLock(func() { r.latencyOf(j).observe(max(latency-j.pending.estimate.First(), 0)) })
+	r.withLock(func() { r.latencyOf(j).observe(max(latency-j.pending.estimate.TimeToFirstToken(), 0)) })
 }
 
 // observeRelease passes an answer to the comparison between a canary release and the others.
@@ -85,14 +85,14 @@
 	if c == nil {
 		return
 	}
-	answer := rollout.Answer{OnTrial: a.entry.Release == c.Order().Release, Failed: failed, Times: a.times}
-	before, _ := c.Counts()
+	answer := rollout.Response{OnTrial: a.entry.Release == c.Order().Release, Failed: failed, Times: a.times}
+	before, _ := c.LocalCounts()
 	if c.Observe(answer, r.opts.Now()) {
 		r.logBadRelease(c)
 		r.wakeVerdicts()
 	}
-	if after, _ := c.Counts(); after.Bad > before.Bad && r.opts.BadAnswer != nil {
-		r.opts.BadAnswer()
+	if after, _ := c.LocalCounts(); after.Bad > before.Bad && r.opts.OnBadAnswer != nil {
+		r.opts.OnBadAnswer()
 	}
 }
 
@@ -105,5 +105,5 @@
 // addTime adds a measured time of the answer to the comparison between a canary release and
 // the others.
 func (a *attempt) addTime(j *job, kind string, d time.Duration) {
-	a.times = append(a.times, rollout.Time{Kind: j.Route.Name + "|" + string(j.model) + kind, Seconds: d.Seconds()})
+	a.times = append(a.times, rollout.Latency{Kind: j.Route.Name + "|" + string(j.model) + kind, Seconds: d.Seconds()})
 }
--- a/relay/limits.go
+++ b/relay/limits.go
@@ -9,26 +9,26 @@
 
 // recordLimit records the rate limit that the head of an answer announces for its upstream.
 // The caller holds mu.
-func (r *Relay) recordLimit(j *job, h *Head, e upstream.Entry) {
-	news := r.table.TakeLimit(e.Life(), h.Said.Limit, j.sentAt, r.opts.Now())
+func (r *Relay) recordLimit(j *job, h *ResponseHead, e upstream.Entry) {
+	news := r.table.ApplyLimitAnswer(e.Instance(), h.Notices.Limit, j.sentAt, r.opts.Now())
 	if news.Changed {
-		r.logLimit(news.Known, news.Before, zap.String("request", string(j.ID)), zap.Int("status", h.Status))
+		r.logLimit(news.Update, news.Before, zap.String("request", string(j.ID)), zap.Int("status", h.Status))
 	}
-	if news.Tell && r.opts.Limit != nil {
-		r.opts.Limit(news.Known, news.Far)
+	if news.Announce && r.opts.OnLimit != nil {
+		r.opts.OnLimit(news.Update, news.AnnounceRemote)
 	}
 }
 
-// HearLimits merges the upstreams' rate limits known to another VM. fresh is set if they come
+// MergeLimits merges the upstreams' rate limits known to another VM. fresh is set if they come
 // from answers that were just received.
-func (r *Relay) HearLimits(known []upstream.LimitKnown, fresh bool, from contract.VMID) {
+func (r *Relay) MergeLimits(known []upstream.LimitUpdate, fresh bool, from contract.VMID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, k := range known {
-		if !r.isCurrent(k.Life.Upstream, k.Life.Born) {
+		if !r.isCurrent(k.Instance.Upstream, k.Instance.Incarnation) {
 			continue
 		}
-		if before, changed := r.table.HearLimit(k, fresh, r.opts.Now()); changed {
+		if before, changed := r.table.MergeLimit(k, fresh, r.opts.Now()); changed {
 			r.logLimit(k, before, zap.String("peer", string(from)))
 		}
 	}
@@ -38,7 +38,7 @@
 const maxLimitsPerUpdate = 512
 
 // Limits returns the upstreams' rate limits that this VM knows.
-func (r *Relay) Limits() []upstream.LimitKnown {
+func (r *Relay) Limits() []upstream.LimitUpdate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.table.Limits(maxLimitsPerUpdate)
@@ -53,19 +53,19 @@
 }
 
 // logLimit logs a changed rate limit and its source. The caller holds mu.
-func (r *Relay) logLimit(k upstream.LimitKnown, before upstream.Limit, source ...zap.Field) {
+func (r *Relay) logLimit(k upstream.LimitUpdate, before upstream.RateLimit, source ...zap.Field) {
 	r.Metrics.limitChanges.Inc(1)
 	r.log.Info("upstream-limit", append([]zap.Field{
-		zap.String("upstream", string(k.Life.Upstream)), zap.Int64("born", k.Life.Born), zap.Uint64("version", k.Version),
-		zap.Bool("named", k.Limit.Word == upstream.LimitNamed), zap.Float64("per_second", k.Limit.PerSecond),
-		zap.Bool("named_before", before.Word == upstream.LimitNamed), zap.Float64("per_second_before", before.PerSecond),
+		zap.String("upstream", string(k.Instance.Upstream)), zap.Int64("born", k.Instance.Incarnation), zap.Uint64("version", k.Version),
+		zap.Bool("named", k.Limit.Statement == upstream.LimitStated), zap.Float64("per_second", k.Limit.PerSecond),
+		zap.Bool("named_before", before.Statement == upstream.LimitStated), zap.Float64("per_second_before", before.PerSecond),
 	}, source...)...)
 }
 
 // recordLimitClaim records whether selecting the upstream took from this VM's share of its
 // rate limit. The caller holds mu.
-func (r *Relay) recordLimitClaim(j *job, l contract.Life) {
-	j.limitClaimed = r.table.Limited(l)
+func (r *Relay) recordLimitClaim(j *job, l contract.UpstreamInstance) {
+	j.limitClaimed = r.table.HasLimit(l)
 	if j.limitClaimed {
 		r.Metrics.sendsToLimited.Inc(1)
 	}
@@ -74,10 +74,10 @@
 // claimLimit reports whether the upstream's rate limit allows the request: either it took from
 // this VM's share when the upstream was selected, or it does so now. The caller holds mu.
 func (r *Relay) claimLimit(j *job, e upstream.Entry) bool {
-	if j.limitClaimed || !r.table.Limited(e.Life()) {
+	if j.limitClaimed || !r.table.HasLimit(e.Instance()) {
 		return true
 	}
-	j.limitClaimed = r.table.Claim(e.Life(), r.opts.Now())
+	j.limitClaimed = r.table.ClaimShare(e.Instance(), r.opts.Now())
 	return j.limitClaimed
 }
 
@@ -87,11 +87,11 @@
 		return
 	}
 	j.limitClaimed = false
-	r.withLock(func() { r.table.GiveBack(j.lastUpstream.Life(), r.opts.Now()) })
+	r.withLock(func() { r.table.ReleaseShare(j.lastUpstream.Instance(), r.opts.Now()) })
 }
 
-// Limited returns how many of the listed upstreams have a rate limit in force.
-func (r *Relay) Limited() int {
+// CountLimited returns how many of the listed upstreams have a rate limit in force.
+func (r *Relay) CountLimited() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.table.CountLimited()
--- a/relay/limits_test.go
+++ b/relay/limits_test.go
@@ -13,16 +13,16 @@
 	"woaddoor/upstream"
 )
 
-func headWithLimit(perSecond float64) *Head {
-	return &Head{Status: http.StatusOK, Said: upstream.Said{Limit: upstream.Limit{Word: upstream.LimitNamed, PerSecond: perSecond}}}
+func headWithLimit(perSecond float64) *ResponseHead {
+	return &ResponseHead{Status: http.StatusOK, Notices: upstream.Notices{Limit: upstream.RateLimit{Statement: upstream.LimitStated, PerSecond: perSecond}}}
 }
 
 // newLimitedRelay returns a relay with one upstream that announced a rate limit a minute ago.
 func newLimitedRelay(t *testing.T, perSecond float64) (*Relay, *time.Time, upstream.Entry) {
 	t.Helper()
-	r, now, e, _ := newUpstreamRelay(t, upstream.Said{}, 0)
+	r, now, e, _ := newUpstreamRelay(t, upstream.Notices{}, 0)
 	r.opts.DataCentre = e.DataCentre
-	r.Level()
+	r.Refresh()
 	j := newSafeJob(*now)
 	j.sentAt = *now
 	r.recordNotices(j, headWithLimit(perSecond), e)
@@ -43,8 +43,8 @@
 			served++
 			continue
 		}
-		is.Equal(refused.Kind, contract.RefusedAtLimit)
-		is.Equal(refused.Outcome, contract.NotRun)
+		is.Equal(refused.Kind, contract.RefusedUpstreamsAtLimit)
+		is.Equal(refused.Outcome, contract.OutcomeNotRun)
 		is.True(refused.RetryAfter > 0 && refused.RetryAfter <= maxRetrySpread)
 		times[refused.RetryAfter] = true
 	}
@@ -75,9 +75,9 @@
 // within a rate limit that its upstream announces in the meantime.
 func TestLimitNamedWhileConnecting(t *testing.T) {
 	is := is.New(t)
-	r, now, e, u := newUpstreamRelay(t, upstream.Said{}, 0)
+	r, now, e, u := newUpstreamRelay(t, upstream.Notices{}, 0)
 	r.opts.DataCentre = e.DataCentre
-	r.Level()
+	r.Refresh()
 	early := newSafeJob(*now)
 	_, refused := r.selectUpstream(early)
 	is.True(refused == nil)
@@ -98,13 +98,13 @@
 // different incarnation of an upstream is not applied to the listed one.
 func TestLimitOfOtherIncarnationIgnored(t *testing.T) {
 	is := is.New(t)
-	r, _, e, _ := newUpstreamRelay(t, upstream.Said{}, 0)
-	known := upstream.LimitKnown{Life: contract.Life{Upstream: e.ID, Born: e.Born + 1}, Limit: upstream.Limit{Word: upstream.LimitNamed}, Version: 1}
-	r.HearLimits([]upstream.LimitKnown{known}, true, "vm2")
-	is.Equal(r.Limited(), 0)
-	known.Life.Born = e.Born
-	r.HearLimits([]upstream.LimitKnown{known}, true, "vm2")
-	is.Equal(r.Limited(), 1)
+	r, _, e, _ := newUpstreamRelay(t, upstream.Notices{}, 0)
+	known := upstream.LimitUpdate{Instance: contract.UpstreamInstance{Upstream: e.ID, Incarnation: e.Incarnation + 1}, Limit: upstream.RateLimit{Statement: upstream.LimitStated}, Version: 1}
+	r.MergeLimits([]upstream.LimitUpdate{known}, true, "vm2")
+	is.Equal(r.CountLimited(), 0)
+	known.Instance.Incarnation = e.Incarnation
+	r.MergeLimits([]upstream.LimitUpdate{known}, true, "vm2")
+	is.Equal(r.CountLimited(), 1)
 }
 
 // TestNoEscalationWhileRefusedCallersWait checks that a poor answer is kept while refused
@@ -112,11 +112,11 @@
 // answer would displace one of their requests.
 func TestNoEscalationWhileRefusedCallersWait(t *testing.T) {
 	is := is.New(t)
-	poor := &Head{Confidence: 0.1}
+	poor := &ResponseHead{Confidence: 0.1}
 	r := newTestRelay()
 	u := upstream.Entry{ID: "u", Service: "s", Slots: 8}
 	r.SetUpstreams([]upstream.Entry{u}, nil)
-	r.Level()
+	r.Refresh()
 	j := newStreamJob(true)
 	j.service, j.relativeValue = "s", 1
 	escalates := func() bool {
@@ -125,10 +125,10 @@
 	}
 	now := r.opts.Now()
 	before := now.Add(-time.Minute)
-	r.table.TakeLimit(u.Life(), upstream.Limit{Word: upstream.LimitNamed, PerSecond: 1000}, before, before)
+	r.table.ApplyLimitAnswer(u.Instance(), upstream.RateLimit{Statement: upstream.LimitStated, PerSecond: 1000}, before, before)
 	is.True(escalates())
-	r.retrySchedule("s").Next(1, maxRetrySpread, 0, now)
+	r.retrySchedule("s").NextDelay(1, maxRetrySpread, 0, now)
 	is.True(!escalates())
-	r.table.TakeLimit(u.Life(), upstream.Limit{Word: upstream.LimitNone}, now, now)
+	r.table.ApplyLimitAnswer(u.Instance(), upstream.RateLimit{Statement: upstream.LimitNone}, now, now)
 	is.True(escalates()) // without a limit, waiting callers no longer matter
 }
--- a/relay/log.go
+++ b/relay/log.go
@@ -29,10 +29,10 @@
 	if !j.firstAnswerAt.IsZero() {
 		fields = append(fields, zap.Int64("first_ms", j.firstAnswerAt.Sub(j.Arrived).Milliseconds()))
 	}
-	if end == Refused || end == Cut {
+	if end == Refused || end == StreamCut {
 		fields = append(fields, r.decisionContext(j)...)
 	}
-	if refusal != nil && refusal.Kind == contract.RefusedHeld {
+	if refusal != nil && refusal.Kind == contract.RefusedQuarantined {
 		fields = append(fields, zap.Stringer("print", j.contentPrint()))
 	}
 	if refusal != nil {
@@ -43,9 +43,9 @@
 		r.log.Info("delivered", fields...)
 	case Refused:
 		r.log.Warn("refused", fields...)
-	case Cut:
+	case StreamCut:
 		r.log.Warn("cut", fields...)
-	case Gone:
+	case CallerGone:
 		r.log.Info("caller-gone", fields...)
 	}
 }
@@ -58,7 +58,7 @@
 		fields = append(fields, zap.Int64("list_age_ms", r.opts.ListAge().Milliseconds()))
 	}
 	r.withLock(func() {
-		if resting, leaving := r.table.Resting(r.opts.Now()); resting+leaving > 0 {
+		if resting, leaving := r.table.CountBackedOff(r.opts.Now()); resting+leaving > 0 {
 			fields = append(fields, zap.Int("upstreams_resting", resting), zap.Int("upstreams_say_leaving", leaving))
 		}
 		if limited := r.table.CountLimited(); limited > 0 {
@@ -71,8 +71,8 @@
 			}
 			fields = append(fields, zap.Strings("evacuated", centres))
 		}
-		fields = append(fields, zap.Int("upstreams", len(r.entries)), zap.Int("upstreams_cold", r.table.Cold(r.opts.Now())), zap.Int("vms", r.opts.VMs()),
-			zap.Float64("budget_left", roundToHundredths(r.retryBudget(j.service).Left(r.opts.VMs(), r.opts.Now()))))
+		fields = append(fields, zap.Int("upstreams", len(r.entries)), zap.Int("upstreams_cold", r.table.CountCold(r.opts.Now())), zap.Int("vms", r.opts.VMs()),
+			zap.Float64("budget_left", roundToHundredths(r.retryBudget(j.service).UnusedShare(r.opts.VMs(), r.opts.Now()))))
 	})
 	return fields
 }
@@ -81,11 +81,11 @@
 
 // logFirstToken logs the estimates for an attempt at a prompt beside the measured time to the
 // first answer. The caller holds mu.
-func (r *Relay) logFirstToken(j *job, h *Head) {
+func (r *Relay) logFirstToken(j *job, h *ResponseHead) {
 	pending := j.pending
 	r.log.Info("attempt", zap.String("request", string(j.ID)), zap.String("upstream", string(pending.upstream)), zap.String("model", string(j.model)), zap.String("why", j.modelReason),
-		zap.Int("prompt", j.PromptTokens), zap.Int("shared", pending.work.Prompt.Shared()), zap.Int("kept", pending.estimate.Kept),
-		zap.Int64("wait_ms", pending.estimate.Wait.Milliseconds()), zap.Int64("read_ms", pending.estimate.Reading.Milliseconds()),
+		zap.Int("prompt", j.PromptTokens), zap.Int("shared", pending.work.Prompt.SharedTokens()), zap.Int("kept", pending.estimate.CachedTokens),
+		zap.Int64("wait_ms", pending.estimate.Wait.Milliseconds()), zap.Int64("read_ms", pending.estimate.Prefill.Milliseconds()),
 		zap.Int64("first_ms", r.opts.Now().Sub(pending.sentAt).Milliseconds()), zap.Float64("confidence", h.Confidence))
 }
 
@@ -101,7 +101,7 @@
 
 // logBadRelease logs that this VM found a release to be bad.
 func (r *Relay) logBadRelease(c *rollout.Canary) {
-	trial, others := c.Counts()
+	trial, others := c.LocalCounts()
 	o := c.Order()
 	r.log.Warn("release-bad", zap.String("service", string(o.Service)), zap.String("release", o.Release),
 		zap.Int64("trial_bad", trial.Bad), zap.Int64("trial_good", trial.Good),
--- a/relay/metrics.go
+++ b/relay/metrics.go
@@ -87,7 +87,7 @@
 	m.promptWait.Update(e.Wait.Milliseconds())
 	m.prefillPrice.Update(int64(1000 * price))
 	m.promptTokens.Inc(int64(w.Prompt.Tokens))
-	m.cachedTokens.Inc(int64(e.Kept))
+	m.cachedTokens.Inc(int64(e.CachedTokens))
 	metrics.GetOrRegisterCounter("prompts_"+string(w.Prompt.Model)+"_total", m.Registry).Inc(1)
 }
 
@@ -104,9 +104,9 @@
 	case Refused:
 		m.refused.Inc(1)
 		metrics.GetOrRegisterCounter("refusals_"+string(refusal.Kind)+"_total", m.Registry).Inc(1)
-	case Cut:
+	case StreamCut:
 		m.streamsCut.Inc(1)
-	case Gone:
+	case CallerGone:
 		m.callersGone.Inc(1)
 	}
 }
--- a/relay/models.go
+++ b/relay/models.go
@@ -24,7 +24,7 @@
 // modelOption is a model that could answer a job, with its expected cost, quality and latency.
 type modelOption struct {
 	model contract.ModelID
-	cascade.Option
+	cascade.ModelOption
 	// timeToFirst is the expected time from the send to the first part of the answer.
 	// queueWait is the part of that time for which the prompt is queued.
 	timeToFirst, queueWait time.Duration
@@ -60,12 +60,12 @@
 
 // explorationModel occasionally returns a model of which few answers are known.
 func (r *Relay) explorationModel(j *job, models []contract.ModelID) (contract.ModelID, bool) {
-	if len(models) < 3 || !r.opts.Policy.Has(upstream.Untried) || r.random.Float64() >= explorationShare {
+	if len(models) < 3 || !r.opts.Policy.Has(upstream.Exploration) || r.random.Float64() >= explorationShare {
 		return "", false
 	}
 	largest := models[len(models)-1]
 	for _, m := range models[1 : len(models)-1] {
-		if r.confidences.Seen(m) < explorationSamples && r.confidences.Seen(largest) >= explorationSamples {
+		if r.confidences.Samples(m) < explorationSamples && r.confidences.Samples(largest) >= explorationSamples {
 			return m, true
 		}
 	}
@@ -77,10 +77,10 @@
 func (r *Relay) bestFirstModel(j *job, options []modelOption, now time.Time) (contract.ModelID, string) {
 	mayEscalate := j.mayDiscardAnswer() && r.opts.Policy.Has(upstream.Escalation) // an answer can be discarded for one of a larger model
 	resendPrice := r.resendPrice(j, now)
-	model, reason, bestValue := options[0].model, reasonAlone, options[0].Alone()
+	model, reason, bestValue := options[0].model, reasonAlone, options[0].Value()
 	for i, option := range options {
 		mayAnswerAlone := i < len(options)-1 || !mayEscalate || r.opts.Policy.Has(upstream.LargestAlone)
-		if value := option.Alone(); value > bestValue && mayAnswerAlone {
+		if value := option.Value(); value > bestValue && mayAnswerAlone {
 			model, reason, bestValue = option.model, reasonAlone, value
 		}
 		if !mayEscalate || i == len(options)-1 {
@@ -88,8 +88,8 @@
 		}
 		for _, larger := range options[i+1:] {
 			second := larger.afterDelay(j, option.timeToFirst, now)
-			second.Price += resendPrice
-			if value := option.Then(second); value > bestValue {
+			second.QueueCost += resendPrice
+			if value := option.ValueWithEscalation(second); value > bestValue {
 				model, reason, bestValue = option.model, reasonThenLarger, value
 			}
 		}
@@ -101,10 +101,10 @@
 // then cannot use. While callers that were refused at the upstreams' rate limits wait to
 // retry, the send displaces one of theirs. The caller holds mu.
 func (r *Relay) resendPrice(j *job, now time.Time) float64 {
-	if r.table.CountLimited() > 0 && r.retrySchedule(j.service).Awaited(now) {
+	if r.table.CountLimited() > 0 && r.retrySchedule(j.service).Pending(now) {
 		return 1 / j.relativeValue
 	}
-	return cascade.RepeatPrice(r.retryBudget(j.service).Used(retry.ForEscalation, r.opts.VMs(), now), r.opts.RepeatPrice)
+	return cascade.EscalationPrice(r.retryBudget(j.service).UsedShare(retry.ForEscalation, r.opts.VMs(), now), r.opts.MaxEscalationPrice)
 }
 
 // mayDiscardAnswer reports whether an answer to the request may be discarded for another.
@@ -141,22 +141,22 @@
 	largest := models[len(models)-1]
 	out := make([]modelOption, len(models))
 	for i, m := range models {
-		option := modelOption{model: m, Option: cascade.Option{Good: r.confidences.Good(m, largest), Cost: r.costToValue(j) * r.relativeCost(j, i)}}
+		option := modelOption{model: m, ModelOption: cascade.ModelOption{GoodProbability: r.confidences.GoodShare(m, largest), Cost: r.costToValue(j) * r.relativeCost(j, i)}}
 		if estimate, ok := r.estimateModel(j, m, now); ok {
-			option.timeToFirst, option.queueWait, option.Price, option.available = estimate.First(), estimate.Wait, r.table.Price(estimate)/j.relativeValue, true
+			option.timeToFirst, option.queueWait, option.QueueCost, option.available = estimate.TimeToFirstToken(), estimate.Wait, r.table.PrefillPrice(estimate)/j.relativeValue, true
 		}
-		option.Option = option.afterDelay(j, 0, now)
+		option.ModelOption = option.afterDelay(j, 0, now)
 		out[i] = option
 	}
 	return out
 }
 
 // afterDelay returns the option as expected if the request is sent after a delay.
-func (o modelOption) afterDelay(j *job, delay time.Duration, now time.Time) cascade.Option {
+func (o modelOption) afterDelay(j *job, delay time.Duration, now time.Time) cascade.ModelOption {
 	begins := now.Add(delay + o.timeToFirst)
-	expected := o.Option
-	expected.Never = begins.After(j.Deadline)
-	expected.Late = upstream.LateRisk(upstream.ObjectivePart(begins.Sub(j.Arrived), j.Route.Objective))
+	expected := o.ModelOption
+	expected.MissesDeadline = begins.After(j.Deadline)
+	expected.LateProbability = upstream.LateRisk(upstream.ObjectiveFraction(begins.Sub(j.Arrived), j.Route.Objective))
 	return expected
 }
 
@@ -194,7 +194,7 @@
 	candidate := *j
 	candidate.model = m
 	for _, pools := range r.eligiblePools(&candidate, now) {
-		if e, ok := r.table.Best(r.upstreamQuery(&candidate, pools, now), now, r.random); ok {
+		if e, ok := r.table.EstimateBest(r.upstreamQuery(&candidate, pools, now), now, r.random); ok {
 			return e, true
 		}
 	}
@@ -203,7 +203,7 @@
 
 // decideEscalation decides whether to discard the answer that begins with a head and to ask a
 // larger model instead. It returns that model and takes the extra send from the retry budget.
-func (r *Relay) decideEscalation(j *job, h *Head) (contract.ModelID, bool) {
+func (r *Relay) decideEscalation(j *job, h *ResponseHead) (contract.ModelID, bool) {
 	models := j.Route.Models
 	if !j.ChooseModel || len(models) == 0 {
 		return "", false
@@ -233,7 +233,7 @@
 
 // escalationModel returns the larger model for which it is worth discarding the answer, or ""
 // if there is none. The caller holds mu.
-func (r *Relay) escalationModel(j *job, h *Head, now time.Time) contract.ModelID {
+func (r *Relay) escalationModel(j *job, h *ResponseHead, now time.Time) contract.ModelID {
 	options := r.modelOptions(j, now)
 	current := 0
 	for i, option := range options {
@@ -242,20 +242,20 @@
 		}
 	}
 	largest := options[len(options)-1].model
-	good := r.confidences.GoodAt(j.model, largest, h.Confidence)
-	answer := options[current].Option
-	answer.Late = 0
+	good := r.confidences.GoodProbability(j.model, largest, h.Confidence)
+	answer := options[current].ModelOption
+	answer.LateProbability = 0
 	if now.Sub(j.Arrived) > j.Route.Objective {
-		answer.Late = 1
+		answer.LateProbability = 1
 	}
-	model, bestValue := contract.ModelID(""), answer.Kept(good)
+	model, bestValue := contract.ModelID(""), answer.ValueKept(good)
 	resendPrice := r.resendPrice(j, now)
 	for _, option := range options[current+1:] {
 		if !option.available {
 			continue // keep the answer if no upstream accepts a request for the larger model
 		}
-		option.Price += resendPrice
-		if value := option.After(answer, good); value > bestValue {
+		option.QueueCost += resendPrice
+		if value := option.ValueOfEscalation(answer, good); value > bestValue {
 			model, bestValue = option.model, value
 		}
 	}
@@ -268,7 +268,7 @@
 	r.recordAttemptEnd(j, a.entry, upstream.Abandoned, 0)
 	r.observeRelease(j, a, false)
 	j.sends++
-	j.outcome = contract.Ran
+	j.outcome = contract.OutcomeRan
 	j.model, j.modelReason = larger, reasonEscalation
 	j.escalated, j.discardedConfidence = true, a.head.Confidence
 	r.log.Info("given-up", zap.String("request", string(j.ID)), zap.String("upstream", string(a.entry.ID)), zap.String("for", string(larger)),
--- a/relay/notices.go
+++ b/relay/notices.go
@@ -12,55 +12,55 @@
 
 // recordNotices records the notices in the head of an answer, even if the answer is not
 // delivered.
-func (r *Relay) recordNotices(j *job, h *Head, e upstream.Entry) {
-	if h.Unread != nil {
-		r.log.Warn("word-not-understood", zap.String("upstream", string(e.ID)), zap.String("request", string(j.ID)), zap.Int("status", h.Status), zap.Error(h.Unread))
+func (r *Relay) recordNotices(j *job, h *ResponseHead, e upstream.Entry) {
+	if h.NoticeError != nil {
+		r.log.Warn("word-not-understood", zap.String("upstream", string(e.ID)), zap.String("request", string(j.ID)), zap.Int("status", h.Status), zap.Error(h.NoticeError))
 	}
-	if h.Said == (upstream.Said{}) {
+	if h.Notices == (upstream.Notices{}) {
 		return // no notices, as in most refusals
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.recordLimit(j, h, e)
-	notices := h.Said
-	notices.Rest = min(notices.Rest, r.opts.LongestRest)
-	changed := r.table.TakeWord(e.Life(), notices, r.opts.Now())
-	if changed == (upstream.Said{}) {
+	notices := h.Notices
+	notices.Backoff = min(notices.Backoff, r.opts.MaxBackoff)
+	changed := r.table.ApplyNotices(e.Instance(), notices, r.opts.Now())
+	if changed == (upstream.Notices{}) {
 		return // nothing new, as in almost every answer
 	}
-	fields := []zap.Field{zap.String("upstream", string(e.ID)), zap.Int64("born", e.Born), zap.String("address", e.Address),
+	fields := []zap.Field{zap.String("upstream", string(e.ID)), zap.Int64("born", e.Incarnation), zap.String("address", e.Address),
 		zap.String("service", string(e.Service)), zap.String("request", string(j.ID)), zap.Int("status", h.Status)}
 	if changed.Leaving {
 		r.Metrics.leaveNotices.Inc(1)
 		r.log.Info("upstream-leaves", append(fields, zap.Bool("listed_leaving", r.entries[e.ID].Leaving))...)
 	}
-	if changed.Rest > 0 {
+	if changed.Backoff > 0 {
 		r.Metrics.backoffNotices.Inc(1)
-		if r.opts.Rest != nil {
-			r.opts.Rest(Rest{e.Life(), changed.Rest})
+		if r.opts.OnBackoff != nil {
+			r.opts.OnBackoff(Backoff{e.Instance(), changed.Backoff})
 		}
-		r.log.Info("upstream-rests", append(fields, zap.Duration("for", changed.Rest), zap.Duration("asked", h.Said.Rest))...)
+		r.log.Info("upstream-rests", append(fields, zap.Duration("for", changed.Backoff), zap.Duration("asked", h.Notices.Backoff))...)
 	}
 }
 
-// Rest is a back-off that an upstream requested from one VM, as reported to other VMs. It
+// Backoff is a back-off that an upstream requested from one VM, as reported to other VMs. It
 // binds only that VM, but shows the others that the upstream may reject their requests too.
-type Rest struct {
-	Life contract.Life `cbor:"1,keyasint"`
-	// Left is the remaining time of the back-off.
-	Left time.Duration `cbor:"2,keyasint"`
+type Backoff struct {
+	Life contract.UpstreamInstance `cbor:"1,keyasint"`
+	// Remaining is the remaining time of the back-off.
+	Remaining time.Duration `cbor:"2,keyasint"`
 }
 
-// HearRests records the back-offs that upstreams have requested from other VMs.
-func (r *Relay) HearRests(rests []Rest) {
-	if len(rests) == 0 || !r.opts.Policy.Has(upstream.Telling) {
+// MergeBackoffs records the back-offs that upstreams have requested from other VMs.
+func (r *Relay) MergeBackoffs(rests []Backoff) {
+	if len(rests) == 0 || !r.opts.Policy.Has(upstream.Gossip) {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, rest := range rests {
-		if r.isCurrent(rest.Life.Upstream, rest.Life.Born) {
-			r.table.RestTold(rest.Life.Upstream, min(rest.Left, r.opts.LongestRest), r.opts.Now())
+		if r.isCurrent(rest.Life.Upstream, rest.Life.Incarnation) {
+			r.table.RecordRemoteBackoff(rest.Life.Upstream, min(rest.Remaining, r.opts.MaxBackoff), r.opts.Now())
 		}
 	}
 }
@@ -75,7 +75,7 @@
 func (r *Relay) checkStillAvailable(j *job, e upstream.Entry) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.table.Takes(e.Life(), r.opts.Now()) && r.claimLimit(j, e) {
+	if r.table.AcceptsWork(e.Instance(), r.opts.Now()) && r.claimLimit(j, e) {
 		return nil
 	}
 	r.Metrics.sendsBlocked.Inc(1)
@@ -85,7 +85,7 @@
 // countUnwantedSend counts a selection of an upstream that has asked for none. The caller
 // holds mu.
 func (r *Relay) countUnwantedSend(id contract.UpstreamID, now time.Time) {
-	resting, leaving := r.table.WordOf(id, now)
+	resting, leaving := r.table.NoticeState(id, now)
 	if resting {
 		r.Metrics.sendsToBackedOff.Inc(1)
 	}
@@ -96,15 +96,15 @@
 
 // logEndedBackoffs logs the back-offs that have ended. The caller holds mu.
 func (r *Relay) logEndedBackoffs(now time.Time) {
-	for _, l := range r.table.RestsEnded(now) {
-		r.log.Info("upstream-rest-ends", zap.String("upstream", string(l.Upstream)), zap.Int64("born", l.Born))
+	for _, l := range r.table.TakeEndedBackoffs(now) {
+		r.log.Info("upstream-rest-ends", zap.String("upstream", string(l.Upstream)), zap.Int64("born", l.Incarnation))
 	}
 }
 
-// Resting returns how many of the listed upstreams have requested a back-off, and how many
+// CountBackedOff returns how many of the listed upstreams have requested a back-off, and how many
 // have announced their shutdown.
-func (r *Relay) Resting() (resting, leaving int) {
+func (r *Relay) CountBackedOff() (resting, leaving int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.table.Resting(r.opts.Now())
+	return r.table.CountBackedOff(r.opts.Now())
 }
--- a/relay/notices_test.go
+++ b/relay/notices_test.go
@@ -20,33 +20,33 @@
 )
 
 // plainDialect sends a fixed request and adds its notices to the head of every answer.
-type plainDialect struct{ notices upstream.Said }
+type plainDialect struct{ notices upstream.Notices }
 
 func (plainDialect) Encode(*Request, Send) *exchange.Request {
 	return &exchange.Request{Method: "GET", URI: "/", Host: "h", Header: http.Header{}}
 }
-func (plainDialect) Belongs(*Request, http.Header) bool { return true }
-func (d plainDialect) Decode(status int, h http.Header) *Head {
-	return &Head{Status: status, Header: h, Sealed: true, Said: d.notices}
+func (plainDialect) Matches(*Request, http.Header) bool { return true }
+func (d plainDialect) Decode(status int, h http.Header) *ResponseHead {
+	return &ResponseHead{Status: status, Header: h, Signed: true, Notices: d.notices}
 }
 
 // newUpstreamRelay returns a relay with a clock that the test controls, and one upstream that
 // answers after a delay.
-func newUpstreamRelay(t *testing.T, notices upstream.Said, delay time.Duration) (*Relay, *time.Time, upstream.Entry, *replica.Replica) {
+func newUpstreamRelay(t *testing.T, notices upstream.Notices, delay time.Duration) (*Relay, *time.Time, upstream.Entry, *replica.Replica) {
 	t.Helper()
 	replicaServer, err := replica.Start("u", func(c *replica.Conn, r *replica.Request) bool {
 		time.Sleep(delay)
-		c.Whole(http.StatusOK, r.ID(), "whole")
+		c.Respond(http.StatusOK, r.ID(), "whole")
 		return true
 	})
 	is.New(t).NoErr(err)
 	t.Cleanup(replicaServer.Close)
 	now := time.Now()
 	r := New(&Options{
-		Dialect: plainDialect{notices}, Log: zap.NewNop(), Now: func() time.Time { return now }, VMs: func() int { return 1 }, Seed: 1,
-		Budget: retry.WindowOptions{Ratio: 1, Slack: 5},
+		Protocol: plainDialect{notices}, Log: zap.NewNop(), Now: func() time.Time { return now }, VMs: func() int { return 1 }, Seed: 1,
+		Budget: retry.ResendWindowOptions{Ratio: 1, Slack: 5},
 	})
-	e := upstream.Entry{ID: "u", Service: "s", Address: replicaServer.Address(), DataCentre: "d", Release: "v1", Slots: 4, Born: 1}
+	e := upstream.Entry{ID: "u", Service: "s", Address: replicaServer.Address(), DataCentre: "d", Release: "v1", Slots: 4, Incarnation: 1}
 	r.SetUpstreams([]upstream.Entry{e}, nil)
 	return r, &now, e, replicaServer
 }
@@ -54,7 +54,7 @@
 func newSafeJob(now time.Time) *job {
 	return &job{
 		Request: &Request{ID: "r1", Route: &route.Route{Name: "r", Kind: route.Safe, MaxAttempts: 3, Objective: time.Second}, Arrived: now, Deadline: now.Add(time.Minute)},
-		service: "s", outcome: contract.NotRun,
+		service: "s", outcome: contract.OutcomeNotRun,
 	}
 }
 
@@ -63,16 +63,16 @@
 // not executed, and may be retried elsewhere without using the retry budget.
 func TestLeavingAnnouncedWhileConnecting(t *testing.T) {
 	is := is.New(t)
-	r, now, e, u := newUpstreamRelay(t, upstream.Said{}, 0)
+	r, now, e, u := newUpstreamRelay(t, upstream.Notices{}, 0)
 	j := newSafeJob(*now)
 	chosen, refused := r.selectUpstream(j)
 	is.True(refused == nil)
 	is.Equal(chosen.ID, e.ID)
-	r.withLock(func() { r.table.TakeWord(e.Life(), upstream.Said{Leaving: true}, *now) })
+	r.withLock(func() { r.table.ApplyNotices(e.Instance(), upstream.Notices{Leaving: true}, *now) })
 	_, err := r.send(context.Background(), j, chosen, nil, time.Minute)
 	is.True(errors.Is(err, errUnavailableMeanwhile))
 	r.recordSendFailure(j, err, *now)
-	is.Equal(j.outcome, contract.NotRun)
+	is.Equal(j.outcome, contract.OutcomeNotRun)
 	is.Equal(j.sends, 0)
 	left := r.BudgetLeft()
 	is.Equal(r.checkRetry(j, true), retry.Reason(""))
@@ -84,29 +84,29 @@
 // answer applies even if the answer is discarded.
 func TestBackoffOfAbandonedAnswerApplies(t *testing.T) {
 	is := is.New(t)
-	r, now, e, _ := newUpstreamRelay(t, upstream.Said{Rest: time.Minute}, 100*time.Millisecond)
+	r, now, e, _ := newUpstreamRelay(t, upstream.Notices{Backoff: time.Minute}, 100*time.Millisecond)
 	j := newSafeJob(*now)
-	r.recordNotices(j, &Head{Said: upstream.Said{Rest: time.Second}}, e)
+	r.recordNotices(j, &ResponseHead{Notices: upstream.Notices{Backoff: time.Second}}, e)
 	_, err := r.send(context.Background(), j, e, nil, time.Minute)
 	is.True(errors.Is(err, errUnavailableMeanwhile))
 	*now = now.Add(time.Second)
 	a, err := r.send(context.Background(), j, e, nil, time.Minute)
 	is.NoErr(err)
 	a.close()
-	resting, _ := r.Resting()
+	resting, _ := r.CountBackedOff()
 	is.Equal(resting, 1)
 	*now = now.Add(59 * time.Second)
-	resting, _ = r.Resting()
+	resting, _ = r.CountBackedOff()
 	is.Equal(resting, 1)
 }
 
 // TestLongestBackoff checks that a back-off of several days is capped at LongestRest.
 func TestLongestBackoff(t *testing.T) {
 	is := is.New(t)
-	r, now, e, _ := newUpstreamRelay(t, upstream.Said{}, 0)
-	r.opts.LongestRest = time.Minute
+	r, now, e, _ := newUpstreamRelay(t, upstream.Notices{}, 0)
+	r.opts.MaxBackoff = time.Minute
 	j := newSafeJob(*now)
-	r.recordNotices(j, &Head{Said: upstream.Said{Rest: 1_000_000 * time.Second}}, e)
+	r.recordNotices(j, &ResponseHead{Notices: upstream.Notices{Backoff: 1_000_000 * time.Second}}, e)
 	_, refused := r.selectUpstream(j)
 	is.True(refused != nil)
 	is.True(refused.RetryAfter >= time.Minute)
@@ -126,10 +126,10 @@
 		bucket   = 100 * time.Millisecond
 	)
 	is := is.New(t)
-	r, _, _, _ := newUpstreamRelay(t, upstream.Said{}, 0)
+	r, _, _, _ := newUpstreamRelay(t, upstream.Notices{}, 0)
 	retries := make(map[time.Duration]int)
 	for at := time.Duration(0); at < backoff; at += interval {
-		after := r.retryAfter("s", upstream.Outlook{Listed: 1, Resting: 1, In: backoff - at, Rest: backoff}, retryAfterListUpdate, r.opts.Now())
+		after := r.retryAfter("s", upstream.Outlook{Listed: 1, Resting: 1, NextBackoffEnd: backoff - at, NextBackoffLength: backoff}, retryAfterListUpdate, r.opts.Now())
 		is.True(at+after >= backoff)
 		retries[(at+after)/bucket]++
 	}
@@ -142,15 +142,15 @@
 // not consume retry budget that other requests may need.
 func TestNoRetryBudgetUsedWithoutUpstream(t *testing.T) {
 	is := is.New(t)
-	r, now, e, _ := newUpstreamRelay(t, upstream.Said{}, 0)
+	r, now, e, _ := newUpstreamRelay(t, upstream.Notices{}, 0)
 	j := newSafeJob(*now)
 	j.lastUpstream = e
-	j.recordFailure(contract.NotRun, true)
-	r.recordNotices(j, &Head{Said: upstream.Said{Rest: time.Second}}, e)
+	j.recordFailure(contract.OutcomeNotRun, true)
+	r.recordNotices(j, &ResponseHead{Notices: upstream.Notices{Backoff: time.Second}}, e)
 	left := r.BudgetLeft()
-	is.Equal(r.checkRetry(j, true), retry.NoOther)
+	is.Equal(r.checkRetry(j, true), retry.NoOtherUpstream)
 	is.Equal(r.BudgetLeft(), left)
-	f := r.refuseAfterFailures(j, retry.NoOther, errNotRun)
+	f := r.refuseAfterFailures(j, retry.NoOtherUpstream, errNotRun)
 	is.True(f.RetryAfter >= time.Second)
 }
 
@@ -159,7 +159,7 @@
 // answer.
 func TestNoEscalationWithoutUpstream(t *testing.T) {
 	is := is.New(t)
-	poor := &Head{Confidence: 0.1, Said: upstream.Said{Leaving: true}}
+	poor := &ResponseHead{Confidence: 0.1, Notices: upstream.Notices{Leaving: true}}
 	r := newTestRelay()
 	u := upstream.Entry{ID: "u", Service: "s", Slots: 8}
 	r.SetUpstreams([]upstream.Entry{u}, nil)
@@ -176,14 +176,14 @@
 // the upstream has restarted since.
 func TestLoadOfEarlierIncarnationIgnored(t *testing.T) {
 	is := is.New(t)
-	r, now, e, _ := newUpstreamRelay(t, upstream.Said{}, 0)
+	r, now, e, _ := newUpstreamRelay(t, upstream.Notices{}, 0)
 	restarted := e
-	restarted.Born++
+	restarted.Incarnation++
 	r.SetUpstreams([]upstream.Entry{restarted}, nil)
 	j := newSafeJob(*now)
-	r.table.Held(time.Second) // so that the wait in a queue is not zero
-	r.withLock(func() { r.recordHead(j, &Head{Status: http.StatusOK, Load: &Load{Running: 500}}, e) })
-	estimate, ok := r.table.Best(upstream.Query{Kind: config.EnginePool, DataCentre: e.DataCentre}, *now, r.random)
+	r.table.RecordDecodeTime(time.Second) // so that the wait in a queue is not zero
+	r.withLock(func() { r.recordHead(j, &ResponseHead{Status: http.StatusOK, Load: &Load{Running: 500}}, e) })
+	estimate, ok := r.table.EstimateBest(upstream.Query{Kind: config.EnginePool, DataCentre: e.DataCentre}, *now, r.random)
 	is.True(ok)
 	is.Equal(estimate.Wait, time.Duration(0))
 }
@@ -192,8 +192,8 @@
 // does not count as a crash caused by its requests.
 func TestPlannedEndIsNoCrash(t *testing.T) {
 	is := is.New(t)
-	r, now, e, _ := newUpstreamRelay(t, upstream.Said{}, 0)
+	r, now, e, _ := newUpstreamRelay(t, upstream.Notices{}, 0)
 	r.withLock(func() { is.True(r.endIsUnplanned(e)) })
-	r.recordNotices(newSafeJob(*now), &Head{Said: upstream.Said{Leaving: true}}, e)
+	r.recordNotices(newSafeJob(*now), &ResponseHead{Notices: upstream.Notices{Leaving: true}}, e)
 	r.withLock(func() { is.True(!r.endIsUnplanned(e)) })
 }
--- a/relay/prompt_load.go
+++ b/relay/prompt_load.go
@@ -17,7 +17,7 @@
 	prefillSeconds, prompts float64
 	spanStart               time.Time
 	// rate is the work per second during the last complete span.
-	rate scaling.Work
+	rate scaling.Load
 }
 
 // rotate ends the current span if its time is over.
@@ -26,7 +26,7 @@
 	if passed < promptLoadSpan {
 		return
 	}
-	l.rate = scaling.Work{Reading: l.prefillSeconds / passed.Seconds(), Prompts: l.prompts / passed.Seconds()}
+	l.rate = scaling.Load{Prefill: l.prefillSeconds / passed.Seconds(), PromptRate: l.prompts / passed.Seconds()}
 	l.prefillSeconds, l.prompts, l.spanStart = 0, 0, now
 }
 
@@ -43,20 +43,20 @@
 	load.prompts++
 }
 
-// Work returns the work that this VM sends to the upstreams of each service.
-func (r *Relay) Work() map[contract.ServiceID]scaling.Work {
+// OfferedLoad returns the work that this VM sends to the upstreams of each service.
+func (r *Relay) OfferedLoad() map[contract.ServiceID]scaling.Load {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.opts.Now()
-	work := make(map[contract.ServiceID]scaling.Work)
+	work := make(map[contract.ServiceID]scaling.Load)
 	for s, load := range r.promptLoads {
 		load.rotate(now)
 		work[s] = load.rate
 	}
-	for id, n := range r.table.Busy() {
+	for id, n := range r.table.InFlight() {
 		s := r.entries[id].Service
 		serviceWork := work[s]
-		serviceWork.Places += float64(n)
+		serviceWork.SlotsInUse += float64(n)
 		work[s] = serviceWork
 	}
 	return work
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -23,36 +23,36 @@
 // each attempt, whatever its purpose: a first attempt, a retry, an escalation, or the
 // resumption of a stream. The caller holds mu.
 func (r *Relay) checkQuarantine(j *job, now time.Time) *contract.Refusal {
-	if r.quarantineCases.Empty() || !r.quarantineCases.Bars(j.contentPrint(), now) {
+	if r.quarantineCases.Empty() || !r.quarantineCases.Blocks(j.contentPrint(), now) {
 		return nil
 	}
-	return refuseQuarantined(j, r.quarantineCases.Case(j.contentPrint()))
+	return refuseQuarantined(j, r.quarantineCases.Record(j.contentPrint()))
 }
 
 // risksLastUpstream reports whether a request could crash the last available upstream of its
 // service, because its content has crashed others before. One fewer upstream degrades
 // the service for other requests, but no upstream at all ends it. The caller holds mu.
 func (r *Relay) risksLastUpstream(j *job, id contract.UpstreamID, c candidatePools, now time.Time) bool {
-	if r.quarantineCases.Empty() || r.quarantineCases.Ended(j.contentPrint()) < quarantine.Limit-1 {
+	if r.quarantineCases.Empty() || r.quarantineCases.CrashCount(j.contentPrint()) < quarantine.CrashLimit-1 {
 		return false
 	}
 	excluded := []contract.UpstreamID{id}
-	for _, e := range r.quarantineCases.Case(j.contentPrint()).Ends {
-		if r.isCurrent(e.Upstream, e.Born) { // still in the list although it has crashed
+	for _, e := range r.quarantineCases.Record(j.contentPrint()).Crashes {
+		if r.isCurrent(e.Upstream, e.Incarnation) { // still in the list although it has crashed
 			excluded = append(excluded, e.Upstream)
 		}
 	}
-	return !r.table.Another(r.poolQuery(c, excluded), true, now)
+	return !r.table.HasAlternative(r.poolQuery(c, excluded), true, now)
 }
 
 // recordSuspect records that an upstream crashed while it executed a request, and notifies the
 // other VMs if that is urgent. The caller holds mu.
-func (r *Relay) recordSuspect(l contract.Life, suspect quarantine.Suspect, now time.Time) {
-	about := quarantine.About{Service: suspect.Service, Workspace: suspect.Workspace, Route: suspect.Route, By: r.opts.Self.VM}
-	if !r.quarantineCases.End(suspect.Print, about, quarantine.End{Life: l, Sent: suspect.Sent, Broke: suspect.Broke}, now) {
+func (r *Relay) recordSuspect(l contract.UpstreamInstance, suspect quarantine.SuspectRequest, now time.Time) {
+	about := quarantine.Source{Service: suspect.Service, Workspace: suspect.Workspace, Route: suspect.Route, ObservedBy: r.opts.Self.VM}
+	if !r.quarantineCases.RecordCrash(suspect.Fingerprint, about, quarantine.Crash{UpstreamInstance: l, SentAt: suspect.SentAt, BrokenAt: suspect.BrokenAt}, now) {
 		return
 	}
-	c := r.quarantineCases.Case(suspect.Print)
+	c := r.quarantineCases.Record(suspect.Fingerprint)
 	r.logCase(c, "own")
 	if c.Urgent() {
 		r.notifySuspected()
@@ -68,9 +68,9 @@
 	if r.quarantineCases.Empty() {
 		return
 	}
-	c := r.quarantineCases.Case(j.contentPrint())
+	c := r.quarantineCases.Record(j.contentPrint())
 	urgent := c != nil && c.Urgent()
-	if !r.quarantineCases.Answered(j.contentPrint(), r.opts.Now()) {
+	if !r.quarantineCases.RecordAnswer(j.contentPrint(), r.opts.Now()) {
 		return
 	}
 	r.log.Info("suspect-cleared", zap.String("request", string(j.ID)), zap.Stringer("print", j.contentPrint()), zap.String("upstream", string(j.lastUpstream.ID)))
@@ -81,100 +81,102 @@
 
 // notifySuspected requests that the other VMs be notified at once. The caller holds mu.
 func (r *Relay) notifySuspected() {
-	if r.opts.Suspected != nil {
-		r.opts.Suspected()
+	if r.opts.OnSuspect != nil {
+		r.opts.OnSuspect()
 	}
 }
 
 // logCase logs the state of suspected content. The caller holds mu.
-func (r *Relay) logCase(c *quarantine.Case, reporter string) {
+func (r *Relay) logCase(c *quarantine.Record, reporter string) {
 	event := "suspect"
 	if c.Held {
 		event = "request-held"
 	}
 	var ended []contract.UpstreamID
-	for _, e := range c.Ends {
+	for _, e := range c.Crashes {
 		ended = append(ended, e.Upstream)
 	}
-	r.log.Warn(event, zap.Stringer("print", c.Print), zap.String("route", c.Route), zap.String("workspace", string(c.Workspace)),
-		zap.String("service", string(c.Service)), zap.String("by", reporter), zap.String("first_seen_by", string(c.By)),
+	r.log.Warn(event, zap.Stringer("print", c.Fingerprint), zap.String("route", c.Route), zap.String("workspace", string(c.Workspace)),
+		zap.String("service", string(c.Service)), zap.String("by", reporter), zap.String("first_seen_by", string(c.ObservedBy)),
 		zap.Strings("ended", idStrings(ended)), zap.Uint32("epoch", c.Epoch))
 }
 
 // Suspects returns what this VM reports to others about content that crashes upstreams.
-func (r *Relay) Suspects() []quarantine.Told {
+func (r *Relay) Suspects() []quarantine.Update {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.quarantineCases.Told(r.opts.Now())
+	return r.quarantineCases.Updates(r.opts.Now())
 }
 
-// HearSuspects merges another VM's reports about content that crashes upstreams, and reports
+// MergeSuspects merges another VM's reports about content that crashes upstreams, and reports
 // whether any of them must be forwarded at once.
-func (r *Relay) HearSuspects(told []quarantine.Told, from contract.VMID) (urgent bool) {
+func (r *Relay) MergeSuspects(told []quarantine.Update, from contract.VMID) (urgent bool) {
 	if len(told) == 0 {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, c := range r.quarantineCases.Hear(told, r.opts.Now()) {
+	for _, c := range r.quarantineCases.Merge(told, r.opts.Now()) {
 		r.logCase(c, string(from))
 		urgent = urgent || c.Urgent()
 	}
 	return urgent
 }
 
-// SetHeld records that content is marked as quarantined in the store.
-func (r *Relay) SetHeld(h quarantine.Held) {
+// SetQuarantined records that content is marked as quarantined in the store.
+func (r *Relay) SetQuarantined(h quarantine.QuarantinedContent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.quarantineCases.Listed(h, r.opts.Now())
+	r.quarantineCases.SetStored(h, r.opts.Now())
 }
 
-// Released records that content is no longer marked as quarantined in the store since a
+// RemoveQuarantined records that content is no longer marked as quarantined in the store since a
 // revision.
-func (r *Relay) Released(p quarantine.Print, at contract.Revision) {
+func (r *Relay) RemoveQuarantined(p quarantine.Fingerprint, at contract.Revision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.quarantineCases.Unlisted(p, at, r.opts.Now()) {
+	if r.quarantineCases.SetUnstored(p, at, r.opts.Now()) {
 		r.log.Info("request-released", zap.Stringer("print", p), zap.Int64("revision", int64(at)))
 	}
 }
 
-// HeldButFor returns the quarantined content that was known to be in the store but is not in
+// QuarantinedExcept returns the quarantined content that was known to be in the store but is not in
 // the given set.
-func (r *Relay) HeldButFor(stored map[quarantine.Print]bool) []quarantine.Print {
+func (r *Relay) QuarantinedExcept(stored map[quarantine.Fingerprint]bool) []quarantine.Fingerprint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.quarantineCases.ListedButFor(stored)
+	return r.quarantineCases.StoredExcept(stored)
 }
 
 // QuarantineUpdates are the changes to be written to the store's records of quarantined
 // content. Store holds the content to add, Erase the content to remove, and Try the content
 // for which to request a trial.
-type QuarantineUpdates struct{ Store, Erase, Try []quarantine.Held }
+type QuarantineUpdates struct {
+	Add, Remove, Trials []quarantine.QuarantinedContent
+}
 
-// HeldNotes returns the changes that this VM must write to the store now.
-func (r *Relay) HeldNotes() QuarantineUpdates {
+// QuarantineUpdates returns the changes that this VM must write to the store now.
+func (r *Relay) QuarantineUpdates() QuarantineUpdates {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.quarantineCases.Empty() {
 		return QuarantineUpdates{}
 	}
-	return QuarantineUpdates{r.quarantineCases.ToStore(), r.quarantineCases.ToErase(), r.quarantineCases.TrialsWanted()}
+	return QuarantineUpdates{r.quarantineCases.ToStore(), r.quarantineCases.ToDelete(), r.quarantineCases.TrialRequests()}
 }
 
-// Granted records whether the store has granted this VM a trial of quarantined content, that
+// SetTrialGranted records whether the store has granted this VM a trial of quarantined content, that
 // is, one attempt to execute it.
-func (r *Relay) Granted(p quarantine.Print, ok bool) {
+func (r *Relay) SetTrialGranted(p quarantine.Fingerprint, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.quarantineCases.Granted(p, ok, r.opts.Now())
+	r.quarantineCases.TrialDecided(p, ok, r.opts.Now())
 	r.log.Info("held-trial", zap.Stringer("print", p), zap.Bool("granted", ok))
 }
 
-// Held returns how many contents are quarantined.
-func (r *Relay) Held() int {
+// CountQuarantined returns how many contents are quarantined.
+func (r *Relay) CountQuarantined() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.quarantineCases.Held()
+	return r.quarantineCases.CountQuarantined()
 }
--- a/relay/reachability.go
+++ b/relay/reachability.go
@@ -24,13 +24,13 @@
 	isolationDelay = 500 * time.Millisecond
 )
 
-// Reach probes data centres that appear unreachable until ctx ends, so that no request has to
+// ProbeDataCentres probes data centres that appear unreachable until ctx ends, so that no request has to
 // discover their state.
-func (r *Relay) Reach(ctx context.Context) {
+func (r *Relay) ProbeDataCentres(ctx context.Context) {
 	for ctx.Err() == nil {
-		clock.Pause(ctx, probeInterval)
+		clock.Sleep(ctx, probeInterval)
 		var away map[contract.DataCentreID]string
-		r.withLock(func() { away = r.table.Away(r.opts.Now(), r.random) })
+		r.withLock(func() { away = r.table.ProbeTargets(r.opts.Now(), r.random) })
 		for dc, address := range away {
 			go r.probeDataCentre(ctx, dc, address)
 		}
@@ -40,21 +40,21 @@
 
 // probeDataCentre probes a data centre through one of its upstreams.
 func (r *Relay) probeDataCentre(ctx context.Context, dc contract.DataCentreID, address string) {
-	err := exchange.Reach(ctx, address)
-	ok := err == nil || exchange.NothingListens(err)
-	r.withLock(func() { r.table.Reached(dc, ok, r.opts.Now()) })
+	err := exchange.Probe(ctx, address)
+	ok := err == nil || exchange.IsConnectionRefused(err)
+	r.withLock(func() { r.table.RecordDataCentreProbe(dc, ok, r.opts.Now()) })
 	if ok {
 		r.log.Info("data-centre-reached", zap.String("data_centre", string(dc)), zap.String("by", address))
 		return
 	}
-	r.log.Debug("data-centre-away", append(logs.Failure(err), zap.String("data_centre", string(dc)))...)
+	r.log.Debug("data-centre-away", append(logs.ErrorFields(err), zap.String("data_centre", string(dc)))...)
 }
 
 // suspectDataCentre schedules a probe of the data centre of an upstream that has become
 // silent.
 func (r *Relay) suspectDataCentre(e upstream.Entry) {
 	if e.DataCentre != r.opts.DataCentre {
-		r.withLock(func() { r.table.Doubt(e.DataCentre) })
+		r.withLock(func() { r.table.SuspectDataCentre(e.DataCentre) })
 	}
 }
 
@@ -87,9 +87,9 @@
 	return r.table.CutOff(r.opts.DataCentre, r.notEvacuated(poolsExcept(r.poolsByRelease[s], r.rolledBack[s]), 0, now), now)
 }
 
-// CutOff reports whether this VM has been isolated from all upstreams of a service for at
+// Isolated reports whether this VM has been isolated from all upstreams of a service for at
 // least isolationDelay. Callers are better served by a VM that can reach some.
-func (r *Relay) CutOff() bool {
+func (r *Relay) Isolated() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.isolatedSince.IsZero() && r.opts.Now().Sub(r.isolatedSince) >= isolationDelay
--- a/relay/refusals.go
+++ b/relay/refusals.go
@@ -20,12 +20,12 @@
 
 // refuseQuarantined refuses a request whose content has crashed the upstreams that executed
 // it.
-func refuseQuarantined(j *job, c *quarantine.Case) *contract.Refusal {
+func refuseQuarantined(j *job, c *quarantine.Record) *contract.Refusal {
 	f := &contract.Refusal{
-		Kind: contract.RefusedHeld, Outcome: j.outcome, Step: contract.StepPick,
-		Detail: fmt.Sprintf("requests with this content (%s) have crashed %d upstreams one after another and are no longer sent", c.Print, max(len(c.Ends), quarantine.Limit)),
+		Kind: contract.RefusedQuarantined, Outcome: j.outcome, Step: contract.StepPick,
+		Detail: fmt.Sprintf("requests with this content (%s) have crashed %d upstreams one after another and are no longer sent", c.Fingerprint, max(len(c.Crashes), quarantine.CrashLimit)),
 	}
-	return f.WithRetryAfter(quarantine.ComeBack)
+	return f.WithRetryAfter(quarantine.RetryAfter)
 }
 
 // retryAfterRestart is the approximate time in which a crashed upstream restarts.
@@ -35,7 +35,7 @@
 // service.
 func refuseLastUpstream(j *job) *contract.Refusal {
 	f := &contract.Refusal{
-		Kind: contract.RefusedHeld, Outcome: j.outcome, Step: contract.StepPick,
+		Kind: contract.RefusedQuarantined, Outcome: j.outcome, Step: contract.StepPick,
 		Detail: "requests with this content have crashed upstreams, and only one available upstream is left",
 	}
 	return f.WithRetryAfter(retryAfterRestart)
@@ -53,7 +53,7 @@
 // change of the configuration or of the deployment can help.
 func refuseRegion(j *job) *contract.Refusal {
 	f := &contract.Refusal{
-		Kind: contract.RefusedRegion, Outcome: j.outcome, Step: contract.StepPick,
+		Kind: contract.RefusedRegionNotAllowed, Outcome: j.outcome, Step: contract.StepPick,
 		Detail: fmt.Sprintf("the service has no upstream in the allowed regions: route %v, workspace %v", j.Route.Regions, j.Regions),
 	}
 	return f.WithRetryAfter(retryAfterRegion)
@@ -78,11 +78,11 @@
 			o.Listed, o.Resting, o.Leaving, o.AtLimit, o.PerSecond),
 	}
 	switch {
-	case o.Closed() && o.AtLimit > 0:
-		f.Kind = contract.RefusedAtLimit
-	case o.Closed():
-		f.Kind = contract.RefusedResting
-		f.Detail += fmt.Sprintf(", the first back-off ends in %v", o.In.Round(time.Millisecond))
+	case o.NoneAccepting() && o.AtLimit > 0:
+		f.Kind = contract.RefusedUpstreamsAtLimit
+	case o.NoneAccepting():
+		f.Kind = contract.RefusedUpstreamsBackedOff
+		f.Detail += fmt.Sprintf(", the first back-off ends in %v", o.NextBackoffEnd.Round(time.Millisecond))
 	}
 	return f.WithRetryAfter(r.retryAfter(j.service, o, retryAfterListUpdate, now))
 }
@@ -92,20 +92,20 @@
 // period ends, spread over a period as long as the back-off itself, up to maxRetrySpread.
 // Retries then arrive no faster than new requests. The caller holds mu.
 func (r *Relay) retryAfter(s contract.ServiceID, o upstream.Outlook, defaultDelay time.Duration, now time.Time) time.Duration {
-	if !o.Closed() {
+	if !o.NoneAccepting() {
 		return defaultDelay
 	}
 	if o.AtLimit > 0 {
 		return r.retryAfterAtLimit(s, o, now)
 	}
-	return o.In + time.Duration(r.random.Float64()*float64(min(o.Rest, maxRetrySpread)))
+	return o.NextBackoffEnd + time.Duration(r.random.Float64()*float64(min(o.NextBackoffLength, maxRetrySpread)))
 }
 
 // retryAfterAtLimit returns the delay before a retry at upstreams that have reached their rate
 // limits. Each VM schedules the retries of its callers at its share of these limits. The
 // caller holds mu.
 func (r *Relay) retryAfterAtLimit(s contract.ServiceID, o upstream.Outlook, now time.Time) time.Duration {
-	return r.retrySchedule(s).Next(o.PerSecond/float64(max(r.opts.VMs(), 1)), maxRetrySpread, r.random.Float64(), now)
+	return r.retrySchedule(s).NextDelay(o.PerSecond/float64(max(r.opts.VMs(), 1)), maxRetrySpread, r.random.Float64(), now)
 }
 
 // maxRetrySpread limits the period over which retries after a back-off are spread. A longer
@@ -114,10 +114,10 @@
 
 // retrySchedule returns the schedule of retries by refused callers of a service. The caller
 // holds mu.
-func (r *Relay) retrySchedule(s contract.ServiceID) *retry.Returns {
+func (r *Relay) retrySchedule(s contract.ServiceID) *retry.RetryScheduler {
 	schedule, ok := r.retrySchedules[s]
 	if !ok {
-		schedule = &retry.Returns{}
+		schedule = &retry.RetryScheduler{}
 		r.retrySchedules[s] = schedule
 	}
 	return schedule
@@ -127,7 +127,7 @@
 // prefill.
 func refuseLongQueue(j *job, retryAfter time.Duration) *contract.Refusal {
 	f := &contract.Refusal{
-		Kind: contract.RefusedLimit, Outcome: contract.NotRun, Step: contract.StepPick,
+		Kind: contract.RefusedLimitReached, Outcome: contract.OutcomeNotRun, Step: contract.StepPick,
 		Detail: "no model can begin an answer before the deadline: the queues at the engines are too long",
 	}
 	return f.WithRetryAfter(max(retryAfter, retryAfterBusy))
@@ -136,11 +136,11 @@
 // refuseAfterFailures refuses a request after failed attempts.
 func (r *Relay) refuseAfterFailures(j *job, reason retry.Reason, err error) *contract.Refusal {
 	f := &contract.Refusal{
-		Kind: contract.RefusedUpstream, Outcome: j.outcome, Step: contract.StepSend, Peer: string(j.lastUpstream.ID),
+		Kind: contract.RefusedUpstreamFailed, Outcome: j.outcome, Step: contract.StepSend, Peer: string(j.lastUpstream.ID),
 		Detail: fmt.Sprintf("%v; not tried again: %s", err, reason),
 	}
-	if j.outcome == contract.NotRun {
-		f.Kind = contract.RefusedLimit
+	if j.outcome == contract.OutcomeNotRun {
+		f.Kind = contract.RefusedLimitReached
 	}
 	r.withLock(func() {
 		now := r.opts.Now()
@@ -152,7 +152,7 @@
 // refuseDeadline refuses a request whose deadline has passed.
 func refuseDeadline(j *job) *contract.Refusal {
 	return &contract.Refusal{
-		Kind: contract.RefusedDeadline, Outcome: j.outcome, Step: contract.StepAnswer, Peer: string(j.lastUpstream.ID),
+		Kind: contract.RefusedDeadlinePassed, Outcome: j.outcome, Step: contract.StepAnswer, Peer: string(j.lastUpstream.ID),
 		Detail: "the deadline or the route's timeout passed before the answer arrived",
 	}
 }
--- a/relay/regions_test.go
+++ b/relay/regions_test.go
@@ -26,7 +26,7 @@
 func newRegionalRelay(dc contract.DataCentreID, seed uint64, entries []upstream.Entry) *Relay {
 	r := New(&Options{
 		Log: zap.NewNop(), Now: time.Now, VMs: func() int { return 1 }, Seed: seed, DataCentre: dc, Regions: testRegions,
-		Budget: retry.WindowOptions{Ratio: 1, Slack: 1000},
+		Budget: retry.ResendWindowOptions{Ratio: 1, Slack: 1000},
 	})
 	r.SetUpstreams(entries, nil)
 	return r
@@ -48,7 +48,7 @@
 		r := newRegionalRelay(rapid.SampledFrom(testCentres).Draw(t, "own data centre"), rapid.Uint64Min(1).Draw(t, "seed"), entries)
 		if rapid.Bool().Draw(t, "on trial") {
 			now := time.Now()
-			r.SetOrder(rollout.Order{Service: "s", Release: "v2", Length: 10 * time.Second, Issued: now.Add(-time.Duration(rapid.IntRange(0, 10).Draw(t, "age")) * time.Second), Name: "s", Revision: 1})
+			r.SetOrder(rollout.ReleaseOrder{Service: "s", Release: "v2", Duration: 10 * time.Second, IssuedAt: now.Add(-time.Duration(rapid.IntRange(0, 10).Draw(t, "age")) * time.Second), Name: "s", Revision: 1})
 		}
 		if rapid.Bool().Draw(t, "evacuated") {
 			r.SetEvacuated([]contract.DataCentreID{rapid.SampledFrom(testCentres).Draw(t, "evacuated data centre")})
@@ -67,7 +67,7 @@
 				if len(j.Route.Regions) > 0 && !slices.Contains(j.Route.Regions, region) || len(j.Regions) > 0 && !slices.Contains(j.Regions, region) {
 					t.Fatalf("selected %s in data centre %s, but the route allows %v and the workspace %v", e.ID, e.DataCentre, j.Route.Regions, j.Regions)
 				}
-				r.table.Done(e.ID, rapid.SampledFrom([]upstream.Result{upstream.Failed, upstream.Down, upstream.TurnedAway}).Draw(t, "result"), 0, time.Now())
+				r.table.RecordDone(e.ID, rapid.SampledFrom([]upstream.Result{upstream.Failed, upstream.ConnectionRefused, upstream.Rejected}).Draw(t, "result"), 0, time.Now())
 				j.failures++
 				j.exclude = append(j.exclude, e.ID)
 			}
@@ -85,12 +85,12 @@
 	is := is.New(t)
 	r := newRegionalRelay("a1", 1, []upstream.Entry{{ID: "u", Service: "s", Slots: 4, DataCentre: "b1"}})
 	j := newStreamJob(true)
-	j.service, j.outcome = "s", contract.NotRun
+	j.service, j.outcome = "s", contract.OutcomeNotRun
 	j.Regions = []string{"a"}
 	_, refused := r.selectUpstream(j)
 	is.True(refused != nil)
-	is.Equal(refused.Kind, contract.RefusedRegion)
-	is.Equal(refused.Outcome, contract.NotRun)
+	is.Equal(refused.Kind, contract.RefusedRegionNotAllowed)
+	is.Equal(refused.Outcome, contract.OutcomeNotRun)
 
 	j.Regions = nil
 	e, refused := r.selectUpstream(j)
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -21,7 +21,7 @@
 
 // Options configures a Relay.
 type Options struct {
-	Dialect    Dialect
+	Protocol   UpstreamProtocol
 	DataCentre contract.DataCentreID
 	// Regions maps each data centre to its region.
 	Regions map[contract.DataCentreID]string
@@ -31,7 +31,7 @@
 	Log  *zap.Logger
 	Now  func() time.Time
 	// Budget limits retries and escalations.
-	Budget retry.WindowOptions
+	Budget retry.ResendWindowOptions
 	// VMs returns how many VMs share the retry budget and the upstreams' connection limits.
 	VMs func() int
 	// Policy holds the decision mechanisms that are disabled.
@@ -39,54 +39,54 @@
 	// CanaryShare is the largest share of a service's requests that a bad release may receive
 	// over the whole rollout order.
 	CanaryShare float64
-	// BadAnswer is called at each bad answer of a canary release, so that the other VMs are
+	// OnBadAnswer is called at each bad answer of a canary release, so that the other VMs are
 	// notified at once. It must not block. May be nil.
-	BadAnswer func()
-	// Suspected is called when the other VMs must be notified at once of content that is
+	OnBadAnswer func()
+	// OnSuspect is called when the other VMs must be notified at once of content that is
 	// suspected of crashing upstreams. It must not block. May be nil.
-	Suspected func()
+	OnSuspect func()
 	// ListAge returns the age of the upstream list that was last read from the store. May be
 	// nil.
 	ListAge func() time.Duration
-	// Sent is called with each prompt that is sent to an upstream and whose prefill is long
+	// OnSent is called with each prompt that is sent to an upstream and whose prefill is long
 	// enough to report to other VMs. It must not block. May be nil.
-	Sent func(Sent)
-	// Group returns the group of upstreams to which other VMs report their sends. Nil means
+	OnSent func(SentPrompt)
+	// GossipScope returns the group of upstreams to which other VMs report their sends. Nil means
 	// that none are reported.
-	Group func() upstream.Group
-	// Evacuation is the time after which the upstreams of an evacuated data centre must
+	GossipScope func() upstream.GossipScope
+	// EvacuationBound is the time after which the upstreams of an evacuated data centre must
 	// receive no more requests; zero means that there is no bound.
-	Evacuation time.Duration
-	// WorthOfCost is the value of a request of the highest priority as a multiple of what the
+	EvacuationBound time.Duration
+	// ValueCostRatio is the value of a request of the highest priority as a multiple of what the
 	// most expensive model's answer to it costs. Zero means cascade.DefaultWorthOfCost.
-	WorthOfCost float64
-	// LongestRest caps the back-off period that an upstream can request. Zero means
+	ValueCostRatio float64
+	// MaxBackoff caps the back-off period that an upstream can request. Zero means
 	// upstream.DefaultLongestRest.
-	LongestRest time.Duration
-	// RepeatPrice is the price of a repeated send when the retry budget is used up, as a
+	MaxBackoff time.Duration
+	// MaxEscalationPrice is the price of a repeated send when the retry budget is used up, as a
 	// fraction of the request's value.
-	RepeatPrice float64
-	// Cold limits the requests to cold upstreams, in addition to the limits of the
+	MaxEscalationPrice float64
+	// ColdBounds limits the requests to cold upstreams, in addition to the limits of the
 	// configuration.
-	Cold ColdBounds
-	// Owners returns the VMs that share the cold upstreams of this data centre. Nil means that
+	ColdBounds ColdBounds
+	// ColdOwners returns the VMs that share the cold upstreams of this data centre. Nil means that
 	// this VM is the only one.
-	Owners func() upstream.Owners
-	// Rest is called with each back-off that an upstream requests. It must not block. May be
+	ColdOwners func() upstream.Owners
+	// OnBackoff is called with each back-off that an upstream requests. It must not block. May be
 	// nil.
-	Rest func(Rest)
-	// Limit is called with each change of an upstream's rate limit that other VMs must learn.
+	OnBackoff func(Backoff)
+	// OnLimit is called with each change of an upstream's rate limit that other VMs must learn.
 	// If far is set, the VMs of other data centres must learn it too. It must not block. May
 	// be nil.
-	Limit func(known upstream.LimitKnown, far bool)
-	// Opinion is called with the confidence that a model reports for each of its answers. It
+	OnLimit func(known upstream.LimitUpdate, far bool)
+	// OnConfidence is called with the confidence that a model reports for each of its answers. It
 	// must not block. May be nil.
-	Opinion func(Opinion)
-	// Began is called with the workspace of each request that an upstream has begun to
+	OnConfidence func(ConfidenceReport)
+	// OnExecution is called with the workspace of each request that an upstream has begun to
 	// execute, and the time at which execution began. It must not block. May be nil.
-	Began func(w contract.WorkspaceID, at time.Time)
-	// Wake is called when a release is found to be bad. It must not block. May be nil.
-	Wake func()
+	OnExecution func(w contract.WorkspaceID, at time.Time)
+	// OnBadRelease is called when a release is found to be bad. It must not block. May be nil.
+	OnBadRelease func()
 	// Seed seeds the random source. Zero means a seed from the clock.
 	Seed uint64
 }
@@ -109,10 +109,10 @@
 	poolsByRelease   map[contract.ServiceID]map[string][]contract.PoolID
 	connectionLimits map[contract.ServiceID]int
 	modelCosts       map[contract.ServiceID]map[contract.ModelID]float64
-	retryBudgets     map[contract.ServiceID]*retry.Window
+	retryBudgets     map[contract.ServiceID]*retry.ResendWindow
 	// retrySchedules assign Retry-After times, by service, to callers that were refused
 	// because all upstreams of the service were at their rate limits.
-	retrySchedules map[contract.ServiceID]*retry.Returns
+	retrySchedules map[contract.ServiceID]*retry.RetryScheduler
 	canaries       map[contract.ServiceID]*rollout.Canary
 	// rolledBack holds the releases found to be bad, by service. Their upstreams drain, and a
 	// later rollout order for another release does not bring them back.
@@ -123,9 +123,9 @@
 	latencies         map[string]*latencyStats
 	// confidences relates the confidence that models report for their answers to the quality
 	// of those answers.
-	confidences *cascade.Opinions
+	confidences *cascade.ConfidenceEstimator
 	// gossipGroup is the group of upstreams to which other VMs report their sends.
-	gossipGroup upstream.Group
+	gossipGroup upstream.GossipScope
 	// isolatedSince is when this VM could no longer reach any upstream of some service; zero
 	// while it is not isolated.
 	isolatedSince time.Time
@@ -134,7 +134,7 @@
 	// possibleCrashes holds the upstreams whose connections broke off and that may have
 	// crashed. quarantineCases holds the content of the requests under which upstreams did
 	// crash.
-	possibleCrashes *quarantine.Doubts
+	possibleCrashes *quarantine.CrashTracker
 	quarantineCases *quarantine.Table
 	// promptLoads holds, by service, the prefill work that this VM sends to the engines.
 	promptLoads map[contract.ServiceID]*promptLoad
@@ -144,8 +144,8 @@
 
 // New returns a relay without upstreams.
 func New(opts *Options) *Relay {
-	opts.WorthOfCost = cmp.Or(opts.WorthOfCost, cascade.DefaultWorthOfCost)
-	opts.LongestRest = cmp.Or(opts.LongestRest, upstream.DefaultLongestRest)
+	opts.ValueCostRatio = cmp.Or(opts.ValueCostRatio, cascade.DefaultValueCostRatio)
+	opts.MaxBackoff = cmp.Or(opts.MaxBackoff, upstream.DefaultMaxBackoff)
 	seed := opts.Seed
 	if seed == 0 {
 		seed = uint64(opts.Now().UnixNano())
@@ -159,15 +159,15 @@
 		poolsByRelease:    make(map[contract.ServiceID]map[string][]contract.PoolID),
 		connectionLimits:  make(map[contract.ServiceID]int),
 		modelCosts:        make(map[contract.ServiceID]map[contract.ModelID]float64),
-		retryBudgets:      make(map[contract.ServiceID]*retry.Window),
-		retrySchedules:    make(map[contract.ServiceID]*retry.Returns),
+		retryBudgets:      make(map[contract.ServiceID]*retry.ResendWindow),
+		retrySchedules:    make(map[contract.ServiceID]*retry.RetryScheduler),
 		canaries:          make(map[contract.ServiceID]*rollout.Canary),
 		rolledBack:        make(map[contract.ServiceID]map[string]bool),
 		completedReleases: make(map[contract.ServiceID]string),
 		latencies:         make(map[string]*latencyStats),
-		confidences:       cascade.NewOpinions(),
+		confidences:       cascade.NewConfidenceEstimator(),
 		promptLoads:       make(map[contract.ServiceID]*promptLoad),
-		possibleCrashes:   quarantine.NewDoubts(), quarantineCases: quarantine.NewTable(),
+		possibleCrashes:   quarantine.NewCrashTracker(), quarantineCases: quarantine.NewTable(),
 	}
 }
 
@@ -186,7 +186,7 @@
 // earlier incarnation do not apply to the current one. The caller holds mu.
 func (r *Relay) isCurrent(id contract.UpstreamID, incarnation int64) bool {
 	e, ok := r.entries[id]
-	return ok && e.Born == incarnation
+	return ok && e.Incarnation == incarnation
 }
 
 // connectionPool returns the connection pool of an upstream and creates it if there is none.
@@ -207,7 +207,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range r.pools {
-		n, total := p.Count()
+		n, total := p.Stats()
 		open += n
 		dialed += total
 	}
@@ -220,13 +220,13 @@
 	defer r.mu.Unlock()
 	left := 1.0
 	for _, w := range r.retryBudgets {
-		left = min(left, w.Left(r.opts.VMs(), r.opts.Now()))
+		left = min(left, w.UnusedShare(r.opts.VMs(), r.opts.Now()))
 	}
 	return left
 }
 
-// Upstreams returns how many upstreams are known.
-func (r *Relay) Upstreams() int {
+// CountUpstreams returns how many upstreams are known.
+func (r *Relay) CountUpstreams() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.entries)
@@ -240,14 +240,14 @@
 func (r *Relay) Serve(ctx context.Context, req *Request, c Caller) (RequestEnd, *contract.Refusal) {
 	ctx, cancel := context.WithDeadlineCause(ctx, req.Deadline, errDeadline)
 	defer cancel()
-	j := &job{Request: req, outcome: contract.NotRun, confidence: -1, relativeValue: 1}
+	j := &job{Request: req, outcome: contract.OutcomeNotRun, confidence: -1, relativeValue: 1}
 	var retryAfter time.Duration
 	unreachable := false
 	r.withLock(func() {
 		j.service = req.Route.PickService(r.random.Float64())
-		r.retryBudget(j.service).Request(r.opts.Now())
+		r.retryBudget(j.service).RecordRequest(r.opts.Now())
 		if isStream(req) {
-			j.relativeValue = r.table.Came(req.Route.Objective, r.requestValue(j), r.sendingVMs(), r.opts.Now())
+			j.relativeValue = r.table.RecordPrompt(req.Route.Objective, r.requestValue(j), r.sendingVMs(), r.opts.Now())
 		}
 		retryAfter, unreachable = r.chooseModel(j)
 	})
@@ -283,10 +283,10 @@
 
 // retryBudget returns the retry budget of a service and creates it if there is none. The
 // caller holds mu.
-func (r *Relay) retryBudget(s contract.ServiceID) *retry.Window {
+func (r *Relay) retryBudget(s contract.ServiceID) *retry.ResendWindow {
 	budget, ok := r.retryBudgets[s]
 	if !ok {
-		budget = retry.NewWindow(r.opts.Budget)
+		budget = retry.NewResendWindow(r.opts.Budget)
 		r.retryBudgets[s] = budget
 	}
 	return budget
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -16,7 +16,7 @@
 func newTestRelay() *Relay {
 	return New(&Options{
 		Log: zap.NewNop(), Now: time.Now, VMs: func() int { return 1 }, Seed: 1,
-		Budget: retry.WindowOptions{Ratio: 1, Slack: 100},
+		Budget: retry.ResendWindowOptions{Ratio: 1, Slack: 100},
 	})
 }
 
@@ -32,7 +32,7 @@
 // TestEscalationConditions checks that a poor answer is discarded only if the request may be
 // executed again, another attempt is left, and the caller has received no part of the answer.
 func TestEscalationConditions(t *testing.T) {
-	poor := &Head{Confidence: 0.1}
+	poor := &ResponseHead{Confidence: 0.1}
 	for name, c := range map[string]struct {
 		change    func(j *job)
 		escalates bool
@@ -73,9 +73,9 @@
 	is.Equal(firstModel(newStreamJob(false), newTestRelay()), contract.ModelID("large")) // its answer could not be discarded
 	queued := newTestRelay()
 	queued.SetUpstreams([]upstream.Entry{{ID: "u", Service: "s", Slots: 8}}, nil)
-	queued.HearSent([]Sent{
-		{Upstream: "u", Model: "large", Tokens: 9000, Takes: 800 * time.Millisecond, TokenTime: 100 * time.Microsecond},
-		{Upstream: "u", Model: "small", Tokens: 100, Takes: time.Millisecond, TokenTime: 10 * time.Microsecond},
+	queued.MergeSent([]SentPrompt{
+		{Upstream: "u", Model: "large", Tokens: 9000, PrefillTime: 800 * time.Millisecond, TokenTime: 100 * time.Microsecond},
+		{Upstream: "u", Model: "small", Tokens: 100, PrefillTime: time.Millisecond, TokenTime: 10 * time.Microsecond},
 	})
 	j := newStreamJob(false)
 	j.service, j.PromptTokens = "s", 4000
@@ -102,8 +102,8 @@
 			r.SetUpstreams([]upstream.Entry{u1, u2}, nil)
 			for range 3 {
 				if c.suspected {
-					r.table.Sent(u2.ID)
-					r.table.Done(u2.ID, upstream.Failed, 0, now)
+					r.table.RecordSent(u2.ID)
+					r.table.RecordDone(u2.ID, upstream.Failed, 0, now)
 				}
 			}
 			j := newStreamJob(true)
@@ -139,7 +139,7 @@
 			now := time.Unix(1000, 0)
 			r := New(&Options{Log: zap.NewNop(), Now: func() time.Time { return now }, VMs: func() int { return 1 }, Seed: 1})
 			r.SetUpstreams([]upstream.Entry{{ID: "u", Service: "s", Slots: 8}}, nil)
-			r.HearSent([]Sent{{Upstream: "u", Model: "large", Tokens: 9000, Takes: c.queued}})
+			r.MergeSent([]SentPrompt{{Upstream: "u", Model: "large", Tokens: 9000, PrefillTime: c.queued}})
 			j := newStreamJob(true)
 			j.service, j.PromptTokens, j.Arrived, j.Deadline = "s", 400, now, now.Add(c.left)
 			var after time.Duration
@@ -161,7 +161,7 @@
 	r := newTestRelay()
 	r.opts.VMs = func() int { return 295 }
 	is.Equal(r.sendingVMs(), 295) // the gossip group is not yet known
-	r.opts.Group = func() upstream.Group { return upstream.Group{VMs: 57} }
-	r.Level()
+	r.opts.GossipScope = func() upstream.GossipScope { return upstream.GossipScope{VMs: 57} }
+	r.Refresh()
 	is.Equal(r.sendingVMs(), 57)
 }
