--- a/relay/request.go
+++ b/relay/request.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"woaddoor/contract"
-	"woaddoor/reading"
+	"woaddoor/prefill"
 	"woaddoor/route"
 	"woaddoor/upstream"
 )
@@ -48,40 +48,40 @@
 	// PromptTokens is the size of the prompt, and OutputTokens the largest size of the answer;
 	// zero means unknown.
 	PromptTokens, OutputTokens int
-	// Parts are the parts of the prompt in order. The last part belongs to this request alone.
-	Parts []reading.Part
-	// Subject is a key of the part of the prompt that is shared with other requests; zero if
+	// PromptParts are the parts of the prompt in order. The last part belongs to this request alone.
+	PromptParts []prefill.Part
+	// SharedPromptKey is a key of the part of the prompt that is shared with other requests; zero if
 	// there is none.
-	Subject uint64
+	SharedPromptKey uint64
 	// Session is a key shared by all requests of one session; zero if there is none.
 	Session uint64
 }
 
-// Head is the status and header of an upstream's answer, in decoded form.
-type Head struct {
+// ResponseHead is the status and header of an upstream's answer, in decoded form.
+type ResponseHead struct {
 	Status int
 	// Header holds the header fields that are forwarded to the caller.
 	Header http.Header
-	// Sealed is set if the answer carries the upstream's signature. Successful answers without
+	// Signed is set if the answer carries the upstream's signature. Successful answers without
 	// a signature are not forwarded.
-	Sealed bool
+	Signed bool
 	// NotRun is set if the upstream states that it did not execute the request.
 	NotRun bool
-	// Moved is set if another upstream now has the address.
-	Moved bool
+	// AddressReused is set if another upstream now has the address.
+	AddressReused bool
 	// Confidence is the confidence that the model reports for its answer, from 0 to 1;
 	// negative if it reports none.
 	Confidence float64
-	// Weights is the version of the model weights that produced the answer; empty if the
+	// WeightsVersion is the version of the model weights that produced the answer; empty if the
 	// upstream does not report it.
-	Weights string
+	WeightsVersion string
 	// Load is the load that the upstream reports; nil if it reports none.
 	Load *Load
-	// Said holds the notices with which the upstream asks senders to back off, to observe a
+	// Notices holds the notices with which the upstream asks senders to back off, to observe a
 	// rate limit or to expect its shutdown. Unread is the error of a notice that could not be
 	// parsed.
-	Said   upstream.Said
-	Unread error
+	Notices     upstream.Notices
+	NoticeError error
 }
 
 // Load is the number of running and waiting requests and of slots at an upstream.
@@ -90,13 +90,13 @@
 // Caller receives the answer to a request. An error of any of its methods means that the
 // caller has disconnected.
 type Caller interface {
-	// Whole delivers a complete answer.
-	Whole(h *Head, body []byte) error
-	// Begin delivers the head of a stream, Pass delivers complete events, and End ends the
+	// SendResponse delivers a complete answer.
+	SendResponse(h *ResponseHead, body []byte) error
+	// BeginStream delivers the head of a stream, Pass delivers complete events, and End ends the
 	// stream.
-	Begin(h *Head) error
-	Pass(events []byte) error
-	End() error
+	BeginStream(h *ResponseHead) error
+	SendEvents(events []byte) error
+	EndStream() error
 }
 
 // RequestEnd is the way in which a request ended.
@@ -109,9 +109,9 @@
 	// Refused means that the request was refused; the refusal has yet to be sent to the
 	// caller.
 	Refused
-	// Cut means that a stream was started but cannot be completed. The connection must be
+	// StreamCut means that a stream was started but cannot be completed. The connection must be
 	// broken, so that the stream does not look complete.
-	Cut
-	// Gone means that the caller has disconnected.
-	Gone
+	StreamCut
+	// CallerGone means that the caller has disconnected.
+	CallerGone
 )
--- a/relay/rollouts.go
+++ b/relay/rollouts.go
@@ -9,7 +9,7 @@
 )
 
 // SetOrder records a rollout order or a newer state of it.
-func (r *Relay) SetOrder(o rollout.Order) {
+func (r *Relay) SetOrder(o rollout.ReleaseOrder) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	canary := r.canaries[o.Service]
@@ -26,12 +26,12 @@
 
 // recordOrderState records whether the release of an order is rolled back, completed, or still
 // being rolled out. The caller holds mu.
-func (r *Relay) recordOrderState(o rollout.Order) {
+func (r *Relay) recordOrderState(o rollout.ReleaseOrder) {
 	if r.rolledBack[o.Service] == nil {
 		r.rolledBack[o.Service] = make(map[string]bool)
 	}
 	switch o.State {
-	case rollout.OrderUndone:
+	case rollout.OrderRolledBack:
 		r.rolledBack[o.Service][o.Release] = true
 	case rollout.OrderCompleted:
 		r.completedReleases[o.Service] = o.Release
@@ -43,11 +43,11 @@
 
 // Verdict is the state in which a rollout order is to end.
 type Verdict struct {
-	Order rollout.Order
+	Order rollout.ReleaseOrder
 	State rollout.OrderState
-	// Trial counts the answers of the canary release that this VM has seen, and Others those
+	// Canary counts the answers of the canary release that this VM has seen, and Others those
 	// of other releases.
-	Trial, Others rollout.Counts
+	Canary, Others rollout.Counts
 }
 
 // Verdicts returns the rollout orders that should end now, based on what this VM knows.
@@ -56,8 +56,8 @@
 	defer r.mu.Unlock()
 	var out []Verdict
 	for _, c := range r.canaries {
-		if state, due := c.Verdict(r.opts.Now()); due {
-			trial, others := c.Counts()
+		if state, due := c.NextState(r.opts.Now()); due {
+			trial, others := c.LocalCounts()
 			out = append(out, Verdict{c.Order(), state, trial, others})
 		}
 	}
@@ -65,7 +65,7 @@
 }
 
 // Evidence returns the evidence about canary releases that this VM reports to another.
-func (r *Relay) Evidence(to rollout.Hearer) rollout.Evidence {
+func (r *Relay) Evidence(to rollout.Recipient) rollout.Evidence {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var e rollout.Evidence
@@ -97,72 +97,72 @@
 	return ages
 }
 
-// HearAges records the ages of rollout orders that another VM knows.
-func (r *Relay) HearAges(ages []OrderAge) {
+// MergeOrderAges records the ages of rollout orders that another VM knows.
+func (r *Relay) MergeOrderAges(ages []OrderAge) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, a := range ages {
 		if c := r.canaries[a.Service]; c != nil && c.Order().Release == a.Release {
-			c.Told(a.Age, r.opts.Now())
+			c.MergeOrderAge(a.Age, r.opts.Now())
 		}
 	}
 }
 
-// Hear merges the evidence of other VMs and reports whether it raises the number of known bad
+// MergeEvidence merges the evidence of other VMs and reports whether it raises the number of known bad
 // answers.
-func (r *Relay) Hear(e rollout.Evidence) (worse bool) {
+func (r *Relay) MergeEvidence(e rollout.Evidence) (worse bool) {
 	if len(e) == 0 {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.canaries {
-		before := c.Known()
-		if c.Hear(e, r.opts.Self, r.opts.DataCentre) {
+		before := c.TotalTrialCounts()
+		if c.MergeEvidence(e, r.opts.Self, r.opts.DataCentre) {
 			r.logBadRelease(c)
 			r.wakeVerdicts()
 		}
-		worse = worse || c.Known().Bad > before.Bad
+		worse = worse || c.TotalTrialCounts().Bad > before.Bad
 	}
 	return worse
 }
 
 // wakeVerdicts triggers an evaluation of the verdicts. The caller holds mu.
 func (r *Relay) wakeVerdicts() {
-	if r.opts.Wake != nil {
-		r.opts.Wake()
+	if r.opts.OnBadRelease != nil {
+		r.opts.OnBadRelease()
 	}
 }
 
-// Level updates the comparison between upstreams and expires old state. It is called about
+// Refresh updates the comparison between upstreams and expires old state. It is called about
 // once a second.
-func (r *Relay) Level() {
+func (r *Relay) Refresh() {
 	// Group and Owners acquire their own locks, so they are called before mu is acquired.
-	var group upstream.Group
-	if r.opts.Group != nil {
-		group = r.opts.Group()
+	var group upstream.GossipScope
+	if r.opts.GossipScope != nil {
+		group = r.opts.GossipScope()
 	}
 	owners := upstream.Owners{Self: r.opts.Self.VM, VMs: []contract.VMID{r.opts.Self.VM}}
-	if r.opts.Owners != nil {
-		owners = r.opts.Owners()
+	if r.opts.ColdOwners != nil {
+		owners = r.opts.ColdOwners()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.gossipGroup = group
-	r.table.SetGroup(group)
+	r.table.SetGossipScope(group)
 	r.table.SetOwners(r.opts.DataCentre, owners)
-	r.table.Level(r.opts.DataCentre, r.opts.Now())
+	r.table.CompareUpstreams(r.opts.DataCentre, r.opts.Now())
 	r.logEndedBackoffs(r.opts.Now())
 	r.possibleCrashes.Expire(r.opts.Now())
 	r.quarantineCases.Expire(r.opts.Now())
 }
 
-// Releases reports whether a rollout of the service is in progress, and whether one has
+// RolloutState reports whether a rollout of the service is in progress, and whether one has
 // completed.
-func (r *Relay) Releases(s contract.ServiceID) (rollingOut, completed bool) {
+func (r *Relay) RolloutState(s contract.ServiceID) (rollingOut, completed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := r.canaries[s]
-	rollingOut = c != nil && c.Order().State == rollout.OrderOpen && r.opts.Now().Sub(c.Order().Issued) < c.Order().Length
+	rollingOut = c != nil && c.Order().State == rollout.OrderOpen && r.opts.Now().Sub(c.Order().IssuedAt) < c.Order().Duration
 	return rollingOut, r.completedReleases[s] != ""
 }
--- a/relay/selection.go
+++ b/relay/selection.go
@@ -10,7 +10,7 @@
 	"woaddoor/config"
 	"woaddoor/contract"
 	"woaddoor/exchange"
-	"woaddoor/reading"
+	"woaddoor/prefill"
 	"woaddoor/retry"
 	"woaddoor/route"
 	"woaddoor/upstream"
@@ -40,8 +40,8 @@
 			return upstream.Entry{}, refuseLastUpstream(j)
 		}
 		r.countUnwantedSend(id, now)
-		r.recordLimitClaim(j, r.entries[id].Life())
-		r.table.Sent(id)
+		r.recordLimitClaim(j, r.entries[id].Instance())
+		r.table.RecordSent(id)
 		r.recordPendingPrompt(j, id, now)
 		j.release = pools.release
 		if j.release == "" {
@@ -57,7 +57,7 @@
 // holds mu.
 func (r *Relay) hasCandidate(j *job, now time.Time) bool {
 	return slices.ContainsFunc(r.eligiblePools(j, now), func(c candidatePools) bool {
-		return r.table.Any(r.poolQuery(c, j.exclude), now)
+		return r.table.CanPick(r.poolQuery(c, j.exclude), now)
 	})
 }
 
@@ -82,7 +82,7 @@
 	now := r.opts.Now()
 	excluded := append(slices.Clone(j.exclude), j.lastUpstream.ID)
 	return slices.ContainsFunc(r.eligiblePools(j, now), func(c candidatePools) bool {
-		return r.table.Another(r.poolQuery(c, excluded), suspected, now)
+		return r.table.HasAlternative(r.poolQuery(c, excluded), suspected, now)
 	})
 }
 
@@ -112,13 +112,13 @@
 	others = append(others, candidatePools{pools: poolsExcept(byRelease, excluded)})
 	order := others
 	switch {
-	case !j.headSent && j.failures > 0 && j.release == target && canary.Suspected():
+	case !j.headSent && j.failures > 0 && j.release == target && canary.IsSuspect():
 		order = append(others, canaryPools)
 	case j.headSent && j.release == target: // a stream stays on its release
 		order = append([]candidatePools{canaryPools}, others...)
-	case !j.headSent && canary.Choose(j.Session, now):
+	case !j.headSent && canary.UsesRelease(j.Session, now):
 		order = append([]candidatePools{canaryPools}, others...)
-	case canary.Moving(now):
+	case canary.PastTrial(now):
 		order = append(others, canaryPools)
 	}
 	return r.filterPools(j, order, now)
@@ -139,8 +139,8 @@
 func (r *Relay) recordAttemptEnd(j *job, e upstream.Entry, result upstream.Result, timeToFirst time.Duration) {
 	r.withLock(func() {
 		r.recordPromptDropped(j)
-		if r.isCurrent(e.ID, e.Born) {
-			r.table.Done(e.ID, result, timeToFirst, r.opts.Now())
+		if r.isCurrent(e.ID, e.Incarnation) {
+			r.table.RecordDone(e.ID, result, timeToFirst, r.opts.Now())
 			r.logColdUpstreams()
 		}
 		if result == upstream.Broken {
@@ -153,7 +153,7 @@
 // The caller holds mu.
 func (r *Relay) upstreamQuery(j *job, c candidatePools, now time.Time) upstream.Query {
 	q := r.poolQuery(c, j.exclude)
-	q.Prefix, q.Work = j.Subject, r.promptWork(j, now)
+	q.Prefix, q.Work = j.SharedPromptKey, r.promptWork(j, now)
 	return q
 }
 
@@ -166,7 +166,7 @@
 // caller holds mu.
 func (r *Relay) promptWork(j *job, now time.Time) upstream.Work {
 	return upstream.Work{
-		Prompt:    reading.Prompt{Model: j.model, Tokens: j.PromptTokens, Parts: j.Parts},
+		Prompt:    prefill.Prompt{Model: j.model, Tokens: j.PromptTokens, Parts: j.PromptParts},
 		Objective: j.Route.Objective, Elapsed: now.Sub(j.Arrived),
 	}
 }
@@ -178,14 +178,14 @@
 	if j.PromptTokens == 0 {
 		return // a request to a plain service has no prompt
 	}
-	j.pending = pendingPrompt{upstream: id, incarnation: r.entries[id].Born, work: r.promptWork(j, now), sentAt: now}
-	j.pending.estimate, j.pending.ticket = r.table.Expect(id, j.pending.work, r.opts.DataCentre, now)
-	r.Metrics.countPrompt(j.pending.work, j.pending.estimate, r.table.Price(j.pending.estimate))
-	r.recordPromptLoad(j.service, j.pending.estimate.Reading, now)
-	if e := j.pending.estimate; e.Reading >= minReportedPrefill && r.opts.Sent != nil {
-		r.opts.Sent(Sent{
-			Upstream: id, Born: j.pending.incarnation, Model: j.model, Tokens: j.PromptTokens, Parts: j.Parts,
-			Takes: e.Reading, TokenTime: r.table.TokenTime(j.model),
+	j.pending = pendingPrompt{upstream: id, incarnation: r.entries[id].Incarnation, work: r.promptWork(j, now), sentAt: now}
+	j.pending.estimate, j.pending.ticket = r.table.RecordExpected(id, j.pending.work, r.opts.DataCentre, now)
+	r.Metrics.countPrompt(j.pending.work, j.pending.estimate, r.table.PrefillPrice(j.pending.estimate))
+	r.recordPromptLoad(j.service, j.pending.estimate.Prefill, now)
+	if e := j.pending.estimate; e.Prefill >= minReportedPrefill && r.opts.OnSent != nil {
+		r.opts.OnSent(SentPrompt{
+			Upstream: id, Incarnation: j.pending.incarnation, Model: j.model, Tokens: j.PromptTokens, Parts: j.PromptParts,
+			PrefillTime: e.Prefill, TokenTime: r.table.PrefillTokenTime(j.model),
 		})
 	}
 }
@@ -197,7 +197,7 @@
 	j.pending.upstream = ""
 	if pending.upstream != "" && r.isCurrent(pending.upstream, pending.incarnation) {
 		now := r.opts.Now()
-		r.table.Begun(pending.upstream, pending.ticket, pending.work, pending.estimate, now.Sub(pending.sentAt), now)
+		r.table.RecordAnswerBegin(pending.upstream, pending.ticket, pending.work, pending.estimate, now.Sub(pending.sentAt), now)
 	}
 }
 
@@ -207,7 +207,7 @@
 	pending := j.pending
 	j.pending.upstream = ""
 	if pending.upstream != "" && r.isCurrent(pending.upstream, pending.incarnation) {
-		r.table.Dropped(pending.upstream, pending.ticket, r.opts.Now())
+		r.table.RecordDropped(pending.upstream, pending.ticket, r.opts.Now())
 	}
 }
 
@@ -215,12 +215,12 @@
 // returns the reason against another attempt, or "".
 func (r *Relay) checkRetry(j *job, repeatable bool) retry.Reason {
 	now := r.opts.Now()
-	attempt := retry.Attempt{Number: j.sends, Outcome: j.outcome, Repeatable: repeatable, Deadline: j.Deadline, Expected: minAttemptTime}
-	if barred := attempt.Barred(max(j.Route.MaxAttempts, 1), now); barred != "" {
+	attempt := retry.Attempt{Number: j.sends, Outcome: j.outcome, Repeatable: repeatable, Deadline: j.Deadline, ExpectedDuration: minAttemptTime}
+	if barred := attempt.RetryBlocked(max(j.Route.MaxAttempts, 1), now); barred != "" {
 		return barred
 	}
 	if j.failures >= maxUnreachable+j.Route.MaxAttempts {
-		return retry.Attempts
+		return retry.AttemptsExhausted
 	}
 	if j.sends == 0 {
 		return "" // no upstream has received the request, so nothing is repeated
@@ -228,10 +228,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.hasCandidate(j, now) {
-		return retry.NoOther // leave the budget to other requests
+		return retry.NoOtherUpstream // leave the budget to other requests
 	}
 	if !r.retryBudget(j.service).Take(retry.ForRetry, r.opts.VMs(), now) {
-		return retry.OverBudget
+		return retry.BudgetExhausted
 	}
 	return ""
 }
@@ -246,14 +246,14 @@
 	if sent {
 		j.sends++
 	}
-	j.outcome = j.outcome.Worse(o)
+	j.outcome = j.outcome.Combine(o)
 	j.exclude = append(j.exclude, j.lastUpstream.ID)
 }
 
 // recordSendFailure records an attempt that ended without the head of an answer.
 func (r *Relay) recordSendFailure(j *job, err error, began time.Time) {
 	var exchangeErr *exchange.Error
-	sent, outcome := true, contract.Unknown
+	sent, outcome := true, contract.OutcomeUnknown
 	if errors.As(err, &exchangeErr) {
 		sent, outcome = exchangeErr.Sent, exchangeErr.Outcome()
 	}
@@ -263,14 +263,14 @@
 		result = upstream.Abandoned // canceled by the caller or by its deadline
 	case errors.Is(err, errUnavailableMeanwhile):
 		result = upstream.Abandoned // the attempt shows nothing about the upstream
-	case errors.Is(err, exchange.ErrBusy):
-		result = upstream.Full
-	case !sent && exchange.NothingListens(err):
-		result = upstream.Down
+	case errors.Is(err, exchange.ErrPoolExhausted):
+		result = upstream.NoConnection
+	case !sent && exchange.IsConnectionRefused(err):
+		result = upstream.ConnectionRefused
 	case !sent:
 		result = upstream.Unreachable
 	case exchangeErr != nil:
-		result, j.upstreamSeen = upstream.Broken, exchangeErr.Fresh
+		result, j.upstreamSeen = upstream.Broken, exchangeErr.NewConnection
 	}
 	if !sent {
 		r.releaseLimitClaim(j)
--- a/relay/send.go
+++ b/relay/send.go
@@ -7,8 +7,8 @@
 
 	"woaddoor/contract"
 	"woaddoor/exchange"
+	"woaddoor/prefill"
 	"woaddoor/quarantine"
-	"woaddoor/reading"
 	"woaddoor/rollout"
 	"woaddoor/upstream"
 )
@@ -18,8 +18,8 @@
 	Upstream upstream.Entry
 	// Model is the requested model if the router chooses it.
 	Model contract.ModelID
-	// Left is the remaining time for the upstream to answer.
-	Left time.Duration
+	// Remaining is the remaining time for the upstream to answer.
+	Remaining time.Duration
 	// LastEvent is the id of the event after which a stream is resumed; nil if it starts at
 	// the beginning.
 	LastEvent *int64
@@ -27,14 +27,14 @@
 	Weights string
 }
 
-// Dialect implements the protocol of the upstreams.
-type Dialect interface {
+// UpstreamProtocol implements the protocol of the upstreams.
+type UpstreamProtocol interface {
 	// Encode returns the request to send for an attempt.
 	Encode(r *Request, s Send) *exchange.Request
-	// Belongs reports whether an answer belongs to the request.
-	Belongs(r *Request, h http.Header) bool
+	// Matches reports whether an answer belongs to the request.
+	Matches(r *Request, h http.Header) bool
 	// Decode decodes the head of an answer.
-	Decode(status int, h http.Header) *Head
+	Decode(status int, h http.Header) *ResponseHead
 }
 
 // job is the state of one request that is being served.
@@ -66,7 +66,7 @@
 	// use.
 	sentAt       time.Time
 	upstreamSeen bool
-	cachedPrint  *quarantine.Print
+	cachedPrint  *quarantine.Fingerprint
 	// executionReported is set once an upstream's start of execution has been reported.
 	executionReported bool
 	// limitClaimed is set if the current attempt has taken from this VM's share of its
@@ -81,17 +81,17 @@
 	incarnation int64               // identifies the upstream's incarnation
 	work        upstream.Work
 	estimate    upstream.Estimate
-	ticket      reading.Ticket
+	ticket      prefill.QueueID
 	sentAt      time.Time
 }
 
 // attempt is one send for which the head of an answer was received.
 type attempt struct {
 	entry     upstream.Entry
-	answer    *exchange.Answer
-	head      *Head
+	answer    *exchange.Response
+	head      *ResponseHead
 	startedAt time.Time
-	times     []rollout.Time
+	times     []rollout.Latency
 	cancel    context.CancelFunc
 }
 
@@ -111,22 +111,22 @@
 	pool := r.connectionPool(e)
 	ctx, cancel := context.WithCancelCause(ctx)
 	watchdog := r.watchSilence(j, now.Add(timeout), func() { cancel(errSilent) })
-	send := Send{Upstream: e, Model: j.model, Left: j.Deadline.Sub(now), LastEvent: lastEvent}
+	send := Send{Upstream: e, Model: j.model, Remaining: j.Deadline.Sub(now), LastEvent: lastEvent}
 	if lastEvent != nil {
 		send.Weights = j.weightsVersion
 	}
-	req := r.opts.Dialect.Encode(j.Request, send)
+	req := r.opts.Protocol.Encode(j.Request, send)
 	if !j.Route.Repeatable() {
 		req.MaxIdle = maxIdleUnrepeatable
 	}
-	req.Barred = func() error { return r.checkStillAvailable(j, e) }
-	answer, err := pool.Do(ctx, req, func(h http.Header) bool { return r.opts.Dialect.Belongs(j.Request, h) })
+	req.BeforeSend = func() error { return r.checkStillAvailable(j, e) }
+	answer, err := pool.Do(ctx, req, func(h http.Header) bool { return r.opts.Protocol.Matches(j.Request, h) })
 	timedOut := watchdog.stop()
 	if err != nil {
 		cancel(nil)
 		return nil, err
 	}
-	head := r.opts.Dialect.Decode(answer.Status, answer.Header)
+	head := r.opts.Protocol.Decode(answer.Status, answer.Header)
 	r.recordNotices(j, head, e)
 	if timedOut {
 		answer.Close()
@@ -141,13 +141,13 @@
 }
 
 // recordHead records the head of an answer. The caller holds mu.
-func (r *Relay) recordHead(j *job, h *Head, e upstream.Entry) {
-	current := r.isCurrent(e.ID, e.Born) // otherwise the head describes an earlier incarnation
+func (r *Relay) recordHead(j *job, h *ResponseHead, e upstream.Entry) {
+	current := r.isCurrent(e.ID, e.Incarnation) // otherwise the head describes an earlier incarnation
 	if current && !h.NotRun {
-		r.table.Accepted(e.ID)
+		r.table.RecordAccepted(e.ID)
 	}
 	if current && h.Load != nil {
-		r.table.Loaded(e.ID, h.Load.Running, h.Load.Waiting, r.opts.Now())
+		r.table.RecordAnswerLoad(e.ID, h.Load.Running, h.Load.Waiting, r.opts.Now())
 	}
 	if h.Status == http.StatusOK && !h.NotRun && j.pending.upstream != "" {
 		r.logFirstToken(j, h)
@@ -158,8 +158,8 @@
 // reportExecution reports, once for each request of a workspace, that an upstream has begun to
 // execute it. The reported time is that of the first token of a stream and that of the send
 // otherwise.
-func (r *Relay) reportExecution(j *job, h *Head) {
-	if h.NotRun || j.executionReported || j.Workspace == "" || r.opts.Began == nil {
+func (r *Relay) reportExecution(j *job, h *ResponseHead) {
+	if h.NotRun || j.executionReported || j.Workspace == "" || r.opts.OnExecution == nil {
 		return
 	}
 	j.executionReported = true
@@ -167,7 +167,7 @@
 	if isStream(j.Request) {
 		at = r.opts.Now()
 	}
-	r.opts.Began(j.Workspace, at)
+	r.opts.OnExecution(j.Workspace, at)
 }
 
 // close ends an attempt. The connection is reused only if the answer was read to the end.
--- a/relay/streaming.go
+++ b/relay/streaming.go
@@ -35,9 +35,9 @@
 	relay  *Relay
 	job    *job
 	caller Caller
-	events stream.Events
+	events stream.EventSplitter
 	// nonStreamHead and nonStreamBody are the newest answer that was not an event stream.
-	nonStreamHead   *Head
+	nonStreamHead   *ResponseHead
 	nonStreamBody   []byte
 	eventsForwarded int // events sent to the caller
 }
@@ -46,7 +46,7 @@
 func (r *Relay) serveStream(ctx context.Context, j *job, c Caller) (RequestEnd, *contract.Refusal) {
 	s := &streamTransfer{relay: r, job: j, caller: c}
 	if j.LastEvent != nil {
-		s.events.After(*j.LastEvent)
+		s.events.SkipThrough(*j.LastEvent)
 	}
 	for {
 		e, refused := r.selectUpstream(j)
@@ -60,10 +60,10 @@
 		case errors.Is(err, errEscalated):
 			continue
 		case errors.Is(err, errCallerGone):
-			return Gone, nil
+			return CallerGone, nil
 		case ctx.Err() != nil:
 			end, refused := r.contextEnd(ctx, j)
-			if end == Gone {
+			if end == CallerGone {
 				return end, nil
 			}
 			return s.abort(refused)
@@ -77,12 +77,12 @@
 
 // complete ends a transfer whose answer is complete.
 func (s *streamTransfer) complete() (RequestEnd, *contract.Refusal) {
-	s.job.outcome, s.job.status = contract.Ran, http.StatusOK
+	s.job.outcome, s.job.status = contract.OutcomeRan, http.StatusOK
 	if s.nonStreamHead != nil { // the final answer is not an event stream
 		return s.relay.deliver(s.job, s.caller, s.nonStreamHead, s.nonStreamBody)
 	}
-	if err := s.caller.End(); err != nil {
-		return Gone, nil
+	if err := s.caller.EndStream(); err != nil {
+		return CallerGone, nil
 	}
 	return Delivered, nil
 }
@@ -90,26 +90,26 @@
 // abort ends a transfer whose answer is incomplete.
 func (s *streamTransfer) abort(f *contract.Refusal) (RequestEnd, *contract.Refusal) {
 	if s.job.headSent {
-		return Cut, f
+		return StreamCut, f
 	}
-	if s.nonStreamHead != nil && f.Kind != contract.RefusedDeadline {
+	if s.nonStreamHead != nil && f.Kind != contract.RefusedDeadlinePassed {
 		return s.relay.deliver(s.job, s.caller, s.nonStreamHead, s.nonStreamBody)
 	}
 	return Refused, f
 }
 
-func (s *streamTransfer) sendHead(h *Head) error {
+func (s *streamTransfer) sendHead(h *ResponseHead) error {
 	if s.job.headSent {
 		return nil
 	}
 	s.job.headSent = true
-	return s.caller.Begin(h)
+	return s.caller.BeginStream(h)
 }
 
 // lastEvent returns the id of the event after which an upstream must resume the stream, or
 // nil.
 func (s *streamTransfer) lastEvent() *int64 {
-	if last, ok := s.events.Last(); ok {
+	if last, ok := s.events.LastID(); ok {
 		return &last
 	}
 	return nil
@@ -130,16 +130,16 @@
 	switch h := a.head; {
 	case h.Status != http.StatusOK || h.NotRun:
 		return s.readNonStream(a)
-	case !h.Sealed:
+	case !h.Signed:
 		r.recordAttemptEnd(j, e, upstream.Failed, 0)
-		j.recordFailure(contract.Ran, true)
+		j.recordFailure(contract.OutcomeRan, true)
 		return errUnsigned
 	}
 	if larger, ok := r.decideEscalation(j, a.head); ok {
 		r.recordEscalation(j, a, larger)
 		return errEscalated
 	}
-	j.weightsVersion, j.confidence = a.head.Weights, a.head.Confidence
+	j.weightsVersion, j.confidence = a.head.WeightsVersion, a.head.Confidence
 	err = s.forward(a)
 	if err == nil && s.sendHead(a.head) != nil { // a stream without events is complete too
 		err = errCallerGone
@@ -150,7 +150,7 @@
 // eventTimeout returns how long the next attempt may take to send its first event.
 func (s *streamTransfer) eventTimeout() time.Duration {
 	if s.job.headSent {
-		return s.relay.maxPause(s.job.Route.Gap)
+		return s.relay.maxPause(s.job.Route.TargetGap)
 	}
 	return s.relay.firstAnswerTimeout(s.job)
 }
@@ -181,8 +181,8 @@
 	}
 	switch {
 	case err == nil:
-		r.recordAttemptEnd(j, a.entry, upstream.Good, timeToFirst)
-		r.withLock(func() { r.table.Held(r.opts.Now().Sub(j.firstAnswerAt)) })
+		r.recordAttemptEnd(j, a.entry, upstream.Succeeded, timeToFirst)
+		r.withLock(func() { r.table.RecordDecodeTime(r.opts.Now().Sub(j.firstAnswerAt)) })
 		if s.eventsForwarded >= minComparedEvents && j.failures == 0 {
 			a.addTime(j, timePerEvent, r.opts.Now().Sub(j.firstAnswerAt)/time.Duration(s.eventsForwarded))
 		}
@@ -194,8 +194,8 @@
 		j.sends++
 	default:
 		r.recordAttemptEnd(j, a.entry, upstream.Broken, 0)
-		j.recordFailure(contract.Ran, true)
-		s.events.Restart()
+		j.recordFailure(contract.OutcomeRan, true)
+		s.events.DiscardPartial()
 	}
 	return err
 }
@@ -228,12 +228,12 @@
 // forward sends events to the caller as they arrive.
 func (s *streamTransfer) forward(a *attempt) error {
 	r, j := s.relay, s.job
-	longest := r.maxPause(j.Route.Gap)
-	pace := stream.NewPace(stream.PaceOptions{
-		Longest: longest, Shortest: time.Duration(minPauseFactor / maxPauseFactor * float64(longest)),
-		First: max(a.startedAt.Add(s.eventTimeout()).Sub(r.opts.Now()), longest),
+	longest := r.maxPause(j.Route.TargetGap)
+	pace := stream.NewStallDetector(stream.StallOptions{
+		MaxGap: longest, MinGap: time.Duration(minPauseFactor / maxPauseFactor * float64(longest)),
+		FirstChunk: max(a.startedAt.Add(s.eventTimeout()).Sub(r.opts.Now()), longest),
 	}, r.opts.Now())
-	watchdog := r.watchSilence(j, pace.Due(), a.answer.Abort)
+	watchdog := r.watchSilence(j, pace.Deadline(), a.answer.Abort)
 	defer watchdog.stop()
 	buf := make([]byte, readBufferSize)
 	for {
@@ -241,9 +241,9 @@
 		if forwardErr := s.forwardEvents(a, pace, buf[:n]); forwardErr != nil {
 			return forwardErr
 		}
-		watchdog.extend(pace.Due())
+		watchdog.extend(pace.Deadline())
 		switch {
-		case errors.Is(err, io.EOF) && s.events.Partial():
+		case errors.Is(err, io.EOF) && s.events.HasPartial():
 			return errTruncated
 		case errors.Is(err, io.EOF):
 			return nil
@@ -258,7 +258,7 @@
 }
 
 // forwardEvents sends the complete events among the received bytes to the caller.
-func (s *streamTransfer) forwardEvents(a *attempt, pace *stream.Pace, p []byte) error {
+func (s *streamTransfer) forwardEvents(a *attempt, pace *stream.StallDetector, p []byte) error {
 	if len(p) == 0 {
 		return nil
 	}
@@ -267,14 +267,14 @@
 		return err
 	}
 	now := s.relay.opts.Now()
-	pace.Chunk(now)
+	pace.RecordChunk(now)
 	if s.eventsForwarded == 0 {
 		s.job.firstAnswerAt = now
 		s.relay.observeLatency(s.job, now.Sub(a.startedAt))
 		a.addTime(s.job, timeToFirstAnswer, now.Sub(a.startedAt))
 	}
 	s.eventsForwarded += n
-	if s.sendHead(a.head) != nil || s.caller.Pass(whole) != nil {
+	if s.sendHead(a.head) != nil || s.caller.SendEvents(whole) != nil {
 		return errCallerGone
 	}
 	return nil
--- a/relay/upstream_list.go
+++ b/relay/upstream_list.go
@@ -15,9 +15,9 @@
 	r.setUpstreams(entries, services, false)
 }
 
-// SetSomeUpstreams sets a partial list of upstreams on a VM that has no list yet. Upstreams
+// SetPartialUpstreams sets a partial list of upstreams on a VM that has no list yet. Upstreams
 // that are added by the next list are not treated as newly started.
-func (r *Relay) SetSomeUpstreams(entries []upstream.Entry, services map[contract.ServiceID]*route.Service) {
+func (r *Relay) SetPartialUpstreams(entries []upstream.Entry, services map[contract.ServiceID]*route.Service) {
 	r.setUpstreams(entries, services, true)
 }
 
@@ -32,11 +32,11 @@
 	for _, s := range services {
 		maps.Copy(costs, s.Costs)
 	}
-	r.table.SetCosts(costs)
+	r.table.SetModelPrices(costs)
 	list := r.tableList(entries, services)
-	list.Some = partial
+	list.Incomplete = partial
 	entries = list.Entries
-	r.table.ConfigureList(list)
+	r.table.ApplyList(list)
 	r.logColdUpstreams()
 	known := make(map[contract.UpstreamID]upstream.Entry, len(entries))
 	r.poolsByRelease = make(map[contract.ServiceID]map[string][]contract.PoolID)
@@ -49,7 +49,7 @@
 		}
 	}
 	for id, p := range r.pools {
-		if e, ok := known[id]; !ok || e.Address != r.entries[id].Address || e.Born != r.entries[id].Born {
+		if e, ok := known[id]; !ok || e.Address != r.entries[id].Address || e.Incarnation != r.entries[id].Incarnation {
 			r.closePool(id, p)
 		}
 	}
@@ -88,18 +88,18 @@
 	entries = slices.Clone(entries)
 	for i, e := range entries {
 		if s := services[e.Service]; s != nil {
-			entries[i].Memory = s.Memory
+			entries[i].CacheTokens = s.CacheTokens
 		}
 	}
 	return upstream.List{
 		Entries: entries, Connections: func(s contract.ServiceID) int { return r.connectionLimits[s] },
-		Cold: func(s contract.ServiceID) upstream.ColdBound { return r.opts.Cold.boundFor(services[s]) }, Now: r.opts.Now(),
+		Cold: func(s contract.ServiceID) upstream.ColdBound { return r.opts.ColdBounds.boundFor(services[s]) }, Now: r.opts.Now(),
 	}
 }
 
 // closePool closes the connections to an upstream. The caller holds mu.
 func (r *Relay) closePool(id contract.UpstreamID, p *exchange.Pool) {
-	_, total := p.Count()
+	_, total := p.Stats()
 	r.closedPoolDials += total
 	p.Close()
 	delete(r.pools, id)
@@ -117,7 +117,7 @@
 		}
 	}
 	list := r.tableList(changed, services)
-	r.table.ChangeList(list, gone)
+	r.table.ApplyListChanges(list, gone)
 	r.logColdUpstreams()
 	for _, id := range gone {
 		r.removeEntry(id)
@@ -132,11 +132,11 @@
 // updateEntry adds or replaces one entry. The caller holds mu.
 func (r *Relay) updateEntry(e upstream.Entry) {
 	old, known := r.entries[e.ID]
-	if p, ok := r.pools[e.ID]; ok && (old.Address != e.Address || old.Born != e.Born) {
+	if p, ok := r.pools[e.ID]; ok && (old.Address != e.Address || old.Incarnation != e.Incarnation) {
 		r.closePool(e.ID, p)
 	}
 	r.entries[e.ID] = e
-	if known && old.PoolOf() != e.PoolOf() {
+	if known && old.PoolID() != e.PoolID() {
 		r.removePool(old)
 	}
 	r.addPool(e)
@@ -156,7 +156,7 @@
 
 // removePool removes the pool of an upstream that was its last member. The caller holds mu.
 func (r *Relay) removePool(e upstream.Entry) {
-	id := e.PoolOf()
+	id := e.PoolID()
 	byRelease := r.poolsByRelease[e.Service]
 	if byRelease == nil || r.table.HasPool(id) {
 		return
@@ -178,7 +178,7 @@
 		byRelease = make(map[string][]contract.PoolID)
 		r.poolsByRelease[e.Service] = byRelease
 	}
-	id := e.PoolOf()
+	id := e.PoolID()
 	r.dataCentreOf[id] = e.DataCentre
 	for _, pool := range byRelease[e.Release] {
 		if pool == id {
--- a/relay/upstream_list_test.go
+++ b/relay/upstream_list_test.go
@@ -25,14 +25,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		services := map[contract.ServiceID]*route.Service{
-			"s": {ID: "s", MaxConnections: 100, Memory: 1000, Cold: route.Cold{For: 3 * time.Second, PerSecond: 20}}, "p": {ID: "p", MaxConnections: 40},
+			"s": {ID: "s", MaxConnections: 100, CacheTokens: 1000, Cold: route.ColdCapacity{Duration: 3 * time.Second, PerSecond: 20}}, "p": {ID: "p", MaxConnections: 40},
 		}
 		vms := 1
 		newRelay := func() *Relay {
 			return New(&Options{
 				Log: zap.NewNop(), Now: func() time.Time { return now }, VMs: func() int { return vms }, Seed: 7, DataCentre: "d0",
-				Budget: retry.WindowOptions{Ratio: 1, Slack: 1000}, Cold: ColdBounds{Overshoot: 1.5, Slack: 5},
-				Owners: func() upstream.Owners { return upstream.Owners{Self: "me", VMs: []contract.VMID{"me"}} },
+				Budget: retry.ResendWindowOptions{Ratio: 1, Slack: 1000}, ColdBounds: ColdBounds{Overshoot: 1.5, Slack: 5},
+				ColdOwners: func() upstream.Owners { return upstream.Owners{Self: "me", VMs: []contract.VMID{"me"}} },
 			})
 		}
 		full, incremental := newRelay(), newRelay()
@@ -90,7 +90,7 @@
 		DataCentre: rapid.SampledFrom([]contract.DataCentreID{"d0", "d1"}).Draw(t, "data centre"),
 		Release:    rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "release"), Slots: rapid.IntRange(1, 3).Draw(t, "slots"),
 		Leaving: rapid.IntRange(0, 3).Draw(t, "leaving") == 0, Cold: time.Duration(rapid.IntRange(0, 1).Draw(t, "cold")) * time.Second,
-		Born: rapid.Int64Range(1, 2).Draw(t, "born"), Revision: contract.Revision(rapid.IntRange(1, 50).Draw(t, "revision")),
+		Incarnation: rapid.Int64Range(1, 2).Draw(t, "born"), Revision: contract.Revision(rapid.IntRange(1, 50).Draw(t, "revision")),
 	}
 }
 
@@ -99,21 +99,21 @@
 func compareSelection(t *rapid.T, a, b *Relay, n int, now time.Time) {
 	selectWith := func(r *Relay) (upstream.Entry, *job) {
 		j := newStreamJob(true)
-		j.service, j.ID, j.Arrived, j.Deadline, j.outcome = "s", contract.RequestID(fmt.Sprint("r", n)), now, now.Add(time.Minute), contract.NotRun
+		j.service, j.ID, j.Arrived, j.Deadline, j.outcome = "s", contract.RequestID(fmt.Sprint("r", n)), now, now.Add(time.Minute), contract.OutcomeNotRun
 		e, _ := r.selectUpstream(j)
 		return e, j
 	}
 	fromA, _ := selectWith(a)
 	fromB, _ := selectWith(b)
-	if fromA.ID != fromB.ID || fromA.Born != fromB.Born {
+	if fromA.ID != fromB.ID || fromA.Incarnation != fromB.Incarnation {
 		t.Fatalf("the full list selects %v, the changes select %v", fromA, fromB)
 	}
 	if fromA.ID == "" || rapid.Bool().Draw(t, "keeps running") {
 		return
 	}
-	result := rapid.SampledFrom([]upstream.Result{upstream.Good, upstream.Failed, upstream.Down, upstream.TurnedAway}).Draw(t, "result")
-	a.table.Done(fromA.ID, result, time.Millisecond, now)
-	b.table.Done(fromA.ID, result, time.Millisecond, now)
+	result := rapid.SampledFrom([]upstream.Result{upstream.Succeeded, upstream.Failed, upstream.ConnectionRefused, upstream.Rejected}).Draw(t, "result")
+	a.table.RecordDone(fromA.ID, result, time.Millisecond, now)
+	b.table.RecordDone(fromA.ID, result, time.Millisecond, now)
 }
 
 // compareRelays fails the test if two relays have different upstreams.
@@ -132,7 +132,7 @@
 			t.Fatalf("pools of service %s differ: %v and %v", s, x, y)
 		}
 	}
-	if x, y := a.table.Cold(a.opts.Now()), b.table.Cold(b.opts.Now()); x != y {
+	if x, y := a.table.CountCold(a.opts.Now()), b.table.CountCold(b.opts.Now()); x != y {
 		t.Fatalf("numbers of cold upstreams differ: %d and %d", x, y)
 	}
 }
--- a/relay/value.go
+++ b/relay/value.go
@@ -15,11 +15,11 @@
 // if no costs are configured. The caller holds mu.
 func (r *Relay) requestValue(j *job) float64 {
 	tokens := promptTokenWeight*float64(j.PromptTokens) + float64(j.OutputTokens)
-	return r.highestModelCost(j) * tokens / costUnitTokens * r.opts.WorthOfCost / float64(1+max(j.Route.Priority, 0))
+	return r.highestModelCost(j) * tokens / costUnitTokens * r.opts.ValueCostRatio / float64(1+max(j.Route.Priority, 0))
 }
 
 // costToValue returns the cost of the most expensive model's answer as a fraction of the
 // request's value.
 func (r *Relay) costToValue(j *job) float64 {
-	return float64(1+max(j.Route.Priority, 0)) / r.opts.WorthOfCost
+	return float64(1+max(j.Route.Priority, 0)) / r.opts.ValueCostRatio
 }
--- a/relay/watchdog.go
+++ b/relay/watchdog.go
@@ -97,5 +97,5 @@
 func (r *Relay) firstAnswerTimeout(j *job) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.latencyOf(j).timeout(j.Route.Objective) + j.pending.estimate.First()
+	return r.latencyOf(j).timeout(j.Route.Objective) + j.pending.estimate.TimeToFirstToken()
 }
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -52,8 +52,8 @@
 	return &Budget{opts: opts, tokens: opts.Burst}
 }
 
-// First records a first attempt, which adds Options.Ratio to the budget.
-func (b *Budget) First() { b.tokens = min(b.tokens+b.opts.Ratio, b.opts.Burst) }
+// RecordFirstAttempt records a first attempt, which adds Options.Ratio to the budget.
+func (b *Budget) RecordFirstAttempt() { b.tokens = min(b.tokens+b.opts.Ratio, b.opts.Burst) }
 
 // Attempt describes an attempt that returned no answer.
 type Attempt struct {
@@ -65,16 +65,16 @@
 	Repeatable bool
 	// Deadline is the time after which the caller no longer needs the answer. Expected is
 	// the expected duration of another attempt.
-	Deadline time.Time
-	Expected time.Duration
+	Deadline         time.Time
+	ExpectedDuration time.Duration
 }
 
 // Decision says whether to retry, and after which pause.
 type Decision struct {
-	Again bool
+	Retry bool
 	Pause time.Duration
-	// Why is the reason when there is no retry.
-	Why Reason
+	// Reason is the reason when there is no retry.
+	Reason Reason
 }
 
 // Reason is why a request is not retried.
@@ -82,45 +82,45 @@
 
 // Reasons against a retry. The texts appear in the error details that callers receive.
 const (
-	MayHaveExecuted  Reason = "may have run"
-	Attempts         Reason = "attempts used up"
-	DeadlineTooClose Reason = "cannot end by the deadline"
-	OverBudget       Reason = "retry budget used up"
-	NoOther          Reason = "no other upstream takes it"
+	MayHaveExecuted   Reason = "may have run"
+	AttemptsExhausted Reason = "attempts used up"
+	DeadlineTooClose  Reason = "cannot end by the deadline"
+	BudgetExhausted   Reason = "retry budget used up"
+	NoOtherUpstream   Reason = "no other upstream takes it"
 )
 
 // jitterFactor scales a uniform random number from 0 to 1 so that the mean pause equals the
 // backoff.
 const jitterFactor = 2
 
-// Barred returns why this attempt must not be followed by another one, regardless of the
+// RetryBlocked returns why this attempt must not be followed by another one, regardless of the
 // budget, or "" if a retry is allowed. maxAttempts bounds the attempts of one request.
 //
 // A request that is not repeatable may only be retried if its attempt provably was not
 // executed.
-func (a Attempt) Barred(maxAttempts int, now time.Time) Reason {
+func (a Attempt) RetryBlocked(maxAttempts int, now time.Time) Reason {
 	switch {
-	case !a.Repeatable && a.Outcome != contract.NotRun:
+	case !a.Repeatable && a.Outcome != contract.OutcomeNotRun:
 		return MayHaveExecuted
 	case a.Number >= maxAttempts:
-		return Attempts
-	case now.Add(a.Expected).After(a.Deadline):
+		return AttemptsExhausted
+	case now.Add(a.ExpectedDuration).After(a.Deadline):
 		return DeadlineTooClose
 	}
 	return ""
 }
 
-// Decide spends one retry from the budget, or returns the reason why there is no retry.
-func (b *Budget) Decide(a Attempt, now time.Time, random *rand.Rand) Decision {
+// TryRetry spends one retry from the budget, or returns the reason why there is no retry.
+func (b *Budget) TryRetry(a Attempt, now time.Time, random *rand.Rand) Decision {
 	meanBackoff := b.opts.Backoff << max(a.Number-1, 0)
 	pause := time.Duration(random.Float64() * jitterFactor * float64(meanBackoff))
-	a.Expected += pause
-	if why := a.Barred(b.opts.MaxAttempts, now); why != "" {
-		return Decision{Why: why}
+	a.ExpectedDuration += pause
+	if why := a.RetryBlocked(b.opts.MaxAttempts, now); why != "" {
+		return Decision{Reason: why}
 	}
 	if b.tokens < 1 {
-		return Decision{Why: OverBudget}
+		return Decision{Reason: BudgetExhausted}
 	}
 	b.tokens--
-	return Decision{Again: true, Pause: pause}
+	return Decision{Retry: true, Pause: pause}
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -24,27 +24,27 @@
 		now := time.Unix(0, 0)
 		firstAttempts, retries, baseline := 0, 0, 0
 		for range rapid.IntRange(1, 200).Draw(t, "requests") {
-			b.First()
+			b.RecordFirstAttempt()
 			firstAttempts++
 			for n := 1; ; n++ {
 				a := Attempt{
 					Number: n, Outcome: contract.Outcome(rapid.IntRange(0, 2).Draw(t, "outcome")),
-					Repeatable: rapid.Bool().Draw(t, "repeatable"),
-					Deadline:   now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond),
-					Expected:   100 * time.Millisecond,
+					Repeatable:       rapid.Bool().Draw(t, "repeatable"),
+					Deadline:         now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond),
+					ExpectedDuration: 100 * time.Millisecond,
 				}
 				if n <= 3 {
 					baseline++
 				}
-				d := b.Decide(a, now, r)
-				if !d.Again {
+				d := b.TryRetry(a, now, r)
+				if !d.Retry {
 					break
 				}
 				retries++
-				if !a.Repeatable && a.Outcome != contract.NotRun {
+				if !a.Repeatable && a.Outcome != contract.OutcomeNotRun {
 					t.Fatal("retried a request that may have been executed")
 				}
-				if now.Add(d.Pause + a.Expected).After(a.Deadline) {
+				if now.Add(d.Pause + a.ExpectedDuration).After(a.Deadline) {
 					t.Fatal("retried although the deadline is too close")
 				}
 			}
--- a/retry/retryafter.go
+++ b/retry/retryafter.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Returns assigns retry times to refused callers of a rate-limited resource, so that they
+// RetryScheduler assigns retry times to refused callers of a rate-limited resource, so that they
 // come back spread over the time in which capacity becomes available. Callers that were
 // already given a retry time precede those that are refused now. The zero value has no
 // waiting callers.
-type Returns struct {
+type RetryScheduler struct {
 	// reservedUntil is the time up to which the available capacity is promised to refused
 	// callers.
 	reservedUntil time.Time
 }
 
-// Next returns the delay after which one more refused caller may retry, given that
+// NextDelay returns the delay after which one more refused caller may retry, given that
 // perSecond callers are served per second. The delay is picked from the later half of the
 // time that the callers before it need, bounded by maxDelay, so that callers that are
 // refused together do not come back together. jitter is a random number from 0 to 1.
-func (r *Returns) Next(perSecond float64, maxDelay time.Duration, jitter float64, now time.Time) time.Duration {
+func (r *RetryScheduler) NextDelay(perSecond float64, maxDelay time.Duration, jitter float64, now time.Time) time.Duration {
 	interval := min(time.Duration(float64(time.Second)/max(perSecond, 1/maxDelay.Seconds())), maxDelay)
 	if r.reservedUntil.Before(now) {
 		r.reservedUntil = now
@@ -29,5 +29,5 @@
 	return delay - time.Duration(jitter/2*float64(delay))
 }
 
-// Awaited reports whether some refused callers have not reached their retry time yet.
-func (r *Returns) Awaited(now time.Time) bool { return r.reservedUntil.After(now) }
+// Pending reports whether some refused callers have not reached their retry time yet.
+func (r *RetryScheduler) Pending(now time.Time) bool { return r.reservedUntil.After(now) }
--- a/retry/retryafter_test.go
+++ b/retry/retryafter_test.go
@@ -19,11 +19,11 @@
 	)
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
-	var r Returns
+	var r RetryScheduler
 	start := time.Unix(1000, 0)
 	var retryTimes []time.Time
 	for now := start; now.Sub(start) < 20*time.Second; now = now.Add(time.Second / 15) {
-		delay := r.Next(perSecond, maxDelay, random.Float64(), now)
+		delay := r.NextDelay(perSecond, maxDelay, random.Float64(), now)
 		is.True(delay > 0 && delay <= maxDelay)
 		retryTimes = append(retryTimes, now.Add(delay))
 	}
@@ -43,8 +43,8 @@
 func TestRetryTimeOfSingleCaller(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	var r, noCapacity Returns
-	is.Equal(r.Next(2, 5*time.Second, 0, now), 500*time.Millisecond)
-	is.Equal(r.Next(2, 5*time.Second, 0, now.Add(10*time.Second)), 500*time.Millisecond)
-	is.Equal(noCapacity.Next(0, 5*time.Second, 0, now), 5*time.Second)
+	var r, noCapacity RetryScheduler
+	is.Equal(r.NextDelay(2, 5*time.Second, 0, now), 500*time.Millisecond)
+	is.Equal(r.NextDelay(2, 5*time.Second, 0, now.Add(10*time.Second)), 500*time.Millisecond)
+	is.Equal(noCapacity.NextDelay(0, 5*time.Second, 0, now), 5*time.Second)
 }
--- a/retry/window.go
+++ b/retry/window.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// WindowOptions configures a Window.
-type WindowOptions struct {
+// ResendWindowOptions configures a Window.
+type ResendWindowOptions struct {
 	// Ratio is the number of resends that each request adds to the allowance.
 	Ratio float64
 	// Slack is the number of additional resends that the whole fleet may make per window.
@@ -32,32 +32,34 @@
 	ringSlots = windowSlots + 1
 )
 
-// Window limits the resends (retries and escalations) of one VM to one service over a
+// ResendWindow limits the resends (retries and escalations) of one VM to one service over a
 // sliding window. Each VM's allowance comes from its own requests and its share of the
 // slack, so the fleet stays within its limit without communication between VMs.
 //
 // Window is not safe for concurrent use; the caller holds a lock.
-type Window struct {
-	opts   WindowOptions
+type ResendWindow struct {
+	opts   ResendWindowOptions
 	slots  [ringSlots]slot
 	newest int64 // number of the newest slot
 }
 
 type slot struct{ requests, resends float64 }
 
-// NewWindow returns an empty window.
-func NewWindow(opts WindowOptions) *Window {
+// NewResendWindow returns an empty window.
+func NewResendWindow(opts ResendWindowOptions) *ResendWindow {
 	opts.Length = cmp.Or(opts.Length, defaultWindowLength)
 	opts.Margin = cmp.Or(opts.Margin, defaultMargin)
 	opts.Reserve = cmp.Or(opts.Reserve, defaultReserve)
-	return &Window{opts: opts}
+	return &ResendWindow{opts: opts}
 }
 
 // slot returns the ring entry for a slot number.
-func (w *Window) slot(number int64) *slot { return &w.slots[(number%ringSlots+ringSlots)%ringSlots] }
+func (w *ResendWindow) slot(number int64) *slot {
+	return &w.slots[(number%ringSlots+ringSlots)%ringSlots]
+}
 
 // advance clears the slots between the newest one and now, and returns the slot of now.
-func (w *Window) advance(now time.Time) *slot {
+func (w *ResendWindow) advance(now time.Time) *slot {
 	current := now.UnixNano() / int64(w.opts.Length/windowSlots)
 	for n := 0; w.newest < current && n < ringSlots; n++ {
 		w.newest++
@@ -69,8 +71,8 @@
 	return w.slot(w.newest)
 }
 
-// Request records a request of a caller.
-func (w *Window) Request(now time.Time) { w.advance(now).requests++ }
+// RecordRequest records a request of a caller.
+func (w *ResendWindow) RecordRequest(now time.Time) { w.advance(now).requests++ }
 
 // Purpose is the reason for a resend.
 type Purpose uint8
@@ -85,7 +87,7 @@
 
 // Take spends one resend from the allowance of this VM, one of vms VMs that share the slack
 // equally. It returns false if the allowance is used up.
-func (w *Window) Take(p Purpose, vms int, now time.Time) bool {
+func (w *ResendWindow) Take(p Purpose, vms int, now time.Time) bool {
 	current := w.advance(now)
 	if w.used()+1 > w.allowanceFor(p, vms) {
 		return false
@@ -94,8 +96,8 @@
 	return true
 }
 
-// Left returns the unused fraction of the allowance, from 0 to 1.
-func (w *Window) Left(vms int, now time.Time) float64 {
+// UnusedShare returns the unused fraction of the allowance, from 0 to 1.
+func (w *ResendWindow) UnusedShare(vms int, now time.Time) float64 {
 	w.advance(now)
 	limit := w.allowance(vms)
 	if limit <= 0 {
@@ -104,8 +106,8 @@
 	return max(0, 1-w.used()/limit)
 }
 
-// Used returns the used fraction of the allowance for a purpose, from 0 to 1.
-func (w *Window) Used(p Purpose, vms int, now time.Time) float64 {
+// UsedShare returns the used fraction of the allowance for a purpose, from 0 to 1.
+func (w *ResendWindow) UsedShare(p Purpose, vms int, now time.Time) float64 {
 	w.advance(now)
 	limit := w.allowanceFor(p, vms)
 	if limit <= 0 {
@@ -115,14 +117,14 @@
 }
 
 // allowanceFor returns the part of the allowance that is available for a purpose.
-func (w *Window) allowanceFor(p Purpose, vms int) float64 {
+func (w *ResendWindow) allowanceFor(p Purpose, vms int) float64 {
 	if p == ForEscalation {
 		return (1 - w.opts.Reserve) * w.allowance(vms)
 	}
 	return w.allowance(vms)
 }
 
-func (w *Window) allowance(vms int) float64 {
+func (w *ResendWindow) allowance(vms int) float64 {
 	requests := 0.0
 	for number := w.newest; number > w.newest-windowSlots; number-- { // slots that lie completely inside the window
 		requests += w.slot(number).requests
@@ -130,7 +132,7 @@
 	return (1 - w.opts.Margin) * (w.opts.Ratio*requests + w.opts.Slack/float64(max(vms, 1)))
 }
 
-func (w *Window) used() float64 {
+func (w *ResendWindow) used() float64 {
 	used := 0.0
 	for _, s := range w.slots {
 		used += s.resends
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -19,11 +19,11 @@
 		ratio := rapid.Float64Range(0, 1).Draw(t, "ratio")
 		slack := float64(rapid.IntRange(0, 60).Draw(t, "slack"))
 		vms := rapid.IntRange(1, 8).Draw(t, "vms")
-		var windows []*Window
+		var windows []*ResendWindow
 		for range vms {
-			windows = append(windows, NewWindow(WindowOptions{Ratio: ratio, Slack: slack, Length: length}))
+			windows = append(windows, NewResendWindow(ResendWindowOptions{Ratio: ratio, Slack: slack, Length: length}))
 		}
-		baseline := NewWindow(WindowOptions{Ratio: ratio, Slack: slack, Length: length})
+		baseline := NewResendWindow(ResendWindowOptions{Ratio: ratio, Slack: slack, Length: length})
 		type event struct {
 			at     time.Time
 			resend bool
@@ -34,8 +34,8 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 			w := windows[rapid.IntRange(0, vms-1).Draw(t, "vm")]
 			if rapid.Bool().Draw(t, "request") {
-				w.Request(now)
-				baseline.Request(now)
+				w.RecordRequest(now)
+				baseline.RecordRequest(now)
 				events = append(events, event{now, false})
 				continue
 			}
@@ -71,9 +71,9 @@
 func TestEscalationsLeaveBudgetForRetries(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	w := NewWindow(WindowOptions{Ratio: 0.5, Slack: 0})
+	w := NewResendWindow(ResendWindowOptions{Ratio: 0.5, Slack: 0})
 	for range 100 {
-		w.Request(now)
+		w.RecordRequest(now)
 	}
 	for w.Take(ForEscalation, 1, now) {
 	}
@@ -88,7 +88,7 @@
 // window. Counting from the start of its slot would free its allowance too early.
 func TestResendsCountForFullWindow(t *testing.T) {
 	is := is.New(t)
-	w := NewWindow(WindowOptions{Slack: 10, Length: 10 * time.Second})
+	w := NewResendWindow(ResendWindowOptions{Slack: 10, Length: 10 * time.Second})
 	at := func(ms int64) time.Time { return time.UnixMilli(1_000_000 + ms) }
 	taken := 0
 	for w.Take(ForRetry, 1, at(490)) {
@@ -97,5 +97,5 @@
 	is.Equal(taken, 8) // the slack minus the margin
 	is.True(!w.Take(ForRetry, 1, at(10_200)))
 	is.True(w.Take(ForRetry, 1, at(10_600)))
-	is.True(NewWindow(WindowOptions{Slack: 10}).Take(ForRetry, 1, time.Unix(0, 0))) // works at Unix time zero
+	is.True(NewResendWindow(ResendWindowOptions{Slack: 10}).Take(ForRetry, 1, time.Unix(0, 0))) // works at Unix time zero
 }
--- a/rollout/canary.go
+++ b/rollout/canary.go
@@ -16,26 +16,26 @@
 
 // The states of an order.
 const (
-	OrderOpen      OrderState = ""
-	OrderCompleted OrderState = "completed"
-	OrderUndone    OrderState = "rolled back"
+	OrderOpen       OrderState = ""
+	OrderCompleted  OrderState = "completed"
+	OrderRolledBack OrderState = "rolled back"
 )
 
-// Order is an operator's order to move a service's requests to a new release. The
+// ReleaseOrder is an operator's order to move a service's requests to a new release. The
 // release's upstreams run alongside those of the other releases until the order ends.
-type Order struct {
+type ReleaseOrder struct {
 	Service contract.ServiceID
 	Release string
-	// Issued is when the order was given, on this VM's clock. Length is how long the
+	// IssuedAt is when the order was given, on this VM's clock. Length is how long the
 	// order may take.
-	Issued time.Time
-	Length time.Duration
-	State  OrderState
+	IssuedAt time.Time
+	Duration time.Duration
+	State    OrderState
 	// Name is the name of the order's object in the store.
 	Name string
-	// Began is the wall-clock time at which a VM first saw the order. That VM stores it
+	// StartedAt is the wall-clock time at which a VM first saw the order. That VM stores it
 	// for VMs that start later. It is zero until then.
-	Began time.Time
+	StartedAt time.Time
 	// Revision is the revision of the order's object in the store.
 	Revision contract.Revision
 }
@@ -85,7 +85,7 @@
 // so all VMs send a session to the same release without coordination. A Canary does no
 // I/O and is not safe for concurrent use.
 type Canary struct {
-	order      Order
+	order      ReleaseOrder
 	testParams config.Rollout
 	alarm      *CUSUMAlarm
 	slowness   *SlownessDetector
@@ -122,33 +122,33 @@
 // NewCanary returns the canary of an order that this VM sees for the first time at now.
 // share is the largest fraction of the service's requests that a bad release may get
 // over the whole order.
-func NewCanary(order Order, share float64, now time.Time) *Canary {
-	c := &Canary{order: order, ageKnown: order.Began.IsZero()}
+func NewCanary(order ReleaseOrder, share float64, now time.Time) *Canary {
+	c := &Canary{order: order, ageKnown: order.StartedAt.IsZero()}
 	c.stages, c.completeAt = planStages(share)
 	c.joinedLate = c.elapsedFraction(now) > trialStart
-	c.testParams = config.Rollout{GoodRate: goodRateMargin, BadRate: goodRateMargin + badRateMargin, FalseAlarm: falseAlarmRate, Miss: missRate}
+	c.testParams = config.Rollout{GoodRate: goodRateMargin, BadRate: goodRateMargin + badRateMargin, FalseAlarmProbability: falseAlarmRate, MissProbability: missRate}
 	c.alarm = NewCUSUMAlarm(&c.testParams, 1)
 	c.slowness = NewSlownessDetector()
 	return c
 }
 
 // Order returns the order in its newest known state.
-func (c *Canary) Order() Order { return c.order }
+func (c *Canary) Order() ReleaseOrder { return c.order }
 
 // Update replaces the order by a newer state of the same order.
-func (c *Canary) Update(o Order) {
-	issued := c.order.Issued // measured on this VM's clock, which does not jump
+func (c *Canary) Update(o ReleaseOrder) {
+	issued := c.order.IssuedAt // measured on this VM's clock, which does not jump
 	c.order = o
-	c.order.Issued = issued
+	c.order.IssuedAt = issued
 }
 
 // elapsedFraction returns the elapsed time as a fraction of the order's length, from 0 at
 // the start to 1 at the end. It exceeds 1 once the order is overdue.
 func (c *Canary) elapsedFraction(now time.Time) float64 {
-	if c.order.Length <= 0 {
+	if c.order.Duration <= 0 {
 		return 1
 	}
-	return float64(now.Sub(c.order.Issued)) / float64(c.order.Length)
+	return float64(now.Sub(c.order.IssuedAt)) / float64(c.order.Duration)
 }
 
 // Share returns the fraction of sessions that use the release at now.
@@ -156,7 +156,7 @@
 	switch {
 	case c.order.State == OrderCompleted:
 		return 1
-	case c.order.State == OrderUndone || c.bad:
+	case c.order.State == OrderRolledBack || c.bad:
 		return 0
 	}
 	share := 0.0
@@ -185,19 +185,19 @@
 	return totals.Good+totals.Bad < minTrialResponses
 }
 
-// Choose reports whether a request of a session goes to the release on trial.
-func (c *Canary) Choose(session uint64, now time.Time) bool {
+// UsesRelease reports whether a request of a session goes to the release on trial.
+func (c *Canary) UsesRelease(session uint64, now time.Time) bool {
 	share := c.Share(now)
 	return share > 0 && rampPosition(session, c.order) < share
 }
 
-// Moving reports whether the release has passed the trial stage and gets a large share
+// PastTrial reports whether the release has passed the trial stage and gets a large share
 // of sessions. From then on it also serves requests that no other release can take.
-func (c *Canary) Moving(now time.Time) bool { return c.Share(now) >= firstStepShare }
+func (c *Canary) PastTrial(now time.Time) bool { return c.Share(now) >= firstStepShare }
 
 // rampPosition maps a session to a position from 0 to 1 that is the same at every VM.
 // Sessions with a lower position move to the release first.
-func rampPosition(session uint64, o Order) float64 {
+func rampPosition(session uint64, o ReleaseOrder) float64 {
 	var key [8]byte
 	binary.LittleEndian.PutUint64(key[:], session)
 	d := xxhash.New()
@@ -206,19 +206,19 @@
 	return float64(d.Sum64()>>11) / (1 << 53)
 }
 
-// Answer is the outcome of a response of a service that has an open order.
-type Answer struct {
+// Response is the outcome of a response of a service that has an open order.
+type Response struct {
 	// OnTrial is true for a response of the release on trial.
 	OnTrial bool
 	// Failed is true if the upstream itself failed the request.
 	Failed bool
-	Times  []Time
+	Times  []Latency
 }
 
 // Observe records a response. A response counts as bad if it failed or took much longer
 // than those of the other releases. Observe returns true if this response makes the
 // release count as bad.
-func (c *Canary) Observe(a Answer, now time.Time) bool {
+func (c *Canary) Observe(a Response, now time.Time) bool {
 	slow := c.slowness.Observe(a.OnTrial, a.Times, now)
 	tally := &c.baselineCounts
 	if a.OnTrial {
@@ -241,17 +241,17 @@
 // Age returns the time since the order was given, and whether it was measured on a VM's
 // running clock.
 func (c *Canary) Age(now time.Time) (time.Duration, bool) {
-	return now.Sub(c.order.Issued), c.ageKnown
+	return now.Sub(c.order.IssuedAt), c.ageKnown
 }
 
-// Told sets the order's age to the one that another VM has measured on its clock. It
+// MergeOrderAge sets the order's age to the one that another VM has measured on its clock. It
 // replaces an age that was derived from a stored time of day. Of two measured ages the
 // larger one is correct, since it comes from the VM that saw the order first.
-func (c *Canary) Told(age time.Duration, now time.Time) {
+func (c *Canary) MergeOrderAge(age time.Duration, now time.Time) {
 	issued := now.Add(-age)
 	c.ageReceived = true
-	if !c.ageKnown || issued.Before(c.order.Issued) {
-		c.order.Issued, c.ageKnown = issued, true
+	if !c.ageKnown || issued.Before(c.order.IssuedAt) {
+		c.order.IssuedAt, c.ageKnown = issued, true
 	}
 }
 
@@ -267,31 +267,31 @@
 	return Observer{VM: contract.VMID("total of " + string(dc))}
 }
 
-// Hearer is the kind of VM that evidence is sent to.
-type Hearer uint8
+// Recipient is the kind of VM that evidence is sent to.
+type Recipient uint8
 
 const (
-	// HearsNear is a VM of the sender's data centre.
-	HearsNear Hearer = iota
-	// HearsHub is another hub of the sender's data centre, if the sender is a hub too.
+	// RecipientLocal is a VM of the sender's data centre.
+	RecipientLocal Recipient = iota
+	// RecipientHub is another hub of the sender's data centre, if the sender is a hub too.
 	// Hubs forward the evidence that they receive.
-	HearsHub
-	// HearsFar is a VM of another data centre.
-	HearsFar
+	RecipientHub
+	// RecipientRemote is a VM of another data centre.
+	RecipientRemote
 )
 
 // Evidence returns the counts to send to another VM, or nil if there are none or the order
 // has ended. Recipients get one total for each data centre, so the size does not depend on
 // the number of VMs. Only hubs of the same data centre exchange the counts of each VM of it,
 // because each of them receives counts from a different subset of the VMs.
-func (c *Canary) Evidence(to Hearer, self Observer, dc contract.DataCentreID) Evidence {
+func (c *Canary) Evidence(to Recipient, self Observer, dc contract.DataCentreID) Evidence {
 	totals := c.RemoteEvidence(self, dc)
-	if totals == nil || to == HearsFar {
+	if totals == nil || to == RecipientRemote {
 		return totals
 	}
-	others := c.received.Of(func(o Observer) bool { return o.isDataCentreTotal() && o != totalObserver(dc) })
-	if to == HearsHub {
-		others = c.received.Of(func(o Observer) bool { return o != self && o != totalObserver(dc) })
+	others := c.received.Filter(func(o Observer) bool { return o.isDataCentreTotal() && o != totalObserver(dc) })
+	if to == RecipientHub {
+		others = c.received.Filter(func(o Observer) bool { return o != self && o != totalObserver(dc) })
 	}
 	return append(append(c.localEvidence(self), totals...), others...)
 }
@@ -302,9 +302,9 @@
 	if c.order.State != OrderOpen || c.trialCounts.Good+c.trialCounts.Bad == 0 && len(c.received) == 0 {
 		return nil
 	}
-	local := c.received.Of(func(o Observer) bool { return !o.isDataCentreTotal() && o != self })
+	local := c.received.Filter(func(o Observer) bool { return !o.isDataCentreTotal() && o != self })
 	known := append(local, c.localEvidence(self)...).Total(totalObserver(dc))
-	return Merge(known, c.received.Of(func(o Observer) bool { return o == totalObserver(dc) }))
+	return Merge(known, c.received.Filter(func(o Observer) bool { return o == totalObserver(dc) }))
 }
 
 func (c *Canary) localEvidence(self Observer) Evidence {
@@ -319,9 +319,9 @@
 	return contract.VersionID(string(c.order.Service) + "/" + c.order.Release)
 }
 
-// Hear merges the counts of other VMs. Evidence may arrive late, repeatedly and in any
+// MergeEvidence merges the counts of other VMs. Evidence may arrive late, repeatedly and in any
 // order. Hear returns true if the evidence makes the release count as bad.
-func (c *Canary) Hear(e Evidence, self Observer, dc contract.DataCentreID) bool {
+func (c *Canary) MergeEvidence(e Evidence, self Observer, dc contract.DataCentreID) bool {
 	c.dataCentre = dc
 	for _, count := range e {
 		if count.Version == c.versionKey() && count.Observer != self {
@@ -351,15 +351,15 @@
 // centre it takes the larger of the received total and the sum over individual VMs; for
 // other data centres it takes their totals.
 func (c *Canary) totalCounts(step int, local Counts) Counts {
-	individual := c.received.Of(func(o Observer) bool { return !o.isDataCentreTotal() }).Sum(c.versionKey(), step).add(local)
-	total := c.received.Of(func(o Observer) bool { return o == totalObserver(c.dataCentre) }).Sum(c.versionKey(), step)
-	remote := c.received.Of(func(o Observer) bool { return o.isDataCentreTotal() && o != totalObserver(c.dataCentre) }).Sum(c.versionKey(), step)
+	individual := c.received.Filter(func(o Observer) bool { return !o.isDataCentreTotal() }).Sum(c.versionKey(), step).add(local)
+	total := c.received.Filter(func(o Observer) bool { return o == totalObserver(c.dataCentre) }).Sum(c.versionKey(), step)
+	remote := c.received.Filter(func(o Observer) bool { return o.isDataCentreTotal() && o != totalObserver(c.dataCentre) }).Sum(c.versionKey(), step)
 	return Counts{Good: max(individual.Good, total.Good), Bad: max(individual.Bad, total.Bad)}.add(remote)
 }
 
-// Suspected reports whether the release is probably bad, so that a request that failed
+// IsSuspect reports whether the release is probably bad, so that a request that failed
 // there should be retried at another release.
-func (c *Canary) Suspected() bool {
+func (c *Canary) IsSuspect() bool {
 	return c.order.State == OrderOpen && (c.bad || NewSequentialTest(&c.testParams).Suspects(c.trialTotals()))
 }
 
@@ -377,28 +377,28 @@
 	c.testParams.BadRate = min(c.testParams.GoodRate+badRateMargin, 0.95)
 }
 
-// Counts returns what this VM has seen of the release on trial and of the other releases.
-func (c *Canary) Counts() (trial, baseline Counts) { return c.trialCounts, c.baselineCounts }
+// LocalCounts returns what this VM has seen of the release on trial and of the other releases.
+func (c *Canary) LocalCounts() (trial, baseline Counts) { return c.trialCounts, c.baselineCounts }
 
-// Known returns the known counts of all VMs for the release on trial.
-func (c *Canary) Known() Counts { return c.totalCounts(trialStep, c.trialCounts) }
+// TotalTrialCounts returns the known counts of all VMs for the release on trial.
+func (c *Canary) TotalTrialCounts() Counts { return c.totalCounts(trialStep, c.trialCounts) }
 
-// Verdict returns the state to store for the order and whether it has to be stored now:
+// NextState returns the state to store for the order and whether it has to be stored now:
 // OrderOpen when the order has just started, or its final state.
-func (c *Canary) Verdict(now time.Time) (OrderState, bool) {
+func (c *Canary) NextState(now time.Time) (OrderState, bool) {
 	switch {
 	case c.order.State != OrderOpen:
 		return c.order.State, false
 	case c.bad:
-		return OrderUndone, true
+		return OrderRolledBack, true
 	case c.lacksTrialResults():
 		return OrderOpen, false
-	case c.elapsedFraction(now) >= c.completeAt && c.Suspected():
+	case c.elapsedFraction(now) >= c.completeAt && c.IsSuspect():
 		// A service with few requests gives too few responses to halt the release before
 		// this point. After it there is no other release to go back to.
-		return OrderUndone, true
+		return OrderRolledBack, true
 	case c.elapsedFraction(now) >= c.completeAt:
 		return OrderCompleted, true
 	}
-	return OrderOpen, c.order.Began.IsZero()
+	return OrderOpen, c.order.StartedAt.IsZero()
 }
--- a/rollout/canary_test.go
+++ b/rollout/canary_test.go
@@ -12,8 +12,8 @@
 	"woaddoor/contract"
 )
 
-func testOrder() Order {
-	return Order{Service: "s", Release: "v2", Issued: time.Unix(1000, 0), Length: 24 * time.Second}
+func testOrder() ReleaseOrder {
+	return ReleaseOrder{Service: "s", Release: "v2", IssuedAt: time.Unix(1000, 0), Duration: 24 * time.Second}
 }
 
 // TestSessionsNeverMoveBack checks that VMs that see an order at different times move a session
@@ -26,23 +26,23 @@
 		o := testOrder()
 		skew := time.Duration(rapid.IntRange(0, 200).Draw(t, "skew ms")) * time.Millisecond
 		late := o
-		late.Issued = o.Issued.Add(skew)
-		canaries := []*Canary{NewCanary(o, 0.15, testOrder().Issued), NewCanary(late, 0.15, testOrder().Issued)}
+		late.IssuedAt = o.IssuedAt.Add(skew)
+		canaries := []*Canary{NewCanary(o, 0.15, testOrder().IssuedAt), NewCanary(late, 0.15, testOrder().IssuedAt)}
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		session := rapid.Uint64().Draw(t, "session")
 		movedAt := time.Time{}
 		naiveOnTrial := false
-		for now := o.Issued; now.Before(o.Issued.Add(o.Length)); now = now.Add(time.Duration(1+r.IntN(800)) * time.Millisecond) {
+		for now := o.IssuedAt; now.Before(o.IssuedAt.Add(o.Duration)); now = now.Add(time.Duration(1+r.IntN(800)) * time.Millisecond) {
 			canary := canaries[r.IntN(2)]
-			onTrial := canary.Choose(session, now)
-			if onTrial && now.Sub(o.Issued) < o.Length/2 {
-				t.Fatalf("session on trial in the first half of the order, at %v", now.Sub(o.Issued))
+			onTrial := canary.UsesRelease(session, now)
+			if onTrial && now.Sub(o.IssuedAt) < o.Duration/2 {
+				t.Fatalf("session on trial in the first half of the order, at %v", now.Sub(o.IssuedAt))
 			}
 			if onTrial && movedAt.IsZero() {
 				movedAt = now
 			}
 			if !onTrial && !movedAt.IsZero() && now.Sub(movedAt) > skew {
-				t.Fatalf("session moved back at %v", now.Sub(o.Issued))
+				t.Fatalf("session moved back at %v", now.Sub(o.IssuedAt))
 			}
 			naiveDraw := r.Float64() < canary.Share(now)
 			if naiveOnTrial && !naiveDraw {
@@ -86,16 +86,16 @@
 	o := testOrder()
 	var canaries []*Canary
 	for range vms {
-		canaries = append(canaries, NewCanary(o, 0.15, testOrder().Issued))
+		canaries = append(canaries, NewCanary(o, 0.15, testOrder().IssuedAt))
 	}
-	total := requestsPerSecond * int(o.Length/time.Second)
+	total := requestsPerSecond * int(o.Duration/time.Second)
 	sent := 0
 	for i := range total {
-		now := o.Issued.Add(time.Duration(i) * o.Length / time.Duration(total))
+		now := o.IssuedAt.Add(time.Duration(i) * o.Duration / time.Duration(total))
 		c := canaries[r.IntN(vms)]
-		onTrial := c.Choose(r.Uint64(), now)
+		onTrial := c.UsesRelease(r.Uint64(), now)
 		failed := onTrial && r.Float64() < failureRate(c.elapsedFraction(now), c.Share(now))
-		c.Observe(Answer{OnTrial: onTrial, Failed: failed}, now)
+		c.Observe(Response{OnTrial: onTrial, Failed: failed}, now)
 		if onTrial {
 			sent++
 		}
@@ -114,9 +114,9 @@
 	const runs = 400
 	halted := 0
 	for range runs {
-		c := NewCanary(testOrder(), 0.15, testOrder().Issued)
+		c := NewCanary(testOrder(), 0.15, testOrder().IssuedAt)
 		for i := range 1200 {
-			if c.Observe(Answer{OnTrial: i%10 == 0 || i > 900, Failed: r.Float64() < 0.14}, time.Unix(0, 0)) {
+			if c.Observe(Response{OnTrial: i%10 == 0 || i > 900, Failed: r.Float64() < 0.14}, time.Unix(0, 0)) {
 				halted++
 			}
 		}
@@ -131,10 +131,10 @@
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(5, 5))
 	rejectedAt := func(factor, share, logStdDev float64) (at int) {
-		c := NewCanary(testOrder(), 0.15, testOrder().Issued)
+		c := NewCanary(testOrder(), 0.15, testOrder().IssuedAt)
 		now := time.Unix(0, 0)
-		latencies := func(factor float64) []Time {
-			return []Time{{"first", 0.08 * factor * math.Exp(logStdDev*r.NormFloat64())}}
+		latencies := func(factor float64) []Latency {
+			return []Latency{{"first", 0.08 * factor * math.Exp(logStdDev*r.NormFloat64())}}
 		}
 		for i := range 900 {
 			now = now.Add(20 * time.Millisecond)
@@ -143,8 +143,8 @@
 				responseFactor = factor
 			}
 			if i%3 > 0 {
-				c.Observe(Answer{Times: latencies(1)}, now)
-			} else if c.Observe(Answer{OnTrial: true, Times: latencies(responseFactor)}, now) {
+				c.Observe(Response{Times: latencies(1)}, now)
+			} else if c.Observe(Response{OnTrial: true, Times: latencies(responseFactor)}, now) {
 				return i / 3
 			}
 		}
@@ -168,13 +168,13 @@
 	is := is.New(t)
 	for _, share := range []float64{0.03, 0.05, 0.1, 0.15, 0.3} {
 		o := testOrder()
-		c := NewCanary(o, share, testOrder().Issued)
+		c := NewCanary(o, share, testOrder().IssuedAt)
 		sent := 0.0
 		const steps = 10000
 		completed := 0.0
 		for i := range steps {
-			now := o.Issued.Add(time.Duration(i) * o.Length / steps)
-			if state, due := c.Verdict(now); due && state == OrderCompleted && completed == 0 {
+			now := o.IssuedAt.Add(time.Duration(i) * o.Duration / steps)
+			if state, due := c.NextState(now); due && state == OrderCompleted && completed == 0 {
 				completed = float64(i) / steps
 			}
 			sent += c.Share(now) / steps
@@ -190,16 +190,16 @@
 	is := is.New(t)
 	now := time.Unix(2000, 0)
 	first, second, late := testOrder(), testOrder(), testOrder()
-	first.Issued = now.Add(-8 * time.Second)
-	second.Issued = now.Add(-7 * time.Second)
-	late.Issued, late.Began = now.Add(-11*time.Second), now.Add(-11*time.Second) // as derived by a VM whose wall clock is wrong
-	canaries := []*Canary{NewCanary(first, 0.15, testOrder().Issued), NewCanary(second, 0.15, testOrder().Issued), NewCanary(late, 0.15, testOrder().Issued)}
+	first.IssuedAt = now.Add(-8 * time.Second)
+	second.IssuedAt = now.Add(-7 * time.Second)
+	late.IssuedAt, late.StartedAt = now.Add(-11*time.Second), now.Add(-11*time.Second) // as derived by a VM whose wall clock is wrong
+	canaries := []*Canary{NewCanary(first, 0.15, testOrder().IssuedAt), NewCanary(second, 0.15, testOrder().IssuedAt), NewCanary(late, 0.15, testOrder().IssuedAt)}
 	for range 2 {
 		for _, from := range canaries {
 			age, known := from.Age(now)
 			for _, to := range canaries {
 				if known && to != from {
-					to.Told(age, now)
+					to.MergeOrderAge(age, now)
 				}
 			}
 		}
@@ -220,19 +220,19 @@
 	responsesUntilRejected := func(share bool) int {
 		var canaries []*Canary
 		for range vms {
-			canaries = append(canaries, NewCanary(testOrder(), 0.15, testOrder().Issued))
+			canaries = append(canaries, NewCanary(testOrder(), 0.15, testOrder().IssuedAt))
 		}
 		var late Evidence
 		for n := 1; ; n++ {
 			sender := n % vms
 			self := Observer{VM: contract.VMID(rune('a' + sender))}
-			if canaries[sender].Observe(Answer{OnTrial: true, Failed: r.Float64() < 0.34}, time.Unix(0, 0)) {
+			if canaries[sender].Observe(Response{OnTrial: true, Failed: r.Float64() < 0.34}, time.Unix(0, 0)) {
 				return n
 			}
 			if share {
-				e := canaries[sender].Evidence(HearsNear, self, "d")
+				e := canaries[sender].Evidence(RecipientLocal, self, "d")
 				to := r.IntN(vms) // evidence goes to a random VM
-				if canaries[to].Hear(append(e, late...), Observer{VM: contract.VMID(rune('a' + to))}, "d") {
+				if canaries[to].MergeEvidence(append(e, late...), Observer{VM: contract.VMID(rune('a' + to))}, "d") {
 					return n
 				}
 				late = e
@@ -259,12 +259,12 @@
 	var vms []member
 	for _, dc := range []contract.DataCentreID{"d", "e", "f"} {
 		for i := range 12 {
-			vms = append(vms, member{NewCanary(testOrder(), 0.15, testOrder().Issued), Observer{VM: contract.VMID(string(dc) + string(rune('a'+i))), Incarnation: 1}, dc})
+			vms = append(vms, member{NewCanary(testOrder(), 0.15, testOrder().IssuedAt), Observer{VM: contract.VMID(string(dc) + string(rune('a'+i))), Incarnation: 1}, dc})
 		}
 	}
 	for _, m := range vms {
 		for range 5 {
-			m.canary.Observe(Answer{OnTrial: true}, time.Unix(0, 0))
+			m.canary.Observe(Response{OnTrial: true}, time.Unix(0, 0))
 		}
 	}
 	mostEntries := 0
@@ -273,10 +273,10 @@
 			for _, to := range vms {
 				e := from.canary.RemoteEvidence(from.self, from.dc)
 				if from.dc == to.dc {
-					e = from.canary.Evidence(HearsNear, from.self, from.dc)
+					e = from.canary.Evidence(RecipientLocal, from.self, from.dc)
 				}
 				mostEntries = max(mostEntries, len(e))
-				to.canary.Hear(e, to.self, to.dc)
+				to.canary.MergeEvidence(e, to.self, to.dc)
 			}
 		}
 	}
@@ -299,30 +299,30 @@
 	newMembers := func(dc contract.DataCentreID, n int) []member {
 		var out []member
 		for i := range n {
-			m := member{NewCanary(testOrder(), 0.15, testOrder().Issued), Observer{VM: contract.VMID(string(dc) + string(rune('a'+i))), Incarnation: 1}, dc}
+			m := member{NewCanary(testOrder(), 0.15, testOrder().IssuedAt), Observer{VM: contract.VMID(string(dc) + string(rune('a'+i))), Incarnation: 1}, dc}
 			for range 5 {
-				m.canary.Observe(Answer{OnTrial: true}, time.Unix(0, 0))
+				m.canary.Observe(Response{OnTrial: true}, time.Unix(0, 0))
 			}
 			out = append(out, m)
 		}
 		return out
 	}
 	local, remote := newMembers("d", 10), newMembers("e", 10)
-	send := func(from, to member, recipient Hearer) {
-		to.canary.Hear(from.canary.Evidence(recipient, from.self, from.dc), to.self, to.dc)
+	send := func(from, to member, recipient Recipient) {
+		to.canary.MergeEvidence(from.canary.Evidence(recipient, from.self, from.dc), to.self, to.dc)
 	}
 	for range 3 {
 		for _, all := range [][]member{local, remote} {
 			hubs, leaves := all[:2], all[2:]
 			for i, l := range leaves {
-				send(l, hubs[i%2], HearsNear)
-				send(hubs[i%2], l, HearsNear)
+				send(l, hubs[i%2], RecipientLocal)
+				send(hubs[i%2], l, RecipientLocal)
 			}
-			send(hubs[0], hubs[1], HearsHub)
-			send(hubs[1], hubs[0], HearsHub)
+			send(hubs[0], hubs[1], RecipientHub)
+			send(hubs[1], hubs[0], RecipientHub)
 		}
-		send(local[0], remote[0], HearsFar)
-		send(remote[1], local[1], HearsFar)
+		send(local[0], remote[0], RecipientRemote)
+		send(remote[1], local[1], RecipientRemote)
 	}
 	for _, m := range append(local, remote...) {
 		is.Equal(m.canary.trialTotals(), Counts{Good: 100})
@@ -335,20 +335,20 @@
 	is := is.New(t)
 	finalState := func(bad int) OrderState {
 		o := testOrder()
-		c := NewCanary(o, 0.15, testOrder().Issued)
+		c := NewCanary(o, 0.15, testOrder().IssuedAt)
 		for i := range 60 {
-			c.Observe(Answer{Failed: i%14 == 0}, o.Issued)
+			c.Observe(Response{Failed: i%14 == 0}, o.IssuedAt)
 		}
 		for i := range 13 {
-			c.Observe(Answer{OnTrial: true, Failed: i%13 < bad && i%2 == 0}, o.Issued)
+			c.Observe(Response{OnTrial: true, Failed: i%13 < bad && i%2 == 0}, o.IssuedAt)
 		}
 		is.True(!c.bad)
-		state, due := c.Verdict(o.Issued.Add(o.Length))
+		state, due := c.NextState(o.IssuedAt.Add(o.Duration))
 		is.True(due)
 		return state
 	}
-	is.Equal(finalState(10), OrderUndone)   // five of thirteen responses fail
-	is.Equal(finalState(2), OrderCompleted) // one of thirteen fails, as at the other releases
+	is.Equal(finalState(10), OrderRolledBack) // five of thirteen responses fail
+	is.Equal(finalState(2), OrderCompleted)   // one of thirteen fails, as at the other releases
 }
 
 // TestLateVMNeedsEvidenceToComplete checks a VM that starts when an order is nearly over and knows
@@ -358,37 +358,37 @@
 func TestLateVMNeedsEvidenceToComplete(t *testing.T) {
 	is := is.New(t)
 	o := testOrder()
-	o.Began = o.Issued // stored by another VM
-	now := o.Issued.Add(o.Length - 50*time.Millisecond)
+	o.StartedAt = o.IssuedAt // stored by another VM
+	now := o.IssuedAt.Add(o.Duration - 50*time.Millisecond)
 	lateCanary := func() *Canary { return NewCanary(o, 0.15, now) }
 
 	c := lateCanary()
-	_, due := c.Verdict(now)
+	_, due := c.NextState(now)
 	is.True(!due)
 	is.True(c.Share(now) < 0.1)
 
 	other := Observer{VM: "other", Incarnation: 1}
 	self := Observer{VM: "self", Incarnation: 1}
-	observer := NewCanary(o, 0.15, o.Issued)
+	observer := NewCanary(o, 0.15, o.IssuedAt)
 	for range 6 {
-		observer.Observe(Answer{OnTrial: true, Failed: true}, now)
+		observer.Observe(Response{OnTrial: true, Failed: true}, now)
 	}
-	c.Hear(observer.Evidence(HearsNear, other, "d"), self, "d")
-	state, due := c.Verdict(now)
+	c.MergeEvidence(observer.Evidence(RecipientLocal, other, "d"), self, "d")
+	state, due := c.NextState(now)
 	is.True(due)
-	is.Equal(state, OrderUndone)
+	is.Equal(state, OrderRolledBack)
 
 	c = lateCanary()
-	c.Told(now.Sub(o.Issued), now) // from a VM that saw the order from the start and found nothing bad
-	state, due = c.Verdict(now)
+	c.MergeOrderAge(now.Sub(o.IssuedAt), now) // from a VM that saw the order from the start and found nothing bad
+	state, due = c.NextState(now)
 	is.True(due)
 	is.Equal(state, OrderCompleted)
 
 	c = lateCanary()
 	for range minTrialResponses {
-		c.Observe(Answer{OnTrial: true}, now)
+		c.Observe(Response{OnTrial: true}, now)
 	}
-	state, due = c.Verdict(now)
+	state, due = c.NextState(now)
 	is.True(due)
 	is.Equal(state, OrderCompleted)
 	is.Equal(c.Share(now), 1.0)
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -60,8 +60,8 @@
 	return sum
 }
 
-// Of returns the counts of the observers for which include returns true.
-func (e Evidence) Of(include func(Observer) bool) Evidence {
+// Filter returns the counts of the observers for which include returns true.
+func (e Evidence) Filter(include func(Observer) bool) Evidence {
 	var kept Evidence
 	for _, c := range e {
 		if include(c.Observer) {
@@ -179,9 +179,9 @@
 	return e
 }
 
-// Forget drops the counts of steps that are no longer in progress. It keeps halts, which
+// Prune drops the counts of steps that are no longer in progress. It keeps halts, which
 // are permanent.
-func (m *Monitor) Forget(progress map[contract.ModelID]*config.Progress) {
+func (m *Monitor) Prune(progress map[contract.ModelID]*config.Progress) {
 	for k := range m.counts {
 		p, ok := progress[k.version.Model()]
 		if !ok || p.To != k.version || p.Step != k.step {
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -16,7 +16,7 @@
 func testRollout() *config.Rollout {
 	return &config.Rollout{
 		Model: "m", From: "m@1", To: "m@2", Steps: []float64{1, 10, 50, 100},
-		GoodRate: 0.02, BadRate: 0.1, FalseAlarm: 0.01, Miss: 0.01, RatingsWithin: time.Minute,
+		GoodRate: 0.02, BadRate: 0.1, FalseAlarmProbability: 0.01, MissProbability: 0.01, RatingTimeout: time.Minute,
 	}
 }
 
@@ -106,7 +106,7 @@
 			if lastRead[i] != nil {
 				step = lastRead[i].Step
 			}
-			s := Situation{
+			s := StepInput{
 				Rollout: ro, Progress: lastRead[i], Loaded: true, StepSince: now,
 				Evidence: Evidence{{Version: "m@2", Step: step, Counts: Counts{Good: 1000}}},
 				Halted:   rapid.IntRange(0, 30).Draw(t, "halted") == 0,
@@ -140,18 +140,18 @@
 	good := Evidence{{Version: "m@2", Counts: Counts{Good: 1000}}}
 	ramping := &config.Progress{Model: "m", To: "m@2", State: config.Ramping}
 	for name, c := range map[string]struct {
-		input  Situation
-		state  config.RampState // empty for no change
+		input  StepInput
+		state  config.RolloutState // empty for no change
 		reason Reason
 	}{
-		"data centre unreachable": {Situation{Progress: ramping, Evidence: good, CutOff: true, StepSince: now}, "", ReasonDataCentreUnreachable},
-		"bad":                     {Situation{Progress: ramping, Evidence: Evidence{{Version: "m@2", Counts: Counts{Bad: 50}}}, CutOff: true, StepSince: now}, config.Halted, ReasonBad},
-		"no ratings":              {Situation{Progress: ramping, StepSince: now.Add(-time.Hour)}, config.Halted, ReasonRatingsTimeout},
-		"halted":                  {Situation{Progress: ramping, Evidence: good, Halted: true, StepSince: now}, config.Halted, ReasonHalted},
-		"not loaded":              {Situation{}, "", ReasonNotLoaded},
-		"undecided":               {Situation{Progress: ramping, StepSince: now}, "", ReasonAwaitingRatings},
-		"passed":                  {Situation{Progress: ramping, Evidence: good, StepSince: now}, config.Ramping, ReasonPassed},
-		"already halted":          {Situation{Progress: &config.Progress{To: "m@2", State: config.Halted}, Evidence: good}, "", ReasonEnded},
+		"data centre unreachable": {StepInput{Progress: ramping, Evidence: good, DataCentreUnreachable: true, StepSince: now}, "", ReasonDataCentreUnreachable},
+		"bad":                     {StepInput{Progress: ramping, Evidence: Evidence{{Version: "m@2", Counts: Counts{Bad: 50}}}, DataCentreUnreachable: true, StepSince: now}, config.Halted, ReasonBad},
+		"no ratings":              {StepInput{Progress: ramping, StepSince: now.Add(-time.Hour)}, config.Halted, ReasonRatingsTimeout},
+		"halted":                  {StepInput{Progress: ramping, Evidence: good, Halted: true, StepSince: now}, config.Halted, ReasonHalted},
+		"not loaded":              {StepInput{}, "", ReasonNotLoaded},
+		"undecided":               {StepInput{Progress: ramping, StepSince: now}, "", ReasonAwaitingRatings},
+		"passed":                  {StepInput{Progress: ramping, Evidence: good, StepSince: now}, config.Ramping, ReasonPassed},
+		"already halted":          {StepInput{Progress: &config.Progress{To: "m@2", State: config.Halted}, Evidence: good}, "", ReasonEnded},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -209,13 +209,13 @@
 func TestChooseMovesWorkOneWay(t *testing.T) {
 	is := is.New(t)
 	c := &config.Config{
-		Models:   map[contract.ModelID]*config.Model{"m": {ID: "m", Serve: "m@1"}},
+		Models:   map[contract.ModelID]*config.Model{"m": {ID: "m", ServingVersion: "m@1"}},
 		Rollouts: map[contract.ModelID]*config.Rollout{"m": testRollout()},
 		Progress: map[contract.ModelID]*config.Progress{"m": {Model: "m", To: "m@2", State: config.Ramping, Step: 1}},
 	}
-	is.Equal(Choose(c, "m", nil, 0.05), contract.VersionID("m@2"))
-	is.Equal(Choose(c, "m", nil, 0.5), contract.VersionID("m@1"))
-	is.Equal(Choose(c, "m", map[contract.VersionID]bool{"m@2": true}, 0.05), contract.VersionID("m@1"))
+	is.Equal(ChooseVersion(c, "m", nil, 0.05), contract.VersionID("m@2"))
+	is.Equal(ChooseVersion(c, "m", nil, 0.5), contract.VersionID("m@1"))
+	is.Equal(ChooseVersion(c, "m", map[contract.VersionID]bool{"m@2": true}, 0.05), contract.VersionID("m@1"))
 	c.Progress["m"].State = config.Done
-	is.Equal(Choose(c, "m", nil, 0.99), contract.VersionID("m@2"))
+	is.Equal(ChooseVersion(c, "m", nil, 0.99), contract.VersionID("m@2"))
 }
--- a/rollout/slowness.go
+++ b/rollout/slowness.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Time is one duration measured for a response, such as the time to its first chunk. Kind
+// Latency is one duration measured for a response, such as the time to its first chunk. Kind
 // identifies what was measured, on which route and with which model. Only times of the
 // same kind are compared.
-type Time struct {
+type Latency struct {
 	Kind    string
 	Seconds float64
 }
@@ -49,7 +49,7 @@
 
 // Observe compares the times of a response with the baseline and reports whether any of
 // them is slow. Times of responses that are not on trial are added to the baseline.
-func (s *SlownessDetector) Observe(onTrial bool, times []Time, now time.Time) bool {
+func (s *SlownessDetector) Observe(onTrial bool, times []Latency, now time.Time) bool {
 	slow := false
 	for _, t := range times {
 		slow = s.observeTime(onTrial, t, now) || slow
@@ -57,7 +57,7 @@
 	return slow
 }
 
-func (s *SlownessDetector) observeTime(onTrial bool, t Time, now time.Time) bool {
+func (s *SlownessDetector) observeTime(onTrial bool, t Latency, now time.Time) bool {
 	logSeconds := math.Log(max(t.Seconds, 1e-4))
 	stats, ok := s.statsByKind[t.Kind]
 	if !ok {
--- a/rollout/sprt.go
+++ b/rollout/sprt.go
@@ -32,12 +32,12 @@
 
 // NewSequentialTest returns the test with the parameters of a roll-out.
 func NewSequentialTest(ro *config.Rollout) SequentialTest {
-	falseAlarm := ro.FalseAlarm / checkKinds / float64(max(len(ro.Steps), 1))
+	falseAlarm := ro.FalseAlarmProbability / checkKinds / float64(max(len(ro.Steps), 1))
 	return SequentialTest{
 		badIncrement:  math.Log(ro.BadRate / ro.GoodRate),
 		goodIncrement: math.Log((1 - ro.BadRate) / (1 - ro.GoodRate)),
-		haltBound:     math.Log((1 - ro.Miss) / falseAlarm),
-		passBound:     math.Log(ro.Miss / (1 - falseAlarm)),
+		haltBound:     math.Log((1 - ro.MissProbability) / falseAlarm),
+		passBound:     math.Log(ro.MissProbability / (1 - falseAlarm)),
 	}
 }
 
@@ -102,7 +102,7 @@
 // NewCUSUMAlarm returns an alarm. alarms is the number of alarms that share the roll-out's
 // false-alarm rate: one for each workspace, and one over all workspaces.
 func NewCUSUMAlarm(ro *config.Rollout, alarms int) *CUSUMAlarm {
-	return &CUSUMAlarm{test: NewSequentialTest(ro), threshold: math.Log(alarmHorizon * checkKinds * float64(alarms) / ro.FalseAlarm)}
+	return &CUSUMAlarm{test: NewSequentialTest(ro), threshold: math.Log(alarmHorizon * checkKinds * float64(alarms) / ro.FalseAlarmProbability)}
 }
 
 // Observe records a response and reports whether to halt the version.
--- a/rollout/stepper.go
+++ b/rollout/stepper.go
@@ -7,8 +7,8 @@
 	"woaddoor/contract"
 )
 
-// Situation is the input for deciding the next step of a roll-out.
-type Situation struct {
+// StepInput is the input for deciding the next step of a roll-out.
+type StepInput struct {
 	Rollout *config.Rollout
 	// Progress is nil before the first step.
 	Progress *config.Progress
@@ -18,9 +18,9 @@
 	// StepSince is when this VM first saw the current step. LastRating is when the
 	// evidence for that step last grew.
 	StepSince, LastRating time.Time
-	// CutOff is true if a data centre cannot be reached, so that its evidence and its
+	// DataCentreUnreachable is true if a data centre cannot be reached, so that its evidence and its
 	// halts may be missing.
-	CutOff bool
+	DataCentreUnreachable bool
 	// Loaded is true if an engine in each data centre has loaded the version.
 	Loaded bool
 }
@@ -45,7 +45,7 @@
 // The result is at most one step ahead of s.Progress. If it is written only on condition
 // that the stored progress is unchanged, no step is skipped or repeated, whichever VM
 // writes it.
-func Next(s Situation, now time.Time) (*config.Progress, Reason) {
+func Next(s StepInput, now time.Time) (*config.Progress, Reason) {
 	ro := s.Rollout
 	if s.Progress == nil {
 		if !s.Loaded {
@@ -67,9 +67,9 @@
 		return halt(ReasonHalted)
 	case verdict == Bad:
 		return halt(ReasonBad)
-	case s.CutOff:
+	case s.DataCentreUnreachable:
 		return nil, ReasonDataCentreUnreachable // partial evidence must not advance the roll-out
-	case now.Sub(laterOf(s.StepSince, s.LastRating)) >= ro.RatingsWithin:
+	case now.Sub(laterOf(s.StepSince, s.LastRating)) >= ro.RatingTimeout:
 		return halt(ReasonRatingsTimeout)
 	case verdict == Undecided:
 		return nil, ReasonAwaitingRatings
@@ -103,17 +103,17 @@
 
 const percent = 100
 
-// Choose returns the version for new work of a model: the version that serves the model, or
+// ChooseVersion returns the version for new work of a model: the version that serves the model, or
 // one of the two versions of a roll-out. point, from 0 to 1, is the position of the work in
 // the ramp. Work with a lower point moves to the new version first.
-func Choose(c *config.Config, m contract.ModelID, halted map[contract.VersionID]bool, point float64) contract.VersionID {
+func ChooseVersion(c *config.Config, m contract.ModelID, halted map[contract.VersionID]bool, point float64) contract.VersionID {
 	model, ok := c.Models[m]
 	if !ok {
 		return ""
 	}
 	ro, ok := c.Rollouts[m]
 	if !ok || halted[ro.To] {
-		return model.Serve
+		return model.ServingVersion
 	}
 	if point < NewVersionShare(ro, c.Progress[m]) {
 		return ro.To
--- a/route/route.go
+++ b/route/route.go
@@ -40,8 +40,8 @@
 	Timeout time.Duration
 	// Objective is the target for the time to the answer, or to its first event.
 	Objective time.Duration
-	// Gap is the target for the longest pause between two events; zero if the route sets none.
-	Gap time.Duration
+	// TargetGap is the target for the longest pause between two events; zero if the route sets none.
+	TargetGap time.Duration
 	// MaxAttempts is the largest number of upstreams to which one attempt of the caller may be
 	// sent.
 	MaxAttempts int
@@ -76,21 +76,21 @@
 	// Costs are the costs of the models for 1,000 output tokens. A prompt token costs a
 	// quarter of an output token. Empty for a service without models.
 	Costs map[contract.ModelID]float64
-	// Memory is the number of tokens that one engine of the service can cache; zero for a
+	// CacheTokens is the number of tokens that one engine of the service can cache; zero for a
 	// service without models.
-	Memory int
+	CacheTokens int
 	// Cold is the load that the service's upstreams can handle after a start.
-	Cold Cold
+	Cold ColdCapacity
 	// Scaling limits the upstreams that may be ordered for the service; nil if none may be
 	// ordered.
 	Scaling *scaling.Limits
 }
 
-// Cold is the load that a cold upstream can handle. The zero value describes an upstream that
+// ColdCapacity is the load that a cold upstream can handle. The zero value describes an upstream that
 // can handle its full load from the start.
-type Cold struct {
-	// For is how long an upstream stays cold after a start while its service receives traffic.
-	For time.Duration
+type ColdCapacity struct {
+	// Duration is how long an upstream stays cold after a start while its service receives traffic.
+	Duration time.Duration
 	// PerSecond is the number of requests per second that a cold upstream can handle from all
 	// VMs together; zero means no limit.
 	PerSecond float64
@@ -109,8 +109,8 @@
 
 // Limits bounds the requests that callers send. Zero means no limit.
 type Limits struct {
-	Header, Body          contract.Bytes
-	HeaderTimeout, Idling time.Duration
+	Header, Body               contract.Bytes
+	HeaderTimeout, IdleTimeout time.Duration
 }
 
 // Table is one revision of the configuration.
@@ -121,8 +121,8 @@
 	Version  int64
 	Services map[contract.ServiceID]*Service
 	Limits   Limits
-	// Keyed is set if requests need a key.
-	Keyed bool
+	// KeyRequired is set if requests need a key.
+	KeyRequired bool
 
 	byHost map[string][]*Route
 	byKey  map[string]*Workspace
@@ -131,15 +131,15 @@
 // NewTable returns a table with the given routes, and with workspaces by key. A nil map means
 // that requests need no key.
 func NewTable(routes []*Route, keys map[string]*Workspace) *Table {
-	t := &Table{byHost: make(map[string][]*Route), byKey: keys, Keyed: keys != nil}
+	t := &Table{byHost: make(map[string][]*Route), byKey: keys, KeyRequired: keys != nil}
 	for _, r := range routes {
 		t.byHost[r.Host] = append(t.byHost[r.Host], r)
 	}
 	return t
 }
 
-// Routes returns the number of routes.
-func (t *Table) Routes() int {
+// CountRoutes returns the number of routes.
+func (t *Table) CountRoutes() int {
 	n := 0
 	for _, routes := range t.byHost {
 		n += len(routes)
@@ -167,8 +167,8 @@
 	return strings.ToLower(host)
 }
 
-// ByKey returns the workspace that owns a key.
-func (t *Table) ByKey(key string) (*Workspace, bool) {
+// WorkspaceByKey returns the workspace that owns a key.
+func (t *Table) WorkspaceByKey(key string) (*Workspace, bool) {
 	w, ok := t.byKey[key]
 	return w, ok
 }
@@ -194,9 +194,9 @@
 	return r.Shares[0].Service
 }
 
-// Objective returns the shortest objective of all routes to a service, or zero if none sets an
+// ShortestObjective returns the shortest objective of all routes to a service, or zero if none sets an
 // objective.
-func (t *Table) Objective(s contract.ServiceID) time.Duration {
+func (t *Table) ShortestObjective(s contract.ServiceID) time.Duration {
 	shortest := time.Duration(0)
 	for _, routes := range t.byHost {
 		for _, r := range routes {
--- a/scaling/need.go
+++ b/scaling/need.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Work is the measured load on the upstreams of a service, as seen by one VM or summed over
+// Load is the measured load on the upstreams of a service, as seen by one VM or summed over
 // several.
-type Work struct {
-	// Reading is how many seconds of each second the engines spend on prefill (reading
+type Load struct {
+	// Prefill is how many seconds of each second the engines spend on prefill (reading
 	// prompts), summed over the upstreams. Prompts is the number of prompts per second.
-	Reading float64 `cbor:"1,keyasint,omitempty"`
-	Prompts float64 `cbor:"3,keyasint,omitempty"`
-	// Places is the number of request slots in use.
-	Places float64 `cbor:"2,keyasint,omitempty"`
+	Prefill    float64 `cbor:"1,keyasint,omitempty"`
+	PromptRate float64 `cbor:"3,keyasint,omitempty"`
+	// SlotsInUse is the number of request slots in use.
+	SlotsInUse float64 `cbor:"2,keyasint,omitempty"`
 }
 
-// Plus returns the sum of both loads.
-func (w Work) Plus(other Work) Work {
-	return Work{Reading: w.Reading + other.Reading, Prompts: w.Prompts + other.Prompts, Places: w.Places + other.Places}
+// Add returns the sum of both loads.
+func (w Load) Add(other Load) Load {
+	return Load{Prefill: w.Prefill + other.Prefill, PromptRate: w.PromptRate + other.PromptRate, SlotsInUse: w.SlotsInUse + other.SlotsInUse}
 }
 
 // Highest planned utilization of an upstream.
@@ -35,24 +35,24 @@
 // prefillShare returns the largest fraction of time that an upstream may spend on prefill
 // while the mean wait of prompts stays within its limit. In a queue with one server, the mean
 // wait grows with share / (1 - share) times the time that one prompt takes.
-func (w Work) prefillShare(objective time.Duration) float64 {
-	if w.Prompts <= 0 || objective <= 0 {
+func (w Load) prefillShare(objective time.Duration) float64 {
+	if w.PromptRate <= 0 || objective <= 0 {
 		return maxPrefillShare
 	}
-	prefillTime := w.Reading / w.Prompts
+	prefillTime := w.Prefill / w.PromptRate
 	meanWait := objective.Seconds() / meanWaitDivisor
 	return meanWait / (meanWait + prefillTime)
 }
 
 // Need returns how many upstreams, with the given number of slots each, the load requires so
 // that responses begin within the objective.
-func (w Work) Need(slots int, objective time.Duration) float64 {
+func (w Load) Need(slots int, objective time.Duration) float64 {
 	need := 0.0
-	if w.Reading > 0 {
-		need = w.Reading / w.prefillShare(objective)
+	if w.Prefill > 0 {
+		need = w.Prefill / w.prefillShare(objective)
 	}
 	if slots > 0 {
-		need = max(need, w.Places/(maxSlotShare*float64(slots)))
+		need = max(need, w.SlotsInUse/(maxSlotShare*float64(slots)))
 	}
 	return need
 }
@@ -71,8 +71,8 @@
 	recentAt time.Time
 }
 
-// Note records a need and returns the largest recent one.
-func (p *Peak) Note(need float64, now time.Time) float64 {
+// Record records a need and returns the largest recent one.
+func (p *Peak) Record(need float64, now time.Time) float64 {
 	if need >= p.highest {
 		p.highest, p.highestAt = need, now
 		p.recent, p.recentAt = 0, now
--- a/scaling/scaling.go
+++ b/scaling/scaling.go
@@ -21,9 +21,9 @@
 	"woaddoor/contract"
 )
 
-// Subject identifies what an order applies to: the preemptible or the standard upstreams of
+// Group identifies what an order applies to: the preemptible or the standard upstreams of
 // one service in one data centre.
-type Subject struct {
+type Group struct {
 	Service     contract.ServiceID    `json:"service"`
 	DataCentre  contract.DataCentreID `json:"data_centre"`
 	Preemptible bool                  `json:"preemptible,omitempty"`
@@ -31,43 +31,43 @@
 
 // Order sets how many upstreams of a subject should run.
 type Order struct {
-	Subject
+	Group
 	Count int `json:"count"`
 }
 
-// Record is the state shared by all VMs that place orders. It is stored because the platform
+// State is the state shared by all VMs that place orders. It is stored because the platform
 // offers no way to read orders back.
-type Record struct {
-	// Sized is how many upstreams ran when they were first counted.
-	Sized map[contract.ServiceID]map[contract.DataCentreID]int `json:"sized,omitempty"`
+type State struct {
+	// Baseline is how many upstreams ran when they were first counted.
+	Baseline map[contract.ServiceID]map[contract.DataCentreID]int `json:"sized,omitempty"`
 	// Orders are the orders in force.
 	Orders []Order `json:"ordered,omitempty"`
 }
 
-// Order returns the record with an order added, which replaces any earlier order for the same
+// WithOrder returns the record with an order added, which replaces any earlier order for the same
 // subject.
-func (r Record) Order(o Order) Record {
-	r.Orders = slices.DeleteFunc(slices.Clone(r.Orders), func(existing Order) bool { return existing.Subject == o.Subject })
+func (r State) WithOrder(o Order) State {
+	r.Orders = slices.DeleteFunc(slices.Clone(r.Orders), func(existing Order) bool { return existing.Group == o.Group })
 	r.Orders = append(r.Orders, o)
 	return r
 }
 
-// Size returns the record with the first upstream counts of a service added.
-func (r Record) Size(s contract.ServiceID, byDataCentre map[contract.DataCentreID]int) Record {
-	r.Sized = maps.Clone(r.Sized)
-	if r.Sized == nil {
-		r.Sized = make(map[contract.ServiceID]map[contract.DataCentreID]int)
+// WithBaseline returns the record with the first upstream counts of a service added.
+func (r State) WithBaseline(s contract.ServiceID, byDataCentre map[contract.DataCentreID]int) State {
+	r.Baseline = maps.Clone(r.Baseline)
+	if r.Baseline == nil {
+		r.Baseline = make(map[contract.ServiceID]map[contract.DataCentreID]int)
 	}
-	r.Sized[s] = byDataCentre
+	r.Baseline[s] = byDataCentre
 	return r
 }
 
-// Of returns the ordered upstream counts of a service.
-func (r Record) Of(s contract.ServiceID) map[Subject]int {
-	out := make(map[Subject]int)
+// OrdersOf returns the ordered upstream counts of a service.
+func (r State) OrdersOf(s contract.ServiceID) map[Group]int {
+	out := make(map[Group]int)
 	for _, o := range r.Orders {
 		if o.Service == s {
-			out[o.Subject] = o.Count
+			out[o.Group] = o.Count
 		}
 	}
 	return out
@@ -78,15 +78,15 @@
 	// Min and Max bound the number of upstreams in each data centre, standard and preemptible
 	// ones together.
 	Min, Max int
-	// Boot is how long a new upstream takes until it serves requests.
-	Boot time.Duration
+	// BootTime is how long a new upstream takes until it serves requests.
+	BootTime time.Duration
 	// PreemptiblePrice is the price of a preemptible upstream as a fraction of the price of a
 	// standard one. Zero means that there are no preemptible upstreams.
 	PreemptiblePrice float64
 }
 
-// Stand counts the upstreams of a service in one data centre, except those that are leaving.
-type Stand struct {
+// UpstreamCounts counts the upstreams of a service in one data centre, except those that are leaving.
+type UpstreamCounts struct {
 	// Standard and Preemptible count the upstreams of each kind, including cold ones.
 	Standard, Preemptible int
 	// Cold counts the upstreams of both kinds that cannot take their full load yet,
@@ -95,31 +95,31 @@
 }
 
 // countOf returns the number of preemptible or of standard upstreams.
-func (s Stand) countOf(preemptible bool) int {
+func (s UpstreamCounts) countOf(preemptible bool) int {
 	if preemptible {
 		return s.Preemptible
 	}
 	return s.Standard
 }
 
-// Situation is the input to the scaling decision for one service.
-type Situation struct {
+// Input is the input to the scaling decision for one service.
+type Input struct {
 	Service contract.ServiceID
 	Limits  Limits
-	// Sized is how many upstreams ran in each data centre when they were first counted. It is
+	// Baseline is how many upstreams ran in each data centre when they were first counted. It is
 	// the operator's own estimate of what the service needs.
-	Sized map[contract.DataCentreID]int
-	// Stands counts the upstreams that run now.
-	Stands map[contract.DataCentreID]Stand
-	// Ordered holds the orders that may still be in progress. Upstreams of older orders that
+	Baseline map[contract.DataCentreID]int
+	// Running counts the upstreams that run now.
+	Running map[contract.DataCentreID]UpstreamCounts
+	// InProgress holds the orders that may still be in progress. Upstreams of older orders that
 	// have not appeared are no longer expected.
-	Ordered map[Subject]int
+	InProgress map[Group]int
 	// Need is how many upstreams the recent load requires.
 	Need float64
-	// Releasing is true during a release: its upstreams run beside the old ones, and an order
+	// ReleaseInProgress is true during a release: its upstreams run beside the old ones, and an order
 	// would remove some of them. Released is true after a release: newly ordered upstreams
 	// would start with the software from before it.
-	Releasing, Released bool
+	ReleaseInProgress, ReleaseDone bool
 }
 
 // Parameters for capacity beyond the need.
@@ -132,15 +132,15 @@
 	minCapacityRatio = 0.65
 )
 
-// Next returns the orders to place, those that add upstreams first.
-func Next(s Situation) []Order {
-	if s.Released || s.Releasing && !s.lacksCapacity() {
+// Plan returns the orders to place, those that add upstreams first.
+func Plan(s Input) []Order {
+	if s.ReleaseDone || s.ReleaseInProgress && !s.lacksCapacity() {
 		return nil
 	}
 	var out []Order
-	for _, dc := range slices.Sorted(maps.Keys(s.Sized)) {
+	for _, dc := range slices.Sorted(maps.Keys(s.Baseline)) {
 		for _, o := range []Order{s.newOrder(dc, true, s.targetPreemptible(dc)), s.newOrder(dc, false, s.targetStandard(dc))} {
-			if o.Count != s.provisioned(o.Subject) {
+			if o.Count != s.provisioned(o.Group) {
 				out = append(out, o)
 			}
 		}
@@ -149,13 +149,13 @@
 	return out
 }
 
-func (s Situation) newOrder(dc contract.DataCentreID, preemptible bool, n int) Order {
-	return Order{Subject{s.Service, dc, preemptible}, n}
+func (s Input) newOrder(dc contract.DataCentreID, preemptible bool, n int) Order {
+	return Order{Group{s.Service, dc, preemptible}, n}
 }
 
 // removalRank returns 1 for an order that removes upstreams, otherwise 0.
-func (s Situation) removalRank(o Order) int {
-	if o.Count < s.provisioned(o.Subject) {
+func (s Input) removalRank(o Order) int {
+	if o.Count < s.provisioned(o.Group) {
 		return 1
 	}
 	return 0
@@ -163,24 +163,24 @@
 
 // provisioned returns how many upstreams of a subject are running or ordered. An order in
 // progress takes precedence over the running count.
-func (s Situation) provisioned(subject Subject) int {
-	if n, ok := s.Ordered[subject]; ok {
+func (s Input) provisioned(subject Group) int {
+	if n, ok := s.InProgress[subject]; ok {
 		return n
 	}
-	return s.Stands[subject.DataCentre].countOf(subject.Preemptible)
+	return s.Running[subject.DataCentre].countOf(subject.Preemptible)
 }
 
 // preemptibleIsCheaper reports whether preemptible upstreams are available and cost less than
 // standard ones.
-func (s Situation) preemptibleIsCheaper() bool {
+func (s Input) preemptibleIsCheaper() bool {
 	return s.Limits.PreemptiblePrice > 0 && s.Limits.PreemptiblePrice < 1
 }
 
 // baselineTotal returns how many upstreams ran in all data centres when they were first
 // counted.
-func (s Situation) baselineTotal() int {
+func (s Input) baselineTotal() int {
 	total := 0
-	for _, n := range s.Sized {
+	for _, n := range s.Baseline {
 		total += n
 	}
 	return total
@@ -189,47 +189,47 @@
 // targetTotal returns how many upstreams should run in all data centres: the number first
 // counted or the need, whichever is larger. If preemptible upstreams are used, it includes
 // spare ones for the tolerated loss of data centres.
-func (s Situation) targetTotal() float64 {
+func (s Input) targetTotal() float64 {
 	total := max(float64(s.baselineTotal()), s.Need)
-	if remaining := len(s.Sized) - toleratedDataCentreLosses; s.preemptibleIsCheaper() && remaining > 0 {
-		total = max(total, minCapacityRatio*s.Need*float64(len(s.Sized))/float64(remaining))
+	if remaining := len(s.Baseline) - toleratedDataCentreLosses; s.preemptibleIsCheaper() && remaining > 0 {
+		total = max(total, minCapacityRatio*s.Need*float64(len(s.Baseline))/float64(remaining))
 	}
 	return total
 }
 
 // target returns how many upstreams should run in a data centre.
-func (s Situation) target(dc contract.DataCentreID) int {
+func (s Input) target(dc contract.DataCentreID) int {
 	baseline := s.baselineTotal()
 	if baseline == 0 {
 		return s.Limits.Min
 	}
-	n := math.Ceil(float64(s.Sized[dc]) * s.targetTotal() / float64(baseline))
+	n := math.Ceil(float64(s.Baseline[dc]) * s.targetTotal() / float64(baseline))
 	return min(max(int(n), s.Limits.Min), s.Limits.Max)
 }
 
 // minStandard returns how many standard upstreams each data centre keeps beside preemptible
 // ones.
-func (s Situation) minStandard() int { return max(s.Limits.Min, 1) }
+func (s Input) minStandard() int { return max(s.Limits.Min, 1) }
 
 // targetPreemptible returns how many preemptible upstreams should run in a data centre: the
 // target without the standard upstreams that stay, within the limit for both kinds together.
-func (s Situation) targetPreemptible(dc contract.DataCentreID) int {
+func (s Input) targetPreemptible(dc contract.DataCentreID) int {
 	if !s.preemptibleIsCheaper() {
-		return s.provisioned(Subject{s.Service, dc, true})
+		return s.provisioned(Group{s.Service, dc, true})
 	}
-	headroom := s.Limits.Max - s.provisioned(Subject{s.Service, dc, false})
+	headroom := s.Limits.Max - s.provisioned(Group{s.Service, dc, false})
 	return max(min(s.target(dc)-s.minStandard(), headroom), 0)
 }
 
 // targetStandard returns how many standard upstreams should run in a data centre. It falls as
 // preemptible upstreams start to serve, and rises again only if the total capacity is too low
 // for the load.
-func (s Situation) targetStandard(dc contract.DataCentreID) int {
+func (s Input) targetStandard(dc contract.DataCentreID) int {
 	if !s.preemptibleIsCheaper() {
 		return s.target(dc)
 	}
-	current := s.provisioned(Subject{s.Service, dc, false})
-	counts := s.Stands[dc]
+	current := s.provisioned(Group{s.Service, dc, false})
+	counts := s.Running[dc]
 	required := s.target(dc) - (counts.Preemptible - counts.ColdPreemptible)
 	if s.lacksCapacity() {
 		return min(max(current, required), max(s.Limits.Max-counts.Preemptible, 0))
@@ -239,9 +239,9 @@
 
 // lacksCapacity reports whether all upstreams together, including those that are still cold,
 // are too few for the load.
-func (s Situation) lacksCapacity() bool {
+func (s Input) lacksCapacity() bool {
 	total := 0
-	for _, n := range s.Stands {
+	for _, n := range s.Running {
 		total += n.Standard + n.Preemptible
 	}
 	return float64(total) < minCapacityRatio*s.Need
--- a/scaling/scaling_test.go
+++ b/scaling/scaling_test.go
@@ -13,30 +13,30 @@
 const service = contract.ServiceID("s")
 
 // testLimits offer preemptible upstreams at about a seventh of the standard price.
-var testLimits = Limits{Min: 1, Max: 46, Boot: 4 * time.Second, PreemptiblePrice: 0.15}
+var testLimits = Limits{Min: 1, Max: 46, BootTime: 4 * time.Second, PreemptiblePrice: 0.15}
 
 var dataCentres = []contract.DataCentreID{"a", "b", "c", "d"}
 
 // fakeCloud simulates the platform. Ordered upstreams of both kinds serve after the boot time;
 // removals take effect at once. Tests change situation to take preemptible upstreams away.
 type fakeCloud struct {
-	situation Situation
+	situation Input
 	// booting holds the times at which ordered upstreams start to serve.
-	booting map[Subject][]time.Time
+	booting map[Group][]time.Time
 	now     time.Time
 	orders  int
 	cost    float64 // accumulated, in seconds of one standard upstream
 }
 
 func newFakeCloud(perDataCentre int, limits Limits) *fakeCloud {
-	c := &fakeCloud{booting: make(map[Subject][]time.Time), now: time.Unix(0, 0)}
-	c.situation = Situation{
-		Service: service, Limits: limits, Sized: make(map[contract.DataCentreID]int),
-		Stands: make(map[contract.DataCentreID]Stand), Ordered: make(map[Subject]int),
+	c := &fakeCloud{booting: make(map[Group][]time.Time), now: time.Unix(0, 0)}
+	c.situation = Input{
+		Service: service, Limits: limits, Baseline: make(map[contract.DataCentreID]int),
+		Running: make(map[contract.DataCentreID]UpstreamCounts), InProgress: make(map[Group]int),
 	}
 	for _, dc := range dataCentres {
-		c.situation.Sized[dc] = perDataCentre
-		c.situation.Stands[dc] = Stand{Standard: perDataCentre}
+		c.situation.Baseline[dc] = perDataCentre
+		c.situation.Running[dc] = UpstreamCounts{Standard: perDataCentre}
 	}
 	return c
 }
@@ -47,19 +47,19 @@
 	c.now = c.now.Add(interval)
 	for _, dc := range dataCentres {
 		for _, preemptible := range []bool{false, true} {
-			c.finishBooting(Subject{service, dc, preemptible})
+			c.finishBooting(Group{service, dc, preemptible})
 		}
-		counts := c.situation.Stands[dc]
+		counts := c.situation.Running[dc]
 		c.cost += interval.Seconds() * (float64(counts.Standard) + c.situation.Limits.PreemptiblePrice*float64(counts.Preemptible))
 	}
-	for _, o := range Next(c.situation) {
+	for _, o := range Plan(c.situation) {
 		c.orders++
 		c.apply(o)
 	}
 }
 
 // finishBooting makes booted upstreams serve. The order is complete once none are left.
-func (c *fakeCloud) finishBooting(subject Subject) {
+func (c *fakeCloud) finishBooting(subject Group) {
 	readyTimes := c.booting[subject]
 	for len(readyTimes) > 0 && !readyTimes[0].After(c.now) {
 		c.adjust(subject, 1)
@@ -67,37 +67,37 @@
 	}
 	c.booting[subject] = readyTimes
 	if len(readyTimes) == 0 {
-		delete(c.situation.Ordered, subject)
+		delete(c.situation.InProgress, subject)
 	}
 }
 
-func (c *fakeCloud) adjust(subject Subject, n int) {
-	counts := c.situation.Stands[subject.DataCentre]
+func (c *fakeCloud) adjust(subject Group, n int) {
+	counts := c.situation.Running[subject.DataCentre]
 	if subject.Preemptible {
 		counts.Preemptible += n
 	} else {
 		counts.Standard += n
 	}
-	c.situation.Stands[subject.DataCentre] = counts
+	c.situation.Running[subject.DataCentre] = counts
 }
 
 func (c *fakeCloud) apply(o Order) {
-	current := c.situation.Stands[o.DataCentre].countOf(o.Preemptible)
+	current := c.situation.Running[o.DataCentre].countOf(o.Preemptible)
 	if o.Count < current {
-		c.booting[o.Subject] = nil
-		c.adjust(o.Subject, o.Count-current)
+		c.booting[o.Group] = nil
+		c.adjust(o.Group, o.Count-current)
 		return
 	}
-	for range o.Count - current - len(c.booting[o.Subject]) {
-		c.booting[o.Subject] = append(c.booting[o.Subject], c.now.Add(c.situation.Limits.Boot))
+	for range o.Count - current - len(c.booting[o.Group]) {
+		c.booting[o.Group] = append(c.booting[o.Group], c.now.Add(c.situation.Limits.BootTime))
 	}
-	c.situation.Ordered[o.Subject] = o.Count
+	c.situation.InProgress[o.Group] = o.Count
 }
 
 // serving returns how many upstreams serve requests.
 func (c *fakeCloud) serving() int {
 	n := 0
-	for _, counts := range c.situation.Stands {
+	for _, counts := range c.situation.Running {
 		n += counts.Standard + counts.Preemptible
 	}
 	return n
@@ -120,7 +120,7 @@
 	c := newFakeCloud(22, testLimits)
 	is.Equal(c.runFor(20*time.Second), 88)
 	for _, dc := range dataCentres {
-		is.Equal(c.situation.Stands[dc], Stand{Standard: 1, Preemptible: 21})
+		is.Equal(c.situation.Running[dc], UpstreamCounts{Standard: 1, Preemptible: 21})
 	}
 	before, orders := c.cost, c.orders
 	c.runFor(time.Minute)
@@ -137,15 +137,15 @@
 	c.situation.Need = 80
 	c.runFor(30 * time.Second)
 	for _, dc := range dataCentres[:toleratedDataCentreLosses] {
-		counts := c.situation.Stands[dc]
+		counts := c.situation.Running[dc]
 		counts.Preemptible = 0
-		c.situation.Stands[dc] = counts
+		c.situation.Running[dc] = counts
 	}
 	is.True(float64(c.serving()) >= minCapacityRatio*c.situation.Need)
 	is.True(!c.situation.lacksCapacity())
 	standard := 0
 	c.runFor(20 * time.Second)
-	for _, counts := range c.situation.Stands {
+	for _, counts := range c.situation.Running {
 		standard += counts.Standard
 	}
 	is.Equal(standard, len(dataCentres)) // no extra standard upstreams, because the capacity suffices
@@ -156,7 +156,7 @@
 // within the limits, with and without preemptible ones.
 func TestScaleOut(t *testing.T) {
 	is := is.New(t)
-	for _, limits := range []Limits{testLimits, {Min: 1, Max: 46, Boot: 4 * time.Second}} {
+	for _, limits := range []Limits{testLimits, {Min: 1, Max: 46, BootTime: 4 * time.Second}} {
 		c := newFakeCloud(10, limits)
 		c.runFor(20 * time.Second)
 		c.situation.Need = 100
@@ -174,39 +174,39 @@
 func TestNoOrdersDuringRelease(t *testing.T) {
 	is := is.New(t)
 	c := newFakeCloud(22, testLimits)
-	c.situation.Releasing = true
-	is.Equal(len(Next(c.situation)), 0)
+	c.situation.ReleaseInProgress = true
+	is.Equal(len(Plan(c.situation)), 0)
 	c.situation.Need = 1000
-	is.True(len(Next(c.situation)) > 0)
-	c.situation.Released = true
-	is.Equal(len(Next(c.situation)), 0)
+	is.True(len(Plan(c.situation)) > 0)
+	c.situation.ReleaseDone = true
+	is.Equal(len(Plan(c.situation)), 0)
 }
 
 // TestOrdersStayWithinLimits draws situations and checks that orders stay within the limits
 // for both kinds together, and that each changes the number of upstreams.
 func TestOrdersStayWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Situation{
-			Service: service, Sized: make(map[contract.DataCentreID]int), Stands: make(map[contract.DataCentreID]Stand), Ordered: make(map[Subject]int),
-			Need: rapid.Float64Range(0, 300).Draw(t, "need"), Releasing: rapid.Bool().Draw(t, "releasing"),
+		s := Input{
+			Service: service, Baseline: make(map[contract.DataCentreID]int), Running: make(map[contract.DataCentreID]UpstreamCounts), InProgress: make(map[Group]int),
+			Need: rapid.Float64Range(0, 300).Draw(t, "need"), ReleaseInProgress: rapid.Bool().Draw(t, "releasing"),
 		}
 		s.Limits = Limits{Min: rapid.IntRange(0, 3).Draw(t, "min"), Max: rapid.IntRange(3, 40).Draw(t, "max"), PreemptiblePrice: rapid.Float64Range(0, 1.5).Draw(t, "price")}
 		for _, dc := range dataCentres[:rapid.IntRange(1, 4).Draw(t, "centres")] {
-			s.Sized[dc] = rapid.IntRange(0, 40).Draw(t, "sized")
-			s.Stands[dc] = Stand{Standard: rapid.IntRange(0, 20).Draw(t, "standard"), Preemptible: rapid.IntRange(0, 20).Draw(t, "preemptible")}
+			s.Baseline[dc] = rapid.IntRange(0, 40).Draw(t, "sized")
+			s.Running[dc] = UpstreamCounts{Standard: rapid.IntRange(0, 20).Draw(t, "standard"), Preemptible: rapid.IntRange(0, 20).Draw(t, "preemptible")}
 			if rapid.Bool().Draw(t, "ordered") {
-				s.Ordered[Subject{service, dc, true}] = rapid.IntRange(0, 20).Draw(t, "count")
+				s.InProgress[Group{service, dc, true}] = rapid.IntRange(0, 20).Draw(t, "count")
 			}
 		}
-		for _, o := range Next(s) {
+		for _, o := range Plan(s) {
 			if o.Count < 0 || o.Count > s.Limits.Max {
 				t.Fatalf("order %+v is outside 0 to %d", o, s.Limits.Max)
 			}
-			if o.Count == s.provisioned(o.Subject) {
+			if o.Count == s.provisioned(o.Group) {
 				t.Fatalf("order %+v changes nothing", o)
 			}
-			if o.Preemptible && o.Count > s.provisioned(o.Subject) && o.Count+s.provisioned(Subject{service, o.DataCentre, false}) > s.Limits.Max {
-				t.Fatalf("order %+v exceeds the limit together with %d standard upstreams", o, s.provisioned(Subject{service, o.DataCentre, false}))
+			if o.Preemptible && o.Count > s.provisioned(o.Group) && o.Count+s.provisioned(Group{service, o.DataCentre, false}) > s.Limits.Max {
+				t.Fatalf("order %+v exceeds the limit together with %d standard upstreams", o, s.provisioned(Group{service, o.DataCentre, false}))
 			}
 		}
 	})
@@ -217,11 +217,11 @@
 // the objective permits.
 func TestNeed(t *testing.T) {
 	is := is.New(t)
-	w := Work{Reading: 5, Prompts: 25}.Plus(Work{Reading: 5, Prompts: 25})
+	w := Load{Prefill: 5, PromptRate: 25}.Add(Load{Prefill: 5, PromptRate: 25})
 	is.Equal(w.Need(64, 4*time.Second), 10/(0.5/0.7))
 	is.Equal(w.Need(64, 0), 20.0)
 	is.True(w.Need(64, time.Second) > 20) // a shorter objective requires more upstreams
-	w.Places = 640
+	w.SlotsInUse = 640
 	is.Equal(w.Need(64, 4*time.Second), 20.0)
 }
 
@@ -231,9 +231,9 @@
 	is := is.New(t)
 	var p Peak
 	at := time.Unix(0, 0)
-	is.Equal(p.Note(10, at), 10.0)
-	is.Equal(p.Note(3, at.Add(20*time.Second)), 10.0)
-	is.Equal(p.Note(5, at.Add(40*time.Second)), 10.0)
-	is.Equal(p.Note(4, at.Add(61*time.Second)), 5.0)
-	is.Equal(p.Note(12, at.Add(62*time.Second)), 12.0)
+	is.Equal(p.Record(10, at), 10.0)
+	is.Equal(p.Record(3, at.Add(20*time.Second)), 10.0)
+	is.Equal(p.Record(5, at.Add(40*time.Second)), 10.0)
+	is.Equal(p.Record(4, at.Add(61*time.Second)), 5.0)
+	is.Equal(p.Record(12, at.Add(62*time.Second)), 12.0)
 }
--- a/session/session.go
+++ b/session/session.go
@@ -32,23 +32,23 @@
 // learns no more than for a forged token.
 var ErrOtherWorkspace = errors.New("session token belongs to another workspace")
 
-// Keeper issues and verifies tokens.
-type Keeper struct{ key *sign.Key }
+// Signer issues and verifies tokens.
+type Signer struct{ key *sign.Key }
 
-// NewKeeper returns a Keeper that uses the fleet's signing key.
-func NewKeeper(secret []byte) *Keeper { return &Keeper{key: sign.NewKey(secret, keyPurpose)} }
+// NewSigner returns a Keeper that uses the fleet's signing key.
+func NewSigner(secret []byte) *Signer { return &Signer{key: sign.NewKey(secret, keyPurpose)} }
 
 // Issue returns the signed token of a session that begins now.
-func (k *Keeper) Issue(t Token, now time.Time) (string, error) {
+func (k *Signer) Issue(t Token, now time.Time) (string, error) {
 	t.IssuedAt = now.Unix()
 	return k.key.Sign(t)
 }
 
 // Open verifies and decodes a token presented by workspace w. It fails with
 // sign.ErrForged or ErrOtherWorkspace.
-func (k *Keeper) Open(text string, w contract.WorkspaceID) (Token, error) {
+func (k *Signer) Open(text string, w contract.WorkspaceID) (Token, error) {
 	var t Token
-	if err := k.key.Open(text, &t); err != nil {
+	if err := k.key.Verify(text, &t); err != nil {
 		return Token{}, err
 	}
 	if t.Workspace != w {
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -35,7 +35,7 @@
 	for i := range 500 {
 		id := string(rune('a'+i%26)) + time.Unix(int64(i), 0).String()
 		first := versionByHash(id, steps[0])
-		text, err := NewKeeper(secret).Issue(Token{Session: id, Workspace: "w", Version: first}, time.Unix(0, 0))
+		text, err := NewSigner(secret).Issue(Token{Session: id, Workspace: "w", Version: first}, time.Unix(0, 0))
 		is.NoErr(err)
 		for _, share := range steps[1:] {
 			if versionByHash(id, share) != first {
@@ -43,7 +43,7 @@
 				break
 			}
 		}
-		token, err := NewKeeper(secret).Open(text, "w")
+		token, err := NewSigner(secret).Open(text, "w")
 		is.NoErr(err)
 		if token.Version == first {
 			kept++
@@ -57,13 +57,13 @@
 // are rejected, and that a session token is no valid ticket.
 func TestRejectsForgedToken(t *testing.T) {
 	is := is.New(t)
-	k := NewKeeper(secret)
+	k := NewSigner(secret)
 	text, err := k.Issue(Token{Session: "s", Workspace: "w", Version: "m@1"}, time.Unix(0, 0))
 	is.NoErr(err)
 	_, err = k.Open(text, "other")
 	is.Equal(err, ErrOtherWorkspace)
 	ticketKey := sign.NewKey(secret, "ticket")
-	is.Equal(ticketKey.Open(text, &Token{}), sign.ErrForged) // signed for another purpose
+	is.Equal(ticketKey.Verify(text, &Token{}), sign.ErrInvalidSignature) // signed for another purpose
 	rapid.Check(t, func(t *rapid.T) {
 		raw := []byte(text)
 		position := rapid.IntRange(0, len(raw)-1).Draw(t, "at")
@@ -81,7 +81,7 @@
 // FuzzOpen checks that no input makes Open panic or return a token of another
 // workspace.
 func FuzzOpen(f *testing.F) {
-	k := NewKeeper(secret)
+	k := NewSigner(secret)
 	good, err := k.Issue(Token{Session: "s", Workspace: "w", Version: "m@1"}, time.Unix(0, 0))
 	if err != nil {
 		f.Fatal(err)
--- a/settings/duties.go
+++ b/settings/duties.go
@@ -43,7 +43,7 @@
 )
 
 // readDuties reads the [duties] section. An absent section leaves v.Duties zero.
-func readDuties(v *VM, r *config.Reader) {
+func readDuties(v *VM, r *config.SectionReader) {
 	if len(r.Keys()) == 0 {
 		return
 	}
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -34,10 +34,10 @@
 	Callers string
 	// Health is the TCP address that serves health, readiness and metrics.
 	Health string
-	// Link is the UDP address for links from other daemons of the system.
-	Link string
-	// Advertise is the link address announced to other daemons. Empty means Link.
-	Advertise string
+	// LinkAddress is the UDP address for links from other daemons of the system.
+	LinkAddress string
+	// AdvertisedLink is the link address announced to other daemons. Empty means Link.
+	AdvertisedLink string
 	// MaxBody is the maximum size of a request body. Zero means 1 MiB.
 	MaxBody contract.Bytes
 	// MaxInFlight is the maximum number of concurrent requests. Zero means 4096.
@@ -50,9 +50,9 @@
 	// MaxBills is the maximum number of bill records kept in memory until they are
 	// filed with the platform. Zero means 100000.
 	MaxBills int
-	// Drain is the longest that a planned shutdown waits for requests in flight.
+	// DrainTimeout is the longest that a planned shutdown waits for requests in flight.
 	// Zero means 1 h.
-	Drain time.Duration
+	DrainTimeout time.Duration
 	// StallAfter is the gap between two chunks of a stream after which the
 	// upstream counts as stalled, regardless of the stream's usual pace. Zero means
 	// 10 s.
@@ -63,18 +63,18 @@
 type Control struct {
 	// Health is the TCP address that serves health, readiness and metrics.
 	Health string
-	// Link is the UDP address for links from other daemons of the system.
-	Link string
-	// Advertise is the link address announced to other daemons. Empty means Link.
-	Advertise string
+	// LinkAddress is the UDP address for links from other daemons of the system.
+	LinkAddress string
+	// AdvertisedLink is the link address announced to other daemons. Empty means Link.
+	AdvertisedLink string
 	// Watchers is how many VMs of a data centre watch the platform for changes.
 	// Zero means 2.
 	Watchers int
 	// WatchWait is how long one watch request stays open. Zero means 1 s.
 	WatchWait time.Duration
-	// FileEvery is the longest that bill records wait to be filed in one batch.
+	// BillFilingInterval is the longest that bill records wait to be filed in one batch.
 	// Zero means 1 s.
-	FileEvery time.Duration
+	BillFilingInterval time.Duration
 }
 
 // Keys holds the paths of the key files that package keys loads.
@@ -111,7 +111,7 @@
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, contract.Fail(contract.StepSettings, path, err)
+		return nil, contract.WrapStep(contract.StepSettings, path, err)
 	}
 	return Parse(path, text)
 }
@@ -119,13 +119,13 @@
 // Parse parses and validates the text of the settings file at path. Relative
 // paths of key files are resolved against the directory of path.
 func Parse(path string, text []byte) (*Settings, error) {
-	f, err := config.ReadFile(path, text)
+	f, err := config.ParseINI(path, text)
 	if err != nil {
 		return nil, err
 	}
 	var faults config.Faults
-	reader := func(section string) *config.Reader { return config.NewReader(f, section, &faults) }
-	readers := map[string]func(*Settings, *config.Reader){
+	reader := func(section string) *config.SectionReader { return config.NewReader(f, section, &faults) }
+	readers := map[string]func(*Settings, *config.SectionReader){
 		"vm": readVM, "entry": readEntry, "control": readControl,
 		"keys": readKeys(filepath.Dir(path)), "platform": readPlatform, "peers": nil,
 	}
@@ -138,7 +138,7 @@
 	for _, section := range []string{"vm", "entry", "control", "keys", "platform"} {
 		r := reader(section)
 		readers[section](s, r)
-		r.Done()
+		r.RejectUnknownKeys()
 	}
 	readPeers(s, string(f.Sections()["peers"]), reader("peers"))
 	if err := faults.Err(); err != nil {
@@ -147,14 +147,14 @@
 	return s, nil
 }
 
-func readVM(s *Settings, r *config.Reader) {
-	s.VM = contract.VMID(r.Need("name", "the VM's name"))
-	s.DataCentre = contract.DataCentreID(r.Need("data-centre", "the name of its data centre"))
+func readVM(s *Settings, r *config.SectionReader) {
+	s.VM = contract.VMID(r.Required("name", "the VM's name"))
+	s.DataCentre = contract.DataCentreID(r.Required("data-centre", "the name of its data centre"))
 }
 
 // readAddress returns the value of key, which must be an address with a port.
-func readAddress(r *config.Reader, key string) string {
-	v := r.Need(key, "an address, such as 10.0.0.1:8080")
+func readAddress(r *config.SectionReader, key string) string {
+	v := r.Required(key, "an address, such as 10.0.0.1:8080")
 	if v == "" {
 		return v
 	}
@@ -164,35 +164,35 @@
 	return v
 }
 
-func readEntry(s *Settings, r *config.Reader) {
+func readEntry(s *Settings, r *config.SectionReader) {
 	s.Entry = Entry{
-		Callers: readAddress(r, "callers"), Health: readAddress(r, "health"), Link: readAddress(r, "link"),
-		Advertise:   r.Text("advertise", r.Text("link", "")),
-		MaxBody:     contract.Bytes(r.Int("max-body-bytes", defaultMaxBody, 1, maxIntSetting)),
-		MaxInFlight: r.Int("max-in-flight", defaultMaxInFlight, 1, maxIntSetting),
-		MaxQueue:    r.Int("max-queue", defaultMaxQueue, 0, maxIntSetting),
-		MaxTickets:  r.Int("max-tickets", defaultMaxTickets, 1, maxIntSetting),
-		MaxBills:    r.Int("max-bills", defaultMaxBills, 1, maxIntSetting),
-		Drain:       r.Duration("drain", defaultDrainTimeout),
-		StallAfter:  r.Duration("stall-after", defaultStallAfter),
+		Callers: readAddress(r, "callers"), Health: readAddress(r, "health"), LinkAddress: readAddress(r, "link"),
+		AdvertisedLink: r.String("advertise", r.String("link", "")),
+		MaxBody:        contract.Bytes(r.Int("max-body-bytes", defaultMaxBody, 1, maxIntSetting)),
+		MaxInFlight:    r.Int("max-in-flight", defaultMaxInFlight, 1, maxIntSetting),
+		MaxQueue:       r.Int("max-queue", defaultMaxQueue, 0, maxIntSetting),
+		MaxTickets:     r.Int("max-tickets", defaultMaxTickets, 1, maxIntSetting),
+		MaxBills:       r.Int("max-bills", defaultMaxBills, 1, maxIntSetting),
+		DrainTimeout:   r.Duration("drain", defaultDrainTimeout),
+		StallAfter:     r.Duration("stall-after", defaultStallAfter),
 	}
 }
 
-func readControl(s *Settings, r *config.Reader) {
+func readControl(s *Settings, r *config.SectionReader) {
 	s.Control = Control{
-		Health: readAddress(r, "health"), Link: readAddress(r, "link"),
-		Advertise: r.Text("advertise", r.Text("link", "")),
-		Watchers:  r.Int("watchers", defaultWatchers, 1, 100),
-		WatchWait: r.Duration("watch-wait", defaultWatchWait),
-		FileEvery: r.Duration("file-every", defaultBillFilingInterval),
+		Health: readAddress(r, "health"), LinkAddress: readAddress(r, "link"),
+		AdvertisedLink:     r.String("advertise", r.String("link", "")),
+		Watchers:           r.Int("watchers", defaultWatchers, 1, 100),
+		WatchWait:          r.Duration("watch-wait", defaultWatchWait),
+		BillFilingInterval: r.Duration("file-every", defaultBillFilingInterval),
 	}
 }
 
 // readKeys returns a function that reads the paths of the key files, relative to dir.
-func readKeys(dir string) func(*Settings, *config.Reader) {
-	return func(s *Settings, r *config.Reader) {
+func readKeys(dir string) func(*Settings, *config.SectionReader) {
+	return func(s *Settings, r *config.SectionReader) {
 		file := func(key, want string) string {
-			v := r.Need(key, want)
+			v := r.Required(key, want)
 			if v != "" && !filepath.IsAbs(v) {
 				v = filepath.Join(dir, v)
 			}
@@ -206,13 +206,13 @@
 	}
 }
 
-func readPlatform(s *Settings, r *config.Reader) {
-	s.Platform.URL = r.Need("url", "the platform's address, such as http://10.0.0.9:7000")
+func readPlatform(s *Settings, r *config.SectionReader) {
+	s.Platform.URL = r.Required("url", "the platform's address, such as http://10.0.0.9:7000")
 }
 
 // readPeers reads the peers from the text of the [peers] section. It skips the VM
 // itself, so that all VMs can share one list.
-func readPeers(s *Settings, section string, r *config.Reader) {
+func readPeers(s *Settings, section string, r *config.SectionReader) {
 	for _, line := range strings.Split(section, "\n") {
 		name, value, ok := strings.Cut(line, " = ")
 		if !ok {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -42,8 +42,8 @@
 	is.NoErr(err)
 	is.Equal(s.Keys.KeyPairFile, "/etc/woaddoor/keys/a1.pem")
 	is.Equal(len(s.Peers), 1) // the VM itself is not one of its peers
-	is.Equal(s.Control.FileEvery, 2*time.Second)
-	is.Equal(s.Entry.Advertise, s.Entry.Link)
+	is.Equal(s.Control.BillFilingInterval, 2*time.Second)
+	is.Equal(s.Entry.AdvertisedLink, s.Entry.LinkAddress)
 }
 
 // TestParseReportsAllFaults checks that one error lists all faults of the file.
--- a/settings/vm.go
+++ b/settings/vm.go
@@ -37,7 +37,7 @@
 	// cost of an answer from the most expensive model. MaxRepeatPrice is the price of
 	// repeating a request when the retry budget is almost used up, as a fraction of
 	// the value of the request.
-	ValueCostRatio, MaxRepeatPrice float64
+	ValueCostRatio, MaxEscalationPrice float64
 }
 
 // PolicyKeys lists the keys of the [policy] section.
@@ -57,7 +57,7 @@
 
 // CheckPolicy validates lines of a [policy] section, each of the form "key = value".
 func CheckPolicy(lines string) error {
-	f, err := config.ReadFile("policy", []byte("[policy]\n"+lines+"\n"))
+	f, err := config.ParseINI("policy", []byte("[policy]\n"+lines+"\n"))
 	if err != nil {
 		return err
 	}
@@ -67,13 +67,13 @@
 }
 
 // readPolicy reads the [policy] section into v.
-func readPolicy(v *VM, r *config.Reader) {
+func readPolicy(v *VM, r *config.SectionReader) {
 	var err error
 	if v.Policy, err = upstream.NewPolicy(r.List(keyWithout)); err != nil {
 		r.Fault(keyWithout, "%v", err)
 	}
-	v.ValueCostRatio = r.Number(keyValueCostRatio, cascade.DefaultWorthOfCost, minValueCostRatio, maxValueCostRatio)
-	v.MaxRepeatPrice = r.Number(keyRepeatPrice, cascade.DefaultRepeatPrice, 0, maxRepeatPriceSetting)
+	v.ValueCostRatio = r.Number(keyValueCostRatio, cascade.DefaultValueCostRatio, minValueCostRatio, maxValueCostRatio)
+	v.MaxEscalationPrice = r.Number(keyRepeatPrice, cascade.DefaultMaxEscalationPrice, 0, maxRepeatPriceSetting)
 }
 
 // Machine holds the resources that the machine gives the process. Zero means
@@ -179,7 +179,7 @@
 func LoadVM(path string) (*VM, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, contract.Fail(contract.StepSettings, path, err)
+		return nil, contract.WrapStep(contract.StepSettings, path, err)
 	}
 	return ParseVM(path, text)
 }
@@ -187,18 +187,18 @@
 // ParseVM parses and validates the text of the settings file at path. Unknown
 // sections and keys are ignored, because the deployment may add some.
 func ParseVM(path string, text []byte) (*VM, error) {
-	f, err := config.ReadFile(path, text)
+	f, err := config.ParseINI(path, text)
 	if err != nil {
 		return nil, err
 	}
 	var faults config.Faults
-	section := func(name string) *config.Reader { return config.NewReader(f, name, &faults) }
+	section := func(name string) *config.SectionReader { return config.NewReader(f, name, &faults) }
 	v := &VM{}
 	readIdentity(v, section("vm"))
 	v.Regions = make(map[contract.DataCentreID]string)
 	regions := section("regions")
 	for _, dc := range regions.Keys() {
-		v.Regions[contract.DataCentreID(dc)] = regions.Text(dc, "")
+		v.Regions[contract.DataCentreID(dc)] = regions.String(dc, "")
 	}
 	readListen(v, section("listen"))
 	v.Store = readAddress(section("store"), "address")
@@ -219,15 +219,15 @@
 }
 
 // readIdentity reads the [vm] section: the VM's name and data centre.
-func readIdentity(v *VM, r *config.Reader) {
-	v.Name = contract.VMID(r.Need("name", "the VM's name"))
-	v.DataCentre = contract.DataCentreID(r.Need("data-centre", "the name of its data centre"))
-	v.FirstStart = r.Text("first-start", "") == "true"
+func readIdentity(v *VM, r *config.SectionReader) {
+	v.Name = contract.VMID(r.Required("name", "the VM's name"))
+	v.DataCentre = contract.DataCentreID(r.Required("data-centre", "the name of its data centre"))
+	v.FirstStart = r.String("first-start", "") == "true"
 }
 
 // readListen reads the [listen] section. The metrics address is the host of the
 // readiness address with its own port.
-func readListen(v *VM, r *config.Reader) {
+func readListen(v *VM, r *config.SectionReader) {
 	v.Listen = Listen{Callers: readAddress(r, "callers"), Ready: readAddress(r, "ready"), Links: readAddress(r, "links")}
 	v.Listen.Seeds = readSeeds(r, v.Listen.Links)
 	port := r.Int("metrics-port", 0, 0, maxPort)
@@ -240,7 +240,7 @@
 // readSeeds returns the link addresses of the seeds. A deployment may list them with
 // the port of another listener, so the port is replaced by that of this VM's
 // links, which is the same on all VMs.
-func readSeeds(r *config.Reader, links string) []string {
+func readSeeds(r *config.SectionReader, links string) []string {
 	_, port, err := net.SplitHostPort(links)
 	if err != nil {
 		return nil // an invalid links address is already reported
@@ -258,7 +258,7 @@
 }
 
 // readBounds reads the [bounds] section, with defaults for omitted keys.
-func readBounds(v *VM, r *config.Reader) {
+func readBounds(v *VM, r *config.SectionReader) {
 	v.Bounds = Bounds{
 		UpstreamDrain:      cmp.Or(r.Duration("drain", 0), defaultUpstreamDrain),
 		ShutdownGrace:      cmp.Or(r.Duration("grace", 0), defaultShutdownGrace),
@@ -268,7 +268,7 @@
 		RetrySlack:         r.Number("retry-slack", 0, 0, math.MaxInt32),
 		CanaryShare:        r.Number("canary-share", defaultCanaryShare, 0, 1),
 		Evacuation:         r.Duration("evacuation", 0),
-		LongestRest:        cmp.Or(r.Duration("longest-rest", 0), upstream.DefaultLongestRest),
+		LongestRest:        cmp.Or(r.Duration("longest-rest", 0), upstream.DefaultMaxBackoff),
 
 		ColdOvershoot: r.Number("cold-overshoot", defaultColdOvershoot, 1, math.MaxInt32),
 		ColdSlack:     r.Number("cold-slack", 0, 0, math.MaxInt32),
--- a/sign/sign.go
+++ b/sign/sign.go
@@ -15,9 +15,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrForged means that a text is malformed, or was not signed with this key for this
+// ErrInvalidSignature means that a text is malformed, or was not signed with this key for this
 // purpose.
-var ErrForged = errors.New("signature is not valid")
+var ErrInvalidSignature = errors.New("signature is not valid")
 
 // maxTextLength is the maximum length of a signed text in bytes.
 const maxTextLength = 4096
@@ -52,20 +52,20 @@
 	return content + separator + base64.RawURLEncoding.EncodeToString(k.mac(content)), nil
 }
 
-// Open verifies a signed text and decodes its content into v. It decodes nothing if the
+// Verify verifies a signed text and decodes its content into v. It decodes nothing if the
 // signature is not valid.
-func (k *Key) Open(text string, v any) error {
+func (k *Key) Verify(text string, v any) error {
 	content, signature, ok := strings.Cut(text, separator)
 	if !ok || len(text) > maxTextLength {
-		return ErrForged
+		return ErrInvalidSignature
 	}
 	got, err := base64.RawURLEncoding.DecodeString(signature)
 	if err != nil || !hmac.Equal(got, k.mac(content)) {
-		return ErrForged
+		return ErrInvalidSignature
 	}
 	encoded, err := base64.RawURLEncoding.DecodeString(content)
 	if err != nil {
-		return ErrForged
+		return ErrInvalidSignature
 	}
 	return cbor.Unmarshal(encoded, v)
 }
--- a/site/broadcast.go
+++ b/site/broadcast.go
@@ -45,9 +45,9 @@
 	})
 }
 
-// Grave informs the hubs at once of a harmful event: the failure of a release on trial,
+// AnnounceUrgent informs the hubs at once of a harmful event: the failure of a release on trial,
 // or a request content that has crashed an upstream.
-func (p *Peers) Grave(ctx context.Context) {
+func (p *Peers) AnnounceUrgent(ctx context.Context) {
 	p.urgentRounds.run(func() { p.forwardUrgent(ctx, false) })
 }
 
@@ -128,7 +128,7 @@
 	msg := p.gossipFor(recipients)
 	msg.Deltas = deltas
 	for _, m := range p.otherHubs(v) {
-		go p.exchangeGossip(ctx, m.ControlLink, localTimeout, msg)
+		go p.exchangeGossip(ctx, m.ControlAddress, localTimeout, msg)
 	}
 }
 
@@ -141,7 +141,7 @@
 	msg := p.gossipFor(audienceLocal)
 	msg.Members, msg.Deltas = nil, deltas
 	for _, m := range leaves {
-		go p.exchangeGossip(ctx, m.ControlLink, localTimeout, msg)
+		go p.exchangeGossip(ctx, m.ControlAddress, localTimeout, msg)
 	}
 }
 
@@ -161,7 +161,7 @@
 func (p *Peers) gossipToOneOf(ctx context.Context, members []vm.Member, msg GossipMessage) {
 	done := make(chan bool, len(members))
 	for _, m := range members {
-		go func() { done <- p.exchangeGossip(ctx, m.ControlLink, remoteTimeout, msg) }()
+		go func() { done <- p.exchangeGossip(ctx, m.ControlAddress, remoteTimeout, msg) }()
 		select {
 		case ok := <-done:
 			if ok {
--- a/site/broadcast_test.go
+++ b/site/broadcast_test.go
@@ -36,13 +36,13 @@
 func (k *revisionKind) changesSince(contract.Revision, bool) Delta {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return Delta{Kind: "k", At: k.revision}
+	return Delta{Kind: "k", Revision: k.revision}
 }
 
 func (k *revisionKind) applyFromPeer(d Delta, _ KindStatus, _ string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.revision = max(k.revision, d.At)
+	k.revision = max(k.revision, d.Revision)
 	k.applied++
 }
 
@@ -144,7 +144,7 @@
 // long.
 func TestOnePullAtATime(t *testing.T) {
 	is := is.New(t)
-	p, now := idlePeers(t, vm.Member{VM: "a", DataCentre: "d", ControlLink: "10.0.0.1:1"})
+	p, now := idlePeers(t, vm.Member{VM: "a", DataCentre: "d", ControlAddress: "10.0.0.1:1"})
 	is.True(p.beginPull("k", "hub"))
 	is.True(!p.beginPull("k", "hub"))
 	is.True(!p.beginPull("k", "other"))
--- a/site/election.go
+++ b/site/election.go
@@ -41,8 +41,8 @@
 
 // Watcher identifies a VM that may watch the store.
 type Watcher struct {
-	VM       contract.VMID `cbor:"1,keyasint"`
-	Strength int           `cbor:"2,keyasint,omitempty"`
+	VM            contract.VMID `cbor:"1,keyasint"`
+	CapacityUnits int           `cbor:"2,keyasint,omitempty"`
 }
 
 // Rank is the position of a VM in the order in which VMs start to watch the store.
@@ -216,8 +216,8 @@
 // precedes defines an order of watchers that is the same on all VMs. A watcher with a
 // higher Strength comes first.
 func (w Watcher) precedes(o Watcher) bool {
-	if w.Strength != o.Strength {
-		return w.Strength > o.Strength
+	if w.CapacityUnits != o.CapacityUnits {
+		return w.CapacityUnits > o.CapacityUnits
 	}
 	return cmp.Or(cmp.Compare(w.hash(), o.hash()), cmp.Compare(w.VM, o.VM)) < 0
 }
--- a/site/election_test.go
+++ b/site/election_test.go
@@ -212,10 +212,10 @@
 // watcher.
 func TestStrongerVMPrecedesWeaker(t *testing.T) {
 	is := is.New(t)
-	strong := Watcher{VM: "b", Strength: 8}
+	strong := Watcher{VM: "b", CapacityUnits: 8}
 	for _, id := range []contract.VMID{"a", "c"} {
-		is.True(strong.precedes(Watcher{VM: id, Strength: 1}))
-		is.True(!Watcher{VM: id, Strength: 1}.precedes(strong))
+		is.True(strong.precedes(Watcher{VM: id, CapacityUnits: 1}))
+		is.True(!Watcher{VM: id, CapacityUnits: 1}.precedes(strong))
 	}
 }
 
--- a/site/evacuations_test.go
+++ b/site/evacuations_test.go
@@ -20,7 +20,7 @@
 }
 
 func evacuationItem(dc string, revision contract.Revision) Item[Evacuation] {
-	return Item[Evacuation]{Raw: Raw{Name: dc, Revision: revision}, Value: Evacuation{DataCentre: contract.DataCentreID(dc)}}
+	return Item[Evacuation]{RawObject: RawObject{Name: dc, Revision: revision}, Value: Evacuation{DataCentre: contract.DataCentreID(dc)}}
 }
 
 // TestOlderListKeepsEvacuation checks that a list made before an evacuation was requested
@@ -29,11 +29,11 @@
 	is := is.New(t)
 	s := testSite()
 	s.applyEvacuations(Changes[Evacuation]{Revision: 5, Items: []Item[Evacuation]{evacuationItem("d", 5)}}, false)
-	is.Equal(len(s.opts.Relay.Evacuated()), 1)
+	is.Equal(len(s.opts.Relay.Evacuations()), 1)
 	s.applyEvacuations(Changes[Evacuation]{Revision: 4}, true)
-	is.Equal(len(s.opts.Relay.Evacuated()), 1)
+	is.Equal(len(s.opts.Relay.Evacuations()), 1)
 	s.applyEvacuations(Changes[Evacuation]{Revision: 6, Items: []Item[Evacuation]{evacuationItem("e", 6)}}, true)
-	got := s.opts.Relay.Evacuated()
+	got := s.opts.Relay.Evacuations()
 	is.Equal(len(got), 1)
 	is.Equal(got[0].DataCentre, contract.DataCentreID("e"))
 }
@@ -45,7 +45,7 @@
 	is := is.New(t)
 	core, logged := observer.New(zap.InfoLevel)
 	f := &follower[Evacuation]{
-		source: namedSource{}, log: zap.New(core), registry: metrics.NewRegistry(), ledger: NewLedger("k"),
+		source: namedSource{}, log: zap.New(core), registry: metrics.NewRegistry(), ledger: NewObjectCache("k"),
 		decodeErrors: make(map[string]string), apply: func(Changes[Evacuation], bool) {},
 	}
 	apply := func(revision contract.Revision, err error) {
@@ -53,7 +53,7 @@
 		i.Err = err
 		f.applyChanges(Changes[Evacuation]{Revision: revision, Items: []Item[Evacuation]{i}}, revision == 1)
 	}
-	malformed := contract.Fail(contract.StepPlatform, "d", ErrNotFound)
+	malformed := contract.WrapStep(contract.StepPlatform, "d", ErrNotFound)
 	apply(1, malformed)
 	apply(2, malformed)
 	apply(3, malformed)
@@ -69,4 +69,4 @@
 
 func (namedSource) Name() string { return "k" }
 
-func (namedSource) Decode(raw Raw) (Evacuation, error) { return Evacuation{}, nil }
+func (namedSource) Decode(raw RawObject) (Evacuation, error) { return Evacuation{}, nil }
--- a/site/follow.go
+++ b/site/follow.go
@@ -81,7 +81,7 @@
 	// mu guards the fields below. It is held while changes are applied, so that changes
 	// from the store and from peers take effect one after the other.
 	mu       sync.Mutex
-	ledger   *Ledger
+	ledger   *ObjectCache
 	election *WatcherElection
 	// decodeErrors holds the last logged decoding error of each object that cannot be
 	// decoded.
@@ -110,9 +110,9 @@
 		f.recordFailedCall()
 		if f.failedCalls == 1 {
 			revision, _ := f.revision()
-			f.log.Warn("store-lost", append(logs.Failure(err), zap.String("kind", f.source.Name()), zap.Int64("revision", int64(revision)))...)
+			f.log.Warn("store-lost", append(logs.ErrorFields(err), zap.String("kind", f.source.Name()), zap.Int64("revision", int64(revision)))...)
 		}
-		clock.Pause(ctx, retryPause(f.failedCalls, f.rank()))
+		clock.Sleep(ctx, retryPause(f.failedCalls, f.rank()))
 	}
 }
 
@@ -193,9 +193,9 @@
 	revision, known := f.revision()
 	if !known || f.relist {
 		c, err := f.source.List(ctx, f.acceptPage)
-		f.onStoreCall(err == nil || errors.Is(err, ErrEnough))
+		f.onStoreCall(err == nil || errors.Is(err, ErrStopListing))
 		switch {
-		case errors.Is(err, ErrEnough):
+		case errors.Is(err, ErrStopListing):
 			return nil // a peer has sent the whole list meanwhile
 		case err != nil:
 			return err
@@ -216,7 +216,7 @@
 	}
 	f.applyFromStore(c, false)
 	if len(c.Items) > 0 {
-		clock.Pause(ctx, changeBatchPause)
+		clock.Sleep(ctx, changeBatchPause)
 	}
 	return nil
 }
@@ -298,9 +298,9 @@
 func (f *follower[T]) applyChanges(c Changes[T], full bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	d := Delta{Full: full, At: c.Revision}
+	d := Delta{Full: full, Revision: c.Revision}
 	for _, i := range c.Items {
-		d.Items = append(d.Items, i.Raw)
+		d.Items = append(d.Items, i.RawObject)
 	}
 	accepted := Changes[T]{Revision: c.Revision}
 	for n, changed := range f.ledger.Apply(d) {
--- a/site/follow_test.go
+++ b/site/follow_test.go
@@ -17,13 +17,13 @@
 	is := is.New(t)
 	firstPageItems, sendFromPeer := 0, func() {}
 	f := &follower[Evacuation]{
-		source: namedSource{}, log: zap.NewNop(), registry: metrics.NewRegistry(), ledger: NewLedger("k"), election: NewWatcherElection(Watcher{VM: "v"}, testTiming, time.Time{}),
+		source: namedSource{}, log: zap.NewNop(), registry: metrics.NewRegistry(), ledger: NewObjectCache("k"), election: NewWatcherElection(Watcher{VM: "v"}, testTiming, time.Time{}),
 		decodeErrors: make(map[string]string), apply: func(Changes[Evacuation], bool) {}, onStoreCall: func(bool) {}, now: time.Now,
 	}
 	f.applyFirstPage = func(c Changes[Evacuation]) {
 		firstPageItems += len(c.Items)
 		sendFromPeer = func() {
-			f.applyFromPeer(Delta{Kind: "k", Full: true, At: 5, Items: []Raw{{Name: "a", Revision: 1}, {Name: "b", Revision: 2}}}, KindStatus{Revision: 5}, "peer")
+			f.applyFromPeer(Delta{Kind: "k", Full: true, Revision: 5, Items: []RawObject{{Name: "a", Revision: 1}, {Name: "b", Revision: 2}}}, KindStatus{Revision: 5}, "peer")
 		}
 	}
 	page := Changes[Evacuation]{Revision: 4, Items: []Item[Evacuation]{evacuationItem("a", 1)}}
@@ -45,7 +45,7 @@
 	is := is.New(t)
 	storeFailed := false
 	f := &follower[Evacuation]{
-		source: stoppedSource{}, log: zap.NewNop(), registry: metrics.NewRegistry(), ledger: NewLedger("k"), election: NewWatcherElection(Watcher{VM: "v"}, testTiming, time.Time{}),
+		source: stoppedSource{}, log: zap.NewNop(), registry: metrics.NewRegistry(), ledger: NewObjectCache("k"), election: NewWatcherElection(Watcher{VM: "v"}, testTiming, time.Time{}),
 		onStoreCall: func(ok bool) { storeFailed = storeFailed || !ok }, now: time.Now,
 	}
 	is.NoErr(f.syncOnce(context.Background()))
@@ -56,5 +56,5 @@
 type stoppedSource struct{ namedSource }
 
 func (stoppedSource) List(context.Context, func(Changes[Evacuation], bool) bool) (Changes[Evacuation], error) {
-	return Changes[Evacuation]{}, errors.Join(ErrEnough)
+	return Changes[Evacuation]{}, errors.Join(ErrStopListing)
 }
--- a/site/gossip.go
+++ b/site/gossip.go
@@ -49,16 +49,16 @@
 	Deltas []PushedDelta `cbor:"12,keyasint,omitempty"`
 	// Suspects are request contents that crash upstreams and whose state has recently
 	// changed.
-	Suspects []quarantine.Told `cbor:"14,keyasint,omitempty"`
+	Suspects []quarantine.Update `cbor:"14,keyasint,omitempty"`
 	// LimitsDigest identifies the upstream limits that the sender considers valid. A
 	// recipient that knows others replies with Limits, because reports of limits may have
 	// been lost and a VM that has just started did not receive them.
-	LimitsDigest uint64                `cbor:"15,keyasint,omitempty"`
-	Limits       []upstream.LimitKnown `cbor:"16,keyasint,omitempty"`
+	LimitsDigest uint64                 `cbor:"15,keyasint,omitempty"`
+	Limits       []upstream.LimitUpdate `cbor:"16,keyasint,omitempty"`
 	// Usage is what a leaf has counted since its hub last replied.
 	Usage []usage.Part `cbor:"17,keyasint,omitempty"`
 	// Work is the work that a leaf gives to the upstreams of each service.
-	Work map[contract.ServiceID]scaling.Work `cbor:"19,keyasint,omitempty"`
+	Work map[contract.ServiceID]scaling.Load `cbor:"19,keyasint,omitempty"`
 	// Lease is what the sender knows of the lease whose holder acts for all VMs. It is
 	// nil if the sender knows nothing.
 	Lease *LeaseStatus `cbor:"18,keyasint,omitempty"`
@@ -124,7 +124,7 @@
 
 // evidenceAudience maps each audience to the matching audience of the evidence on
 // releases.
-var evidenceAudience = map[audience]rollout.Hearer{audienceLocal: rollout.HearsNear, audienceHub: rollout.HearsHub, audienceRemote: rollout.HearsFar}
+var evidenceAudience = map[audience]rollout.Recipient{audienceLocal: rollout.RecipientLocal, audienceHub: rollout.RecipientHub, audienceRemote: rollout.RecipientRemote}
 
 // gossipFor returns this VM's gossip message for an audience.
 func (p *Peers) gossipFor(recipients audience) GossipMessage {
@@ -197,7 +197,7 @@
 func (p *Peers) exchangeGossip(ctx context.Context, address string, timeout time.Duration, msg GossipMessage) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	reply, err := link.Call[GossipMessage, GossipMessage](ctx, p.endpoint, address, link.KindWord, msg)
+	reply, err := link.Call[GossipMessage, GossipMessage](ctx, p.endpoint, address, link.KindGossip, msg)
 	p.recordReply(address, err)
 	if err != nil {
 		return false
@@ -245,7 +245,7 @@
 	if exchange == nil {
 		return
 	}
-	exchange.HearLimits(reply.Limits, false, reply.Self.VM)
+	exchange.MergeLimits(reply.Limits, false, reply.Self.VM)
 	if exchange.LimitsDigest() == reply.LimitsDigest {
 		return
 	}
@@ -254,15 +254,15 @@
 
 // limitsToSend returns the limits that another VM does not know or knows in an older
 // version. A limit that has ended is left out if the other VM does not know it.
-func limitsToSend(ours, theirs []upstream.LimitKnown) []report {
-	versions := make(map[contract.Life]uint64, len(theirs))
+func limitsToSend(ours, theirs []upstream.LimitUpdate) []report {
+	versions := make(map[contract.UpstreamInstance]uint64, len(theirs))
 	for _, limit := range theirs {
-		versions[limit.Life] = limit.Version
+		versions[limit.Instance] = limit.Version
 	}
 	var missing []report
 	for _, limit := range ours {
-		version, known := versions[limit.Life]
-		if known && limit.Version > version || !known && limit.Limit.Word == upstream.LimitNamed {
+		version, known := versions[limit.Instance]
+		if known && limit.Version > version || !known && limit.Limit.Statement == upstream.LimitStated {
 			missing = append(missing, report{limit: &limit})
 		}
 	}
--- a/site/held.go
+++ b/site/held.go
@@ -11,16 +11,16 @@
 	"woaddoor/quarantine"
 )
 
-// HeldNotes writes quarantined request contents to the store, where they survive a power
+// QuarantineStore writes quarantined request contents to the store, where they survive a power
 // loss of all VMs at once.
-type HeldNotes interface {
-	// PutHeld adds a request content. It leaves an existing object unchanged.
-	PutHeld(ctx context.Context, h quarantine.Held) error
-	// TryHeld counts one more trial of a request content if its object still has the
+type QuarantineStore interface {
+	// PutQuarantined adds a request content. It leaves an existing object unchanged.
+	PutQuarantined(ctx context.Context, h quarantine.QuarantinedContent) error
+	// CountTrial counts one more trial of a request content if its object still has the
 	// known revision, so that only one VM gets the trial.
-	TryHeld(ctx context.Context, h quarantine.Held) error
-	// DropHeld removes a request content.
-	DropHeld(ctx context.Context, p quarantine.Print) error
+	CountTrial(ctx context.Context, h quarantine.QuarantinedContent) error
+	// DeleteQuarantined removes a request content.
+	DeleteQuarantined(ctx context.Context, p quarantine.Fingerprint) error
 }
 
 // States of a quarantined request content in write keys and logs.
@@ -30,27 +30,27 @@
 )
 
 // applyHeld applies the quarantined request contents in the store to the relay.
-func (s *Site) applyHeld(c Changes[quarantine.Held], full bool) {
-	stored := make(map[quarantine.Print]bool, len(c.Items))
+func (s *Site) applyHeld(c Changes[quarantine.QuarantinedContent], full bool) {
+	stored := make(map[quarantine.Fingerprint]bool, len(c.Items))
 	for _, i := range c.Items {
-		p, err := quarantine.ParsePrint(i.Name)
+		p, err := quarantine.ParseFingerprint(i.Name)
 		switch {
 		case err != nil, !i.Deleted && i.Err != nil:
 			continue // the follower logs it
 		case i.Deleted:
-			s.opts.Relay.Released(p, i.Revision)
+			s.opts.Relay.RemoveQuarantined(p, i.Revision)
 		default:
 			stored[p] = true
 			h := i.Value
 			h.Revision = i.Revision
-			s.opts.Relay.SetHeld(h)
+			s.opts.Relay.SetQuarantined(h)
 		}
 	}
 	if !full {
 		return
 	}
-	for _, p := range s.opts.Relay.HeldButFor(stored) { // a request content stored after the list was made has a later revision
-		s.opts.Relay.Released(p, c.Revision)
+	for _, p := range s.opts.Relay.QuarantinedExcept(stored) { // a request content stored after the list was made has a later revision
+		s.opts.Relay.RemoveQuarantined(p, c.Revision)
 	}
 }
 
@@ -60,7 +60,7 @@
 func (s *Site) syncHeld(ctx context.Context) {
 	pending := make(map[writeKey]*pendingWrite)
 	for ctx.Err() == nil {
-		clock.Pause(ctx, tickInterval)
+		clock.Sleep(ctx, tickInterval)
 		s.writeHeldChanges(ctx, pending)
 	}
 }
@@ -68,31 +68,31 @@
 // writeHeldChanges writes changes of quarantined request contents once this VM's write
 // delay has passed. Trials are claimed without a delay.
 func (s *Site) writeHeldChanges(ctx context.Context, pending map[writeKey]*pendingWrite) {
-	changes := s.opts.Relay.HeldNotes()
-	for _, h := range changes.Store {
-		if s.mayWrite(pending, writeKey{h.Print.String(), heldStateStored}, s.opts.Now()) {
-			s.logHeldWrite(h, heldStateStored, s.opts.HeldNotes.PutHeld(ctx, h))
+	changes := s.opts.Relay.QuarantineUpdates()
+	for _, h := range changes.Add {
+		if s.mayWrite(pending, writeKey{h.Fingerprint.String(), heldStateStored}, s.opts.Now()) {
+			s.logHeldWrite(h, heldStateStored, s.opts.QuarantineStore.PutQuarantined(ctx, h))
 		}
 	}
-	for _, h := range changes.Erase {
-		if s.mayWrite(pending, writeKey{h.Print.String(), heldStateCleared}, s.opts.Now()) {
-			s.logHeldWrite(h, heldStateCleared, s.opts.HeldNotes.DropHeld(ctx, h.Print))
+	for _, h := range changes.Remove {
+		if s.mayWrite(pending, writeKey{h.Fingerprint.String(), heldStateCleared}, s.opts.Now()) {
+			s.logHeldWrite(h, heldStateCleared, s.opts.QuarantineStore.DeleteQuarantined(ctx, h.Fingerprint))
 		}
 	}
-	for _, h := range changes.Try {
-		err := s.opts.HeldNotes.TryHeld(ctx, h)
-		s.opts.Relay.Granted(h.Print, err == nil)
+	for _, h := range changes.Trials {
+		err := s.opts.QuarantineStore.CountTrial(ctx, h)
+		s.opts.Relay.SetTrialGranted(h.Fingerprint, err == nil)
 		if err != nil && !errors.Is(err, ErrConflict) {
-			s.log.Warn("held-trial-failed", append(logs.Failure(err), zap.Stringer("print", h.Print))...)
+			s.log.Warn("held-trial-failed", append(logs.ErrorFields(err), zap.Stringer("print", h.Fingerprint))...)
 		}
 	}
 }
 
 // logHeldWrite logs the outcome of a write.
-func (s *Site) logHeldWrite(h quarantine.Held, state string, err error) {
-	fields := []zap.Field{zap.Stringer("print", h.Print), zap.String("state", state), zap.String("route", h.Route), zap.String("workspace", string(h.Workspace))}
+func (s *Site) logHeldWrite(h quarantine.QuarantinedContent, state string, err error) {
+	fields := []zap.Field{zap.Stringer("print", h.Fingerprint), zap.String("state", state), zap.String("route", h.Route), zap.String("workspace", string(h.Workspace))}
 	if err != nil {
-		s.log.Warn("held-note-failed", append(fields, logs.Failure(err)...)...)
+		s.log.Warn("held-note-failed", append(fields, logs.ErrorFields(err)...)...)
 		return
 	}
 	s.log.Info("held-noted", fields...)
--- a/site/hubs.go
+++ b/site/hubs.go
@@ -93,7 +93,7 @@
 	switch {
 	case err != nil && !wasUnresponsive:
 		p.viewStale.Store(true)
-		p.log.Info("peer-passed-over", append(logs.Failure(err), zap.Duration("for", unresponsivePeriod))...)
+		p.log.Info("peer-passed-over", append(logs.ErrorFields(err), zap.Duration("for", unresponsivePeriod))...)
 	case err == nil && wasUnresponsive:
 		p.viewStale.Store(true)
 		p.log.Info("peer-answers", zap.String("peer", address))
@@ -129,7 +129,7 @@
 		msg.Work = work
 		var sequence uint64
 		msg.Usage, sequence = p.usageFor(lifeOf(m))
-		if p.exchangeGossip(ctx, m.ControlLink, localTimeout, msg) {
+		if p.exchangeGossip(ctx, m.ControlAddress, localTimeout, msg) {
 			p.acknowledgeUsage(lifeOf(m), sequence)
 			return
 		}
@@ -174,8 +174,8 @@
 	v := p.currentView()
 	var local []string
 	for _, m := range v.localPeers {
-		if slices.Contains(addresses, m.ControlLink) {
-			local = append(local, m.ControlLink)
+		if slices.Contains(addresses, m.ControlAddress) {
+			local = append(local, m.ControlAddress)
 		}
 	}
 	return local
@@ -201,10 +201,10 @@
 	now := p.now()
 	known := make(map[string]bool)
 	for _, m := range p.table.Live(now) {
-		known[m.ControlLink] = true
+		known[m.ControlAddress] = true
 	}
 	for _, l := range p.leaves {
-		known[l.member.ControlLink] = true
+		known[l.member.ControlAddress] = true
 	}
 	var seeds, candidates []string
 	for _, s := range p.seeds {
@@ -214,9 +214,9 @@
 		}
 	}
 	for _, m := range p.silentLocal(discoveryPeriod, now) {
-		if !known[m.ControlLink] {
-			candidates = append(candidates, m.ControlLink)
-			known[m.ControlLink] = true
+		if !known[m.ControlAddress] {
+			candidates = append(candidates, m.ControlAddress)
+			known[m.ControlAddress] = true
 		}
 	}
 	for address := range p.listedAddresses {
@@ -243,7 +243,7 @@
 // silentLocal returns the VMs of this data centre that count as dead and were last heard
 // from within maxAge. The caller holds mu.
 func (p *Peers) silentLocal(maxAge time.Duration, now time.Time) []vm.Member {
-	return slices.DeleteFunc(p.table.Silent(maxAge, now), func(m vm.Member) bool { return m.DataCentre != p.dc })
+	return slices.DeleteFunc(p.table.RecentlyDead(maxAge, now), func(m vm.Member) bool { return m.DataCentre != p.dc })
 }
 
 // hasLeaves reports whether any VM uses this one as its hub.
@@ -282,4 +282,4 @@
 }
 
 // logSilentPeer logs that a VM did not reply.
-func (p *Peers) logSilentPeer(err error) { p.log.Debug("peer-silent", logs.Failure(err)...) }
+func (p *Peers) logSilentPeer(err error) { p.log.Debug("peer-silent", logs.ErrorFields(err)...) }
--- a/site/idle_bench_test.go
+++ b/site/idle_bench_test.go
@@ -26,16 +26,16 @@
 	for dc := range dataCentres {
 		for n := range perDataCentre {
 			name := fmt.Sprintf("vm-%d-%03d", dc, n)
-			identity, err := keys.NewByAddress(name, func(string) bool { return true })
+			identity, err := keys.NewAddressIdentity(name, func(string) bool { return true })
 			if err != nil {
 				b.Fatal(err)
 			}
-			e, err := link.Listen("127.0.0.1:0", identity, link.ShareLinks)
+			e, err := link.Listen("127.0.0.1:0", identity, link.ShareConnections)
 			if err != nil {
 				b.Fatal(err)
 			}
 			endpoints = append(endpoints, e)
-			selves = append(selves, vm.Member{VM: contract.VMID(name), DataCentre: contract.DataCentreID(fmt.Sprint(dc)), Incarnation: 1, ControlLink: e.Address()})
+			selves = append(selves, vm.Member{VM: contract.VMID(name), DataCentre: contract.DataCentreID(fmt.Sprint(dc)), Incarnation: 1, ControlAddress: e.Address()})
 		}
 	}
 	var all []*Peers
@@ -64,7 +64,7 @@
 			all := startFleet(b, ctx, size.dataCentres, size.each, func(int, *Peers) {})
 			n := float64(len(all))
 			for _, p := range all {
-				for p.Count() < len(all) {
+				for p.EstimatedVMs() < len(all) {
 					time.Sleep(50 * time.Millisecond)
 				}
 			}
@@ -72,7 +72,7 @@
 			b.ReportMetric((cpuTime(b)-started).Seconds()/n*1000, "start-cpu-ms/VM")
 			dialed := int64(0)
 			for _, p := range all {
-				dialed += p.endpoint.Dialed()
+				dialed += p.endpoint.DialCount()
 			}
 			b.ReportMetric(float64(dialed)/n, "links/VM")
 			var memory runtime.MemStats
@@ -81,7 +81,7 @@
 			b.ReportMetric(float64(memory.HeapInuse+memory.StackInuse)/n/1e6, "MB/VM")
 			sent := func() (messages, bytes int64) {
 				for _, p := range all {
-					for _, s := range p.endpoint.Sent() {
+					for _, s := range p.endpoint.SentCounts() {
 						messages += s.Messages
 						bytes += s.Bytes
 					}
--- a/site/lease.go
+++ b/site/lease.go
@@ -24,7 +24,7 @@
 	if p.lease == nil {
 		return nil
 	}
-	seen, age, known := p.lease.Known()
+	seen, age, known := p.lease.Latest()
 	if !known {
 		return nil
 	}
@@ -37,8 +37,8 @@
 	if p.lease == nil || status == nil {
 		return
 	}
-	p.lease.Told(lease.Seen{Object: status.Object, Version: status.Version}, status.Age)
-	if status.Link == "" || status.Object.Holder == (contract.VMLife{}) {
+	p.lease.ObservePeer(lease.VersionedObject{Object: status.Object, Version: status.Version}, status.Age)
+	if status.Link == "" || status.Object.Holder == (contract.VMInstance{}) {
 		return
 	}
 	p.mu.Lock()
@@ -51,36 +51,36 @@
 
 // leaseHolder is the link address of the lease holder at a version of the lease.
 type leaseHolder struct {
-	life    contract.VMLife
+	life    contract.VMInstance
 	link    string
 	version contract.ObjectVersion
 }
 
 // leaseHolderLink returns the link address of a holder, or an empty string if it is
 // unknown.
-func (p *Peers) leaseHolderLink(life contract.VMLife) string {
+func (p *Peers) leaseHolderLink(life contract.VMInstance) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	self := p.table.Self()
 	switch {
 	case life == lifeOf(self):
-		return self.ControlLink
+		return self.ControlAddress
 	case life == p.leaseHolder.life:
 		return p.leaseHolder.link
 	}
 	return ""
 }
 
-// Turn returns how long this VM waits before it acquires a free lease, and whether it may
+// LeaseDelay returns how long this VM waits before it acquires a free lease, and whether it may
 // acquire it at all. Only the representatives of a data centre may, one after the other.
-func (p *Peers) Turn() (time.Duration, bool) {
+func (p *Peers) LeaseDelay() (time.Duration, bool) {
 	rank := p.Rank()
 	return writeDelayFor(rank), rank.Local < representatives
 }
 
-// LeaseChanged informs the other hubs and data centres at once that the lease holder has
+// AnnounceLease informs the other hubs and data centres at once that the lease holder has
 // changed.
-func (p *Peers) LeaseChanged() {
+func (p *Peers) AnnounceLease() {
 	p.confirmationRounds.run(func() {
 		ctx := context.Background()
 		p.gossipToHubs(ctx, nil)
--- a/site/limits_test.go
+++ b/site/limits_test.go
@@ -13,16 +13,16 @@
 	"woaddoor/vm"
 )
 
-func knownLimit(version uint64) []upstream.LimitKnown { return knownLimitOf("u", version) }
+func knownLimit(version uint64) []upstream.LimitUpdate { return knownLimitOf("u", version) }
 
-func knownLimitOf(id contract.UpstreamID, version uint64) []upstream.LimitKnown {
-	return []upstream.LimitKnown{{
-		Life: contract.Life{Upstream: id, Born: 3}, Limit: upstream.Limit{Word: upstream.LimitNamed, PerSecond: 1.5}, Version: version,
+func knownLimitOf(id contract.UpstreamID, version uint64) []upstream.LimitUpdate {
+	return []upstream.LimitUpdate{{
+		Instance: contract.UpstreamInstance{Upstream: id, Incarnation: 3}, Limit: upstream.RateLimit{Statement: upstream.LimitStated, PerSecond: 1.5}, Version: version,
 	}}
 }
 
 // nextLimits returns the limits in the next report that a VM receives.
-func nextLimits(t *testing.T, recorder *recordingRelay) []upstream.LimitKnown {
+func nextLimits(t *testing.T, recorder *recordingRelay) []upstream.LimitUpdate {
 	t.Helper()
 	select {
 	case limits := <-recorder.limits:
@@ -38,11 +38,11 @@
 func TestLimitsReachAllVMs(t *testing.T) {
 	is := is.New(t)
 	a, others := fourPeers(t)
-	a.Limit(knownLimit(1)[0], true)
+	a.ReportLimit(knownLimit(1)[0], true)
 	for _, recorder := range others {
 		is.Equal(nextLimits(t, recorder), knownLimit(1))
 	}
-	a.Limit(knownLimit(2)[0], false)
+	a.ReportLimit(knownLimit(2)[0], false)
 	is.Equal(nextLimits(t, others[0]), knownLimit(2))
 }
 
@@ -54,14 +54,14 @@
 	c, relayC, memberC := testPeers(t, "c", "e")
 	members := []vm.Member{memberA, memberC}
 	for n := range maxVMsForRegionalReports {
-		members = append(members, vm.Member{VM: contract.VMID(fmt.Sprint("silent", n)), DataCentre: "d", Incarnation: 1, ControlLink: fmt.Sprint("127.0.0.1:", n+1)})
+		members = append(members, vm.Member{VM: contract.VMID(fmt.Sprint("silent", n)), DataCentre: "d", Incarnation: 1, ControlAddress: fmt.Sprint("127.0.0.1:", n+1)})
 	}
 	for _, p := range []*Peers{a, c} {
 		p.addMembers(members)
 	}
-	a.Limit(knownLimit(1)[0], false)
+	a.ReportLimit(knownLimit(1)[0], false)
 	time.Sleep(2 * reportInterval)
-	a.Limit(knownLimit(2)[0], true)
+	a.ReportLimit(knownLimit(2)[0], true)
 	is.Equal(nextLimits(t, relayC), knownLimit(2))
 }
 
@@ -77,7 +77,7 @@
 	}
 	relayA.known, relayA.digest = knownLimitOf("u", 1), 1
 	relayB.known, relayB.digest = knownLimitOf("w", 2), 2
-	is.True(a.exchangeGossip(t.Context(), memberB.ControlLink, localTimeout, a.gossipFor(audienceHub)))
+	is.True(a.exchangeGossip(t.Context(), memberB.ControlAddress, localTimeout, a.gossipFor(audienceHub)))
 	is.Equal(nextLimits(t, relayA), knownLimitOf("w", 2))
 	is.Equal(nextLimits(t, relayB), knownLimitOf("u", 1))
 	got, err := b.handleGossip(t.Context(), "", GossipMessage{Self: memberA, LimitsDigest: 2})
@@ -89,17 +89,17 @@
 // forwards each of them to all its leaves.
 func TestLimitsToSend(t *testing.T) {
 	is := is.New(t)
-	known := func(id string, version uint64, word upstream.LimitWord) upstream.LimitKnown {
-		return upstream.LimitKnown{Life: contract.Life{Upstream: contract.UpstreamID(id)}, Limit: upstream.Limit{Word: word}, Version: version}
+	known := func(id string, version uint64, word upstream.LimitStatement) upstream.LimitUpdate {
+		return upstream.LimitUpdate{Instance: contract.UpstreamInstance{Upstream: contract.UpstreamID(id)}, Limit: upstream.RateLimit{Statement: word}, Version: version}
 	}
-	ours := []upstream.LimitKnown{
-		known("same", 2, upstream.LimitNamed), known("older", 2, upstream.LimitNamed), known("newer", 4, upstream.LimitNone),
-		known("missing", 1, upstream.LimitNamed), known("ended and missing", 2, upstream.LimitNone),
+	ours := []upstream.LimitUpdate{
+		known("same", 2, upstream.LimitStated), known("older", 2, upstream.LimitStated), known("newer", 4, upstream.LimitNone),
+		known("missing", 1, upstream.LimitStated), known("ended and missing", 2, upstream.LimitNone),
 	}
-	theirs := []upstream.LimitKnown{known("same", 2, upstream.LimitNamed), known("older", 3, upstream.LimitNamed), known("newer", 3, upstream.LimitNamed)}
+	theirs := []upstream.LimitUpdate{known("same", 2, upstream.LimitStated), known("older", 3, upstream.LimitStated), known("newer", 3, upstream.LimitStated)}
 	var sent []contract.UpstreamID
 	for _, x := range limitsToSend(ours, theirs) {
-		sent = append(sent, x.limit.Life.Upstream)
+		sent = append(sent, x.limit.Instance.Upstream)
 	}
 	is.Equal(sent, []contract.UpstreamID{"newer", "missing"})
 }
@@ -108,7 +108,7 @@
 // of one, and the bytes per second that a VM receives.
 func BenchmarkLimitReports(b *testing.B) {
 	const limited, localInterval = 200, 2.0 // seconds between reports, as in package upstream
-	k := upstream.LimitKnown{Life: contract.Life{Upstream: "i-4b849f82bb", Born: 1796281150056}, Limit: upstream.Limit{Word: upstream.LimitNamed, PerSecond: 1.6}, Version: 12}
+	k := upstream.LimitUpdate{Instance: contract.UpstreamInstance{Upstream: "i-4b849f82bb", Incarnation: 1796281150056}, Limit: upstream.RateLimit{Statement: upstream.LimitStated, PerSecond: 1.6}, Version: 12}
 	one, err := cbor.Marshal(k)
 	if err != nil {
 		b.Fatal(err)
--- a/site/ledger.go
+++ b/site/object_cache.go
@@ -12,23 +12,23 @@
 	Kind string `cbor:"1,keyasint"`
 	// Full means that Items holds all existing objects.
 	Full bool `cbor:"2,keyasint,omitempty"`
-	// At is the store revision up to which the delta is complete.
-	At    contract.Revision `cbor:"3,keyasint"`
-	Items []Raw             `cbor:"4,keyasint,omitempty"`
+	// Revision is the store revision up to which the delta is complete.
+	Revision contract.Revision `cbor:"3,keyasint"`
+	Items    []RawObject       `cbor:"4,keyasint,omitempty"`
 	// Packed replaces Items in a large delta and holds them compressed.
 	Packed []byte `cbor:"5,keyasint,omitempty"`
 }
 
-// Ledger holds the objects of one kind as they are in the store, so that a VM can send
+// ObjectCache holds the objects of one kind as they are in the store, so that a VM can send
 // them to VMs that the store does not serve. It is a pure state machine and not safe for
 // concurrent use.
-type Ledger struct {
+type ObjectCache struct {
 	kind string
 	// revision is the store revision up to which the ledger is complete, and lastChange
 	// that of its newest change.
 	revision, lastChange contract.Revision
 	known                bool
-	items                map[string]Raw
+	items                map[string]RawObject
 	// removals holds the latest removals, oldest first. Removals up to revision
 	// removalFloor are no longer remembered.
 	removals     []removal
@@ -49,20 +49,22 @@
 	removalsPerObject = 4
 )
 
-// NewLedger returns an empty ledger.
-func NewLedger(kind string) *Ledger { return &Ledger{kind: kind, items: make(map[string]Raw)} }
+// NewObjectCache returns an empty ledger.
+func NewObjectCache(kind string) *ObjectCache {
+	return &ObjectCache{kind: kind, items: make(map[string]RawObject)}
+}
 
 // Revision returns the store revision up to which the ledger is complete, and whether it
 // holds anything.
-func (l *Ledger) Revision() (contract.Revision, bool) { return l.revision, l.known }
+func (l *ObjectCache) Revision() (contract.Revision, bool) { return l.revision, l.known }
 
 // LastChange returns the revision of the newest known change.
-func (l *Ledger) LastChange() contract.Revision { return l.lastChange }
+func (l *ObjectCache) LastChange() contract.Revision { return l.lastChange }
 
 // Apply applies a delta. Objects older than the known ones change nothing, so deltas may
 // arrive late, twice and from several VMs. For each item it reports whether the item is
 // at least as new as the known state.
-func (l *Ledger) Apply(d Delta) []bool {
+func (l *ObjectCache) Apply(d Delta) []bool {
 	seen := make(map[string]bool, len(d.Items))
 	applied := make([]bool, len(d.Items))
 	for n, i := range d.Items {
@@ -71,30 +73,30 @@
 	}
 	if d.Full {
 		for name, old := range l.items {
-			if !seen[name] && old.Revision <= d.At {
-				l.remove(name, d.At)
+			if !seen[name] && old.Revision <= d.Revision {
+				l.remove(name, d.Revision)
 			}
 		}
-		l.removalFloor = max(l.removalFloor, d.At) // objects created and removed before this list are unknown
+		l.removalFloor = max(l.removalFloor, d.Revision) // objects created and removed before this list are unknown
 	}
 	l.known = l.known || d.Full
-	l.revision = max(l.revision, d.At)
+	l.revision = max(l.revision, d.Revision)
 	return applied
 }
 
 // applyItem applies one item of a delta unless it is stale.
-func (l *Ledger) applyItem(i Raw, d Delta) bool {
+func (l *ObjectCache) applyItem(i RawObject, d Delta) bool {
 	old, exists := l.items[i.Name]
 	switch {
 	case i.Deleted:
-		if exists && old.Revision > d.At || !exists && d.At <= l.revision {
+		if exists && old.Revision > d.Revision || !exists && d.Revision <= l.revision {
 			return false // created again since, or already removed
 		}
-		l.remove(i.Name, d.At)
+		l.remove(i.Name, d.Revision)
 		return true
 	case exists && i.Revision < old.Revision:
 		return false
-	case !exists && l.known && i.Revision <= l.revision && !(d.Full && d.At >= l.revision):
+	case !exists && l.known && i.Revision <= l.revision && !(d.Full && d.Revision >= l.revision):
 		return false // removed since: the ledger is complete up to its revision
 	}
 	l.items[i.Name] = i
@@ -102,7 +104,7 @@
 	return true
 }
 
-func (l *Ledger) remove(name string, revision contract.Revision) {
+func (l *ObjectCache) remove(name string, revision contract.Revision) {
 	delete(l.items, name)
 	l.lastChange = max(l.lastChange, revision)
 	l.removals = append(l.removals, removal{name, revision})
@@ -113,12 +115,12 @@
 }
 
 // Confirm records that there are no further changes up to a revision.
-func (l *Ledger) Confirm(revision contract.Revision) { l.revision = max(l.revision, revision) }
+func (l *ObjectCache) Confirm(revision contract.Revision) { l.revision = max(l.revision, revision) }
 
 // Since returns the changes after a revision, or all objects if those changes are no
 // longer known.
-func (l *Ledger) Since(after contract.Revision, known bool) Delta {
-	d := Delta{Kind: l.kind, At: l.revision, Full: !known || after < l.removalFloor}
+func (l *ObjectCache) Since(after contract.Revision, known bool) Delta {
+	d := Delta{Kind: l.kind, Revision: l.revision, Full: !known || after < l.removalFloor}
 	for _, i := range l.items {
 		if d.Full || i.Revision > after {
 			d.Items = append(d.Items, i)
@@ -127,7 +129,7 @@
 	if !d.Full {
 		for _, removed := range l.removals {
 			if _, exists := l.items[removed.name]; removed.revision > after && !exists {
-				d.Items = append(d.Items, Raw{Name: removed.name, Revision: removed.revision, Deleted: true})
+				d.Items = append(d.Items, RawObject{Name: removed.name, Revision: removed.revision, Deleted: true})
 			}
 		}
 	}
--- a/site/orders.go
+++ b/site/orders.go
@@ -13,15 +13,15 @@
 )
 
 // applyOrders applies rollout orders from the store.
-func (s *Site) applyOrders(c Changes[rollout.Order], _ bool) {
+func (s *Site) applyOrders(c Changes[rollout.ReleaseOrder], _ bool) {
 	for _, i := range c.Items {
 		if i.Deleted || i.Err != nil {
 			continue
 		}
 		o := i.Value
-		o.Issued = issuedAt(o, s.opts.Now())
-		s.log.Info("order", zap.String("service", string(o.Service)), zap.String("release", o.Release), zap.Duration("length", o.Length),
-			zap.String("state", string(o.State)), zap.Duration("age", s.opts.Now().Sub(o.Issued).Round(time.Millisecond)), zap.Int64("revision", int64(o.Revision)))
+		o.IssuedAt = issuedAt(o, s.opts.Now())
+		s.log.Info("order", zap.String("service", string(o.Service)), zap.String("release", o.Release), zap.Duration("length", o.Duration),
+			zap.String("state", string(o.State)), zap.Duration("age", s.opts.Now().Sub(o.IssuedAt).Round(time.Millisecond)), zap.Int64("revision", int64(o.Revision)))
 		s.opts.Relay.SetOrder(o)
 	}
 }
@@ -29,11 +29,11 @@
 // issuedAt returns when an order was issued: at the time that another VM recorded, or now
 // if the order is new. The clocks of VMs may differ, so the age is limited to the range
 // from zero to the length of the order.
-func issuedAt(o rollout.Order, now time.Time) time.Time {
-	if o.Began.IsZero() {
+func issuedAt(o rollout.ReleaseOrder, now time.Time) time.Time {
+	if o.StartedAt.IsZero() {
 		return now
 	}
-	age := min(max(now.Sub(o.Began), 0), o.Length)
+	age := min(max(now.Sub(o.StartedAt), 0), o.Duration)
 	return now.Add(-age)
 }
 
@@ -94,17 +94,17 @@
 		return
 	}
 	o := v.Order
-	if o.Began.IsZero() {
-		o.Began = o.Issued
+	if o.StartedAt.IsZero() {
+		o.StartedAt = o.IssuedAt
 	}
-	err := s.opts.NoteOrder(ctx, o, v.State)
+	err := s.opts.WriteRolloutStatus(ctx, o, v.State)
 	fields := []zap.Field{
 		zap.String("service", string(o.Service)), zap.String("release", o.Release), zap.String("state", string(v.State)),
-		zap.Int64("revision", int64(o.Revision)), zap.Int64("trial_good", v.Trial.Good), zap.Int64("trial_bad", v.Trial.Bad),
+		zap.Int64("revision", int64(o.Revision)), zap.Int64("trial_good", v.Canary.Good), zap.Int64("trial_bad", v.Canary.Bad),
 		zap.Int64("others_good", v.Others.Good), zap.Int64("others_bad", v.Others.Bad),
 	}
 	if err != nil {
-		s.log.Warn("order-note-failed", append(fields, logs.Failure(err)...)...)
+		s.log.Warn("order-note-failed", append(fields, logs.ErrorFields(err)...)...)
 		return
 	}
 	s.log.Info("order-noted", fields...)
--- a/site/pack.go
+++ b/site/pack.go
@@ -89,7 +89,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	d, ok := p.newest[kind]
-	return d, ok && d.At == revision
+	return d, ok && d.Revision == revision
 }
 
 // pack returns a delta in the form in which it is sent.
--- a/site/pack_test.go
+++ b/site/pack_test.go
@@ -17,11 +17,11 @@
 // names, addresses and similar values.
 func upstreamDelta(n int) Delta {
 	r := rand.New(rand.NewPCG(1, 1))
-	d := Delta{Kind: "servers", Full: true, At: contract.Revision(n)}
+	d := Delta{Kind: "servers", Full: true, Revision: contract.Revision(n)}
 	for i := range n {
 		spec := fmt.Sprintf(`{"Service":"s","Address":"10.%d.%d.%d:8%03d","Zone":"d%d","Version":"v1","Slots":12,"State":"ready","ColdRemainingMs":0,"Phase":"combined","ModelList":[{"Name":"small","Version":1,"Adapters":[]},{"Name":"large","Version":1,"Adapters":[]}],"Sequence":%d}`,
 			r.IntN(3), r.IntN(255), r.IntN(255), r.IntN(1000), r.IntN(3), r.IntN(40))
-		d.Items = append(d.Items, Raw{Name: fmt.Sprintf("i-%010x", r.Uint64()>>24), Revision: contract.Revision(i + 1), Spec: []byte(spec)})
+		d.Items = append(d.Items, RawObject{Name: fmt.Sprintf("i-%010x", r.Uint64()>>24), Revision: contract.Revision(i + 1), Spec: []byte(spec)})
 	}
 	return d
 }
@@ -40,7 +40,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var d Delta
 		for range rapid.IntRange(0, 60).Draw(t, "items") {
-			d.Items = append(d.Items, Raw{Name: rapid.String().Draw(t, "name"), Deleted: rapid.Bool().Draw(t, "deleted"), Spec: rapid.SliceOf(rapid.Byte()).Draw(t, "spec")})
+			d.Items = append(d.Items, RawObject{Name: rapid.String().Draw(t, "name"), Deleted: rapid.Bool().Draw(t, "deleted"), Spec: rapid.SliceOf(rapid.Byte()).Draw(t, "spec")})
 		}
 		packed, err := d.pack(compressThreshold)
 		if err != nil {
@@ -81,11 +81,11 @@
 		is.NoErr(err)
 		return d
 	}
-	is.Equal(request().At, contract.Revision(100))
+	is.Equal(request().Revision, contract.Revision(100))
 	request()
 	is.Equal(kind.built, 1)
-	kind.list.At++
-	is.Equal(request().At, contract.Revision(101))
+	kind.list.Revision++
+	is.Equal(request().Revision, contract.Revision(101))
 	is.Equal(kind.built, 2)
 }
 
@@ -97,7 +97,7 @@
 }
 
 func (k *countingKind) status() (KindStatus, bool) {
-	return KindStatus{Kind: k.list.Kind, Revision: k.list.At}, true
+	return KindStatus{Kind: k.list.Kind, Revision: k.list.Revision}, true
 }
 
 func (k *countingKind) changesSince(contract.Revision, bool) Delta {
--- a/site/peers.go
+++ b/site/peers.go
@@ -101,8 +101,8 @@
 	firstStart bool
 	// lease and usage belong to the lease whose holder acts for all VMs. They are nil
 	// where there is no lease.
-	lease *leader.Keeper
-	usage *leader.Book
+	lease *leader.LeaseClient
+	usage *leader.UsageLedger
 	// shuttingDown is set when this VM is about to end.
 	shuttingDown atomic.Bool
 	// remoteAddresses holds the link addresses of VMs of other data centres.
@@ -160,8 +160,8 @@
 	FirstStart bool
 	// Lease and Usage belong to the lease whose holder acts for all VMs. Both are nil
 	// where there is no lease.
-	Lease *leader.Keeper
-	Usage *leader.Book
+	Lease *leader.LeaseClient
+	Usage *leader.UsageLedger
 	Log   *zap.Logger
 	Now   func() time.Time
 }
@@ -173,7 +173,7 @@
 		endpoint: opts.Endpoint, dc: opts.Self.DataCentre, regions: opts.Regions, log: opts.Log, now: opts.Now, started: opts.Now(),
 		changeRounds: newCoalescer(changeInterval), confirmationRounds: newCoalescer(confirmationInterval), urgentRounds: newCoalescer(urgentInterval),
 		discoverNow: make(chan struct{}, 1), unknownPeer: make(chan struct{}, 1),
-		kinds: make(map[string]replicatedKind), seeds: slices.DeleteFunc(slices.Clone(opts.Seeds), func(s string) bool { return s == opts.Self.ControlLink }),
+		kinds: make(map[string]replicatedKind), seeds: slices.DeleteFunc(slices.Clone(opts.Seeds), func(s string) bool { return s == opts.Self.ControlAddress }),
 		table: vm.NewTable(opts.Self), listedAddresses: make(map[string]bool), memberIPs: make(map[string]bool),
 		leaves: make(map[contract.VMID]leaf), unresponsiveUntil: make(map[string]time.Time), counts: make(map[contract.DataCentreID]dataCentreCount),
 		leafWork: make(workReports), hubWork: make(workReports),
@@ -185,11 +185,11 @@
 	for _, s := range opts.Seeds {
 		p.recordIP(s)
 	}
-	p.endpoint.Far = func(address string) bool { _, remote := p.remoteAddresses.Load(address); return remote }
-	link.Handle(p.endpoint, link.KindWord, p.handleGossip)
-	link.Handle(p.endpoint, link.KindChanges, p.handleChangesRequest)
-	link.Handle(p.endpoint, link.KindReads, p.handleReport)
-	link.Handle(p.endpoint, link.KindUsage, p.handleUsageReport)
+	p.endpoint.InOtherDataCentre = func(address string) bool { _, remote := p.remoteAddresses.Load(address); return remote }
+	link.Handle(p.endpoint, link.KindGossip, p.handleGossip)
+	link.Handle(p.endpoint, link.KindObjectChanges, p.handleChangesRequest)
+	link.Handle(p.endpoint, link.KindUpstreamReport, p.handleReport)
+	link.Handle(p.endpoint, link.KindUsageReport, p.handleUsageReport)
 	return p
 }
 
@@ -197,19 +197,19 @@
 // releases on trial, request contents that crash upstreams, and observations of
 // upstreams.
 type relayExchange interface {
-	Evidence(to rollout.Hearer) rollout.Evidence
-	Hear(e rollout.Evidence) (worse bool)
+	Evidence(to rollout.Recipient) rollout.Evidence
+	MergeEvidence(e rollout.Evidence) (worse bool)
 	OrderAges() []relay.OrderAge
-	HearAges(ages []relay.OrderAge)
-	Suspects() []quarantine.Told
-	HearSuspects(suspects []quarantine.Told, from contract.VMID) (urgent bool)
-	HearSent(sent []relay.Sent)
-	HearOpinions(opinions []relay.Opinion)
-	HearRests(rests []relay.Rest)
-	HearLimits(limits []upstream.LimitKnown, fresh bool, from contract.VMID)
-	Limits() []upstream.LimitKnown
+	MergeOrderAges(ages []relay.OrderAge)
+	Suspects() []quarantine.Update
+	MergeSuspects(suspects []quarantine.Update, from contract.VMID) (urgent bool)
+	MergeSent(sent []relay.SentPrompt)
+	MergeConfidence(opinions []relay.ConfidenceReport)
+	MergeBackoffs(rests []relay.Backoff)
+	MergeLimits(limits []upstream.LimitUpdate, fresh bool, from contract.VMID)
+	Limits() []upstream.LimitUpdate
 	LimitsDigest() uint64
-	Work() map[contract.ServiceID]scaling.Work
+	OfferedLoad() map[contract.ServiceID]scaling.Load
 }
 
 // attachRelay sets the relay whose state is exchanged with other VMs.
@@ -287,7 +287,7 @@
 
 // addListedAddress adds a link address at which a VM may be found. The caller holds mu.
 func (p *Peers) addListedAddress(address string) {
-	if address != p.table.Self().ControlLink {
+	if address != p.table.Self().ControlAddress {
 		p.listedAddresses[address] = true
 		p.recordIP(address)
 	}
@@ -309,11 +309,11 @@
 // Alone reports whether this VM knows no other live VM.
 func (p *Peers) Alone() bool { return p.currentView().live == 1 }
 
-// Count returns an upper estimate of the number of VMs in the deployment.
-func (p *Peers) Count() int { return p.currentView().total }
+// EstimatedVMs returns an upper estimate of the number of VMs in the deployment.
+func (p *Peers) EstimatedVMs() int { return p.currentView().total }
 
-// Group returns the group of VMs whose requests to upstreams are reported to this VM.
-func (p *Peers) Group() upstream.Group { return p.currentView().group }
+// GossipScope returns the group of VMs whose requests to upstreams are reported to this VM.
+func (p *Peers) GossipScope() upstream.GossipScope { return p.currentView().group }
 
 // Rank returns the rank of this VM among those that may watch the store for its region.
 func (p *Peers) Rank() Rank { return p.currentView().rank }
@@ -327,7 +327,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	self := p.table.Self()
-	return Watcher{VM: self.VM, Strength: self.Strength}
+	return Watcher{VM: self.VM, CapacityUnits: self.CapacityUnits}
 }
 
 // sameRegion reports whether a data centre shares a watcher with this one.
@@ -387,7 +387,7 @@
 	if v.isHub {
 		msg := p.gossipFor(audienceHub)
 		for _, m := range p.hubsToContact(v) {
-			go p.exchangeGossip(ctx, m.ControlLink, localTimeout, msg)
+			go p.exchangeGossip(ctx, m.ControlAddress, localTimeout, msg)
 		}
 	} else {
 		go p.heartbeatHub(ctx, v)
@@ -398,7 +398,7 @@
 	msg := p.gossipFor(audienceRemote)
 	for _, members := range v.remote {
 		if len(members) > 0 {
-			go p.exchangeGossip(ctx, members[rand.IntN(len(members))].ControlLink, remoteTimeout, msg)
+			go p.exchangeGossip(ctx, members[rand.IntN(len(members))].ControlAddress, remoteTimeout, msg)
 		}
 	}
 }
--- a/site/peers_test.go
+++ b/site/peers_test.go
@@ -18,7 +18,7 @@
 // idlePeers returns Peers that exchange no messages, with a clock that stands still.
 func idlePeers(t *testing.T, self vm.Member, seeds ...string) (*Peers, time.Time) {
 	t.Helper()
-	identity, err := keys.NewByAddress(string(self.VM), func(string) bool { return true })
+	identity, err := keys.NewAddressIdentity(string(self.VM), func(string) bool { return true })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +39,7 @@
 func members(dc contract.DataCentreID, n int) []vm.Member {
 	var out []vm.Member
 	for i := range n {
-		out = append(out, vm.Member{VM: contract.VMID(fmt.Sprintf("%s-%03d", dc, i)), DataCentre: dc, Incarnation: 1, ControlLink: fmt.Sprintf("10.%d.%d.1:1", dc[0], i)})
+		out = append(out, vm.Member{VM: contract.VMID(fmt.Sprintf("%s-%03d", dc, i)), DataCentre: dc, Incarnation: 1, ControlAddress: fmt.Sprintf("10.%d.%d.1:1", dc[0], i)})
 	}
 	return out
 }
@@ -49,7 +49,7 @@
 // leaf contacts none. Each new link costs both ends a handshake.
 func TestDiscoveryContactsFewVMs(t *testing.T) {
 	is := is.New(t)
-	p, now := idlePeers(t, vm.Member{VM: "a", DataCentre: "d", ControlLink: "10.0.0.1:1"}, "10.0.0.2:1", "10.0.0.3:1")
+	p, now := idlePeers(t, vm.Member{VM: "a", DataCentre: "d", ControlAddress: "10.0.0.1:1"}, "10.0.0.2:1", "10.0.0.3:1")
 	var listed []string
 	for n := range 100 {
 		listed = append(listed, fmt.Sprintf("10.1.0.%d:1", n))
@@ -58,15 +58,15 @@
 	is.Equal(len(p.discoveryTargets()), 1) // one seed, which can name the others of the 100 VMs
 	for _, m := range members("d", 30) {
 		m.Age = vm.DeadAfter + time.Second
-		p.table.Heard(m, now)
+		p.table.ApplyHeartbeat(m, now)
 	}
 	p.viewStale.Store(true)
 	p.cachedView.Store(nil)
 	is.Equal(len(p.discoveryTargets()), 1+maxDiscoveryTargets)
 	for _, m := range members("d", 30) {
-		m.Strength = 9 // makes this VM a leaf
+		m.CapacityUnits = 9 // makes this VM a leaf
 		m.Incarnation++
-		p.table.Heard(m, now)
+		p.table.ApplyHeartbeat(m, now)
 	}
 	p.cachedView.Store(nil)
 	is.Equal(len(p.discoveryTargets()), 0)
@@ -84,7 +84,7 @@
 		p, now := idlePeers(t, self)
 		for _, m := range all {
 			if m.VM != excluded {
-				p.table.Heard(m, now)
+				p.table.ApplyHeartbeat(m, now)
 			}
 		}
 		v := p.currentView()
@@ -126,15 +126,15 @@
 func TestUnresponsiveHubIsSkipped(t *testing.T) {
 	is := is.New(t)
 	all := members("d", 30)
-	ranked := vm.Ranked(all, "d")
+	ranked := vm.WatcherOrder(all, "d")
 	self := ranked[2] // the first that is not a hub
 	p, now := idlePeers(t, self)
 	for _, m := range all {
-		p.table.Heard(m, now)
+		p.table.ApplyHeartbeat(m, now)
 	}
 	is.Equal(p.Rank().Local, 2)
 	for _, hub := range ranked[:2] {
-		p.recordReply(hub.ControlLink, context.DeadlineExceeded)
+		p.recordReply(hub.ControlAddress, context.DeadlineExceeded)
 	}
 	p.cachedView.Store(nil)
 	v := p.currentView()
@@ -149,16 +149,16 @@
 // keeps its previous count for a while, and that a late message changes nothing.
 func TestVMCountStaysHighAfterLoss(t *testing.T) {
 	is := is.New(t)
-	p, now := idlePeers(t, vm.Member{VM: "a", DataCentre: "d", ControlLink: "10.0.0.1:1"})
+	p, now := idlePeers(t, vm.Member{VM: "a", DataCentre: "d", ControlAddress: "10.0.0.1:1"})
 	p.recordCount("e", 57, now, now)
 	p.recordCount("e", 20, now.Add(-time.Second), now) // late
-	is.Equal(p.Count(), 58)
+	is.Equal(p.EstimatedVMs(), 58)
 	p.recordCount("e", 20, now.Add(time.Second), now.Add(time.Second))
 	p.cachedView.Store(nil)
-	is.Equal(p.Count(), 58)
+	is.Equal(p.EstimatedVMs(), 58)
 	p.recordCount("e", 20, now.Add(2*recentMaxPeriod), now.Add(2*recentMaxPeriod))
 	p.cachedView.Store(nil)
-	is.Equal(p.Count(), 21)
+	is.Equal(p.EstimatedVMs(), 21)
 }
 
 // TestLeafLearnsFromHubOfDeadVM checks that a leaf learns from its hub that a VM is dead,
@@ -170,8 +170,8 @@
 	hub, now := idlePeers(t, all[0])
 	leaf, _ := idlePeers(t, all[1])
 	for _, m := range all {
-		hub.table.Heard(m, now)
-		leaf.table.Heard(m, now)
+		hub.table.ApplyHeartbeat(m, now)
+		leaf.table.ApplyHeartbeat(m, now)
 	}
 	exchange := func() {
 		hub.cachedView.Store(nil)
@@ -186,7 +186,7 @@
 	later := now.Add(vm.DeadAfter + time.Second)
 	hub.now = func() time.Time { return later }
 	leaf.now = hub.now
-	leaf.table.Agreed(later.Add(-2 * time.Second)) // their digests matched two seconds ago
+	leaf.table.RefreshLocal(later.Add(-2 * time.Second)) // their digests matched two seconds ago
 	for range 2 {
 		exchange()
 		is.Equal(leaf.currentView().live, 2) // itself and its hub
--- a/site/receive.go
+++ b/site/receive.go
@@ -57,15 +57,15 @@
 }
 
 func (p *Peers) recordMember(m vm.Member, age time.Duration, now time.Time) {
-	if !p.table.Knows(m) {
+	if !p.table.KnowsIncarnation(m) {
 		p.viewStale.Store(true)
 		if m.DataCentre != p.dc {
-			p.remoteAddresses.Store(m.ControlLink, true)
+			p.remoteAddresses.Store(m.ControlAddress, true)
 		}
 	}
 	m.Age = age
-	p.table.Heard(m, now)
-	p.recordIP(m.ControlLink)
+	p.table.ApplyHeartbeat(m, now)
+	p.recordIP(m.ControlAddress)
 }
 
 // recordLocalMembers records what a VM of this data centre reports about the other VMs
@@ -78,14 +78,14 @@
 	case !isReply:
 	case len(msg.LocalMembers) > 0:
 		p.updateUnknownToHub(msg.LocalMembers, now)
-		p.table.Told(msg.LocalMembers, now)
+		p.table.MergeHubView(msg.LocalMembers, now)
 		for _, m := range msg.LocalMembers {
-			p.recordIP(m.ControlLink)
+			p.recordIP(m.ControlAddress)
 		}
 		p.viewStale.Store(true)
 	case msg.DigestMatches:
 		clear(p.unknownToHub)
-		p.table.Agreed(now)
+		p.table.RefreshLocal(now)
 	}
 }
 
@@ -99,7 +99,7 @@
 	}
 	for _, m := range p.table.Live(now) {
 		if m.DataCentre == p.dc && !known[m.VM] {
-			p.unknownToHub[m.VM] = m.ControlLink
+			p.unknownToHub[m.VM] = m.ControlAddress
 		}
 	}
 }
@@ -110,11 +110,11 @@
 	exchange := p.relayOrNil()
 	fromLocal := msg.Self.DataCentre == p.dc
 	if exchange != nil {
-		worse := exchange.Hear(msg.Evidence)
-		if exchange.HearSuspects(msg.Suspects, msg.Self.VM) || worse {
+		worse := exchange.MergeEvidence(msg.Evidence)
+		if exchange.MergeSuspects(msg.Suspects, msg.Self.VM) || worse {
 			p.urgentRounds.run(func() { p.forwardUrgent(ctx, fromLocal) })
 		}
-		exchange.HearAges(msg.OrderAges)
+		exchange.MergeOrderAges(msg.OrderAges)
 	}
 	changed, confirmedLater := false, false
 	for _, status := range msg.Kinds {
@@ -193,12 +193,12 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	d, err := link.Call[ChangesRequest, Delta](ctx, p.endpoint, from.ControlLink, link.KindChanges, request)
+	d, err := link.Call[ChangesRequest, Delta](ctx, p.endpoint, from.ControlAddress, link.KindObjectChanges, request)
 	if err == nil {
 		d, err = d.unpack()
 	}
 	if err != nil {
-		p.log.Warn("pull-failed", append(logs.Failure(err), zap.String("kind", request.Kind))...)
+		p.log.Warn("pull-failed", append(logs.ErrorFields(err), zap.String("kind", request.Kind))...)
 		return false
 	}
 	kind.applyFromPeer(d, status, string(from.VM))
--- a/site/registration.go
+++ b/site/registration.go
@@ -54,9 +54,9 @@
 				s.retryUntilSuccess(ctx, s.listVMs)
 			}
 		case <-s.opts.Peers.UnknownPeer():
-			clock.Pause(ctx, relistDelay)
+			clock.Sleep(ctx, relistDelay)
 			s.retryUntilSuccess(ctx, s.listVMs)
-			clock.Pause(ctx, relistMinInterval)
+			clock.Sleep(ctx, relistMinInterval)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 		if s.opts.Peers.Joined() {
 			return true
 		}
-		clock.Pause(ctx, idleCheckInterval)
+		clock.Sleep(ctx, idleCheckInterval)
 	}
 	return false
 }
@@ -82,15 +82,15 @@
 		if err == nil {
 			return
 		}
-		s.log.Warn("enlist-failed", logs.Failure(err)...)
-		clock.Pause(ctx, pause)
+		s.log.Warn("enlist-failed", logs.ErrorFields(err)...)
+		clock.Sleep(ctx, pause)
 	}
 }
 
 // register adds this VM to the list in the store. If no other VM has replied to it, it
 // also reads the list.
 func (s *Site) register(ctx context.Context) error {
-	if err := s.opts.PutVM(ctx); err != nil {
+	if err := s.opts.RegisterVM(ctx); err != nil {
 		return err
 	}
 	s.log.Info("enlisted", zap.String("link", s.opts.Link))
@@ -102,7 +102,7 @@
 
 // listVMs reads the registered VMs from the store.
 func (s *Site) listVMs(ctx context.Context) error {
-	vms, err := s.opts.VMs(ctx)
+	vms, err := s.opts.ListVMs(ctx)
 	if err != nil {
 		return err
 	}
--- a/site/replicate.go
+++ b/site/replicate.go
@@ -66,24 +66,24 @@
 // applyFromPeer applies a delta received from a peer.
 func (f *follower[T]) applyFromPeer(d Delta, status KindStatus, from string) {
 	revision, known := f.revision()
-	if known && d.At <= revision || !known && !d.Full {
+	if known && d.Revision <= revision || !known && !d.Full {
 		return
 	}
-	c := Changes[T]{Revision: d.At}
+	c := Changes[T]{Revision: d.Revision}
 	for _, raw := range d.Items {
-		i := Item[T]{Raw: raw}
+		i := Item[T]{RawObject: raw}
 		if !raw.Deleted {
 			i.Value, i.Err = f.source.Decode(raw)
 		}
 		c.Items = append(c.Items, i)
 	}
 	f.log.Info("told-by-peer", zap.String("kind", d.Kind), zap.String("peer", from), zap.Int64("had", int64(revision)),
-		zap.Int64("revision", int64(d.At)), zap.Int("objects", len(d.Items)), zap.Bool("full", d.Full))
+		zap.Int64("revision", int64(d.Revision)), zap.Int("objects", len(d.Items)), zap.Bool("full", d.Full))
 	if status.Age < storeReachableWithin {
 		f.onStoreCall(true)
 	}
 	f.count("changes_told_total", "peer")
 	f.applyChanges(c, d.Full)
-	status.Revision = d.At
+	status.Revision = d.Revision
 	f.confirmFromPeer(status)
 }
--- a/site/reports.go
+++ b/site/reports.go
@@ -18,17 +18,17 @@
 // UpstreamReport reports what VMs have sent to upstreams and observed there. If a report
 // is lost or late, the recipient chooses upstreams a little less well.
 type UpstreamReport struct {
-	Sent []relay.Sent `cbor:"1,keyasint,omitempty"`
+	Sent []relay.SentPrompt `cbor:"1,keyasint,omitempty"`
 	// Forward asks the recipient to forward the report within its data centre.
 	Forward bool `cbor:"2,keyasint,omitempty"`
 	// Opinions are models' ratings of responses.
-	Opinions []relay.Opinion `cbor:"3,keyasint,omitempty"`
+	Opinions []relay.ConfidenceReport `cbor:"3,keyasint,omitempty"`
 	// From is the sending VM.
 	From contract.VMID `cbor:"4,keyasint,omitempty"`
 	// Rests are the rest periods that upstreams have requested.
-	Rests []relay.Rest `cbor:"5,keyasint,omitempty"`
+	Rests []relay.Backoff `cbor:"5,keyasint,omitempty"`
 	// Limits are the rate limits of upstreams as the sender knows them.
-	Limits []upstream.LimitKnown `cbor:"6,keyasint,omitempty"`
+	Limits []upstream.LimitUpdate `cbor:"6,keyasint,omitempty"`
 }
 
 // Timings and limits of UpstreamReport.
@@ -71,10 +71,10 @@
 	from contract.VMID
 	// knownToHubs means that the other hubs of this data centre already have the report.
 	knownToHubs bool
-	sent        *relay.Sent
-	opinion     *relay.Opinion
-	rest        *relay.Rest
-	limit       *upstream.LimitKnown
+	sent        *relay.SentPrompt
+	opinion     *relay.ConfidenceReport
+	rest        *relay.Backoff
+	limit       *upstream.LimitUpdate
 	// remote means that the report goes to other data centres regardless of the number of
 	// VMs.
 	remote bool
@@ -88,24 +88,24 @@
 	}
 }
 
-// Sent reports a prompt to other VMs without blocking.
-func (p *Peers) Sent(s relay.Sent) { p.queueReport(report{sent: &s}) }
+// ReportSent reports a prompt to other VMs without blocking.
+func (p *Peers) ReportSent(s relay.SentPrompt) { p.queueReport(report{sent: &s}) }
 
-// Opinion reports a model's rating of a response to other VMs. It is not urgent and goes
+// ReportConfidence reports a model's rating of a response to other VMs. It is not urgent and goes
 // out with the next prompt that is reported.
-func (p *Peers) Opinion(o relay.Opinion) {
+func (p *Peers) ReportConfidence(o relay.ConfidenceReport) {
 	p.reports.mu.Lock()
 	defer p.reports.mu.Unlock()
 	p.reports.enqueue(&p.reports.pending, report{opinion: &o})
 }
 
-// Rest reports to other VMs without blocking that an upstream has requested a rest
+// ReportBackoff reports to other VMs without blocking that an upstream has requested a rest
 // period.
-func (p *Peers) Rest(r relay.Rest) { p.queueReport(report{rest: &r}) }
+func (p *Peers) ReportBackoff(r relay.Backoff) { p.queueReport(report{rest: &r}) }
 
-// Limit reports a rate limit of an upstream to other VMs without blocking. toRemote sends
+// ReportLimit reports a rate limit of an upstream to other VMs without blocking. toRemote sends
 // it to other data centres too, regardless of the number of VMs.
-func (p *Peers) Limit(limit upstream.LimitKnown, toRemote bool) {
+func (p *Peers) ReportLimit(limit upstream.LimitUpdate, toRemote bool) {
 	p.queueReport(report{limit: &limit, remote: toRemote})
 }
 
@@ -219,7 +219,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), localTimeout)
 		defer cancel()
 		for _, m := range messages {
-			if err := link.Note(ctx, p.endpoint, to.ControlLink, link.KindReads, m); err != nil {
+			if err := link.SendOneWay(ctx, p.endpoint, to.ControlAddress, link.KindUpstreamReport, m); err != nil {
 				p.logSilentPeer(err)
 				return
 			}
@@ -245,10 +245,10 @@
 	_, fromLeaf := p.leaves[m.From]
 	p.mu.Unlock()
 	if exchange != nil {
-		exchange.HearSent(m.Sent)
-		exchange.HearOpinions(m.Opinions)
-		exchange.HearRests(m.Rests)
-		exchange.HearLimits(m.Limits, true, m.From)
+		exchange.MergeSent(m.Sent)
+		exchange.MergeConfidence(m.Opinions)
+		exchange.MergeBackoffs(m.Rests)
+		exchange.MergeLimits(m.Limits, true, m.From)
 	}
 	// Reports from a leaf or another data centre go to the other hubs and to the leaves.
 	// Reports from another hub go to the leaves only.
