--- a/site/reports_test.go
+++ b/site/reports_test.go
@@ -11,8 +11,8 @@
 	"woaddoor/contract"
 	"woaddoor/keys"
 	"woaddoor/link"
+	"woaddoor/prefill"
 	"woaddoor/quarantine"
-	"woaddoor/reading"
 	"woaddoor/relay"
 	"woaddoor/rollout"
 	"woaddoor/scaling"
@@ -22,32 +22,34 @@
 
 // recordingRelay records the reports that it receives, except empty ones.
 type recordingRelay struct {
-	sent     chan []relay.Sent
-	opinions chan []relay.Opinion
-	rests    chan []relay.Rest
-	limits   chan []upstream.LimitKnown
-	known    []upstream.LimitKnown
+	sent     chan []relay.SentPrompt
+	opinions chan []relay.ConfidenceReport
+	rests    chan []relay.Backoff
+	limits   chan []upstream.LimitUpdate
+	known    []upstream.LimitUpdate
 	digest   uint64
 }
 
 func newRecordingRelay() *recordingRelay {
 	return &recordingRelay{
-		sent: make(chan []relay.Sent, 10), opinions: make(chan []relay.Opinion, 10), rests: make(chan []relay.Rest, 10),
-		limits: make(chan []upstream.LimitKnown, 10),
+		sent: make(chan []relay.SentPrompt, 10), opinions: make(chan []relay.ConfidenceReport, 10), rests: make(chan []relay.Backoff, 10),
+		limits: make(chan []upstream.LimitUpdate, 10),
 	}
 }
 
-func (*recordingRelay) Evidence(rollout.Hearer) rollout.Evidence { return nil }
-func (*recordingRelay) Hear(rollout.Evidence) bool               { return false }
-func (*recordingRelay) OrderAges() []relay.OrderAge              { return nil }
-func (*recordingRelay) HearAges([]relay.OrderAge)                {}
-func (*recordingRelay) Suspects() []quarantine.Told              { return nil }
-func (r *recordingRelay) HearSent(sent []relay.Sent)             { sendNonEmpty(r.sent, sent) }
-func (r *recordingRelay) HearOpinions(opinions []relay.Opinion)  { sendNonEmpty(r.opinions, opinions) }
-func (r *recordingRelay) HearRests(rests []relay.Rest)           { sendNonEmpty(r.rests, rests) }
-func (r *recordingRelay) Limits() []upstream.LimitKnown          { return r.known }
-func (r *recordingRelay) LimitsDigest() uint64                   { return r.digest }
-func (r *recordingRelay) HearLimits(limits []upstream.LimitKnown, _ bool, _ contract.VMID) {
+func (*recordingRelay) Evidence(rollout.Recipient) rollout.Evidence { return nil }
+func (*recordingRelay) MergeEvidence(rollout.Evidence) bool         { return false }
+func (*recordingRelay) OrderAges() []relay.OrderAge                 { return nil }
+func (*recordingRelay) MergeOrderAges([]relay.OrderAge)             {}
+func (*recordingRelay) Suspects() []quarantine.Update               { return nil }
+func (r *recordingRelay) MergeSent(sent []relay.SentPrompt)         { sendNonEmpty(r.sent, sent) }
+func (r *recordingRelay) MergeConfidence(opinions []relay.ConfidenceReport) {
+	sendNonEmpty(r.opinions, opinions)
+}
+func (r *recordingRelay) MergeBackoffs(rests []relay.Backoff) { sendNonEmpty(r.rests, rests) }
+func (r *recordingRelay) Limits() []upstream.LimitUpdate      { return r.known }
+func (r *recordingRelay) LimitsDigest() uint64                { return r.digest }
+func (r *recordingRelay) MergeLimits(limits []upstream.LimitUpdate, _ bool, _ contract.VMID) {
 	sendNonEmpty(r.limits, limits)
 }
 
@@ -58,14 +60,14 @@
 	}
 }
 
-func (*recordingRelay) Work() map[contract.ServiceID]scaling.Work { return nil }
+func (*recordingRelay) OfferedLoad() map[contract.ServiceID]scaling.Load { return nil }
 
-func (*recordingRelay) HearSuspects([]quarantine.Told, contract.VMID) bool { return false }
+func (*recordingRelay) MergeSuspects([]quarantine.Update, contract.VMID) bool { return false }
 
 // testPeers returns Peers of a VM on loopback.
 func testPeers(t *testing.T, name string, dc contract.DataCentreID) (*Peers, *recordingRelay, vm.Member) {
 	t.Helper()
-	identity, err := keys.NewByAddress(name, func(string) bool { return true })
+	identity, err := keys.NewAddressIdentity(name, func(string) bool { return true })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +80,7 @@
 			t.Error(err)
 		}
 	})
-	self := vm.Member{VM: contract.VMID(name), DataCentre: dc, Incarnation: 1, ControlLink: endpoint.Address()}
+	self := vm.Member{VM: contract.VMID(name), DataCentre: dc, Incarnation: 1, ControlAddress: endpoint.Address()}
 	p := NewPeers(&PeersOptions{
 		Endpoint: endpoint, Self: self, Log: zap.NewNop(), Now: time.Now,
 		Regions: map[contract.DataCentreID]string{"d": "r", "e": "r"},
@@ -94,8 +96,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, m := range members {
-		p.table.Heard(m, time.Now())
-		p.recordIP(m.ControlLink)
+		p.table.ApplyHeartbeat(m, time.Now())
+		p.recordIP(m.ControlAddress)
 	}
 }
 
@@ -119,15 +121,15 @@
 func TestReportsReachOtherDataCentre(t *testing.T) {
 	is := is.New(t)
 	a, others := fourPeers(t)
-	sent := relay.Sent{Upstream: "u", Model: "m", Tokens: 900, Parts: []reading.Part{{Key: 7, Tokens: 800}, {Key: 8, Tokens: 100}}, Takes: time.Second}
-	rest := relay.Rest{Life: contract.Life{Upstream: "u", Born: 3}, Left: time.Second}
-	a.Opinion(relay.Opinion{Model: "m", Largest: "l", Opinion: 0.5})
-	a.Rest(rest)
-	a.Sent(sent)
+	sent := relay.SentPrompt{Upstream: "u", Model: "m", Tokens: 900, Parts: []prefill.Part{{Key: 7, Tokens: 800}, {Key: 8, Tokens: 100}}, PrefillTime: time.Second}
+	rest := relay.Backoff{Life: contract.UpstreamInstance{Upstream: "u", Incarnation: 3}, Remaining: time.Second}
+	a.ReportConfidence(relay.ConfidenceReport{Model: "m", Largest: "l", Confidence: 0.5})
+	a.ReportBackoff(rest)
+	a.ReportSent(sent)
 	for _, recorder := range others {
-		is.Equal(<-recorder.sent, []relay.Sent{sent})
-		is.Equal(<-recorder.opinions, []relay.Opinion{{Model: "m", Largest: "l", Opinion: 0.5}})
-		is.Equal(<-recorder.rests, []relay.Rest{rest})
+		is.Equal(<-recorder.sent, []relay.SentPrompt{sent})
+		is.Equal(<-recorder.opinions, []relay.ConfidenceReport{{Model: "m", Largest: "l", Confidence: 0.5}})
+		is.Equal(<-recorder.rests, []relay.Backoff{rest})
 	}
 }
 
@@ -149,11 +151,11 @@
 	}
 	for _, p := range all { // leaves register with their hubs
 		if v := p.currentView(); !v.isHub {
-			is.True(p.exchangeGossip(t.Context(), p.hubsForLeaf(v)[0].ControlLink, time.Second, p.gossipToHub()))
+			is.True(p.exchangeGossip(t.Context(), p.hubsForLeaf(v)[0].ControlAddress, time.Second, p.gossipToHub()))
 		}
 	}
 	for i, p := range all {
-		p.Sent(relay.Sent{Upstream: contract.UpstreamID(fmt.Sprint(i)), Model: "m", Tokens: 9, Takes: time.Second})
+		p.ReportSent(relay.SentPrompt{Upstream: contract.UpstreamID(fmt.Sprint(i)), Model: "m", Tokens: 9, PrefillTime: time.Second})
 	}
 	for i, recorder := range relays {
 		received := make(map[contract.UpstreamID]int)
--- a/site/scale_bench_test.go
+++ b/site/scale_bench_test.go
@@ -14,18 +14,18 @@
 	for i := range n {
 		out = append(out, upstream.Entry{
 			ID: contract.UpstreamID(fmt.Sprintf("i-%010x", i)), Service: "s", Address: fmt.Sprintf("10.%d.%d.%d:80", i%5, i/250%250, i%250),
-			DataCentre: contract.DataCentreID(fmt.Sprint("d", i%5)), Release: "v1", Slots: 24, Memory: 600_000, Born: 1, Revision: contract.Revision(i),
+			DataCentre: contract.DataCentreID(fmt.Sprint("d", i%5)), Release: "v1", Slots: 24, CacheTokens: 600_000, Incarnation: 1, Revision: contract.Revision(i),
 		})
 	}
 	return out
 }
 
 // listingOfMany returns a listing of n upstreams and the changes from which it was built.
-func listingOfMany(n int, now time.Time) (*Listing, Changes[upstream.Entry]) {
-	l := NewListing()
+func listingOfMany(n int, now time.Time) (*UpstreamList, Changes[upstream.Entry]) {
+	l := NewUpstreamList()
 	c := Changes[upstream.Entry]{Revision: 1}
 	for _, e := range manyEntries(n) {
-		c.Items = append(c.Items, Item[upstream.Entry]{Raw: Raw{Name: string(e.ID), Revision: e.Revision}, Value: e})
+		c.Items = append(c.Items, Item[upstream.Entry]{RawObject: RawObject{Name: string(e.ID), Revision: e.Revision}, Value: e})
 	}
 	l.Apply(c, true, now)
 	return l, c
--- a/site/site.go
+++ b/site/site.go
@@ -26,24 +26,24 @@
 	FirstStart     bool
 	Configurations Source[*route.Table]
 	Upstreams      Source[upstream.Entry]
-	Orders         Source[rollout.Order]
+	Orders         Source[rollout.ReleaseOrder]
 	// Evacuations lists the data centres whose upstreams receive no further requests. It
 	// is nil where the deployment supports no evacuations.
 	Evacuations Source[Evacuation]
-	// Held lists the quarantined request contents, which are sent to no upstream.
+	// Quarantined lists the quarantined request contents, which are sent to no upstream.
 	// HeldNotes writes them to the store. Either both are set or neither.
-	Held      Source[quarantine.Held]
-	HeldNotes HeldNotes
-	// NoteOrder records in the store that a rollout order has started, or how it ended.
-	NoteOrder func(ctx context.Context, o rollout.Order, state rollout.OrderState) error
-	Peers     *Peers
+	Quarantined     Source[quarantine.QuarantinedContent]
+	QuarantineStore QuarantineStore
+	// WriteRolloutStatus records in the store that a rollout order has started, or how it ended.
+	WriteRolloutStatus func(ctx context.Context, o rollout.ReleaseOrder, state rollout.OrderState) error
+	Peers              *Peers
 	// Leader runs the tasks that only one VM of the deployment performs. It is nil where
 	// there are no such tasks.
 	Leader *leader.Leader
-	// VMs returns the link addresses of the VMs registered in the store. PutVM registers
+	// ListVMs returns the link addresses of the VMs registered in the store. PutVM registers
 	// this VM.
-	VMs   func(ctx context.Context) (map[contract.VMID]string, error)
-	PutVM func(ctx context.Context) error
+	ListVMs    func(ctx context.Context) (map[contract.VMID]string, error)
+	RegisterVM func(ctx context.Context) error
 	// Link is this VM's link address.
 	Link  string
 	Relay *relay.Relay
@@ -73,7 +73,7 @@
 
 	// mu guards the fields below.
 	mu             sync.Mutex
-	listing        *Listing
+	listing        *UpstreamList
 	upstreamsKnown bool
 	// partial is set while only the first page of the first upstream list is known.
 	// pushedTable is the configuration that was in force when the relay last received the
@@ -90,7 +90,7 @@
 		opts.Registry = metrics.NewRegistry()
 	}
 	return &Site{
-		opts: opts, log: opts.Log, listing: NewListing(), wake: make(chan struct{}, 1),
+		opts: opts, log: opts.Log, listing: NewUpstreamList(), wake: make(chan struct{}, 1),
 		ready: make(chan struct{}), requestWaiting: make(chan struct{}),
 		randomRank:  rand.IntN(requestRanks),
 		orderWrites: make(map[writeKey]*pendingWrite), activeEvacuations: make(map[string]activeEvacuation),
@@ -112,12 +112,12 @@
 // objective of a page.
 const startupWait = 100 * time.Millisecond
 
-// Await waits until this VM can serve, for at most startupWait. If the VM has no state,
+// AwaitReady waits until this VM can serve, for at most startupWait. If the VM has no state,
 // Await makes it list the store at once: clients reach a VM that is not ready only when
 // other VMs are down too, so there may be no peer to get the state from. After all six
 // VMs of a deployment were killed, 194 requests were rejected within 0.3 s while the VMs
 // waited for each other.
-func (s *Site) Await(ctx context.Context) {
+func (s *Site) AwaitReady(ctx context.Context) {
 	select {
 	case <-s.ready:
 		return
@@ -149,9 +149,9 @@
 	return s.listing.Entries()
 }
 
-// Ages returns the time since the store last confirmed the configuration and the list of
+// ConfirmationAges returns the time since the store last confirmed the configuration and the list of
 // upstreams. An age is negative if the store has never confirmed it.
-func (s *Site) Ages() (configuration, upstreams time.Duration) {
+func (s *Site) ConfirmationAges() (configuration, upstreams time.Duration) {
 	return s.age(s.opts.Configurations.Name()), s.age(s.opts.Upstreams.Name())
 }
 
@@ -162,8 +162,8 @@
 	return -1
 }
 
-// Wake triggers an immediate evaluation of the release verdicts.
-func (s *Site) Wake() {
+// EvaluateVerdicts triggers an immediate evaluation of the release verdicts.
+func (s *Site) EvaluateVerdicts() {
 	select {
 	case s.wake <- struct{}{}:
 	default: // already triggered
@@ -187,9 +187,9 @@
 		s.opts.Peers.registerKind(s.opts.Evacuations.Name(), evacuations)
 		runs = append(runs, evacuations.run)
 	}
-	if s.opts.Held != nil {
-		held := newFollower(ctx, s, s.opts.Held, s.applyHeld, func(bool) {})
-		s.opts.Peers.registerKind(s.opts.Held.Name(), held)
+	if s.opts.Quarantined != nil {
+		held := newFollower(ctx, s, s.opts.Quarantined, s.applyHeld, func(bool) {})
+		s.opts.Peers.registerKind(s.opts.Quarantined.Name(), held)
 		runs = append(runs, held.run, s.syncHeld)
 	}
 	if s.opts.Leader != nil {
@@ -246,7 +246,7 @@
 	}
 	s.table.Store(t)
 	s.log.Info("configuration", zap.Int64("version", t.Version), zap.Int64("revision", int64(t.Revision)),
-		zap.String("from", from), zap.Int("routes", t.Routes()))
+		zap.String("from", from), zap.Int("routes", t.CountRoutes()))
 	s.pushUpstreams()
 	s.signalIfReady()
 }
@@ -262,7 +262,7 @@
 	}
 	changed, removed := s.listing.TakeChanges()
 	if s.partial {
-		s.opts.Relay.SetSomeUpstreams(s.listing.Entries(), services)
+		s.opts.Relay.SetPartialUpstreams(s.listing.Entries(), services)
 		return
 	}
 	if s.pushedTable != nil && s.pushedTable == t && s.opts.Relay.ChangeUpstreams(changed, removed, services) {
@@ -326,7 +326,7 @@
 			s.pushUpstreams()
 		}
 		s.mu.Unlock()
-		s.opts.Relay.Level()
+		s.opts.Relay.Refresh()
 		for _, v := range s.opts.Relay.Verdicts() {
 			s.writeOrderState(ctx, v)
 		}
@@ -344,7 +344,7 @@
 	}
 	return &follower[T]{
 		decodeErrors: make(map[string]string), applyFirstPage: func(Changes[T]) {},
-		source: source, log: s.log, registry: s.opts.Registry, apply: apply, onStoreCall: onStoreCall, ledger: NewLedger(source.Name()),
+		source: source, log: s.log, registry: s.opts.Registry, apply: apply, onStoreCall: onStoreCall, ledger: NewObjectCache(source.Name()),
 		requestWaiting: s.requestWaiting, randomRank: s.randomRank,
 		election: NewWatcherElection(s.opts.Peers.AsWatcher(), source.Timing(), listNotBefore),
 		rank:     s.opts.Peers.Rank, announceChange: func() { s.opts.Peers.AnnounceChange(ctx) }, announceNoChange: func() { s.opts.Peers.AnnounceNoChange(ctx) }, now: s.opts.Now,
--- a/site/source.go
+++ b/site/source.go
@@ -22,13 +22,13 @@
 	ErrConflict    = errors.New("object has another revision")
 	ErrNotFound    = errors.New("no such object")
 	ErrHistoryGone = errors.New("change history is no longer available")
-	ErrTooMany     = errors.New("store's rate limit reached")
-	ErrEnough      = errors.New("list stopped before its end")
+	ErrRateLimited = errors.New("store's rate limit reached")
+	ErrStopListing = errors.New("list stopped before its end")
 )
 
-// Raw is an undecoded object as the store holds it, in the form in which VMs send it to
+// RawObject is an undecoded object as the store holds it, in the form in which VMs send it to
 // each other.
-type Raw struct {
+type RawObject struct {
 	Name     string            `cbor:"1,keyasint"`
 	Revision contract.Revision `cbor:"2,keyasint"`
 	Deleted  bool              `cbor:"3,keyasint,omitempty"`
@@ -38,7 +38,7 @@
 
 // Item is an object or its deletion.
 type Item[T any] struct {
-	Raw
+	RawObject
 	Value T
 	// Err is the error from decoding Value.
 	Err error
@@ -62,5 +62,5 @@
 	// no longer has the changes since then, so that List is needed.
 	Watch(ctx context.Context, after contract.Revision, wait time.Duration) (Changes[T], error)
 	// Decode decodes an object that another VM has sent.
-	Decode(Raw) (T, error)
+	Decode(RawObject) (T, error)
 }
--- a/site/startup_test.go
+++ b/site/startup_test.go
@@ -17,7 +17,7 @@
 type ledgerKind struct {
 	// mu guards ledger.
 	mu     sync.Mutex
-	ledger *Ledger
+	ledger *ObjectCache
 }
 
 func (k *ledgerKind) status() (KindStatus, bool) {
@@ -56,7 +56,7 @@
 	ctx, cancel := context.WithCancel(tb.Context())
 	defer cancel()
 	all := startFleet(tb, ctx, dataCentres, perDataCentre, func(n int, p *Peers) {
-		k := &ledgerKind{ledger: NewLedger("servers")}
+		k := &ledgerKind{ledger: NewObjectCache("servers")}
 		if n == 0 {
 			k.ledger.Apply(upstreamDelta(upstreams))
 		}
@@ -77,8 +77,8 @@
 	}
 	took = time.Since(began)
 	for _, p := range all {
-		for _, s := range p.endpoint.Sent() {
-			if s.Kind == link.KindChanges {
+		for _, s := range p.endpoint.SentCounts() {
+			if s.Kind == link.KindObjectChanges {
 				bytes += s.Bytes
 			}
 		}
--- a/site/listing.go
+++ b/site/upstream_list.go
@@ -7,14 +7,14 @@
 	"woaddoor/upstream"
 )
 
-// Listing holds the list of upstreams as this VM knows it. It is a pure state machine and
+// UpstreamList holds the list of upstreams as this VM knows it. It is a pure state machine and
 // not safe for concurrent use.
 //
 // An entry that is removed while the store is reachable belongs to an upstream that has
 // ended, and is dropped at once. An entry that is missing after an outage of the store
 // may only have lapsed: live upstreams register again within about two seconds, and keep
 // receiving requests until then.
-type Listing struct {
+type UpstreamList struct {
 	entries map[contract.UpstreamID]listedEntry
 	// storeUnreachable is set while the store does not respond. storeBackAt is the time
 	// at which it last responded again after an outage.
@@ -37,15 +37,15 @@
 // upstreams register again within about two seconds.
 const lapseGracePeriod = 2300 * time.Millisecond
 
-// NewListing returns an empty listing.
-func NewListing() *Listing {
-	return &Listing{
+// NewUpstreamList returns an empty listing.
+func NewUpstreamList() *UpstreamList {
+	return &UpstreamList{
 		entries: make(map[contract.UpstreamID]listedEntry), lapsed: make(map[contract.UpstreamID]bool), changed: make(map[contract.UpstreamID]bool),
 	}
 }
 
 // RecordStoreCall records whether the store responded.
-func (l *Listing) RecordStoreCall(ok bool, now time.Time) {
+func (l *UpstreamList) RecordStoreCall(ok bool, now time.Time) {
 	if !ok {
 		l.storeUnreachable = true
 		return
@@ -57,7 +57,7 @@
 
 // Apply applies changes, or the full list of entries, and reports whether the upstreams
 // to choose from have changed.
-func (l *Listing) Apply(c Changes[upstream.Entry], full bool, now time.Time) bool {
+func (l *UpstreamList) Apply(c Changes[upstream.Entry], full bool, now time.Time) bool {
 	changed := false
 	seen := make(map[contract.UpstreamID]bool, len(c.Items))
 	for _, i := range c.Items {
@@ -84,7 +84,7 @@
 	return changed
 }
 
-func (l *Listing) put(i Item[upstream.Entry]) bool {
+func (l *UpstreamList) put(i Item[upstream.Entry]) bool {
 	old, exists := l.entries[i.Value.ID]
 	if exists && i.Revision < old.revision {
 		return false
@@ -100,7 +100,7 @@
 }
 
 // remove removes an entry, or keeps it for lapseGracePeriod after an outage.
-func (l *Listing) remove(id contract.UpstreamID, now time.Time) bool {
+func (l *UpstreamList) remove(id contract.UpstreamID, now time.Time) bool {
 	e, exists := l.entries[id]
 	if !exists {
 		return false
@@ -121,7 +121,7 @@
 	return true
 }
 
-func (l *Listing) delete(id contract.UpstreamID) {
+func (l *UpstreamList) delete(id contract.UpstreamID) {
 	delete(l.entries, id)
 	delete(l.lapsed, id)
 	l.changed[id] = true
@@ -129,14 +129,14 @@
 
 // IsUnchanged reports whether an item equals the known entry. A list that is received
 // again holds thousands of such items.
-func (l *Listing) IsUnchanged(i Item[upstream.Entry]) bool {
+func (l *UpstreamList) IsUnchanged(i Item[upstream.Entry]) bool {
 	e, exists := l.entries[contract.UpstreamID(i.Name)]
 	return exists && !i.Deleted && i.Err == nil && e.revision == i.Revision && e.expiresAt.IsZero()
 }
 
 // dropMalformed removes an entry that can no longer be decoded. Another program may have
 // written it, so it names no usable upstream and is not kept like a lapsed entry.
-func (l *Listing) dropMalformed(id contract.UpstreamID) bool {
+func (l *UpstreamList) dropMalformed(id contract.UpstreamID) bool {
 	_, exists := l.entries[id]
 	if exists {
 		l.delete(id)
@@ -146,7 +146,7 @@
 
 // Expire removes the entries that did not return after an outage, and reports whether
 // there were any.
-func (l *Listing) Expire(now time.Time) bool {
+func (l *UpstreamList) Expire(now time.Time) bool {
 	changed := false
 	for id := range l.lapsed {
 		if !now.Before(l.entries[id].expiresAt) {
@@ -159,7 +159,7 @@
 
 // TakeChanges returns the entries that have changed and the upstreams that were removed
 // since its last call.
-func (l *Listing) TakeChanges() (changed []upstream.Entry, removed []contract.UpstreamID) {
+func (l *UpstreamList) TakeChanges() (changed []upstream.Entry, removed []contract.UpstreamID) {
 	for id := range l.changed {
 		if e, ok := l.entries[id]; ok {
 			changed = append(changed, e.Entry)
@@ -172,7 +172,7 @@
 }
 
 // Entries returns the upstreams to choose from.
-func (l *Listing) Entries() []upstream.Entry {
+func (l *UpstreamList) Entries() []upstream.Entry {
 	out := make([]upstream.Entry, 0, len(l.entries))
 	for _, e := range l.entries {
 		out = append(out, e.Entry)
--- a/site/listing_test.go
+++ b/site/upstream_list_test.go
@@ -16,15 +16,15 @@
 )
 
 func entry(id string) Item[upstream.Entry] {
-	return Item[upstream.Entry]{Raw: Raw{Name: id, Revision: 1}, Value: upstream.Entry{ID: contract.UpstreamID(id)}}
+	return Item[upstream.Entry]{RawObject: RawObject{Name: id, Revision: 1}, Value: upstream.Entry{ID: contract.UpstreamID(id)}}
 }
 
 func removalOf(id string) Changes[upstream.Entry] {
-	return Changes[upstream.Entry]{Revision: 9, Items: []Item[upstream.Entry]{{Raw: Raw{Name: id, Revision: 1, Deleted: true}}}}
+	return Changes[upstream.Entry]{Revision: 9, Items: []Item[upstream.Entry]{{RawObject: RawObject{Name: id, Revision: 1, Deleted: true}}}}
 }
 
-func listingOf(ids ...string) *Listing {
-	l := NewListing()
+func listingOf(ids ...string) *UpstreamList {
+	l := NewUpstreamList()
 	c := Changes[upstream.Entry]{Revision: 1}
 	for _, id := range ids {
 		c.Items = append(c.Items, entry(id))
@@ -80,12 +80,12 @@
 func (refusingSource) Name() string   { return "servers" }
 func (refusingSource) Timing() Timing { return testTiming }
 func (refusingSource) List(context.Context, func(Changes[upstream.Entry], bool) bool) (Changes[upstream.Entry], error) {
-	return Changes[upstream.Entry]{}, ErrTooMany
+	return Changes[upstream.Entry]{}, ErrRateLimited
 }
 func (refusingSource) Watch(context.Context, contract.Revision, time.Duration) (Changes[upstream.Entry], error) {
-	return Changes[upstream.Entry]{}, ErrTooMany
+	return Changes[upstream.Entry]{}, ErrRateLimited
 }
-func (refusingSource) Decode(Raw) (upstream.Entry, error) { return upstream.Entry{}, nil }
+func (refusingSource) Decode(RawObject) (upstream.Entry, error) { return upstream.Entry{}, nil }
 
 // TestPeerConfirmationEndsOutage checks that a confirmation from a peer ends the outage
 // for a VM whose own calls the store rejected. Otherwise it would treat every later
@@ -95,23 +95,23 @@
 	now := time.Unix(100, 0)
 	l := listingOf("a")
 	f := &follower[upstream.Entry]{
-		source: refusingSource{}, log: zap.NewNop(), registry: metrics.NewRegistry(), ledger: NewLedger("servers"), now: func() time.Time { return now },
+		source: refusingSource{}, log: zap.NewNop(), registry: metrics.NewRegistry(), ledger: NewObjectCache("servers"), now: func() time.Time { return now },
 		election:    NewWatcherElection(Watcher{VM: "a"}, testTiming, time.Time{}),
 		onStoreCall: func(ok bool) { l.RecordStoreCall(ok, now) },
 		apply:       func(c Changes[upstream.Entry], full bool) { l.Apply(c, full, now) },
 	}
-	f.ledger.Apply(Delta{Full: true, At: 1, Items: []Raw{{Name: "a", Revision: 1}}})
+	f.ledger.Apply(Delta{Full: true, Revision: 1, Items: []RawObject{{Name: "a", Revision: 1}}})
 	is.True(f.syncOnce(t.Context()) != nil) // the store rejects the call
 	is.True(!f.compareWithPeer(KindStatus{Kind: "servers", LastChange: 1, Revision: 1, ActiveWatcher: Watcher{VM: "b"}}).Behind)
 	now = now.Add(lapseGracePeriod)
-	f.applyFromPeer(Delta{Kind: "servers", At: 9, Items: removalOf("a").raws()}, KindStatus{ActiveWatcher: Watcher{VM: "b"}}, "peer")
+	f.applyFromPeer(Delta{Kind: "servers", Revision: 9, Items: removalOf("a").raws()}, KindStatus{ActiveWatcher: Watcher{VM: "b"}}, "peer")
 	is.Equal(len(l.Entries()), 0)
 }
 
-func (c Changes[T]) raws() []Raw {
-	var out []Raw
+func (c Changes[T]) raws() []RawObject {
+	var out []RawObject
 	for _, i := range c.Items {
-		out = append(out, i.Raw)
+		out = append(out, i.RawObject)
 	}
 	return out
 }
@@ -120,13 +120,13 @@
 // ledger that knows the newest revision must hold what the store holds.
 func TestLedgersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		store := map[string]Raw{}
-		var log []Raw
+		store := map[string]RawObject{}
+		var log []RawObject
 		revision := contract.Revision(0)
-		ledgers := []*Ledger{NewLedger("k"), NewLedger("k"), NewLedger("k")}
+		ledgers := []*ObjectCache{NewObjectCache("k"), NewObjectCache("k"), NewObjectCache("k")}
 		var sent []Delta
 		full := func() Delta {
-			d := Delta{Kind: "k", Full: true, At: revision}
+			d := Delta{Kind: "k", Full: true, Revision: revision}
 			for _, r := range store {
 				d.Items = append(d.Items, r)
 			}
@@ -137,7 +137,7 @@
 			switch rapid.SampledFrom([]string{"put", "delete", "list", "watch", "send", "resend"}).Draw(t, "event") {
 			case "put":
 				revision++
-				r := Raw{Name: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"), Revision: revision}
+				r := RawObject{Name: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"), Revision: revision}
 				store[r.Name] = r
 				log = append(log, r)
 			case "delete":
@@ -145,7 +145,7 @@
 				if _, ok := store[name]; ok {
 					revision++
 					delete(store, name)
-					log = append(log, Raw{Name: name, Revision: revision, Deleted: true})
+					log = append(log, RawObject{Name: name, Revision: revision, Deleted: true})
 				}
 			case "list":
 				l.Apply(full())
@@ -154,7 +154,7 @@
 				if !known {
 					continue
 				}
-				d := Delta{Kind: "k", At: revision}
+				d := Delta{Kind: "k", Revision: revision}
 				for _, r := range log {
 					if r.Revision > at {
 						d.Items = append(d.Items, r)
@@ -175,7 +175,7 @@
 			case "resend":
 				if len(sent) > 0 {
 					d := sent[rapid.IntRange(0, len(sent)-1).Draw(t, "which")]
-					if at, known := l.Revision(); known && d.At <= at {
+					if at, known := l.Revision(); known && d.Revision <= at {
 						l.Apply(d) // overtaken by a newer delta
 					}
 				}
@@ -203,14 +203,14 @@
 // restore the object, and that a later list from the store does.
 func TestStaleDeltaDoesNotRestoreObject(t *testing.T) {
 	is := is.New(t)
-	l := NewLedger("k")
-	a := Raw{Name: "a", Revision: 2}
-	l.Apply(Delta{Full: true, At: 3, Items: []Raw{a}})
-	l.Apply(Delta{At: 5, Items: []Raw{{Name: "a", Revision: 2, Deleted: true}}})
-	is.Equal(l.Apply(Delta{At: 4, Items: []Raw{a}}), []bool{false})
+	l := NewObjectCache("k")
+	a := RawObject{Name: "a", Revision: 2}
+	l.Apply(Delta{Full: true, Revision: 3, Items: []RawObject{a}})
+	l.Apply(Delta{Revision: 5, Items: []RawObject{{Name: "a", Revision: 2, Deleted: true}}})
+	is.Equal(l.Apply(Delta{Revision: 4, Items: []RawObject{a}}), []bool{false})
 	is.Equal(len(l.Since(0, false).Items), 0)
-	restored := Raw{Name: "a", Revision: 6}
-	is.Equal(l.Apply(Delta{Full: true, At: 7, Items: []Raw{restored}}), []bool{true})
+	restored := RawObject{Name: "a", Revision: 6}
+	is.Equal(l.Apply(Delta{Full: true, Revision: 7, Items: []RawObject{restored}}), []bool{true})
 	is.Equal(len(l.Since(0, false).Items), 1)
 }
 
@@ -219,11 +219,11 @@
 // revision in between receives all objects.
 func TestRemovalBetweenListsForcesFullDelta(t *testing.T) {
 	is := is.New(t)
-	a := Raw{Name: "a", Revision: 2}
-	sender, receiver := NewLedger("k"), NewLedger("k")
-	sender.Apply(Delta{Full: true, At: 3, Items: []Raw{a}})
-	receiver.Apply(Delta{Full: true, At: 5, Items: []Raw{a, {Name: "b", Revision: 5}}})
-	sender.Apply(Delta{Full: true, At: 6, Items: []Raw{a}}) // b was created and removed
+	a := RawObject{Name: "a", Revision: 2}
+	sender, receiver := NewObjectCache("k"), NewObjectCache("k")
+	sender.Apply(Delta{Full: true, Revision: 3, Items: []RawObject{a}})
+	receiver.Apply(Delta{Full: true, Revision: 5, Items: []RawObject{a, {Name: "b", Revision: 5}}})
+	sender.Apply(Delta{Full: true, Revision: 6, Items: []RawObject{a}}) // b was created and removed
 	at, known := receiver.Revision()
 	receiver.Apply(sender.Since(at, known))
 	is.Equal(len(receiver.Since(0, false).Items), 1)
@@ -234,20 +234,20 @@
 func TestReplacedUpstreamsAreSentAsChanges(t *testing.T) {
 	is := is.New(t)
 	const n = 800
-	l := NewLedger("k")
+	l := NewObjectCache("k")
 	var first Delta
-	first.Full, first.At = true, 1
+	first.Full, first.Revision = true, 1
 	for i := range n {
-		first.Items = append(first.Items, Raw{Name: fmt.Sprintf("old-%d", i), Revision: 1})
+		first.Items = append(first.Items, RawObject{Name: fmt.Sprintf("old-%d", i), Revision: 1})
 	}
 	l.Apply(first)
-	next := Delta{At: 2}
+	next := Delta{Revision: 2}
 	for i := range n {
-		next.Items = append(next.Items, Raw{Name: fmt.Sprintf("new-%d", i), Revision: 2})
+		next.Items = append(next.Items, RawObject{Name: fmt.Sprintf("new-%d", i), Revision: 2})
 	}
 	l.Apply(next)
 	for i := range n {
-		l.Apply(Delta{At: contract.Revision(3 + i), Items: []Raw{{Name: fmt.Sprintf("old-%d", i), Revision: 1, Deleted: true}}})
+		l.Apply(Delta{Revision: contract.Revision(3 + i), Items: []RawObject{{Name: fmt.Sprintf("old-%d", i), Revision: 1, Deleted: true}}})
 	}
 	behind := l.Since(contract.Revision(3+n/2), true)
 	is.True(!behind.Full)
--- a/site/usage.go
+++ b/site/usage.go
@@ -16,12 +16,12 @@
 // acknowledged a report. Lost and duplicate reports do no harm: the next one contains the
 // same or more.
 type UsageReport struct {
-	From       contract.VMLife       `cbor:"1,keyasint"`
+	From       contract.VMInstance   `cbor:"1,keyasint"`
 	DataCentre contract.DataCentreID `cbor:"2,keyasint"`
 	Parts      []usage.Part          `cbor:"3,keyasint,omitempty"`
 	// Work is the work that the sender and its leaves give to the upstreams of each
 	// service.
-	Work map[contract.ServiceID]scaling.Work `cbor:"5,keyasint,omitempty"`
+	Work map[contract.ServiceID]scaling.Load `cbor:"5,keyasint,omitempty"`
 	// ShuttingDown means that the sender is about to end, so that the recipient need not
 	// wait for further reports.
 	ShuttingDown bool `cbor:"4,keyasint,omitempty"`
@@ -32,36 +32,36 @@
 const usageReportInterval = 500 * time.Millisecond
 
 // lifeOf returns the life of a VM from its member record.
-func lifeOf(m vm.Member) contract.VMLife {
-	return contract.VMLife{VM: m.VM, Incarnation: m.Incarnation}
+func lifeOf(m vm.Member) contract.VMInstance {
+	return contract.VMInstance{VM: m.VM, Incarnation: m.Incarnation}
 }
 
 // usageFor returns the usage to send to a recipient, and a sequence mark for its
 // acknowledgement.
-func (p *Peers) usageFor(recipient contract.VMLife) ([]usage.Part, uint64) {
+func (p *Peers) usageFor(recipient contract.VMInstance) ([]usage.Part, uint64) {
 	if p.usage == nil {
 		return nil, 0
 	}
-	return p.usage.For(recipient)
+	return p.usage.ChangesFor(recipient)
 }
 
 // acknowledgeUsage records that a recipient has received usage up to a sequence mark.
-func (p *Peers) acknowledgeUsage(recipient contract.VMLife, sequence uint64) {
+func (p *Peers) acknowledgeUsage(recipient contract.VMInstance, sequence uint64) {
 	if p.usage != nil {
-		p.usage.Answered(recipient, sequence)
+		p.usage.Acknowledge(recipient, sequence)
 	}
 }
 
 func (p *Peers) recordUsage(parts []usage.Part) {
 	if p.usage != nil {
-		p.usage.Hear(parts)
+		p.usage.Merge(parts)
 	}
 }
 
 // reportUsage reports the usage collected by this hub to the lease holder until ctx ends.
 func (p *Peers) reportUsage(ctx context.Context) {
 	for ctx.Err() == nil {
-		clock.Pause(ctx, usageReportInterval)
+		clock.Sleep(ctx, usageReportInterval)
 		if p.currentView().isHub && !p.shuttingDown.Load() {
 			p.reportUsageOnce(ctx)
 		}
@@ -73,7 +73,7 @@
 	if p.lease == nil {
 		return
 	}
-	leaseSeen, _, _ := p.lease.Known()
+	leaseSeen, _, _ := p.lease.Latest()
 	holder := leaseSeen.Object.Holder
 	address := p.leaseHolderLink(holder)
 	p.mu.Lock()
@@ -88,7 +88,7 @@
 	usageReport.Work = p.localAndLeafWork()
 	ctx, cancel := context.WithTimeout(ctx, remoteTimeout)
 	defer cancel()
-	if _, err := link.Call[UsageReport, struct{}](ctx, p.endpoint, address, link.KindUsage, usageReport); err != nil {
+	if _, err := link.Call[UsageReport, struct{}](ctx, p.endpoint, address, link.KindUsageReport, usageReport); err != nil {
 		p.logSilentPeer(err) // the next report includes it
 		return
 	}
@@ -99,14 +99,14 @@
 func (p *Peers) handleUsageReport(_ context.Context, _ string, r UsageReport) (struct{}, error) {
 	p.recordWork(p.hubWork, r.From, r.Work)
 	if p.usage != nil {
-		p.usage.Hear(r.Parts)
-		p.usage.Gathered(r.From, r.DataCentre, r.ShuttingDown)
+		p.usage.Merge(r.Parts)
+		p.usage.CollectorReported(r.From, r.DataCentre, r.ShuttingDown)
 	}
 	return struct{}{}, nil
 }
 
-// LastUsage reports the remaining usage of this VM before it shuts down.
-func (p *Peers) LastUsage(ctx context.Context) {
+// FlushUsage reports the remaining usage of this VM before it shuts down.
+func (p *Peers) FlushUsage(ctx context.Context) {
 	p.shuttingDown.Store(true)
 	v := p.currentView()
 	if !v.isHub {
@@ -116,8 +116,8 @@
 	p.reportUsageOnce(ctx)
 }
 
-// Centres returns the data centres that are known to have VMs.
-func (p *Peers) Centres() []contract.DataCentreID {
+// DataCentres returns the data centres that are known to have VMs.
+func (p *Peers) DataCentres() []contract.DataCentreID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []contract.DataCentreID
--- a/site/view.go
+++ b/site/view.go
@@ -29,7 +29,7 @@
 	// rank is the rank of this VM, and isHub reports whether it is a hub.
 	rank  Rank
 	isHub bool
-	group upstream.Group
+	group upstream.GossipScope
 }
 
 // Ages of views.
@@ -69,11 +69,11 @@
 			local = append(local, m)
 		}
 	}
-	v.digest = vm.DigestOf(local)
-	v.ranked = p.responsive(vm.Ranked(local, p.dc), now)
+	v.digest = vm.MembersDigest(local)
+	v.ranked = p.responsive(vm.WatcherOrder(local, p.dc), now)
 	v.hubs = vm.Hubs(v.ranked)
 	v.isHub = slices.ContainsFunc(v.hubs, func(m vm.Member) bool { return m.VM == self.VM })
-	for _, m := range p.table.Far(representatives+spareRepresentatives, now) {
+	for _, m := range p.table.RemoteDelegates(representatives+spareRepresentatives, now) {
 		v.remote[m.DataCentre] = append(v.remote[m.DataCentre], m)
 	}
 	for dc, members := range v.remote {
@@ -81,29 +81,29 @@
 	}
 	v.rank = p.rankIn(v)
 	v.total = max(p.totalVMs(len(local), now), v.live, len(p.listedAddresses)+1)
-	v.group = upstream.Group{Region: v.total <= maxVMsForRegionalReports, VMs: len(local)}
+	v.group = upstream.GossipScope{Region: v.total <= maxVMsForRegionalReports, VMs: len(local)}
 	if v.group.Region {
 		v.group.VMs = v.total
 	}
 	return v
 }
 
-// Owners returns the VMs among which the cold upstreams of this data centre are divided:
+// ColdOwners returns the VMs among which the cold upstreams of this data centre are divided:
 // the live VMs and those that recently fell silent. The latter may only be cut off from
 // this VM and still send requests. A VM that has just started may not know all of them
 // yet. At first it owns no cold upstreams until a VM of its data centre has replied.
-func (p *Peers) Owners() upstream.Owners {
+func (p *Peers) ColdOwners() upstream.Owners {
 	v := p.currentView()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
 	self := p.table.Self().VM
-	owners := upstream.Owners{Self: self, Unsure: p.HasSeeds() && now.Sub(p.started) < seedPeriod}
+	owners := upstream.Owners{Self: self, Incomplete: p.HasSeeds() && now.Sub(p.started) < seedPeriod}
 	if p.HasSeeds() && !p.rankKnown {
-		if owners.Unsure {
+		if owners.Incomplete {
 			return owners
 		}
-		owners.Unsure = true
+		owners.Incomplete = true
 	}
 	owners.VMs = append(owners.VMs, self)
 	for _, m := range append(slices.Clone(v.localPeers), p.silentLocal(silentOwnerPeriod, now)...) {
@@ -137,7 +137,7 @@
 // responsive leaves out the VMs that recently failed to reply to this one. The caller
 // holds mu.
 func (p *Peers) responsive(members []vm.Member, now time.Time) []vm.Member {
-	return slices.DeleteFunc(members, func(m vm.Member) bool { return p.unresponsive(m.ControlLink, now) })
+	return slices.DeleteFunc(members, func(m vm.Member) bool { return p.unresponsive(m.ControlAddress, now) })
 }
 
 // responsiveFirst moves the VMs that recently failed to reply to this one to the end. It
@@ -145,7 +145,7 @@
 func (p *Peers) responsiveFirst(members []vm.Member, now time.Time) []vm.Member {
 	var first, last []vm.Member
 	for _, m := range members {
-		if p.unresponsive(m.ControlLink, now) {
+		if p.unresponsive(m.ControlAddress, now) {
 			last = append(last, m)
 		} else {
 			first = append(first, m)
--- a/site/work.go
+++ b/site/work.go
@@ -9,10 +9,10 @@
 
 // workReports holds the work that VMs give to the upstreams of each service, as last
 // reported by each VM.
-type workReports map[contract.VMLife]workReport
+type workReports map[contract.VMInstance]workReport
 
 type workReport struct {
-	work map[contract.ServiceID]scaling.Work
+	work map[contract.ServiceID]scaling.Load
 	at   time.Time
 }
 
@@ -21,30 +21,30 @@
 const workExpiry = 2 * time.Second
 
 // addTo adds the recent reports to work and deletes the others.
-func (w workReports) addTo(work map[contract.ServiceID]scaling.Work, now time.Time) {
+func (w workReports) addTo(work map[contract.ServiceID]scaling.Load, now time.Time) {
 	for life, reported := range w {
 		if now.Sub(reported.at) > workExpiry {
 			delete(w, life)
 			continue
 		}
 		for id, x := range reported.work {
-			work[id] = work[id].Plus(x)
+			work[id] = work[id].Add(x)
 		}
 	}
 }
 
 // localWork returns the work that this VM gives to upstreams, or nil if there is no lease
 // holder to use it.
-func (p *Peers) localWork() map[contract.ServiceID]scaling.Work {
+func (p *Peers) localWork() map[contract.ServiceID]scaling.Load {
 	exchange := p.relayOrNil()
 	if p.lease == nil || exchange == nil {
 		return nil
 	}
-	return exchange.Work()
+	return exchange.OfferedLoad()
 }
 
 // recordWork records the work reported by a leaf, or by a hub including its leaves.
-func (p *Peers) recordWork(reports workReports, from contract.VMLife, work map[contract.ServiceID]scaling.Work) {
+func (p *Peers) recordWork(reports workReports, from contract.VMInstance, work map[contract.ServiceID]scaling.Load) {
 	if len(work) == 0 {
 		return
 	}
@@ -54,8 +54,8 @@
 }
 
 // localAndLeafWork returns the work that this VM and its leaves give to upstreams.
-func (p *Peers) localAndLeafWork() map[contract.ServiceID]scaling.Work {
-	work := make(map[contract.ServiceID]scaling.Work)
+func (p *Peers) localAndLeafWork() map[contract.ServiceID]scaling.Load {
+	work := make(map[contract.ServiceID]scaling.Load)
 	for id, w := range p.localWork() {
 		work[id] = w
 	}
@@ -65,9 +65,9 @@
 	return work
 }
 
-// AllWork returns the work that all VMs give to the upstreams of each service, as far as
+// TotalWork returns the work that all VMs give to the upstreams of each service, as far as
 // it was reported to this VM. All hubs report it to the lease holder.
-func (p *Peers) AllWork() map[contract.ServiceID]scaling.Work {
+func (p *Peers) TotalWork() map[contract.ServiceID]scaling.Load {
 	work := p.localAndLeafWork()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/store/http.go
+++ b/store/http.go
@@ -17,15 +17,15 @@
 // Paths, query parameters and headers of the platform's HTTP API. The stand-in of the
 // platform in the tests uses them too.
 const (
-	ObjectsPath  = "/objects/"
-	ListPath     = "/objects"
-	VMsPath      = "/vms"
-	ParamPrefix  = "prefix"
-	ParamAfter   = "after"
-	ParamWait    = "wait"
-	HeaderIfHas  = "If-Match"
-	HeaderIfNone = "If-None-Match"
-	HeaderETag   = "ETag"
+	ObjectsPath       = "/objects/"
+	ListPath          = "/objects"
+	VMsPath           = "/vms"
+	ParamPrefix       = "prefix"
+	ParamAfter        = "after"
+	ParamWait         = "wait"
+	HeaderIfMatch     = "If-Match"
+	HeaderIfNoneMatch = "If-None-Match"
+	HeaderETag        = "ETag"
 )
 
 // ETag returns the HTTP entity tag that represents an object version.
@@ -93,7 +93,7 @@
 		return Object{}, err
 	}
 	if tag != "" {
-		req.Header.Set(HeaderIfNone, tag)
+		req.Header.Set(HeaderIfNoneMatch, tag)
 	}
 	body, header, err := c.do(req)
 	if err != nil {
@@ -105,13 +105,13 @@
 
 // Create writes a new object, or returns ErrExists if it already exists.
 func (c *Client) Create(ctx context.Context, name string, value []byte) (contract.ObjectVersion, error) {
-	return c.putObject(ctx, name, value, HeaderIfNone, "*", ErrExists)
+	return c.putObject(ctx, name, value, HeaderIfNoneMatch, "*", ErrExists)
 }
 
 // Update replaces the object if it still has the given version, or else returns
 // ErrConflict.
 func (c *Client) Update(ctx context.Context, name string, value []byte, version contract.ObjectVersion) (contract.ObjectVersion, error) {
-	return c.putObject(ctx, name, value, HeaderIfHas, ETag(version), ErrConflict)
+	return c.putObject(ctx, name, value, HeaderIfMatch, ETag(version), ErrConflict)
 }
 
 // putObject writes an object under the condition in header and tag. It returns
@@ -174,12 +174,12 @@
 func (c *Client) do(req *http.Request) ([]byte, http.Header, error) {
 	resp, err := c.httpClient.Do(req)
 	if err != nil {
-		return nil, nil, contract.Fail(contract.StepPlatform, c.baseURL, err)
+		return nil, nil, contract.WrapStep(contract.StepPlatform, c.baseURL, err)
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(2*contract.MiB)))
 	if err != nil {
-		return nil, nil, contract.Fail(contract.StepPlatform, c.baseURL, err)
+		return nil, nil, contract.WrapStep(contract.StepPlatform, c.baseURL, err)
 	}
 	switch resp.StatusCode {
 	case http.StatusOK, http.StatusCreated:
@@ -191,7 +191,7 @@
 	case http.StatusPreconditionFailed:
 		return nil, nil, errPreconditionFailed
 	case http.StatusTooManyRequests:
-		return nil, nil, ErrTooMany
+		return nil, nil, ErrRateLimited
 	}
-	return nil, nil, contract.Fail(contract.StepPlatform, c.baseURL, fmt.Errorf("status %d: %.200s", resp.StatusCode, body))
+	return nil, nil, contract.WrapStep(contract.StepPlatform, c.baseURL, fmt.Errorf("status %d: %.200s", resp.StatusCode, body))
 }
--- a/store/store.go
+++ b/store/store.go
@@ -23,11 +23,11 @@
 // Errors that a Store returns for a known outcome. After any other error, the call may
 // or may not have taken effect.
 var (
-	ErrNotFound  = errors.New("no such object")
-	ErrExists    = errors.New("object exists already")
-	ErrConflict  = errors.New("object has another version")
-	ErrUnchanged = errors.New("object is unchanged")
-	ErrTooMany   = errors.New("platform's rate limit reached")
+	ErrNotFound    = errors.New("no such object")
+	ErrExists      = errors.New("object exists already")
+	ErrConflict    = errors.New("object has another version")
+	ErrUnchanged   = errors.New("object is unchanged")
+	ErrRateLimited = errors.New("platform's rate limit reached")
 )
 
 // Store is the platform's object API.
@@ -52,8 +52,8 @@
 	Watch(ctx context.Context, name string, after contract.ObjectVersion, wait time.Duration) (Object, error)
 }
 
-// ListPage is the maximum number of names that one List call returns.
-const ListPage = 1000
+// ListPageSize is the maximum number of names that one List call returns.
+const ListPageSize = 1000
 
 // VMList reads the platform's list of VMs, which is seconds behind the actual state.
 type VMList interface {
--- a/stream/events.go
+++ b/stream/events.go
@@ -14,33 +14,33 @@
 	ErrEventTooLong = errors.New("server-sent event is longer than 1 MiB")
 )
 
-// Events splits the bytes of a server-sent event stream into whole events. It
+// EventSplitter splits the bytes of a server-sent event stream into whole events. It
 // leaves the bytes unchanged and parses only the event ids. The zero value starts
 // before the first event.
-type Events struct {
+type EventSplitter struct {
 	buf    []byte
 	lastID int64
 	hasID  bool
 }
 
-// After continues the series after the event with the given id: Feed drops all
+// SkipThrough continues the series after the event with the given id: Feed drops all
 // events up to it.
-func (e *Events) After(id int64) { e.lastID, e.hasID = id, true }
+func (e *EventSplitter) SkipThrough(id int64) { e.lastID, e.hasID = id, true }
 
-// Restart discards an incomplete event, because another upstream continues the
+// DiscardPartial discards an incomplete event, because another upstream continues the
 // series.
-func (e *Events) Restart() { e.buf = e.buf[:0] }
+func (e *EventSplitter) DiscardPartial() { e.buf = e.buf[:0] }
 
-// Last returns the id of the newest whole event. It returns false if no event has
+// LastID returns the id of the newest whole event. It returns false if no event has
 // had an id.
-func (e *Events) Last() (int64, bool) { return e.lastID, e.hasID }
+func (e *EventSplitter) LastID() (int64, bool) { return e.lastID, e.hasID }
 
-// Partial reports whether an event has begun but not ended.
-func (e *Events) Partial() bool { return len(bytes.TrimSpace(e.buf)) > 0 }
+// HasPartial reports whether an event has begun but not ended.
+func (e *EventSplitter) HasPartial() bool { return len(bytes.TrimSpace(e.buf)) > 0 }
 
 // Feed adds received bytes. It returns the bytes of the events that are now whole,
 // and their number. The bytes are valid until the next call.
-func (e *Events) Feed(p []byte) (whole []byte, n int, err error) {
+func (e *EventSplitter) Feed(p []byte) (whole []byte, n int, err error) {
 	e.buf = append(e.buf, p...)
 	end := 0
 	var out []byte
@@ -80,7 +80,7 @@
 
 // accept records the id of an event and reports whether to pass the event on. An
 // event that was already delivered is dropped.
-func (e *Events) accept(event []byte) (bool, error) {
+func (e *EventSplitter) accept(event []byte) (bool, error) {
 	id, ok := eventID(event)
 	if !ok {
 		return true, nil
--- a/stream/events_test.go
+++ b/stream/events_test.go
@@ -24,7 +24,7 @@
 		}
 		cut := rapid.IntRange(0, want.Len()).Draw(t, "cut")
 		var got, naive bytes.Buffer
-		var e Events
+		var e EventSplitter
 		feed := func(b []byte) {
 			for len(b) > 0 {
 				size := min(rapid.IntRange(1, 40).Draw(t, "size"), len(b))
@@ -38,8 +38,8 @@
 			}
 		}
 		feed(want.Bytes()[:cut])
-		e.Restart()
-		last, _ := e.Last()
+		e.DiscardPartial()
+		last, _ := e.LastID()
 		from := max(int(last)-rapid.IntRange(0, 2).Draw(t, "repeated"), 0)
 		for i := from; i < n; i++ {
 			feed([]byte(event(i + 1)))
@@ -61,7 +61,7 @@
 	f.Add([]byte("id: 9223372036854775808\n\n\n\n"))
 	f.Add([]byte("x-weight-versions: 3\nid: 1\n\nid: 1\n\n"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		var e Events
+		var e EventSplitter
 		total := 0
 		for _, b := range raw {
 			out, n, err := e.Feed([]byte{b})
--- a/stream/recover.go
+++ b/stream/recover.go
@@ -24,56 +24,56 @@
 	GiveUp
 )
 
-// Broken describes a stream that broke off.
-type Broken struct {
-	// Delivered is the number of chunks that the caller has received.
-	Delivered int
-	// Resumed is how often the engine was asked to resume since the last progress.
-	Resumed int
-	// Recovered is how often the stream was resumed or continued in total.
-	Recovered int
+// Interruption describes a stream that broke off.
+type Interruption struct {
+	// DeliveredChunks is the number of chunks that the caller has received.
+	DeliveredChunks int
+	// ResumeAttempts is how often the engine was asked to resume since the last progress.
+	ResumeAttempts int
+	// Recoveries is how often the stream was resumed or continued in total.
+	Recoveries int
 	// Permitted is true if the version may still receive new work.
 	Permitted bool
 	// Repeatable is true if the request may run more than once.
 	Repeatable bool
-	// Plain is true if the response is a single text. Other responses cannot be
+	// SingleText is true if the response is a single text. Other responses cannot be
 	// continued.
-	Plain    bool
-	Deadline time.Time
+	SingleText bool
+	Deadline   time.Time
 }
 
 // maxRecoveries limits how often a stream is resumed or continued.
 const maxRecoveries = 4
 
-// Decide returns how to recover a broken stream.
+// NextAction returns how to recover a broken stream.
 //
 // Resuming gives the engine no new work, so it is tried first and is allowed even
 // for requests that must not be repeated. Restarting or continuing on another
 // upstream is new work: the version must still be permitted and the request
 // repeatable.
-func Decide(b Broken, now time.Time) Action {
-	if !now.Before(b.Deadline) || b.Recovered >= maxRecoveries {
+func NextAction(b Interruption, now time.Time) Action {
+	if !now.Before(b.Deadline) || b.Recoveries >= maxRecoveries {
 		return GiveUp
 	}
-	if b.Resumed == 0 && b.Delivered > 0 {
+	if b.ResumeAttempts == 0 && b.DeliveredChunks > 0 {
 		return Resume
 	}
 	if !b.Repeatable || !b.Permitted {
 		return GiveUp
 	}
-	if b.Delivered == 0 {
+	if b.DeliveredChunks == 0 {
 		return Restart
 	}
-	if b.Plain {
+	if b.SingleText {
 		return Continue
 	}
 	return GiveUp
 }
 
 // Outcome returns the outcome to report for a stream that was given up.
-func (b Broken) Outcome() contract.Outcome {
-	if b.Delivered > 0 {
-		return contract.Ran
+func (b Interruption) Outcome() contract.Outcome {
+	if b.DeliveredChunks > 0 {
+		return contract.OutcomeRan
 	}
-	return contract.Unknown
+	return contract.OutcomeUnknown
 }
--- a/stream/stall.go
+++ b/stream/stall.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// PaceOptions configure the detection of stalls.
-type PaceOptions struct {
-	// Longest is the gap between chunks after which every stream counts as stalled.
+// StallOptions configure the detection of stalls.
+type StallOptions struct {
+	// MaxGap is the gap between chunks after which every stream counts as stalled.
 	// Zero means 10 s.
-	Longest time.Duration
-	// Shortest is the gap below which no stream counts as stalled.
+	MaxGap time.Duration
+	// MinGap is the gap below which no stream counts as stalled.
 	// Zero means 400 ms.
-	Shortest time.Duration
+	MinGap time.Duration
 	// Deviations is how many mean deviations above the mean gap the threshold for a
 	// stall is. Zero means 16.
 	Deviations float64
-	// First is the time limit for the first chunk. Zero means Longest.
-	First time.Duration
+	// FirstChunk is the time limit for the first chunk. Zero means Longest.
+	FirstChunk time.Duration
 }
 
 // Default values of PaceOptions, and parameters of the threshold.
@@ -36,28 +36,28 @@
 	gapWeight = 0.15
 )
 
-// Pace measures the gaps between the chunks of one stream and sets a deadline for
+// StallDetector measures the gaps between the chunks of one stream and sets a deadline for
 // the next chunk. A stream that is slow throughout is healthy; a stream that pauses
 // for much longer than its usual gaps is stalled.
-type Pace struct {
-	opts      PaceOptions
+type StallDetector struct {
+	opts      StallOptions
 	lastChunk time.Time
 	gaps      int
 	mean      float64 // seconds
 	deviation float64 // seconds, mean absolute
 }
 
-// NewPace returns a Pace for a stream that starts now.
-func NewPace(opts PaceOptions, now time.Time) *Pace {
-	opts.Longest = cmp.Or(opts.Longest, defaultLongest)
-	opts.Shortest = cmp.Or(opts.Shortest, defaultShortest)
+// NewStallDetector returns a Pace for a stream that starts now.
+func NewStallDetector(opts StallOptions, now time.Time) *StallDetector {
+	opts.MaxGap = cmp.Or(opts.MaxGap, defaultLongest)
+	opts.MinGap = cmp.Or(opts.MinGap, defaultShortest)
 	opts.Deviations = cmp.Or(opts.Deviations, defaultDeviations)
-	opts.First = cmp.Or(opts.First, opts.Longest)
-	return &Pace{opts: opts, lastChunk: now, gaps: -1}
+	opts.FirstChunk = cmp.Or(opts.FirstChunk, opts.MaxGap)
+	return &StallDetector{opts: opts, lastChunk: now, gaps: -1}
 }
 
-// Chunk records that a chunk has arrived.
-func (p *Pace) Chunk(now time.Time) {
+// RecordChunk records that a chunk has arrived.
+func (p *StallDetector) RecordChunk(now time.Time) {
 	gap := now.Sub(p.lastChunk).Seconds()
 	p.lastChunk = now
 	p.gaps++
@@ -72,15 +72,15 @@
 	}
 }
 
-// Due returns the deadline for the next chunk. After it, the stream counts as
+// Deadline returns the deadline for the next chunk. After it, the stream counts as
 // stalled.
-func (p *Pace) Due() time.Time {
+func (p *StallDetector) Deadline() time.Time {
 	if p.gaps < 0 {
-		return p.lastChunk.Add(p.opts.First)
+		return p.lastChunk.Add(p.opts.FirstChunk)
 	}
 	if p.gaps < minGaps {
-		return p.lastChunk.Add(p.opts.Longest)
+		return p.lastChunk.Add(p.opts.MaxGap)
 	}
 	allowed := time.Duration((p.mean + p.opts.Deviations*p.deviation) * float64(time.Second))
-	return p.lastChunk.Add(min(max(allowed, time.Duration(minMeanMultiple*p.mean*float64(time.Second)), p.opts.Shortest), p.opts.Longest))
+	return p.lastChunk.Add(min(max(allowed, time.Duration(minMeanMultiple*p.mean*float64(time.Second)), p.opts.MinGap), p.opts.MaxGap))
 }
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -15,19 +15,19 @@
 func TestStallThresholdAdaptsToStream(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(0, 0)
-	fast, slow := NewPace(PaceOptions{}, start), NewPace(PaceOptions{}, start)
+	fast, slow := NewStallDetector(StallOptions{}, start), NewStallDetector(StallOptions{}, start)
 	now := start
 	for range 50 {
 		now = now.Add(30 * time.Millisecond)
-		fast.Chunk(now)
+		fast.RecordChunk(now)
 	}
-	is.True(fast.Due().Sub(now) <= time.Second)
+	is.True(fast.Deadline().Sub(now) <= time.Second)
 	now = start
 	for range 50 {
 		now = now.Add(1500 * time.Millisecond)
-		slow.Chunk(now)
+		slow.RecordChunk(now)
 	}
-	is.True(slow.Due().Sub(now) > 3*time.Second) // a fixed timeout of one second would interrupt it
+	is.True(slow.Deadline().Sub(now) > 3*time.Second) // a fixed timeout of one second would interrupt it
 }
 
 // TestIrregularStreamIsNotStalled checks that slow but healthy streams, with gaps
@@ -37,13 +37,13 @@
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		gap := rapid.IntRange(5, 2000).Draw(t, "gap ms")
 		now := time.Unix(0, 0)
-		p := NewPace(PaceOptions{}, now)
+		p := NewStallDetector(StallOptions{}, now)
 		for i := range 300 {
 			next := now.Add(time.Duration(float64(gap)*(0.5+r.Float64())) * time.Millisecond)
-			if !next.Before(p.Due()) {
-				t.Fatalf("chunk %d counts as stalled: gap %v, threshold %v", i, next.Sub(now), p.Due().Sub(now))
+			if !next.Before(p.Deadline()) {
+				t.Fatalf("chunk %d counts as stalled: gap %v, threshold %v", i, next.Sub(now), p.Deadline().Sub(now))
 			}
-			p.Chunk(next)
+			p.RecordChunk(next)
 			now = next
 		}
 	})
@@ -55,23 +55,23 @@
 func TestDecide(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(100, 0)
-		b := Broken{
-			Delivered: rapid.IntRange(0, 3).Draw(t, "delivered"), Resumed: rapid.IntRange(0, 2).Draw(t, "resumed"),
-			Recovered: rapid.IntRange(0, 6).Draw(t, "recovered"), Permitted: rapid.Bool().Draw(t, "permitted"),
-			Repeatable: rapid.Bool().Draw(t, "repeatable"), Plain: rapid.Bool().Draw(t, "plain"),
+		b := Interruption{
+			DeliveredChunks: rapid.IntRange(0, 3).Draw(t, "delivered"), ResumeAttempts: rapid.IntRange(0, 2).Draw(t, "resumed"),
+			Recoveries: rapid.IntRange(0, 6).Draw(t, "recovered"), Permitted: rapid.Bool().Draw(t, "permitted"),
+			Repeatable: rapid.Bool().Draw(t, "repeatable"), SingleText: rapid.Bool().Draw(t, "plain"),
 			Deadline: now.Add(time.Duration(rapid.IntRange(-1, 1).Draw(t, "left")) * time.Second),
 		}
-		switch a := Decide(b, now); a {
+		switch a := NextAction(b, now); a {
 		case Restart, Continue:
-			if !b.Permitted || !b.Repeatable || (a == Restart) != (b.Delivered == 0) {
+			if !b.Permitted || !b.Repeatable || (a == Restart) != (b.DeliveredChunks == 0) {
 				t.Fatalf("action %v for %+v", a, b)
 			}
 		case Resume:
-			if b.Delivered == 0 {
+			if b.DeliveredChunks == 0 {
 				t.Fatalf("resumed although no chunk was delivered: %+v", b)
 			}
 		}
-		if !now.Before(b.Deadline) && Decide(b, now) != GiveUp {
+		if !now.Before(b.Deadline) && NextAction(b, now) != GiveUp {
 			t.Fatal("did not give up at the deadline")
 		}
 	})
--- a/ticket/claim.go
+++ b/ticket/claim.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// Voted records the vote of an arbiter. A second vote of the same arbiter is a
+// AddVote records the vote of an arbiter. A second vote of the same arbiter is a
 // duplicate and is not counted.
-func (c *Claim) Voted(arbiter contract.VMID, v Vote) {
+func (c *Claim) AddVote(arbiter contract.VMID, v Vote) {
 	if c.answered[arbiter] {
 		return
 	}
@@ -50,9 +50,9 @@
 	}
 }
 
-// Silent records that an arbiter will not reply. It may have voted nevertheless, so
+// NoReply records that an arbiter will not reply. It may have voted nevertheless, so
 // it counts neither for nor against the claim.
-func (c *Claim) Silent(arbiter contract.VMID) {
+func (c *Claim) NoReply(arbiter contract.VMID) {
 	if c.answered[arbiter] {
 		return
 	}
@@ -87,7 +87,7 @@
 		return c.result.Outcome
 	}
 	if c.votes[Nobody] >= c.ticket.BlockingQuorum() {
-		return contract.NotRun
+		return contract.OutcomeNotRun
 	}
-	return contract.Unknown
+	return contract.OutcomeUnknown
 }
--- a/ticket/register.go
+++ b/ticket/register.go
@@ -21,18 +21,18 @@
 
 // Result is the result of a request, as its claimant reported it to the arbiters.
 type Result struct {
-	Outcome contract.Outcome `cbor:"1,keyasint"`
-	Status  int              `cbor:"2,keyasint"`
-	Type    string           `cbor:"3,keyasint"`
+	Outcome     contract.Outcome `cbor:"1,keyasint"`
+	Status      int              `cbor:"2,keyasint"`
+	ContentType string           `cbor:"3,keyasint"`
 	// Body is the whole response body, or empty if it was too large to store.
 	Body []byte `cbor:"4,keyasint"`
-	// Whole is true if Body is the whole response body.
-	Whole bool `cbor:"5,keyasint"`
+	// BodyComplete is true if Body is the whole response body.
+	BodyComplete bool `cbor:"5,keyasint"`
 }
 
-// MaxKept is the largest response body that arbiters store for a retry of the
+// MaxStoredBody is the largest response body that arbiters store for a retry of the
 // caller.
-const MaxKept = 16 * contract.KiB
+const MaxStoredBody = 16 * contract.KiB
 
 // Vote is the reply of an arbiter: the claimant that has its vote, and the result
 // of the request if it is known.
@@ -49,13 +49,13 @@
 // incarnation of this one. This process has not voted.
 var ErrNotArbiter = errors.New("ticket does not name this process as an arbiter")
 
-// Register holds the votes of one arbiter. It is a pure state machine and not safe
+// VoteStore holds the votes of one arbiter. It is a pure state machine and not safe
 // for concurrent use.
 //
 // It drops a ticket only after the ticket has expired, and it uses the same clock
 // to refuse votes on expired tickets. If the clock deviates from others, a ticket
 // only ends earlier or later here; this arbiter never votes on it twice.
-type Register struct {
+type VoteStore struct {
 	self           Arbiter
 	maxTickets     int
 	votes          map[string]*voteRecord
@@ -81,20 +81,20 @@
 // retries.
 const defaultMaxStoredBytes = 16 * contract.MiB
 
-// NewRegister returns an empty register for the arbiter self, which stores at most
+// NewVoteStore returns an empty register for the arbiter self, which stores at most
 // maxTickets tickets.
-func NewRegister(self Arbiter, maxTickets int) *Register {
-	return &Register{self: self, maxTickets: maxTickets, votes: make(map[string]*voteRecord), maxStoredBytes: defaultMaxStoredBytes}
+func NewVoteStore(self Arbiter, maxTickets int) *VoteStore {
+	return &VoteStore{self: self, maxTickets: maxTickets, votes: make(map[string]*voteRecord), maxStoredBytes: defaultMaxStoredBytes}
 }
 
 // Len returns the number of stored tickets.
-func (r *Register) Len() int { return len(r.votes) }
+func (r *VoteStore) Len() int { return len(r.votes) }
 
 // Vote returns the vote on t. The first claimant that asks gets the vote.
 //
 // A lost reply is harmless: another request returns the same vote. A request that
 // arrives late gets the first vote, or ErrExpired.
-func (r *Register) Vote(t Ticket, c Claimant, now time.Time) (Vote, error) {
+func (r *VoteStore) Vote(t Ticket, c Claimant, now time.Time) (Vote, error) {
 	r.dropExpired(now)
 	if !r.isArbiterOf(t) {
 		return Vote{}, ErrNotArbiter
@@ -115,7 +115,7 @@
 
 // isArbiterOf reports whether t names this process, in its present incarnation, as
 // an arbiter.
-func (r *Register) isArbiterOf(t Ticket) bool {
+func (r *VoteStore) isArbiterOf(t Ticket) bool {
 	for _, a := range t.Arbiters {
 		if a.VM == r.self.VM && a.Incarnation == r.self.Incarnation {
 			return true
@@ -124,16 +124,16 @@
 	return false
 }
 
-// Settle stores the result of a ticket's request. It accepts only the first result,
+// StoreResult stores the result of a ticket's request. It accepts only the first result,
 // and only from the claimant that has the vote.
-func (r *Register) Settle(id string, c Claimant, result Result) {
+func (r *VoteStore) StoreResult(id string, c Claimant, result Result) {
 	e, ok := r.votes[id]
 	if !ok || e.vote != c || e.result != nil {
 		return
 	}
 	size := contract.Bytes(len(result.Body))
-	if size > MaxKept || r.storedBytes+size > r.maxStoredBytes {
-		result.Body, result.Whole, size = nil, false, 0
+	if size > MaxStoredBody || r.storedBytes+size > r.maxStoredBytes {
+		result.Body, result.BodyComplete, size = nil, false, 0
 	}
 	r.storedBytes += size
 	e.result = &result
@@ -141,7 +141,7 @@
 
 // dropExpired removes expired tickets. Tickets are stored in about the order in
 // which they expire; one that is out of order only stays a little longer.
-func (r *Register) dropExpired(now time.Time) {
+func (r *VoteStore) dropExpired(now time.Time) {
 	n := 0
 	for n < len(r.expiry) && now.Unix() >= r.expiry[n].expires+int64(resultRetentionSeconds) {
 		id := r.expiry[n].id
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -25,17 +25,17 @@
 type Arbiter struct {
 	VM          contract.VMID        `cbor:"1,keyasint"`
 	Incarnation contract.Incarnation `cbor:"2,keyasint"`
-	// Link is the UDP address of the process.
-	Link string `cbor:"3,keyasint"`
+	// Address is the UDP address of the process.
+	Address string `cbor:"3,keyasint"`
 }
 
 // Ticket permits one request to run at most once.
 type Ticket struct {
-	ID        string                `cbor:"1,keyasint"`
-	Workspace contract.WorkspaceID  `cbor:"2,keyasint"`
-	Home      contract.DataCentreID `cbor:"3,keyasint"`
-	Arbiters  []Arbiter             `cbor:"4,keyasint"`
-	Expires   int64                 `cbor:"5,keyasint"` // Unix seconds
+	ID             string                `cbor:"1,keyasint"`
+	Workspace      contract.WorkspaceID  `cbor:"2,keyasint"`
+	HomeDataCentre contract.DataCentreID `cbor:"3,keyasint"`
+	Arbiters       []Arbiter             `cbor:"4,keyasint"`
+	Expires        int64                 `cbor:"5,keyasint"` // Unix seconds
 }
 
 // Quorum returns how many votes a claim needs to win.
@@ -62,14 +62,14 @@
 // ErrExpired means that a ticket can no longer be claimed.
 var ErrExpired = errors.New("ticket has expired")
 
-// Office issues and verifies tickets.
-type Office struct{ key *sign.Key }
+// Signer issues and verifies tickets.
+type Signer struct{ key *sign.Key }
 
-// NewOffice returns an Office that uses the fleet's signing key.
-func NewOffice(secret []byte) *Office { return &Office{key: sign.NewKey(secret, keyPurpose)} }
+// NewSigner returns an Office that uses the fleet's signing key.
+func NewSigner(secret []byte) *Signer { return &Signer{key: sign.NewKey(secret, keyPurpose)} }
 
 // Issue returns a signed ticket that expires Lifetime from now.
-func (o *Office) Issue(t Ticket, now time.Time) (string, error) {
+func (o *Signer) Issue(t Ticket, now time.Time) (string, error) {
 	t.Expires = now.Add(Lifetime).Unix()
 	return o.key.Sign(t)
 }
@@ -77,9 +77,9 @@
 // Open verifies and decodes a ticket presented by workspace w. It fails with
 // sign.ErrForged or ErrOtherWorkspace. An expired ticket still opens, because its
 // result can still be requested.
-func (o *Office) Open(text string, w contract.WorkspaceID) (Ticket, error) {
+func (o *Signer) Open(text string, w contract.WorkspaceID) (Ticket, error) {
 	var t Ticket
-	if err := o.key.Open(text, &t); err != nil {
+	if err := o.key.Verify(text, &t); err != nil {
 		return Ticket{}, err
 	}
 	if t.Workspace != w {
--- a/ticket/ticket_test.go
+++ b/ticket/ticket_test.go
@@ -27,7 +27,7 @@
 type simulation struct {
 	t         *rapid.T
 	ticket    Ticket
-	registers []*Register // nil: dead or replaced, has no vote
+	registers []*VoteStore // nil: dead or replaced, has no vote
 	claims    []*Claim
 	now       time.Time
 	ran       map[Claimant]bool
@@ -39,7 +39,7 @@
 	s := &simulation{t: t, now: start, ran: make(map[Claimant]bool)}
 	s.ticket = Ticket{ID: "t", Arbiters: arbiters(n), Expires: start.Add(Lifetime).Unix()}
 	for _, a := range s.ticket.Arbiters {
-		s.registers = append(s.registers, NewRegister(a, 10))
+		s.registers = append(s.registers, NewVoteStore(a, 10))
 	}
 	return s
 }
@@ -60,22 +60,22 @@
 	i := rapid.IntRange(0, len(s.registers)-1).Draw(s.t, "arbiter")
 	vm := s.ticket.Arbiters[i].VM
 	if s.registers[i] == nil {
-		c.Silent(vm)
+		c.NoReply(vm)
 		return
 	}
 	vote, err := s.registers[i].Vote(s.ticket, c.claimant, s.now)
 	if err != nil {
-		c.Silent(vm)
+		c.NoReply(vm)
 		return
 	}
 	switch rapid.SampledFrom([]string{"answer", "lost", "twice"}).Draw(s.t, "reply") {
 	case "answer":
-		c.Voted(vm, vote)
+		c.AddVote(vm, vote)
 	case "twice":
-		c.Voted(vm, vote)
-		c.Voted(vm, vote)
+		c.AddVote(vm, vote)
+		c.AddVote(vm, vote)
 	case "lost":
-		c.Silent(vm) // the vote counts, but the claim never receives it
+		c.NoReply(vm) // the vote counts, but the claim never receives it
 	}
 }
 
@@ -87,7 +87,7 @@
 		if c.State() == Won {
 			s.ran[c.claimant] = true
 		}
-		if c.State() == Lost && c.Outcome() == contract.NotRun {
+		if c.State() == Lost && c.Outcome() == contract.OutcomeNotRun {
 			proved = true
 		}
 	}
@@ -156,17 +156,17 @@
 	is.Equal(runs, 2) // a single owner runs it twice
 
 	tk := Ticket{ID: "t", Arbiters: arbiters(1), Expires: start.Add(Lifetime).Unix()}
-	first := NewRegister(tk.Arbiters[0], 10)
+	first := NewVoteStore(tk.Arbiters[0], 10)
 	vote, err := first.Vote(tk, Claimant{VM: "a"}, start)
 	is.NoErr(err)
 	is.Equal(vote.For, Claimant{VM: "a"})
-	replacement := NewRegister(Arbiter{VM: tk.Arbiters[0].VM, Incarnation: 2}, 10)
+	replacement := NewVoteStore(Arbiter{VM: tk.Arbiters[0].VM, Incarnation: 2}, 10)
 	_, err = replacement.Vote(tk, Claimant{VM: "b"}, start)
 	is.Equal(err, ErrNotArbiter)
 	c := NewClaim(tk, Claimant{VM: "b"})
-	c.Silent(tk.Arbiters[0].VM)
+	c.NoReply(tk.Arbiters[0].VM)
 	is.Equal(c.State(), Lost)
-	is.Equal(c.Outcome(), contract.Unknown) // the request may have run
+	is.Equal(c.Outcome(), contract.OutcomeUnknown) // the request may have run
 }
 
 // TestSurvivorProvesNotRun checks that the survivor of two arbiters can prove that
@@ -174,13 +174,13 @@
 func TestSurvivorProvesNotRun(t *testing.T) {
 	is := is.New(t)
 	tk := Ticket{ID: "t", Arbiters: arbiters(2), Expires: start.Add(Lifetime).Unix()}
-	survivor := NewRegister(tk.Arbiters[1], 10)
+	survivor := NewVoteStore(tk.Arbiters[1], 10)
 	c := NewClaim(tk, Nobody)
-	c.Silent(tk.Arbiters[0].VM)
+	c.NoReply(tk.Arbiters[0].VM)
 	vote, err := survivor.Vote(tk, Nobody, start)
 	is.NoErr(err)
-	c.Voted(tk.Arbiters[1].VM, vote)
-	is.Equal(c.Outcome(), contract.NotRun)
+	c.AddVote(tk.Arbiters[1].VM, vote)
+	is.Equal(c.Outcome(), contract.OutcomeNotRun)
 	late, err := survivor.Vote(tk, Claimant{VM: "late"}, start)
 	is.NoErr(err)
 	is.Equal(late.For, Nobody) // a later claim never gets this vote
@@ -193,11 +193,11 @@
 	tk := Ticket{ID: "t", Arbiters: arbiters(2), Expires: start.Add(Lifetime).Unix()}
 	x, y := Claimant{VM: "x"}, Claimant{VM: "y"}
 	cx, cy := NewClaim(tk, x), NewClaim(tk, y)
-	registers := []*Register{NewRegister(tk.Arbiters[0], 10), NewRegister(tk.Arbiters[1], 10)}
+	registers := []*VoteStore{NewVoteStore(tk.Arbiters[0], 10), NewVoteStore(tk.Arbiters[1], 10)}
 	requestVote := func(c *Claim, claimant Claimant, i int) Vote {
 		vote, err := registers[i].Vote(tk, claimant, start)
 		is.NoErr(err)
-		c.Voted(tk.Arbiters[i].VM, vote)
+		c.AddVote(tk.Arbiters[i].VM, vote)
 		return vote
 	}
 	is.Equal(requestVote(cx, x, 0).For, x)
@@ -206,14 +206,14 @@
 	is.Equal(requestVote(cy, y, 0).For, x)
 	is.Equal(cx.State(), Lost)
 	is.Equal(cy.State(), Lost)
-	is.Equal(cx.Outcome(), contract.Unknown)
+	is.Equal(cx.Outcome(), contract.OutcomeUnknown)
 }
 
 // TestTicketIsBoundToWorkspace checks that a ticket opens only for its workspace,
 // and that an altered ticket or one with another signing key is rejected.
 func TestTicketIsBoundToWorkspace(t *testing.T) {
 	is := is.New(t)
-	signer := NewOffice([]byte("0123456789abcdef0123456789abcdef"))
+	signer := NewSigner([]byte("0123456789abcdef0123456789abcdef"))
 	text, err := signer.Issue(Ticket{ID: "t", Workspace: "w", Arbiters: arbiters(2)}, start)
 	is.NoErr(err)
 	got, err := signer.Open(text, "w")
@@ -222,9 +222,9 @@
 	_, err = signer.Open(text, "other")
 	is.Equal(err, ErrOtherWorkspace)
 	_, err = signer.Open("x"+text, "w")
-	is.Equal(err, sign.ErrForged)
-	_, err = NewOffice([]byte("another key of another fleet....")).Open(text, "w")
-	is.Equal(err, sign.ErrForged)
+	is.Equal(err, sign.ErrInvalidSignature)
+	_, err = NewSigner([]byte("another key of another fleet....")).Open(text, "w")
+	is.Equal(err, sign.ErrInvalidSignature)
 }
 
 // TestNotRunRequiresBlockingQuorum checks that one of three votes for Nobody proves
@@ -235,20 +235,20 @@
 	x := Claimant{VM: "x"}
 	majority, notRun := NewClaim(tk, x), NewClaim(tk, Nobody)
 	for i, a := range tk.Arbiters {
-		r := NewRegister(a, 10)
+		r := NewVoteStore(a, 10)
 		c, claimant := majority, x
 		if i == 2 {
 			c, claimant = notRun, Nobody
 		}
 		vote, err := r.Vote(tk, claimant, start)
 		is.NoErr(err)
-		c.Voted(a.VM, vote)
+		c.AddVote(a.VM, vote)
 	}
-	notRun.Silent(tk.Arbiters[0].VM)
-	notRun.Silent(tk.Arbiters[1].VM)
+	notRun.NoReply(tk.Arbiters[0].VM)
+	notRun.NoReply(tk.Arbiters[1].VM)
 	is.Equal(majority.State(), Won)
 	is.Equal(notRun.State(), Lost)
-	is.Equal(notRun.Outcome(), contract.Unknown)
+	is.Equal(notRun.Outcome(), contract.OutcomeUnknown)
 }
 
 // TestFullRegisterRefusesVotes checks that a full register returns ErrRegisterFull,
@@ -256,7 +256,7 @@
 func TestFullRegisterRefusesVotes(t *testing.T) {
 	is := is.New(t)
 	self := arbiters(1)
-	r := NewRegister(self[0], 2)
+	r := NewVoteStore(self[0], 2)
 	now := start
 	for i := range 2 {
 		tk := Ticket{ID: fmt.Sprint(i), Arbiters: self, Expires: start.Add(Lifetime).Unix()}
@@ -278,18 +278,18 @@
 func TestResultStoredForRetry(t *testing.T) {
 	is := is.New(t)
 	tk := Ticket{ID: "t", Arbiters: arbiters(1), Expires: start.Add(Lifetime).Unix()}
-	r := NewRegister(tk.Arbiters[0], 10)
+	r := NewVoteStore(tk.Arbiters[0], 10)
 	a := Claimant{VM: "a"}
 	_, err := r.Vote(tk, a, start)
 	is.NoErr(err)
-	r.Settle("t", Claimant{VM: "b"}, Result{Outcome: contract.NotRun}) // not the claimant with the vote
-	r.Settle("t", a, Result{Outcome: contract.Ran, Body: []byte("done"), Whole: true})
-	r.Settle("t", a, Result{Outcome: contract.NotRun}) // ignored: the first result counts
+	r.StoreResult("t", Claimant{VM: "b"}, Result{Outcome: contract.OutcomeNotRun}) // not the claimant with the vote
+	r.StoreResult("t", a, Result{Outcome: contract.OutcomeRan, Body: []byte("done"), BodyComplete: true})
+	r.StoreResult("t", a, Result{Outcome: contract.OutcomeNotRun}) // ignored: the first result counts
 	vote, err := r.Vote(tk, Claimant{VM: "b"}, start)
 	is.NoErr(err)
 	c := NewClaim(tk, Claimant{VM: "b"})
-	c.Voted(tk.Arbiters[0].VM, vote)
+	c.AddVote(tk.Arbiters[0].VM, vote)
 	is.Equal(c.State(), Lost)
-	is.Equal(c.Outcome(), contract.Ran)
+	is.Equal(c.Outcome(), contract.OutcomeRan)
 	is.Equal(string(c.Result().Body), "done")
 }
--- a/upstream/cold.go
+++ b/upstream/cold.go
@@ -22,11 +22,11 @@
 // ColdBound limits the requests to an upstream of a service while the upstream is cold. The
 // zero value means that it is never cold.
 type ColdBound struct {
-	// For is how long an upstream stays cold after its start.
-	For time.Duration
-	// Bears is the request rate per second that a cold upstream sustains. Most is the
+	// Duration is how long an upstream stays cold after its start.
+	Duration time.Duration
+	// PerSecond is the request rate per second that a cold upstream sustains. Most is the
 	// maximum number of requests from all VMs together in any one second.
-	Bears, Most float64
+	PerSecond, MaxPerSecond float64
 }
 
 // disjointViews is how many membership views without a common owner together stay within
@@ -37,8 +37,8 @@
 // owner may send it per second. Together they use as much of the bound as possible, split
 // among as many owners as possible, so that losing one owner costs little.
 func (b ColdBound) ownerShares(vms int) (owners, each int) {
-	budget := int(min(b.Bears, b.Most/disjointViews))
-	if budget == 0 && b.Most >= 1 {
+	budget := int(min(b.PerSecond, b.MaxPerSecond/disjointViews))
+	if budget == 0 && b.MaxPerSecond >= 1 {
 		budget = 1
 	}
 	for k := 1; k <= min(vms, budget); k++ {
@@ -96,13 +96,13 @@
 
 // ColdTransition lists upstreams that have become cold for the same reason.
 type ColdTransition struct {
-	Why       string
+	Reason    string
 	Upstreams []contract.UpstreamID
-	For       time.Duration
+	Duration  time.Duration
 }
 
-// Chilled returns the transitions to cold since the last call.
-func (t *Table) Chilled() []ColdTransition {
+// TakeColdTransitions returns the transitions to cold since the last call.
+func (t *Table) TakeColdTransitions() []ColdTransition {
 	out := t.coldTransitions
 	t.coldTransitions = nil
 	return out
@@ -117,10 +117,10 @@
 	if wasCold || d <= 0 {
 		return
 	}
-	i := slices.IndexFunc(t.coldTransitions, func(c ColdTransition) bool { return c.Why == why })
+	i := slices.IndexFunc(t.coldTransitions, func(c ColdTransition) bool { return c.Reason == why })
 	if i < 0 {
 		i = len(t.coldTransitions)
-		t.coldTransitions = append(t.coldTransitions, ColdTransition{Why: why, For: d})
+		t.coldTransitions = append(t.coldTransitions, ColdTransition{Reason: why, Duration: d})
 	}
 	t.coldTransitions[i].Upstreams = append(t.coldTransitions[i].Upstreams, s.upstream.ID)
 }
@@ -129,11 +129,11 @@
 // this VM, after the VM has received a first list, is assumed to have just started.
 func (t *Table) applyEntryColdness(s *state, e Entry, b ColdBound, isNew bool, now time.Time) {
 	s.cold.bound = b
-	if b.Most == 0 {
+	if b.MaxPerSecond == 0 {
 		return
 	}
 	if isNew && t.listReceived {
-		t.markCold(s, b.For, coldAfterStart, now)
+		t.markCold(s, b.Duration, coldAfterStart, now)
 	}
 	if e.Cold > 0 && e.Revision != s.cold.entryRevision {
 		t.markCold(s, e.Cold, coldByEntry, now)
@@ -145,20 +145,20 @@
 // connections failed may have restarted, and would return cold.
 func (t *Table) detectCold(s *state, r Result, now time.Time) {
 	c := &s.cold
-	if c.bound.Most == 0 {
+	if c.bound.MaxPerSecond == 0 {
 		return
 	}
 	switch r {
-	case Unreachable, Down, Broken:
+	case Unreachable, ConnectionRefused, Broken:
 		c.connectionsFailed, c.connectionsFailedAt = true, now
-		t.markCold(s, c.bound.For+recoveryMargin, coldAfterConnectionFailure, now)
+		t.markCold(s, c.bound.Duration+recoveryMargin, coldAfterConnectionFailure, now)
 		t.markCentreCold(s, now)
-	case Good, Failed, TurnedAway:
+	case Succeeded, Failed, Rejected:
 		if c.connectionsFailed {
 			c.connectionsFailed = false
-			t.markCold(s, c.bound.For, coldAfterRecovery, now)
+			t.markCold(s, c.bound.Duration, coldAfterRecovery, now)
 		}
-	case Abandoned, Full:
+	case Abandoned, NoConnection:
 	}
 }
 
@@ -167,11 +167,11 @@
 func (t *Table) markCentreCold(reference *state, now time.Time) {
 	total, failed := 0, 0
 	for _, s := range t.byDataCentre[reference.pool.DataCentre] {
-		if s.cold.bound.Most == 0 {
+		if s.cold.bound.MaxPerSecond == 0 {
 			continue
 		}
 		total++
-		if !s.cold.connectionsFailedAt.IsZero() && now.Sub(s.cold.connectionsFailedAt) <= reference.cold.bound.For+recoveryMargin {
+		if !s.cold.connectionsFailedAt.IsZero() && now.Sub(s.cold.connectionsFailedAt) <= reference.cold.bound.Duration+recoveryMargin {
 			failed++
 		}
 	}
@@ -179,18 +179,18 @@
 		return
 	}
 	for _, s := range t.byDataCentre[reference.pool.DataCentre] {
-		if s.cold.bound.Most > 0 {
-			t.markCold(s, s.cold.bound.For+recoveryMargin, coldAfterCentreFailure, now)
+		if s.cold.bound.MaxPerSecond > 0 {
+			t.markCold(s, s.cold.bound.Duration+recoveryMargin, coldAfterCentreFailure, now)
 		}
 	}
 }
 
-// TakenBack records that the evacuation of a data centre was cancelled: its upstreams may
+// EvacuationCancelled records that the evacuation of a data centre was cancelled: its upstreams may
 // have become cold shortly before.
-func (t *Table) TakenBack(dc contract.DataCentreID, now time.Time) {
+func (t *Table) EvacuationCancelled(dc contract.DataCentreID, now time.Time) {
 	for _, s := range t.byDataCentre[dc] {
-		if s.cold.bound.Most > 0 {
-			t.markCold(s, s.cold.bound.For, coldAfterEvacuation, now)
+		if s.cold.bound.MaxPerSecond > 0 {
+			t.markCold(s, s.cold.bound.Duration, coldAfterEvacuation, now)
 		}
 	}
 }
@@ -205,7 +205,7 @@
 		return false
 	}
 	owners, each := s.cold.bound.ownerShares(len(t.owners.VMs))
-	if t.owners.Unsure {
+	if t.owners.Incomplete {
 		each = min(each, 1)
 	}
 	return t.ownerRank(s) < owners && s.cold.recentSends(now) < each
@@ -220,14 +220,14 @@
 // recordSend records a request to the upstream. Requests to warm upstreams are recorded too,
 // since an upstream may become cold at any moment.
 func (c *coldState) recordSend(now time.Time) {
-	if c.bound.Most == 0 {
+	if c.bound.MaxPerSecond == 0 {
 		return
 	}
 	c.sentAt = append(c.sentAt[:c.recentSends(now)], now)
 }
 
-// Cold returns how many upstreams are assumed to be cold.
-func (t *Table) Cold(now time.Time) int {
+// CountCold returns how many upstreams are assumed to be cold.
+func (t *Table) CountCold(now time.Time) int {
 	n := 0
 	for _, s := range t.sortedStates {
 		if now.Before(s.cold.until) {
--- a/upstream/cold_test.go
+++ b/upstream/cold_test.go
@@ -11,11 +11,11 @@
 	"pgregory.net/rapid"
 
 	"woaddoor/contract"
-	"woaddoor/reading"
+	"woaddoor/prefill"
 )
 
 // testColdBound allows 20 requests in any second and a sustained rate of 10 per second.
-var testColdBound = ColdBound{For: 3 * time.Second, Bears: 10, Most: 20}
+var testColdBound = ColdBound{Duration: 3 * time.Second, PerSecond: 10, MaxPerSecond: 20}
 
 func coldList(entries []Entry, now time.Time) List {
 	return List{
@@ -25,7 +25,7 @@
 }
 
 func coldEntry(id string, born int64) Entry {
-	return Entry{ID: contract.UpstreamID(id), Service: "s", Address: id, DataCentre: "d", Release: "v1", Slots: 8, Born: born, Revision: 1}
+	return Entry{ID: contract.UpstreamID(id), Service: "s", Address: id, DataCentre: "d", Release: "v1", Slots: 8, Incarnation: born, Revision: 1}
 }
 
 // soleOwner describes the owners in a data centre with a single VM.
@@ -43,10 +43,10 @@
 		{testColdBound, 6, 5, 2},
 		{testColdBound, 21, 10, 1},
 		{testColdBound, 59, 10, 1},
-		{ColdBound{Bears: 5, Most: 12.5}, 21, 5, 1},
-		{ColdBound{Bears: 10, Most: 10}, 21, 5, 1}, // two disjoint membership views have to fit
-		{ColdBound{Bears: 0.5, Most: 1}, 21, 1, 1},
-		{ColdBound{Bears: 0.5, Most: 0.75}, 21, 0, 0},
+		{ColdBound{PerSecond: 5, MaxPerSecond: 12.5}, 21, 5, 1},
+		{ColdBound{PerSecond: 10, MaxPerSecond: 10}, 21, 5, 1}, // two disjoint membership views have to fit
+		{ColdBound{PerSecond: 0.5, MaxPerSecond: 1}, 21, 1, 1},
+		{ColdBound{PerSecond: 0.5, MaxPerSecond: 0.75}, 21, 0, 0},
 	} {
 		t.Run(fmt.Sprintf("%v %d", c.bound, c.vms), func(t *testing.T) {
 			owners, each := c.bound.ownerShares(c.vms)
@@ -79,8 +79,8 @@
 		}
 		tb := NewTable(Options{Listed: true})
 		tb.SetOwners("d", Owners{Self: id, VMs: view})
-		tb.ConfigureList(coldList([]Entry{coldEntry("other", 1)}, f.now))
-		tb.ConfigureList(coldList([]Entry{coldEntry("cold", 1), coldEntry("other", 1)}, f.now))
+		tb.ApplyList(coldList([]Entry{coldEntry("other", 1)}, f.now))
+		tb.ApplyList(coldList([]Entry{coldEntry("cold", 1), coldEntry("other", 1)}, f.now))
 		f.tables = append(f.tables, tb)
 	}
 	return f
@@ -102,7 +102,7 @@
 // overload sends far more requests to all VMs than a cold upstream can handle. Each request goes to
 // the upstream if send allows the VM to send it.
 func (f *coldFleet) overload(rate float64, send func(tb *Table, now time.Time) bool) {
-	for end := f.now.Add(testColdBound.For); ; {
+	for end := f.now.Add(testColdBound.Duration); ; {
 		f.now = f.now.Add(time.Duration(f.random.ExpFloat64() / rate * float64(time.Second)))
 		if !f.now.Before(end) {
 			return // the upstream is warm from now on
@@ -134,11 +134,11 @@
 		halves := rapid.Bool().Draw(t, "halves")
 		f := newColdFleet(n, halves, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
 		f.overload(4000, sendAsOwner)
-		if got := f.maxPerSecond(); float64(got) > testColdBound.Most {
-			t.Fatalf("%d requests in one second, at most %v allowed", got, testColdBound.Most)
+		if got := f.maxPerSecond(); float64(got) > testColdBound.MaxPerSecond {
+			t.Fatalf("%d requests in one second, at most %v allowed", got, testColdBound.MaxPerSecond)
 		}
-		if mean := float64(len(f.arrivals)) / testColdBound.For.Seconds(); mean < 0.7*testColdBound.Bears {
-			t.Fatalf("%.1f requests per second, the upstream sustains %v", mean, testColdBound.Bears)
+		if mean := float64(len(f.arrivals)) / testColdBound.Duration.Seconds(); mean < 0.7*testColdBound.PerSecond {
+			t.Fatalf("%.1f requests per second, the upstream sustains %v", mean, testColdBound.PerSecond)
 		}
 	})
 }
@@ -149,13 +149,13 @@
 	f := newColdFleet(59, false, rand.New(rand.NewPCG(1, 1)))
 	last := make(map[*Table]time.Time)
 	f.overload(4000, func(tb *Table, now time.Time) bool {
-		if each := time.Duration(float64(time.Second) * 59 / testColdBound.Bears); now.Sub(last[tb]) < each {
+		if each := time.Duration(float64(time.Second) * 59 / testColdBound.PerSecond); now.Sub(last[tb]) < each {
 			return false
 		}
 		last[tb] = now
 		return true
 	})
-	is.New(t).True(float64(f.maxPerSecond()) > testColdBound.Most)
+	is.New(t).True(float64(f.maxPerSecond()) > testColdBound.MaxPerSecond)
 }
 
 // TestUpstreamIsMarkedCold checks which events mark an upstream as cold, and for how long.
@@ -163,8 +163,8 @@
 	start := time.Unix(1000, 0)
 	entries := []Entry{coldEntry("a", 1), coldEntry("b", 1), coldEntry("c", 1)}
 	done := func(tb *Table, id contract.UpstreamID, r Result, now time.Time) {
-		tb.Sent(id)
-		tb.Done(id, r, 0, now)
+		tb.RecordSent(id)
+		tb.RecordDone(id, r, 0, now)
 	}
 	for name, c := range map[string]struct {
 		change func(tb *Table)
@@ -174,29 +174,29 @@
 		"its list entry reports it as cold": {func(tb *Table) {
 			e := coldEntry("a", 1)
 			e.Cold, e.Revision = time.Second, 2
-			tb.ConfigureList(coldList([]Entry{e, entries[1]}, start))
+			tb.ApplyList(coldList([]Entry{e, entries[1]}, start))
 		}, time.Second},
 		"started while this VM runs, not reported as cold": {func(tb *Table) {
-			tb.ConfigureList(coldList(entries[1:], start))
-			tb.ConfigureList(coldList(entries, start))
-		}, testColdBound.For},
+			tb.ApplyList(coldList(entries[1:], start))
+			tb.ApplyList(coldList(entries, start))
+		}, testColdBound.Duration},
 		"restarted under the same ID": {func(tb *Table) {
-			tb.ConfigureList(coldList([]Entry{coldEntry("a", 2), entries[1]}, start))
-		}, testColdBound.For},
-		"connections to it fail":                      {func(tb *Table) { done(tb, "a", Down, start) }, testColdBound.For + recoveryMargin},
-		"its answers break off":                       {func(tb *Table) { done(tb, "a", Broken, start) }, testColdBound.For + recoveryMargin},
+			tb.ApplyList(coldList([]Entry{coldEntry("a", 2), entries[1]}, start))
+		}, testColdBound.Duration},
+		"connections to it fail":                      {func(tb *Table) { done(tb, "a", ConnectionRefused, start) }, testColdBound.Duration + recoveryMargin},
+		"its answers break off":                       {func(tb *Table) { done(tb, "a", Broken, start) }, testColdBound.Duration + recoveryMargin},
 		"it answers with a failure":                   {func(tb *Table) { done(tb, "a", Failed, start) }, 0},
-		"another upstream in its data centre is down": {func(tb *Table) { done(tb, "b", Down, start) }, 0},
+		"another upstream in its data centre is down": {func(tb *Table) { done(tb, "b", ConnectionRefused, start) }, 0},
 		"several upstreams in its data centre are unreachable": {func(tb *Table) {
 			done(tb, "b", Unreachable, start)
 			done(tb, "c", Unreachable, start)
-		}, testColdBound.For + recoveryMargin},
-		"the evacuation of its data centre is cancelled": {func(tb *Table) { tb.TakenBack("d", start) }, testColdBound.For},
+		}, testColdBound.Duration + recoveryMargin},
+		"the evacuation of its data centre is cancelled": {func(tb *Table) { tb.EvacuationCancelled("d", start) }, testColdBound.Duration},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			tb := NewTable(Options{Listed: true})
-			tb.ConfigureList(coldList(entries, start))
+			tb.ApplyList(coldList(entries, start))
 			c.change(tb)
 			is.Equal(tb.withinBounds(tb.states["a"], start), c.cold == 0) // a cold upstream gets nothing while no owner is known
 			is.True(c.cold == 0 || !tb.withinBounds(tb.states["a"], start.Add(c.cold-1)))
@@ -213,15 +213,15 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tb := NewTable(Options{Listed: true})
-	tb.ConfigureList(coldList([]Entry{coldEntry("a", 1)}, now))
-	tb.Sent("a")
-	tb.Done("a", Down, 0, now)
+	tb.ApplyList(coldList([]Entry{coldEntry("a", 1)}, now))
+	tb.RecordSent("a")
+	tb.RecordDone("a", ConnectionRefused, 0, now)
 	now = now.Add(time.Minute)
 	is.True(tb.withinBounds(tb.states["a"], now))
-	tb.Sent("a")
-	tb.Done("a", Good, 0, now)
-	is.True(!tb.withinBounds(tb.states["a"], now.Add(testColdBound.For-1)))
-	is.True(tb.withinBounds(tb.states["a"], now.Add(testColdBound.For)))
+	tb.RecordSent("a")
+	tb.RecordDone("a", Succeeded, 0, now)
+	is.True(!tb.withinBounds(tb.states["a"], now.Add(testColdBound.Duration-1)))
+	is.True(tb.withinBounds(tb.states["a"], now.Add(testColdBound.Duration)))
 }
 
 // TestLastResortRespectsColdBound checks that a request goes to a suspected upstream as a last
@@ -231,9 +231,9 @@
 	now := time.Unix(1000, 0)
 	tb := NewTable(Options{Listed: true})
 	tb.SetOwners("d", soleOwner)
-	tb.ConfigureList(coldList([]Entry{coldEntry("a", 1)}, now))
-	tb.Sent("a")
-	tb.Done("a", Down, 0, now)
+	tb.ApplyList(coldList([]Entry{coldEntry("a", 1)}, now))
+	tb.RecordSent("a")
+	tb.RecordDone("a", ConnectionRefused, 0, now)
 	sent := 0
 	for range 100 {
 		if _, err := tb.Pick(listedQuery, now, seededRandom()); err == nil {
@@ -249,11 +249,11 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tb := NewTable(Options{Listed: true})
-	tb.ConfigureList(coldList([]Entry{coldEntry("a", 1)}, now))
-	tb.TakenBack("d", now)
+	tb.ApplyList(coldList([]Entry{coldEntry("a", 1)}, now))
+	tb.EvacuationCancelled("d", now)
 	s := tb.states["a"]
 	is.True(!tb.withinBounds(s, now))
-	tb.SetOwners("d", Owners{Self: "v", VMs: []contract.VMID{"v"}, Unsure: true})
+	tb.SetOwners("d", Owners{Self: "v", VMs: []contract.VMID{"v"}, Incomplete: true})
 	is.True(tb.withinBounds(s, now))
 	s.cold.recordSend(now)
 	is.True(!tb.withinBounds(s, now.Add(time.Second)))
@@ -266,25 +266,25 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tb := NewTable(Options{Listed: true})
-	list := func(born int64) { tb.ConfigureList(coldList([]Entry{coldEntry("a", born)}, now)) }
+	list := func(born int64) { tb.ApplyList(coldList([]Entry{coldEntry("a", born)}, now)) }
 	list(1)
-	prompt := reading.Prompt{Model: "m", Tokens: 900, Parts: []reading.Part{{Key: 1, Tokens: 600}, {Key: 2, Tokens: 300}}}
+	prompt := prefill.Prompt{Model: "m", Tokens: 900, Parts: []prefill.Part{{Key: 1, Tokens: 600}, {Key: 2, Tokens: 300}}}
 	w := Work{Prompt: prompt, Objective: time.Second}
-	tb.Sent("a")
-	tb.Expect("a", w, "d", now)
+	tb.RecordSent("a")
+	tb.RecordExpected("a", w, "d", now)
 	for range 4 {
-		tb.Sent("a")
-		tb.Done("a", Failed, 0, now)
+		tb.RecordSent("a")
+		tb.RecordDone("a", Failed, 0, now)
 	}
 	before := tb.states["a"]
 	is.True(before.health.failureRate > 0)
-	is.Equal(before.prefixCache.Of(prompt), 600)
+	is.Equal(before.prefixCache.CachedTokens(prompt), 600)
 	list(1)
 	is.Equal(tb.states["a"], before) // unchanged for the same instance
 	list(2)
 	after := tb.states["a"]
 	is.Equal(after.health.failureRate, 0.0)
-	is.Equal(after.prefixCache.Of(prompt), 0)
+	is.Equal(after.prefixCache.CachedTokens(prompt), 0)
 	is.Equal(after.inFlight, 0)
 	is.Equal(after.queue.Wait(now), time.Duration(0))
 }
--- a/upstream/cost.go
+++ b/upstream/cost.go
@@ -7,13 +7,13 @@
 
 	"woaddoor/cascade"
 	"woaddoor/contract"
-	"woaddoor/reading"
+	"woaddoor/prefill"
 )
 
 // Work is the work that a request causes at an upstream. The zero value is a call to a plain
 // service.
 type Work struct {
-	Prompt reading.Prompt
+	Prompt prefill.Prompt
 	// Objective is the time from the arrival of the request within which its answer should
 	// begin, and Elapsed how long ago the request arrived.
 	Objective, Elapsed time.Duration
@@ -47,8 +47,8 @@
 // from requests that other VMs send meanwhile and from chunks of other prompts.
 const lateRiskSpread = 0.12
 
-// ObjectivePart returns the time d since the arrival of a request as a fraction of its objective.
-func ObjectivePart(d, objective time.Duration) float64 {
+// ObjectiveFraction returns the time d since the arrival of a request as a fraction of its objective.
+func ObjectiveFraction(d, objective time.Duration) float64 {
 	return d.Seconds() / max(objective.Seconds(), minObjectiveSeconds)
 }
 
@@ -59,17 +59,17 @@
 // Estimate is the expected timing of a request at an upstream.
 type Estimate struct {
 	// Wait is the time until prefill of the prompt starts, Reading the duration of prefill.
-	Wait, Reading time.Duration
-	// Kept is the number of prompt tokens that are cached and need no prefill.
-	Kept int
+	Wait, Prefill time.Duration
+	// CachedTokens is the number of prompt tokens that are cached and need no prefill.
+	CachedTokens int
 }
 
-// First returns the time until the answer is expected to begin; zero for the zero value.
-func (e Estimate) First() time.Duration {
+// TimeToFirstToken returns the time until the answer is expected to begin; zero for the zero value.
+func (e Estimate) TimeToFirstToken() time.Duration {
 	if e == (Estimate{}) {
 		return 0
 	}
-	return e.Wait + e.Reading + reading.Base
+	return e.Wait + e.Prefill + prefill.BaseLatency
 }
 
 // estimate returns the expected timing of a request at an upstream.
@@ -77,11 +77,11 @@
 	slowness := s.health.slownessVsEstimate()
 	kept := 0
 	if t.opts.Policy.Has(PrefixCaching) {
-		kept = s.prefixCache.Of(w.Prompt)
+		kept = s.prefixCache.CachedTokens(w.Prompt)
 	}
-	e := Estimate{Wait: t.queueWait(s, dc, now), Reading: t.prefillRates.Reading(w.Prompt.Model, w.Prompt.Tokens-kept), Kept: kept}
+	e := Estimate{Wait: t.queueWait(s, dc, now), Prefill: t.prefillRates.PrefillTime(w.Prompt.Model, w.Prompt.Tokens-kept), CachedTokens: kept}
 	e.Wait = time.Duration(slowness * float64(e.Wait+t.slotWait(s)))
-	e.Reading = time.Duration(slowness * float64(e.Reading))
+	e.Prefill = time.Duration(slowness * float64(e.Prefill))
 	return e
 }
 
@@ -168,8 +168,8 @@
 	if q.Work.hasPrompt() {
 		loadCost = s.expectedLoad() / float64(s.pool.Slots) * fullLoadCost / ownRequestWeight
 		e := t.estimate(s, q.Work, q.DataCentre, now)
-		objectivePart := ObjectivePart(q.Work.Elapsed+e.First(), q.Work.Objective)
-		cost += cascade.LateLoss*LateRisk(objectivePart) + waitCost*objectivePart + t.Price(e)
+		objectivePart := ObjectiveFraction(q.Work.Elapsed+e.TimeToFirstToken(), q.Work.Objective)
+		cost += cascade.LatePenalty*LateRisk(objectivePart) + waitCost*objectivePart + t.PrefillPrice(e)
 	} else {
 		loadCost *= s.health.slownessVsPool()
 	}
@@ -202,8 +202,8 @@
 	return first, second
 }
 
-// Best returns the estimate for a request at the upstream that it would be sent to now.
-func (t *Table) Best(q Query, now time.Time, random *rand.Rand) (Estimate, bool) {
+// EstimateBest returns the estimate for a request at the upstream that it would be sent to now.
+func (t *Table) EstimateBest(q Query, now time.Time, random *rand.Rand) (Estimate, bool) {
 	best := t.cheapest(q, now, false, random)
 	if best == nil {
 		return Estimate{}, false
--- a/upstream/group.go
+++ b/upstream/gossip_scope.go
@@ -6,9 +6,9 @@
 	"woaddoor/contract"
 )
 
-// Group defines for which upstreams this VM learns which requests other VMs send to them.
+// GossipScope defines for which upstreams this VM learns which requests other VMs send to them.
 // The zero value covers the upstreams of this VM's own data centre.
-type Group struct {
+type GossipScope struct {
 	// Region means that VMs of other data centres also announce their requests.
 	Region bool
 	// VMs is how many VMs send requests to the covered upstreams: the VMs of the region or
@@ -29,8 +29,8 @@
 	return t.gossipScope.Region || s.pool.DataCentre == dc
 }
 
-// SetGroup sets for which upstreams this VM learns of other VMs' requests.
-func (t *Table) SetGroup(g Group) { t.gossipScope = g }
+// SetGossipScope sets for which upstreams this VM learns of other VMs' requests.
+func (t *Table) SetGossipScope(g GossipScope) { t.gossipScope = g }
 
 // updateMeanWait computes the mean queue wait at the covered engines that receive prompts.
 func (t *Table) updateMeanWait(dc contract.DataCentreID, now time.Time) {
--- a/upstream/limit.go
+++ b/upstream/limit.go
@@ -6,39 +6,39 @@
 	"woaddoor/contract"
 )
 
-// Limit is the rate limit that an upstream states in an answer.
-type Limit struct {
-	Word LimitWord `cbor:"1,keyasint"`
+// RateLimit is the rate limit that an upstream states in an answer.
+type RateLimit struct {
+	Statement LimitStatement `cbor:"1,keyasint"`
 	// PerSecond is how many requests per second the upstream takes from all VMs together.
 	PerSecond float64 `cbor:"2,keyasint,omitempty"`
 }
 
-// LimitWord classifies what an answer states about a rate limit.
-type LimitWord uint8
+// LimitStatement classifies what an answer states about a rate limit.
+type LimitStatement uint8
 
 const (
-	// LimitUntold means that the answer reveals nothing: it is a refusal, a failure, or its
+	// LimitUnknown means that the answer reveals nothing: it is a refusal, a failure, or its
 	// header is not understood.
-	LimitUntold LimitWord = iota
+	LimitUnknown LimitStatement = iota
 	// LimitNone means that the upstream has no limit: it served a request and stated none.
 	LimitNone
-	// LimitNamed means that the upstream stated a limit.
-	LimitNamed
+	// LimitStated means that the upstream stated a limit.
+	LimitStated
 )
 
 // stricterThan orders two limits of the same version: the stricter one applies.
-func (a Limit) stricterThan(b Limit) bool {
-	if a.Word != b.Word {
-		return a.Word > b.Word
+func (a RateLimit) stricterThan(b RateLimit) bool {
+	if a.Statement != b.Statement {
+		return a.Statement > b.Statement
 	}
 	return a.PerSecond < b.PerSecond
 }
 
-// LimitKnown is what a VM knows about the rate limit of an instance, as exchanged between
+// LimitUpdate is what a VM knows about the rate limit of an instance, as exchanged between
 // VMs. The limit applies to all VMs together.
-type LimitKnown struct {
-	Life  contract.Life `cbor:"1,keyasint"`
-	Limit Limit         `cbor:"2,keyasint"`
+type LimitUpdate struct {
+	Instance contract.UpstreamInstance `cbor:"1,keyasint"`
+	Limit    RateLimit                 `cbor:"2,keyasint"`
 	// Version orders the knowledge about an instance, no matter how it arrives: a VM that
 	// learns something new from an answer assigns the next version.
 	Version uint64 `cbor:"3,keyasint"`
@@ -46,7 +46,7 @@
 
 // limitState is the known rate limit of an instance. The zero value means no limit.
 type limitState struct {
-	Limit
+	RateLimit
 	version uint64
 	// learnedAt is when this VM learned the limit. Answers to requests that were sent before
 	// that contain nothing newer.
@@ -74,46 +74,46 @@
 
 // LimitChange is the effect of an answer on the known limit of an instance.
 type LimitChange struct {
-	Known  LimitKnown
-	Before Limit
+	Update LimitUpdate
+	Before RateLimit
 	// Changed means that a different limit applies. Tell means that other VMs should be
 	// told, and Far that VMs of other data centres should be told too.
-	Changed, Tell, Far bool
+	Changed, Announce, AnnounceRemote bool
 }
 
 // applyAnswer applies what the answer to a request that was sent at sentAt states.
-func (l *limitState) applyAnswer(answered Limit, sentAt, now time.Time) (change LimitChange) {
-	if answered.Word == LimitUntold || sentAt.Before(l.learnedAt) {
+func (l *limitState) applyAnswer(answered RateLimit, sentAt, now time.Time) (change LimitChange) {
+	if answered.Statement == LimitUnknown || sentAt.Before(l.learnedAt) {
 		return LimitChange{}
 	}
-	change.Before = l.Limit
-	if answered != l.Limit {
-		wordChanged := answered.Word != l.Word
+	change.Before = l.RateLimit
+	if answered != l.RateLimit {
+		wordChanged := answered.Statement != l.Statement
 		l.set(answered, l.version+1, now)
 		change.Changed = true
-		change.Far = wordChanged || now.Sub(l.toldAt) >= minChangeInterval
-		change.Tell = change.Far
+		change.AnnounceRemote = wordChanged || now.Sub(l.toldAt) >= minChangeInterval
+		change.Announce = change.AnnounceRemote
 	}
-	if answered.Word == LimitNamed {
+	if answered.Statement == LimitStated {
 		l.confirmedAt = now
-		change.Far = change.Far || now.Sub(l.toldRemoteAt) >= remoteRetellInterval
-		change.Tell = change.Tell || change.Far || now.Sub(l.toldAt) >= retellInterval
+		change.AnnounceRemote = change.AnnounceRemote || now.Sub(l.toldRemoteAt) >= remoteRetellInterval
+		change.Announce = change.Announce || change.AnnounceRemote || now.Sub(l.toldAt) >= retellInterval
 	}
-	l.recordTold(change.Tell, change.Far, now)
+	l.recordTold(change.Announce, change.AnnounceRemote, now)
 	return change
 }
 
 // merge applies what another VM knows and reports whether it changed the limit. The newer
 // version wins and, within a version, the stricter limit, regardless of the order and number
 // of messages. fresh means that the other VM has just received it in an answer.
-func (l *limitState) merge(update LimitKnown, fresh bool, now time.Time) (changed bool) {
+func (l *limitState) merge(update LimitUpdate, fresh bool, now time.Time) (changed bool) {
 	switch {
 	case update.Version < l.version:
 		return false
-	case update.Version > l.version || update.Limit.stricterThan(l.Limit):
-		changed = update.Limit != l.Limit
+	case update.Version > l.version || update.Limit.stricterThan(l.RateLimit):
+		changed = update.Limit != l.RateLimit
 		l.set(update.Limit, update.Version, now)
-	case update.Limit != l.Limit || !fresh:
+	case update.Limit != l.RateLimit || !fresh:
 		return false
 	}
 	l.confirmedAt = now
@@ -123,11 +123,11 @@
 
 // set replaces the limit. If there was none before, the limiter starts without any burst
 // saved up.
-func (l *limitState) set(next Limit, version uint64, now time.Time) {
-	if l.Word != LimitNamed {
+func (l *limitState) set(next RateLimit, version uint64, now time.Time) {
+	if l.Statement != LimitStated {
 		l.limiter = limiter{startedAt: now}
 	}
-	l.Limit, l.version, l.learnedAt = next, version, now
+	l.RateLimit, l.version, l.learnedAt = next, version, now
 }
 
 func (l *limitState) recordTold(local, remote bool, now time.Time) {
--- a/upstream/limit_replay_test.go
+++ b/upstream/limit_replay_test.go
@@ -33,7 +33,7 @@
 	events  replayEvents
 	// announcedLimit is what the limited upstreams state. arrivals holds when requests
 	// arrived at each of them.
-	announcedLimit Limit
+	announcedLimit RateLimit
 	arrivals       map[contract.UpstreamID][]time.Time
 	sent, refused  int
 }
@@ -84,7 +84,7 @@
 }
 
 func (f *limitFleet) updateOwners(v *limitVM) {
-	o := Owners{Self: v.id, Unsure: f.now.Sub(v.started) < limitSettleTime}
+	o := Owners{Self: v.id, Incomplete: f.now.Sub(v.started) < limitSettleTime}
 	for _, other := range f.vms {
 		if other.dc == v.dc {
 			o.VMs = append(o.VMs, other.id)
@@ -109,10 +109,10 @@
 	}
 	if v.table.LimitsDigest() != other.table.LimitsDigest() {
 		for _, k := range other.table.Limits(100) {
-			v.table.HearLimit(k, false, f.now)
+			v.table.MergeLimit(k, false, f.now)
 		}
 		for _, k := range v.table.Limits(100) {
-			other.table.HearLimit(k, false, f.now)
+			other.table.MergeLimit(k, false, f.now)
 		}
 	}
 	f.schedule(limitSyncInterval, func() { f.sync(v) })
@@ -121,7 +121,7 @@
 // gossip announces to other VMs what a VM has learned.
 func (f *limitFleet) gossip(from *limitVM, n LimitChange) {
 	for _, other := range f.vms {
-		if other == from || !n.Far && other.dc != from.dc || f.random.Float64() < f.lossRate {
+		if other == from || !n.AnnounceRemote && other.dc != from.dc || f.random.Float64() < f.lossRate {
 			continue
 		}
 		times := 1
@@ -129,7 +129,7 @@
 			times = 2
 		}
 		for range times {
-			f.schedule(time.Duration(5+f.random.IntN(200))*time.Millisecond, func() { other.table.HearLimit(n.Known, true, f.now) })
+			f.schedule(time.Duration(5+f.random.IntN(200))*time.Millisecond, func() { other.table.MergeLimit(n.Update, true, f.now) })
 		}
 	}
 }
@@ -148,15 +148,15 @@
 		return
 	}
 	tb, sent := v.table, f.now
-	tb.Sent(id)
+	tb.RecordSent(id)
 	f.arrivals[id] = append(f.arrivals[id], f.now)
 	stated := noLimit
 	if slices.ContainsFunc(f.limitedEntries(), func(e Entry) bool { return e.ID == id }) {
 		stated = f.announcedLimit
 	}
 	f.schedule(limitServiceTime, func() {
-		tb.Done(id, Good, limitServiceTime, f.now)
-		if n := tb.TakeLimit(tb.Life(id), stated, sent, f.now); n.Tell && v.table == tb {
+		tb.RecordDone(id, Succeeded, limitServiceTime, f.now)
+		if n := tb.ApplyLimitAnswer(tb.Instance(id), stated, sent, f.now); n.Announce && v.table == tb {
 			f.gossip(v, n)
 		}
 	})
@@ -284,10 +284,10 @@
 			is := is.New(t)
 			f := newLimitFleet(limitLoad{vms: 6, centres: 3, upstreams: 3, limited: 1, rate: 50, perSecond: 1}, 1)
 			f.announcedLimit = namedLimit(1)
-			life := f.entries[0].Life()
+			life := f.entries[0].Instance()
 			all := f.vms
 			for _, v := range all {
-				v.table.TakeLimit(life, f.announcedLimit, f.now, f.now)
+				v.table.ApplyLimitAnswer(life, f.announcedLimit, f.now, f.now)
 			}
 			f.announcedLimit = noLimit
 			var activeVMs []*limitVM
@@ -303,7 +303,7 @@
 				}
 				f.send(activeVMs[f.random.IntN(len(activeVMs))])
 			}
-			is.True(!activeVMs[0].table.Limited(life))
+			is.True(!activeVMs[0].table.HasLimit(life))
 		})
 	}
 }
@@ -330,7 +330,7 @@
 	}
 	b.Run("pick, none limited", choose)
 	for _, e := range entries[:200] {
-		tb.TakeLimit(e.Life(), namedLimit(8), now, now)
+		tb.ApplyLimitAnswer(e.Instance(), namedLimit(8), now, now)
 	}
 	b.Run("pick", choose)
 	b.Run("digest", func(b *testing.B) {
@@ -339,9 +339,9 @@
 		}
 	})
 	b.Run("merge", func(b *testing.B) {
-		k := LimitKnown{entries[0].Life(), namedLimit(8), 1}
+		k := LimitUpdate{entries[0].Instance(), namedLimit(8), 1}
 		for b.Loop() {
-			tb.HearLimit(k, true, now)
+			tb.MergeLimit(k, true, now)
 		}
 	})
 }
--- a/upstream/limit_table.go
+++ b/upstream/limit_table.go
@@ -11,41 +11,41 @@
 	"woaddoor/contract"
 )
 
-// TakeLimit applies what an answer of an instance states about its rate limit. The request of
+// ApplyLimitAnswer applies what an answer of an instance states about its rate limit. The request of
 // that answer was sent at sentAt.
-func (t *Table) TakeLimit(l contract.Life, answered Limit, sentAt, now time.Time) LimitChange {
+func (t *Table) ApplyLimitAnswer(l contract.UpstreamInstance, answered RateLimit, sentAt, now time.Time) LimitChange {
 	a := t.announcements[l]
-	if answered.Word != LimitNamed && (a == nil || a.limit.version == 0) {
+	if answered.Statement != LimitStated && (a == nil || a.limit.version == 0) {
 		return LimitChange{}
 	}
 	a = t.ensureAnnouncement(l, now)
 	change := a.limit.applyAnswer(answered, sentAt, now)
-	change.Known = a.limit.known(l)
+	change.Update = a.limit.known(l)
 	if change.Changed {
 		t.refreshLimited()
 	}
 	return change
 }
 
-// HearLimit applies what another VM knows about the rate limit of an instance; fresh means
+// MergeLimit applies what another VM knows about the rate limit of an instance; fresh means
 // that the other VM has just received it in an answer. It returns the limit that applied
 // before, and whether it changed.
-func (t *Table) HearLimit(update LimitKnown, fresh bool, now time.Time) (before Limit, changed bool) {
-	a := t.ensureAnnouncement(update.Life, now)
-	before = a.limit.Limit
+func (t *Table) MergeLimit(update LimitUpdate, fresh bool, now time.Time) (before RateLimit, changed bool) {
+	a := t.ensureAnnouncement(update.Instance, now)
+	before = a.limit.RateLimit
 	if changed = a.limit.merge(update, fresh, now); changed {
 		t.refreshLimited()
 	}
 	return before, changed
 }
 
-func (l *limitState) known(life contract.Life) LimitKnown {
-	return LimitKnown{life, l.Limit, l.version}
+func (l *limitState) known(life contract.UpstreamInstance) LimitUpdate {
+	return LimitUpdate{life, l.RateLimit, l.version}
 }
 
 // hasLimit reports whether the instance stated a rate limit that is in force. A nil receiver
 // has stated nothing.
-func (a *announcement) hasLimit() bool { return a != nil && a.limit.Word == LimitNamed }
+func (a *announcement) hasLimit() bool { return a != nil && a.limit.Statement == LimitStated }
 
 // refreshLimited rebuilds the list of listed upstreams with a rate limit in force.
 func (t *Table) refreshLimited() {
@@ -57,8 +57,8 @@
 	}
 }
 
-// Limited reports whether an instance has a rate limit in force.
-func (t *Table) Limited(l contract.Life) bool { return t.announcements[l].hasLimit() }
+// HasLimit reports whether an instance has a rate limit in force.
+func (t *Table) HasLimit(l contract.UpstreamInstance) bool { return t.announcements[l].hasLimit() }
 
 // CountLimited returns how many of the listed upstreams have a rate limit in force.
 func (t *Table) CountLimited() int { return len(t.limited) }
@@ -66,14 +66,14 @@
 // Limits returns what is known about the rate limits of listed upstreams, at most maxCount of
 // them. Limits in force come first, then those that were lifted, for VMs that have not
 // learned that yet.
-func (t *Table) Limits(maxCount int) []LimitKnown {
-	var limited, lifted []LimitKnown
+func (t *Table) Limits(maxCount int) []LimitUpdate {
+	var limited, lifted []LimitUpdate
 	for _, s := range t.sortedStates {
 		switch {
 		case s.announced.hasLimit():
-			limited = append(limited, s.announced.limit.known(t.Life(s.upstream.ID)))
+			limited = append(limited, s.announced.limit.known(t.Instance(s.upstream.ID)))
 		case s.announced != nil && s.announced.limit.version > 0:
-			lifted = append(lifted, s.announced.limit.known(t.Life(s.upstream.ID)))
+			lifted = append(lifted, s.announced.limit.known(t.Instance(s.upstream.ID)))
 		}
 	}
 	limited = append(limited, lifted...)
@@ -114,7 +114,7 @@
 	owners, share := divideLimit(l.PerSecond, len(t.owners.VMs))
 	isLocal := s.pool.DataCentre == t.owners.dc
 	rank := t.ownerRank(s)
-	if t.owners.Unsure {
+	if t.owners.Incomplete {
 		share = probeShare()
 	}
 	if isLocal && rank < owners {
@@ -177,20 +177,20 @@
 	s.announced.limit.confirmedAt = now
 }
 
-// Claim uses one request of this VM's share of a rate limit that was announced after the
+// ClaimShare uses one request of this VM's share of a rate limit that was announced after the
 // request was assigned to the upstream. It reports whether the share allowed that.
-func (t *Table) Claim(l contract.Life, now time.Time) bool {
+func (t *Table) ClaimShare(l contract.UpstreamInstance, now time.Time) bool {
 	s := t.states[l.Upstream]
-	if s == nil || s.born != l.Born || !t.withinLimit(s, now) {
+	if s == nil || s.born != l.Incarnation || !t.withinLimit(s, now) {
 		return false
 	}
 	t.claimShare(s, now)
 	return true
 }
 
-// GiveBack reverts a claim whose request was not sent.
-func (t *Table) GiveBack(l contract.Life, now time.Time) {
-	if s := t.states[l.Upstream]; s != nil && s.born == l.Born && s.announced.hasLimit() {
+// ReleaseShare reverts a claim whose request was not sent.
+func (t *Table) ReleaseShare(l contract.UpstreamInstance, now time.Time) {
+	if s := t.states[l.Upstream]; s != nil && s.born == l.Incarnation && s.announced.hasLimit() {
 		share, _ := t.vmShare(s, now)
 		s.announced.limit.limiter.giveBack(share)
 	}
--- a/upstream/limit_test.go
+++ b/upstream/limit_test.go
@@ -10,21 +10,21 @@
 	"woaddoor/contract"
 )
 
-func namedLimit(perSecond float64) Limit { return Limit{LimitNamed, perSecond} }
+func namedLimit(perSecond float64) RateLimit { return RateLimit{LimitStated, perSecond} }
 
-var noLimit = Limit{Word: LimitNone}
+var noLimit = RateLimit{Statement: LimitNone}
 
 // TestLimitFromReorderedAnswers applies statements from answers in the order of their arrival. An
 // answer to a request that was sent before the limit was learned contains nothing newer, since
 // answers can overtake each other.
 func TestLimitFromReorderedAnswers(t *testing.T) {
 	type answer struct {
-		said               Limit
+		said               RateLimit
 		sentAt, receivedAt int // seconds since the start
 	}
 	for name, c := range map[string]struct {
 		answers []answer
-		want    Limit
+		want    RateLimit
 	}{
 		"stated":                              {[]answer{{namedLimit(2), 0, 1}}, namedLimit(2)},
 		"lifted":                              {[]answer{{namedLimit(2), 0, 1}, {noLimit, 1, 2}}, noLimit},
@@ -33,23 +33,23 @@
 		"rate changed, sent before":           {[]answer{{namedLimit(2), 0, 1}, {namedLimit(8), 0, 2}}, namedLimit(2)},
 		"lifted, then a late answer that states it": {[]answer{{namedLimit(2), 0, 1}, {noLimit, 2, 3}, {namedLimit(2), 1, 4}}, noLimit},
 		"lifted, then stated again":                 {[]answer{{namedLimit(2), 0, 1}, {noLimit, 2, 3}, {namedLimit(4), 3, 4}}, namedLimit(4)},
-		"no statement":                              {[]answer{{namedLimit(2), 0, 1}, {Limit{}, 2, 3}}, namedLimit(2)},
-		"never stated":                              {[]answer{{noLimit, 0, 1}}, Limit{}},
+		"no statement":                              {[]answer{{namedLimit(2), 0, 1}, {RateLimit{}, 2, 3}}, namedLimit(2)},
+		"never stated":                              {[]answer{{noLimit, 0, 1}}, RateLimit{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			start := time.Unix(1000, 0)
 			tb := newTwoCentreTable(1, start)
 			at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
-			life := contract.Life{Upstream: "u1", Born: 1}
+			life := contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}
 			for _, a := range c.answers {
-				tb.TakeLimit(life, a.said, at(a.sentAt), at(a.receivedAt))
+				tb.ApplyLimitAnswer(life, a.said, at(a.sentAt), at(a.receivedAt))
 			}
-			is.Equal(tb.Limited(life), c.want.Word == LimitNamed)
+			is.Equal(tb.HasLimit(life), c.want.Statement == LimitStated)
 			if got := tb.announcements[life]; got != nil {
-				is.Equal(got.limit.Limit, c.want)
+				is.Equal(got.limit.RateLimit, c.want)
 			} else {
-				is.Equal(c.want, Limit{})
+				is.Equal(c.want, RateLimit{})
 			}
 		})
 	}
@@ -61,7 +61,7 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tb := newTwoCentreTable(1, now)
-	tb.TakeLimit(contract.Life{Upstream: "u1", Born: 1}, namedLimit(0.1), now, now)
+	tb.ApplyLimitAnswer(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, namedLimit(0.1), now, now)
 	is.Equal(tb.CountLimited(), 1)
 	applyList(tb, now)
 	is.Equal(tb.CountLimited(), 0)
@@ -75,20 +75,20 @@
 // twice: all must end with the same limit.
 func TestLimitMergeConverges(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		updates := rapid.SliceOfN(rapid.Custom(func(r *rapid.T) LimitKnown {
+		updates := rapid.SliceOfN(rapid.Custom(func(r *rapid.T) LimitUpdate {
 			limit := noLimit
 			if rapid.Bool().Draw(r, "stated") {
 				limit = namedLimit(float64(rapid.IntRange(0, 3).Draw(r, "per second")))
 			}
-			return LimitKnown{contract.Life{Upstream: "u1", Born: 1}, limit, uint64(rapid.IntRange(1, 4).Draw(r, "version"))}
+			return LimitUpdate{contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, limit, uint64(rapid.IntRange(1, 4).Draw(r, "version"))}
 		}), 1, 8).Draw(r, "updates")
-		var known []LimitKnown
+		var known []LimitUpdate
 		for range 3 {
 			var l limitState
 			for _, k := range append(rapid.Permutation(updates).Draw(r, "order"), updates[0]) {
 				l.merge(k, rapid.Bool().Draw(r, "fresh"), time.Unix(1000, 0))
 			}
-			known = append(known, l.known(contract.Life{}))
+			known = append(known, l.known(contract.UpstreamInstance{}))
 		}
 		if known[0] != known[1] || known[1] != known[2] {
 			r.Fatalf("three VMs disagree: %v", known)
@@ -153,24 +153,24 @@
 	now := time.Unix(1000, 0)
 	tb := newTwoCentreTable(1, now) // u1 in this data centre, u2 in another
 	tb.SetOwners("d", Owners{Self: "vm", VMs: []contract.VMID{"vm"}})
-	tb.TakeLimit(contract.Life{Upstream: "u1", Born: 1}, namedLimit(2), now, now)
+	tb.ApplyLimitAnswer(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, namedLimit(2), now, now)
 	send := func(busy bool) (arrivals int) {
 		for range int(limitWindow / (100 * time.Millisecond)) {
 			now = now.Add(100 * time.Millisecond)
 			if busy {
 				for range 100 {
-					tb.Sent("u2")
+					tb.RecordSent("u2")
 				}
 			}
 			id := pickID(tb, now)
-			tb.Sent(id)
+			tb.RecordSent(id)
 			if id == "u1" {
 				arrivals++
 			}
-			tb.Done(id, Good, time.Millisecond, now)
+			tb.RecordDone(id, Succeeded, time.Millisecond, now)
 			if busy {
 				for range 100 {
-					tb.Done("u2", Abandoned, 0, now)
+					tb.RecordDone("u2", Abandoned, 0, now)
 				}
 			}
 		}
@@ -194,13 +194,13 @@
 	now := time.Unix(1000, 0)
 	tb := newTwoCentreTable(1, now)
 	tb.SetOwners("d", Owners{Self: "vm", VMs: []contract.VMID{"vm"}})
-	life := contract.Life{Upstream: "u1", Born: 1}
-	tb.TakeLimit(life, namedLimit(0), now, now)
+	life := contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}
+	tb.ApplyLimitAnswer(life, namedLimit(0), now, now)
 	known := tb.Limits(1)[0]
 	now = now.Add(probeInterval)
-	tb.HearLimit(known, true, now)
+	tb.MergeLimit(known, true, now)
 	is.True(tb.dueForProbe(engineQuery, now) == nil) // another VM has just received an answer
 	now = now.Add(probeInterval)
-	tb.HearLimit(known, false, now)
+	tb.MergeLimit(known, false, now)
 	is.True(tb.dueForProbe(engineQuery, now) != nil)
 }
--- a/upstream/list_change.go
+++ b/upstream/list_change.go
@@ -8,13 +8,13 @@
 
 	"woaddoor/config"
 	"woaddoor/contract"
-	"woaddoor/reading"
+	"woaddoor/prefill"
 )
 
-// ChangeList applies the entries that changed since the list was last applied, and removes
+// ApplyListChanges applies the entries that changed since the list was last applied, and removes
 // the upstreams that are gone from it. The result equals ConfigureList with the whole list,
 // but the cost depends only on the size of the change.
-func (t *Table) ChangeList(changed List, gone []contract.UpstreamID) {
+func (t *Table) ApplyListChanges(changed List, gone []contract.UpstreamID) {
 	for _, id := range gone {
 		if s := t.states[id]; s != nil {
 			t.removeFromPool(s)
@@ -31,15 +31,15 @@
 // applyChange applies one changed list entry.
 func (t *Table) applyChange(e Entry, l List) {
 	s := t.states[e.ID]
-	isNew := s == nil || s.born != e.Born || s.upstream.URL != e.Address
-	if s != nil && (isNew || s.pool.ID != e.PoolOf()) {
+	isNew := s == nil || s.born != e.Incarnation || s.upstream.URL != e.Address
+	if s != nil && (isNew || s.pool.ID != e.PoolID()) {
 		t.removeFromPool(s)
 	}
 	if isNew {
-		s = &state{hashSeed: xxhash.Sum64String(string(e.ID)), prefixCache: reading.NewKept(0)}
+		s = &state{hashSeed: xxhash.Sum64String(string(e.ID)), prefixCache: prefill.NewPrefixCache(0)}
 		t.states[e.ID] = s
 	}
-	if isNew || s.pool.ID != e.PoolOf() {
+	if isNew || s.pool.ID != e.PoolID() {
 		s.upstream = config.Upstream{ID: e.ID, URL: e.Address}
 		t.addToPool(s, e, l)
 	}
@@ -49,7 +49,7 @@
 
 // addToPool adds an upstream to its pool, its data centre and the sorted states.
 func (t *Table) addToPool(s *state, e Entry, l List) {
-	id := e.PoolOf()
+	id := e.PoolID()
 	if members := t.pools[id]; len(members) > 0 {
 		s.pool = members[0].pool
 	} else {
--- a/upstream/list_change_test.go
+++ b/upstream/list_change_test.go
@@ -18,7 +18,7 @@
 	var b strings.Builder
 	for _, s := range t.sortedStates {
 		fmt.Fprintf(&b, "%s at %s in %s of %d slots, %d connections: leaving %d, born %d, in flight %d, cold until %v, index in its pool %d, in its data centre %d\n",
-			s.upstream.ID, s.upstream.URL, s.pool.ID, s.pool.Slots, s.pool.Connections, s.leavingIncarnation, s.born, s.inFlight, s.cold.until,
+			s.upstream.ID, s.upstream.URL, s.pool.ID, s.pool.Slots, s.pool.MaxConnections, s.leavingIncarnation, s.born, s.inFlight, s.cold.until,
 			slices.Index(t.pools[s.pool.ID], s), slices.Index(t.byDataCentre[s.pool.DataCentre], s))
 	}
 	fmt.Fprintf(&b, "%d states, %d pools, %d data centres, %d limited\n", len(t.states), len(t.pools), len(t.byDataCentre), len(t.limited))
@@ -36,7 +36,9 @@
 		listOf := func(entries []Entry) List {
 			return List{
 				Entries: entries, Now: now, Connections: func(s contract.ServiceID) int { return len(s) },
-				Cold: func(s contract.ServiceID) ColdBound { return ColdBound{For: 3 * time.Second, Bears: 9, Most: 18} },
+				Cold: func(s contract.ServiceID) ColdBound {
+					return ColdBound{Duration: 3 * time.Second, PerSecond: 9, MaxPerSecond: 18}
+				},
 			}
 		}
 		for range rapid.IntRange(1, 25).Draw(t, "rounds") {
@@ -55,24 +57,24 @@
 					DataCentre: rapid.SampledFrom([]contract.DataCentreID{"d0", "d1"}).Draw(t, "centre"),
 					Release:    rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "release"), Slots: rapid.IntRange(1, 3).Draw(t, "slots"),
 					Leaving: rapid.Bool().Draw(t, "leaving"), Cold: time.Duration(rapid.IntRange(0, 1).Draw(t, "cold")) * time.Second,
-					Born: rapid.Int64Range(1, 2).Draw(t, "born"), Revision: contract.Revision(rapid.IntRange(1, 50).Draw(t, "revision")),
+					Incarnation: rapid.Int64Range(1, 2).Draw(t, "born"), Revision: contract.Revision(rapid.IntRange(1, 50).Draw(t, "revision")),
 				}
 				changed = append(changed, list[id])
 			}
-			whole.ConfigureList(listOf(slices.SortedFunc(maps.Values(list), func(a, b Entry) int { return strings.Compare(string(a.ID), string(b.ID)) })))
-			changes.ChangeList(listOf(changed), gone)
+			whole.ApplyList(listOf(slices.SortedFunc(maps.Values(list), func(a, b Entry) int { return strings.Compare(string(a.ID), string(b.ID)) })))
+			changes.ApplyListChanges(listOf(changed), gone)
 			if x, y := whole.dump(), changes.dump(); x != y {
 				t.Fatalf("state from the whole list:\n%s\nstate from the changes:\n%s", x, y)
 			}
 			for id, e := range list {
 				if rapid.IntRange(0, 4).Draw(t, "states a limit") == 0 {
 					for _, table := range []*Table{whole, changes} {
-						table.TakeLimit(e.Life(), Limit{Word: LimitNamed, PerSecond: 3}, now, now)
+						table.ApplyLimitAnswer(e.Instance(), RateLimit{Statement: LimitStated, PerSecond: 3}, now, now)
 					}
 				}
 				if rapid.Bool().Draw(t, "sent") {
-					whole.Sent(id)
-					changes.Sent(id)
+					whole.RecordSent(id)
+					changes.RecordSent(id)
 				}
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
--- a/upstream/listed.go
+++ b/upstream/listed.go
@@ -17,19 +17,19 @@
 	// Release is the software version of the upstream.
 	Release string
 	Slots   int
-	// Memory is the capacity of the engine's prompt cache in tokens; zero if unknown or for
+	// CacheTokens is the capacity of the engine's prompt cache in tokens; zero if unknown or for
 	// a plain service.
-	Memory int
+	CacheTokens int
 	// Leaving upstreams get no new work.
 	Leaving bool
 	// Preemptible upstreams cost less, but the platform may remove them at any moment.
 	Preemptible bool
 	// Cold is how long the upstream stays cold (still warming up), counted from when it wrote the entry.
 	Cold time.Duration
-	// Born distinguishes two instances with the same ID. It is the start time by the
+	// Incarnation distinguishes two instances with the same ID. It is the start time by the
 	// upstream's own clock, in milliseconds since 1970, or zero if the upstream does not
 	// provide it. Since that clock may jump, Born does not order instances.
-	Born int64
+	Incarnation int64
 	// Revision is the revision of the entry in the store.
 	Revision contract.Revision
 }
@@ -42,31 +42,33 @@
 	Connections func(contract.ServiceID) int
 	Cold        func(contract.ServiceID) ColdBound
 	Now         time.Time
-	// Some means that the list is incomplete: there are more upstreams than are known yet.
-	Some bool
+	// Incomplete means that the list is incomplete: there are more upstreams than are known yet.
+	Incomplete bool
 }
 
-// PoolOf returns the ID of the pool of an entry: the upstreams of one service and release in
+// PoolID returns the ID of the pool of an entry: the upstreams of one service and release in
 // one data centre.
-func (e Entry) PoolOf() contract.PoolID { return PoolID(e.Service, e.Release, e.DataCentre) }
+func (e Entry) PoolID() contract.PoolID { return PoolID(e.Service, e.Release, e.DataCentre) }
 
-// Life returns the instance that an entry describes.
-func (e Entry) Life() contract.Life { return contract.Life{Upstream: e.ID, Born: e.Born} }
+// Instance returns the instance that an entry describes.
+func (e Entry) Instance() contract.UpstreamInstance {
+	return contract.UpstreamInstance{Upstream: e.ID, Incarnation: e.Incarnation}
+}
 
 // PoolID returns the ID of a pool of listed upstreams.
 func PoolID(s contract.ServiceID, release string, dc contract.DataCentreID) contract.PoolID {
 	return contract.PoolID(string(s) + "|" + release + "|" + string(dc))
 }
 
-// ConfigureList replaces the known upstreams with those of a list. An upstream that restarted
+// ApplyList replaces the known upstreams with those of a list. An upstream that restarted
 // under the same ID is a new instance: the state of the previous instance is discarded.
-func (t *Table) ConfigureList(l List) {
+func (t *Table) ApplyList(l List) {
 	pools := make(map[contract.PoolID]*config.Pool)
 	for _, e := range l.Entries {
-		if s := t.states[e.ID]; s != nil && s.born != e.Born {
+		if s := t.states[e.ID]; s != nil && s.born != e.Incarnation {
 			delete(t.states, e.ID)
 		}
-		id := e.PoolOf()
+		id := e.PoolID()
 		if pools[id] == nil {
 			pools[id] = newPool(e, l)
 		}
@@ -83,20 +85,20 @@
 		t.applyEntry(s, e, l, before[e.ID] != s)
 	}
 	t.refreshLimited()
-	t.listReceived = t.listReceived || len(l.Entries) > 0 && !l.Some
+	t.listReceived = t.listReceived || len(l.Entries) > 0 && !l.Incomplete
 }
 
 // newPool returns the pool of an entry, without upstreams.
 func newPool(e Entry, l List) *config.Pool {
-	return &config.Pool{ID: e.PoolOf(), Kind: config.EnginePool, DataCentre: e.DataCentre, Connections: l.Connections(e.Service), Slots: 1}
+	return &config.Pool{ID: e.PoolID(), Kind: config.EnginePool, DataCentre: e.DataCentre, MaxConnections: l.Connections(e.Service), Slots: 1}
 }
 
 // applyEntry updates the state of an upstream from its entry. isNew means that this VM did not
 // know the upstream before.
 func (t *Table) applyEntry(s *state, e Entry, l List, isNew bool) {
-	s.prefixCache.Bound(e.Memory)
-	s.born, s.slots = e.Born, e.Slots
-	s.announced = t.announcements[e.Life()]
+	s.prefixCache.SetCapacity(e.CacheTokens)
+	s.born, s.slots = e.Incarnation, e.Slots
+	s.announced = t.announcements[e.Instance()]
 	s.leavingIncarnation = 0
 	if e.Leaving {
 		s.leavingIncarnation = 1
@@ -106,27 +108,27 @@
 	}
 }
 
-// Loaded records the load that an upstream reported in an answer.
-func (t *Table) Loaded(id contract.UpstreamID, running, waiting int, now time.Time) {
+// RecordAnswerLoad records the load that an upstream reported in an answer.
+func (t *Table) RecordAnswerLoad(id contract.UpstreamID, running, waiting int, now time.Time) {
 	s, ok := t.states[id]
 	if !ok {
 		return
 	}
 	s.sentSinceReport, s.doneSinceReport = 0, 0
-	s.averageReport(contract.Load{Running: running, Waiting: waiting}, now.Sub(s.reportedAt))
+	s.averageReport(contract.LoadReport{Running: running, Waiting: waiting}, now.Sub(s.reportedAt))
 	s.reportedAt = now
 }
 
-// Accepted records that an upstream has begun to answer a request, so it is not turning
+// RecordAccepted records that an upstream has begun to answer a request, so it is not turning
 // requests away.
-func (t *Table) Accepted(id contract.UpstreamID) {
+func (t *Table) RecordAccepted(id contract.UpstreamID) {
 	if s, ok := t.states[id]; ok {
 		s.health.turnedAwaySkip = 0
 	}
 }
 
 func (s *state) hasFreeConnection() bool {
-	return s.pool.Connections == 0 || s.inFlight < s.pool.Connections
+	return s.pool.MaxConnections == 0 || s.inFlight < s.pool.MaxConnections
 }
 
 // lastResort returns the upstream with the lowest failure rate if none is healthy enough for a
@@ -171,17 +173,17 @@
 	t.claimShare(s, now)
 }
 
-// Any reports whether Pick would return an upstream.
-func (t *Table) Any(q Query, now time.Time) bool {
+// CanPick reports whether Pick would return an upstream.
+func (t *Table) CanPick(q Query, now time.Time) bool {
 	if t.opts.Listed {
 		return t.leastFailed(q, now) != nil
 	}
 	return len(t.candidates(q, now)) > 0
 }
 
-// Another reports whether any upstream could take the request. Upstreams that are suspected of
+// HasAlternative reports whether any upstream could take the request. Upstreams that are suspected of
 // failing count only if suspected is set.
-func (t *Table) Another(q Query, suspected bool, now time.Time) bool {
+func (t *Table) HasAlternative(q Query, suspected bool, now time.Time) bool {
 	for _, s := range t.states {
 		if q.allows(s) && t.usable(s, "", now) && (suspected || s.health.failureRate < suspectThreshold) && !t.inUnreachableCentre(s, q, now) {
 			return true
@@ -263,9 +265,9 @@
 // the answer began.
 func (s *state) recordResult(r Result, took time.Duration, now time.Time) {
 	h := &s.health
-	h.connectFailed = r == Unreachable || r == Down || h.connectFailed && r == Abandoned
+	h.connectFailed = r == Unreachable || r == ConnectionRefused || h.connectFailed && r == Abandoned
 	switch r {
-	case Good:
+	case Succeeded:
 		h.failureRate -= failureWeight * h.failureRate
 		if h.failureRate >= suspectThreshold {
 			h.failureRate = suspectThreshold / 2 // a probe succeeded
@@ -281,21 +283,21 @@
 		if h.failureRate >= suspectThreshold {
 			h.startBackoff(now)
 		}
-	case Unreachable, Down:
+	case Unreachable, ConnectionRefused:
 		h.failureRate = max(h.failureRate, suspectThreshold)
 		h.startBackoff(now)
-	case Full:
+	case NoConnection:
 		h.skipFor(fullSkip, now)
-	case TurnedAway:
+	case Rejected:
 		h.turnedAwaySkip = min(max(2*h.turnedAwaySkip, fullSkip), maxTurnedAwaySkip)
 		h.skipFor(h.turnedAwaySkip, now)
 	case Abandoned:
 	}
 }
 
-// Level compares the upstreams of each pool with each other, so that slow ones are detected.
+// CompareUpstreams compares the upstreams of each pool with each other, so that slow ones are detected.
 // The caller invokes it periodically.
-func (t *Table) Level(dc contract.DataCentreID, now time.Time) {
+func (t *Table) CompareUpstreams(dc contract.DataCentreID, now time.Time) {
 	t.countActiveEngines(now)
 	t.updateMeanWait(dc, now)
 	t.dropStaleAnnouncements(now)
@@ -325,12 +327,12 @@
 	return float64(h.firstAnswerTime) / float64(h.othersFirstAnswerTime)
 }
 
-// SetCosts sets the prices of the models, from which prefill times are estimated as long as
+// SetModelPrices sets the prices of the models, from which prefill times are estimated as long as
 // there are no measurements.
-func (t *Table) SetCosts(costs map[contract.ModelID]float64) { t.prefillRates.SetCosts(costs) }
+func (t *Table) SetModelPrices(costs map[contract.ModelID]float64) { t.prefillRates.SetCosts(costs) }
 
-// Held records how long an upstream worked on a prompt after its answer began.
-func (t *Table) Held(d time.Duration) {
+// RecordDecodeTime records how long an upstream worked on a prompt after its answer began.
+func (t *Table) RecordDecodeTime(d time.Duration) {
 	if t.meanDecodeTime == 0 {
 		t.meanDecodeTime = d
 	}
@@ -358,8 +360,8 @@
 	return h.firstAnswerRatio
 }
 
-// Busy returns the number of this VM's requests in flight for each upstream that has any.
-func (t *Table) Busy() map[contract.UpstreamID]int {
+// InFlight returns the number of this VM's requests in flight for each upstream that has any.
+func (t *Table) InFlight() map[contract.UpstreamID]int {
 	running := make(map[contract.UpstreamID]int)
 	for id, s := range t.states {
 		if s.inFlight > 0 {
--- a/upstream/listed_test.go
+++ b/upstream/listed_test.go
@@ -10,7 +10,7 @@
 
 	"woaddoor/config"
 	"woaddoor/contract"
-	"woaddoor/reading"
+	"woaddoor/prefill"
 )
 
 // newListedTable returns a table with n upstreams in each of two data centres.
@@ -23,7 +23,7 @@
 		}
 	}
 	t := NewTable(Options{Listed: true})
-	t.ConfigureList(List{Entries: entries, Connections: func(contract.ServiceID) int { return 8 }})
+	t.ApplyList(List{Entries: entries, Connections: func(contract.ServiceID) int { return 8 }})
 	return t, entries
 }
 
@@ -48,8 +48,8 @@
 		is := is.New(t)
 		tb, _ := newListedTable(2)
 		for range 3 {
-			tb.Sent("d0")
-			tb.Done("d0", Failed, 0, now)
+			tb.RecordSent("d0")
+			tb.RecordDone("d0", Failed, 0, now)
 		}
 		is.Equal(picks(tb, listedQuery, now)["d0"], 0)
 	})
@@ -58,8 +58,8 @@
 		tb, _ := newListedTable(2)
 		q := listedQuery
 		q.DataCentre = "x" // all upstreams are in other data centres
-		tb.Sent("e0")
-		tb.Done("e0", Unreachable, 0, now)
+		tb.RecordSent("e0")
+		tb.RecordDone("e0", Unreachable, 0, now)
 		seen := picks(tb, q, now)
 		is.Equal(seen["e0"]+seen["e1"], 0)
 		seen = picks(tb, q, now.Add(unreachableFor+probeBackoffMax))
@@ -68,8 +68,8 @@
 	t.Run("turned away", func(t *testing.T) {
 		is := is.New(t)
 		tb, _ := newListedTable(2)
-		tb.Sent("d0")
-		tb.Done("d0", TurnedAway, 0, now)
+		tb.RecordSent("d0")
+		tb.RecordDone("d0", Rejected, 0, now)
 		is.Equal(picks(tb, listedQuery, now)["d0"], 0)
 		is.True(picks(tb, listedQuery, now.Add(fullSkip))["d0"] > 0)
 	})
@@ -78,8 +78,8 @@
 		tb, entries := newListedTable(1)
 		for _, e := range entries {
 			for range 4 {
-				tb.Sent(e.ID)
-				tb.Done(e.ID, Failed, 0, now)
+				tb.RecordSent(e.ID)
+				tb.RecordDone(e.ID, Failed, 0, now)
 			}
 		}
 		_, err := tb.Pick(listedQuery, now, seededRandom())
@@ -88,28 +88,28 @@
 	t.Run("long prompt ahead", func(t *testing.T) {
 		is := is.New(t)
 		tb, _ := newListedTable(2)
-		w := Work{Prompt: reading.Prompt{Model: "m", Tokens: 50000}, Objective: time.Second}
-		e, ticket := tb.Expect("d0", w, "d", now)
+		w := Work{Prompt: prefill.Prompt{Model: "m", Tokens: 50000}, Objective: time.Second}
+		e, ticket := tb.RecordExpected("d0", w, "d", now)
 		q := listedQuery
-		q.Work = Work{Prompt: reading.Prompt{Model: "m", Tokens: 100}, Objective: time.Second}
+		q.Work = Work{Prompt: prefill.Prompt{Model: "m", Tokens: 100}, Objective: time.Second}
 		is.Equal(picks(tb, q, now)["d0"], 0)
-		now = now.Add(e.Reading)
-		tb.Begun("d0", ticket, w, e, e.First(), now)
+		now = now.Add(e.Prefill)
+		tb.RecordAnswerBegin("d0", ticket, w, e, e.TimeToFirstToken(), now)
 		is.True(picks(tb, q, now)["d0"] > 0)
 	})
 	t.Run("home of a prefix", func(t *testing.T) {
 		is := is.New(t)
 		tb, _ := newListedTable(3)
 		q := listedQuery
-		q.Prefix, q.Work = 77, Work{Prompt: reading.Prompt{Model: "m", Tokens: 9000}, Objective: time.Second}
+		q.Prefix, q.Work = 77, Work{Prompt: prefill.Prompt{Model: "m", Tokens: 9000}, Objective: time.Second}
 		is.Equal(len(picks(tb, q, now)), 1) // only one upstream prefills the shared prefix
 	})
 	t.Run("cached prefix", func(t *testing.T) {
 		is := is.New(t)
 		tb, _ := newListedTable(3)
 		q := listedQuery
-		q.Work = Work{Prompt: reading.Prompt{Model: "m", Tokens: 9000, Parts: []reading.Part{{Key: 7, Tokens: 8000}, {Key: 8, Tokens: 1000}}}, Objective: time.Second}
-		tb.Told("d2", q.Work.Prompt, 0, 0, now) // another VM has sent it there
+		q.Work = Work{Prompt: prefill.Prompt{Model: "m", Tokens: 9000, Parts: []prefill.Part{{Key: 7, Tokens: 8000}, {Key: 8, Tokens: 1000}}}, Objective: time.Second}
+		tb.RecordRemotePrompt("d2", q.Work.Prompt, 0, 0, now) // another VM has sent it there
 		is.Equal(picks(tb, q, now)["d2"], 40)
 	})
 }
@@ -128,7 +128,7 @@
 			switch rapid.SampledFrom([]string{"leave", "pick", "done"}).Draw(t, "event") {
 			case "leave":
 				entries[i].Leaving = true
-				tb.ConfigureList(List{Entries: entries, Connections: func(contract.ServiceID) int { return 8 }})
+				tb.ApplyList(List{Entries: entries, Connections: func(contract.ServiceID) int { return 8 }})
 			case "pick":
 				q := listedQuery
 				q.Exclude = []contract.UpstreamID{entries[i].ID}
@@ -141,14 +141,14 @@
 						t.Fatalf("picked %+v with %d in flight", e, inFlight[id])
 					}
 				}
-				tb.Sent(id)
+				tb.RecordSent(id)
 				inFlight[id]++
 			case "done":
 				id := entries[i].ID
 				if inFlight[id] > 0 {
 					inFlight[id]--
-					result := rapid.SampledFrom([]Result{Good, Failed, Full, TurnedAway, Unreachable, Abandoned}).Draw(t, "result")
-					tb.Done(id, result, time.Millisecond, now)
+					result := rapid.SampledFrom([]Result{Succeeded, Failed, NoConnection, Rejected, Unreachable, Abandoned}).Draw(t, "result")
+					tb.RecordDone(id, result, time.Millisecond, now)
 				}
 			}
 		}
@@ -160,25 +160,25 @@
 func TestUnheardEnginesAreNotIdle(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
-	p := reading.Prompt{Model: "m", Tokens: 9000}
+	p := prefill.Prompt{Model: "m", Tokens: 9000}
 	r := seededRandom()
-	newLoadedTable := func(g Group) (*Table, Query) {
+	newLoadedTable := func(g GossipScope) (*Table, Query) {
 		tb, _ := newListedTable(3)
 		for _, id := range []contract.UpstreamID{"d0", "d1", "d2"} {
-			tb.Told(id, p, 1500*time.Millisecond, 0, now)
+			tb.RecordRemotePrompt(id, p, 1500*time.Millisecond, 0, now)
 		}
-		tb.SetGroup(g)
-		tb.Level("d", now)
+		tb.SetGossipScope(g)
+		tb.CompareUpstreams("d", now)
 		q := listedQuery
-		q.Work = Work{Prompt: reading.Prompt{Model: "m", Tokens: 100}, Objective: time.Second}
+		q.Work = Work{Prompt: prefill.Prompt{Model: "m", Tokens: 100}, Objective: time.Second}
 		return tb, q
 	}
-	tb, q := newLoadedTable(Group{})
-	e, ok := tb.Best(q, now, r)
+	tb, q := newLoadedTable(GossipScope{})
+	e, ok := tb.EstimateBest(q, now, r)
 	is.True(ok)
 	is.True(e.Wait >= time.Second) // an engine with unknown load is not assumed to be idle
-	tb, q = newLoadedTable(Group{Region: true})
-	e, ok = tb.Best(q, now, r)
+	tb, q = newLoadedTable(GossipScope{Region: true})
+	e, ok = tb.EstimateBest(q, now, r)
 	is.True(ok)
 	is.Equal(e.Wait, time.Duration(0)) // the remote engines are known to be idle
 }
@@ -190,22 +190,22 @@
 		now := time.Unix(100, 0)
 		price := func(requests int, e Estimate) float64 {
 			tb, _ := newListedTable(2)
-			tb.Told("d0", reading.Prompt{Model: "m", Tokens: 2000}, time.Millisecond, 0, now)
-			tb.Level("d", now)
+			tb.RecordRemotePrompt("d0", prefill.Prompt{Model: "m", Tokens: 2000}, time.Millisecond, 0, now)
+			tb.CompareUpstreams("d", now)
 			for range requests {
-				tb.Came(2*time.Second, 1, 1, now)
+				tb.RecordPrompt(2*time.Second, 1, 1, now)
 			}
-			return tb.Price(e)
+			return tb.PrefillPrice(e)
 		}
 		ms := func(label string) time.Duration {
 			return time.Duration(rapid.IntRange(1, 5000).Draw(t, label)) * time.Millisecond
 		}
-		e := Estimate{Wait: ms("wait"), Reading: ms("reading")}
+		e := Estimate{Wait: ms("wait"), Prefill: ms("reading")}
 		n := rapid.IntRange(1, 50).Draw(t, "requests")
 		if price(0, e) != 0 {
 			t.Fatal("prefill has a price although no requests arrive")
 		}
-		longer := Estimate{Wait: e.Wait + ms("more wait"), Reading: e.Reading + ms("more reading")}
+		longer := Estimate{Wait: e.Wait + ms("more wait"), Prefill: e.Prefill + ms("more reading")}
 		if p := price(n, e); p <= 0 || price(n, longer) <= p || price(n+1, e) <= p {
 			t.Fatalf("price %v does not rise", p)
 		}
@@ -218,20 +218,20 @@
 	var entries []Entry
 	for i := range 140 {
 		id := contract.UpstreamID(fmt.Sprintf("u%03d", i))
-		entries = append(entries, Entry{ID: id, Service: "s", Address: string(id), DataCentre: contract.DataCentreID(fmt.Sprint(i % 3)), Release: "v1", Slots: 48, Memory: 460000})
+		entries = append(entries, Entry{ID: id, Service: "s", Address: string(id), DataCentre: contract.DataCentreID(fmt.Sprint(i % 3)), Release: "v1", Slots: 48, CacheTokens: 460000})
 	}
 	tb := NewTable(Options{Listed: true})
-	tb.ConfigureList(List{Entries: entries, Connections: func(contract.ServiceID) int { return 80 }})
+	tb.ApplyList(List{Entries: entries, Connections: func(contract.ServiceID) int { return 80 }})
 	now := time.Unix(100, 0)
 	r := seededRandom()
-	prompt := func(i int) reading.Prompt {
-		return reading.Prompt{Model: "m", Tokens: 9000, Parts: []reading.Part{{Key: uint64(i % 2000), Tokens: 8000}, {Key: uint64(100000 + i), Tokens: 1000}}}
+	prompt := func(i int) prefill.Prompt {
+		return prefill.Prompt{Model: "m", Tokens: 9000, Parts: []prefill.Part{{Key: uint64(i % 2000), Tokens: 8000}, {Key: uint64(100000 + i), Tokens: 1000}}}
 	}
 	for i := range 4000 {
-		tb.Told(entries[r.IntN(140)].ID, prompt(i), 100*time.Millisecond, 0, now)
+		tb.RecordRemotePrompt(entries[r.IntN(140)].ID, prompt(i), 100*time.Millisecond, 0, now)
 	}
-	tb.SetGroup(Group{Region: true})
-	tb.Level("0", now)
+	tb.SetGossipScope(GossipScope{Region: true})
+	tb.CompareUpstreams("0", now)
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
--- a/upstream/announcement.go
+++ b/upstream/notices.go
@@ -6,20 +6,20 @@
 	"woaddoor/contract"
 )
 
-// Said is what an upstream states about itself in an answer. The zero value means nothing.
-type Said struct {
+// Notices is what an upstream states about itself in an answer. The zero value means nothing.
+type Notices struct {
 	// Leaving means that the upstream is about to stop.
 	Leaving bool
-	// Rest is a requested pause: how long this VM should send the upstream no requests.
-	Rest time.Duration
+	// Backoff is a requested pause: how long this VM should send the upstream no requests.
+	Backoff time.Duration
 	// Limit is how many requests the upstream takes from all VMs together.
-	Limit Limit
+	Limit RateLimit
 }
 
-// DefaultLongestRest limits how long the rest requested by an upstream is obeyed. An upstream
+// DefaultMaxBackoff limits how long the rest requested by an upstream is obeyed. An upstream
 // that requests weeks by mistake gets requests again without manual action, and one that means
 // it can request another rest.
-const DefaultLongestRest = 10 * time.Minute
+const DefaultMaxBackoff = 10 * time.Minute
 
 // announcement is what an instance has stated about itself in answers. It stays in force until
 // the upstream restarts. No upstream list clears it: the store may be unavailable or lag, and
@@ -39,30 +39,30 @@
 // entry that expired is back within seconds of the store's recovery.
 const announcementTTL = 10 * time.Minute
 
-// TakeWord applies what an instance of an upstream stated in an answer. It returns the new
+// ApplyNotices applies what an instance of an upstream stated in an answer. It returns the new
 // part: that the upstream is leaving, or a rest that ends later than the previous ones.
-func (t *Table) TakeWord(l contract.Life, said Said, now time.Time) (added Said) {
-	if !said.Leaving && said.Rest == 0 {
-		return Said{}
+func (t *Table) ApplyNotices(l contract.UpstreamInstance, said Notices, now time.Time) (added Notices) {
+	if !said.Leaving && said.Backoff == 0 {
+		return Notices{}
 	}
 	a := t.ensureAnnouncement(l, now)
 	if said.Leaving && !a.leaving {
 		a.leaving, added.Leaving = true, true
 	}
-	if until := now.Add(said.Rest); until.After(a.restUntil) {
-		a.restUntil, a.rest, added.Rest = until, said.Rest, said.Rest
+	if until := now.Add(said.Backoff); until.After(a.restUntil) {
+		a.restUntil, a.rest, added.Backoff = until, said.Backoff, said.Backoff
 	}
 	return added
 }
 
 // ensureAnnouncement returns the announcement of an instance and creates it if necessary.
-func (t *Table) ensureAnnouncement(l contract.Life, now time.Time) *announcement {
+func (t *Table) ensureAnnouncement(l contract.UpstreamInstance, now time.Time) *announcement {
 	a := t.announcements[l]
 	if a == nil {
 		t.dropStaleAnnouncements(now)
 		a = &announcement{}
 		t.announcements[l] = a
-		if st := t.states[l.Upstream]; st != nil && st.born == l.Born {
+		if st := t.states[l.Upstream]; st != nil && st.born == l.Incarnation {
 			st.announced = a
 		}
 	}
@@ -76,8 +76,8 @@
 // one VM does not bind the others.
 const othersRestCost = failureCost / 2
 
-// RestTold records that an upstream requested a rest from another VM, with the time left of it.
-func (t *Table) RestTold(id contract.UpstreamID, left time.Duration, now time.Time) {
+// RecordRemoteBackoff records that an upstream requested a rest from another VM, with the time left of it.
+func (t *Table) RecordRemoteBackoff(id contract.UpstreamID, left time.Duration, now time.Time) {
 	s, ok := t.states[id]
 	if !ok {
 		return
@@ -99,18 +99,18 @@
 	}
 }
 
-// Life returns the current instance of an upstream.
-func (t *Table) Life(id contract.UpstreamID) contract.Life {
-	l := contract.Life{Upstream: id}
+// Instance returns the current instance of an upstream.
+func (t *Table) Instance(id contract.UpstreamID) contract.UpstreamInstance {
+	l := contract.UpstreamInstance{Upstream: id}
 	if s, ok := t.states[id]; ok {
-		l.Born = s.born
+		l.Incarnation = s.born
 	}
 	return l
 }
 
-// RestsEnded returns the instances whose rests have ended since the last call.
-func (t *Table) RestsEnded(now time.Time) []contract.Life {
-	var out []contract.Life
+// TakeEndedBackoffs returns the instances whose rests have ended since the last call.
+func (t *Table) TakeEndedBackoffs(now time.Time) []contract.UpstreamInstance {
+	var out []contract.UpstreamInstance
 	for l, a := range t.announcements {
 		if !a.restUntil.IsZero() && !now.Before(a.restUntil) {
 			a.restUntil = time.Time{}
@@ -120,8 +120,8 @@
 	return out
 }
 
-// WordOf reports whether an upstream is resting and whether it stated that it is leaving.
-func (t *Table) WordOf(id contract.UpstreamID, now time.Time) (resting, leaving bool) {
+// NoticeState reports whether an upstream is resting and whether it stated that it is leaving.
+func (t *Table) NoticeState(id contract.UpstreamID, now time.Time) (resting, leaving bool) {
 	s, ok := t.states[id]
 	return ok && s.announced.isResting(now), ok && s.announced.isLeaving()
 }
@@ -136,17 +136,17 @@
 	return s.leavingIncarnation != 0 && s.leavingIncarnation >= s.incarnation || s.announced.isLeaving()
 }
 
-// Takes reports whether an instance that was selected earlier still accepts new work.
-func (t *Table) Takes(l contract.Life, now time.Time) bool {
-	if s := t.states[l.Upstream]; s != nil && s.born == l.Born {
+// AcceptsWork reports whether an instance that was selected earlier still accepts new work.
+func (t *Table) AcceptsWork(l contract.UpstreamInstance, now time.Time) bool {
+	if s := t.states[l.Upstream]; s != nil && s.born == l.Incarnation {
 		return s.acceptsWork(now)
 	}
 	a := t.announcements[l] // no longer listed, but may have been selected before
 	return !a.isLeaving() && !a.isResting(now)
 }
 
-// Leaves reports whether an upstream is about to stop, according to the list or its answers.
-func (t *Table) Leaves(id contract.UpstreamID) bool {
+// IsLeaving reports whether an upstream is about to stop, according to the list or its answers.
+func (t *Table) IsLeaving(id contract.UpstreamID) bool {
 	s, ok := t.states[id]
 	return ok && s.isLeaving()
 }
@@ -159,9 +159,9 @@
 // A nil receiver has requested none.
 func (a *announcement) isResting(now time.Time) bool { return a != nil && now.Before(a.restUntil) }
 
-// Resting returns how many of the listed upstreams are resting and how many have stated that
+// CountBackedOff returns how many of the listed upstreams are resting and how many have stated that
 // they are leaving.
-func (t *Table) Resting(now time.Time) (resting, leaving int) {
+func (t *Table) CountBackedOff(now time.Time) (resting, leaving int) {
 	for _, s := range t.sortedStates {
 		if s.announced.isResting(now) {
 			resting++
--- a/upstream/announcement_test.go
+++ b/upstream/notices_test.go
@@ -22,11 +22,11 @@
 }
 
 func listEntry(id, dc string, born int64) Entry {
-	return Entry{ID: contract.UpstreamID(id), Service: "s", Address: id, DataCentre: contract.DataCentreID(dc), Release: "v1", Slots: 4, Born: born}
+	return Entry{ID: contract.UpstreamID(id), Service: "s", Address: id, DataCentre: contract.DataCentreID(dc), Release: "v1", Slots: 4, Incarnation: born}
 }
 
 func applyList(t *Table, now time.Time, entries ...Entry) {
-	t.ConfigureList(List{Entries: entries, Connections: func(contract.ServiceID) int { return 100 }, Now: now})
+	t.ApplyList(List{Entries: entries, Connections: func(contract.ServiceID) int { return 100 }, Now: now})
 }
 
 var engineQuery = Query{Kind: config.EnginePool, DataCentre: "d"}
@@ -46,40 +46,42 @@
 func TestAnnouncementPersists(t *testing.T) {
 	const rest = 3 * time.Second
 	for name, c := range map[string]struct {
-		said   Said
+		said   Notices
 		then   func(tb *Table, now time.Time)
 		after  time.Duration
 		usable bool // whether u1 can be selected afterwards
 	}{
-		"leaving":                                     {Said{Leaving: true}, nil, time.Hour, false},
-		"leaving, then listed as ready":               {Said{Leaving: true}, func(tb *Table, now time.Time) { applyList(tb, now, listEntry("u1", "d", 1)) }, time.Second, false},
-		"leaving, then not listed for a while":        {Said{Leaving: true}, func(tb *Table, now time.Time) { applyList(tb, now); applyList(tb, now, listEntry("u1", "d", 1)) }, time.Second, false},
-		"leaving, then a good answer":                 {Said{Leaving: true}, func(tb *Table, now time.Time) { tb.Done("u1", Good, 0, now) }, time.Second, false},
-		"leaving, then an answer that states nothing": {Said{Leaving: true}, func(tb *Table, now time.Time) { tb.TakeWord(contract.Life{Upstream: "u1", Born: 1}, Said{}, now) }, time.Second, false},
-		"leaving, then a new instance":                {Said{Leaving: true}, func(tb *Table, now time.Time) { applyList(tb, now, listEntry("u1", "d", 2)) }, time.Second, true},
-		"leaving, stated by another instance": {Said{}, func(tb *Table, now time.Time) {
-			tb.TakeWord(contract.Life{Upstream: "u1", Born: 7}, Said{Leaving: true}, now)
+		"leaving":                              {Notices{Leaving: true}, nil, time.Hour, false},
+		"leaving, then listed as ready":        {Notices{Leaving: true}, func(tb *Table, now time.Time) { applyList(tb, now, listEntry("u1", "d", 1)) }, time.Second, false},
+		"leaving, then not listed for a while": {Notices{Leaving: true}, func(tb *Table, now time.Time) { applyList(tb, now); applyList(tb, now, listEntry("u1", "d", 1)) }, time.Second, false},
+		"leaving, then a good answer":          {Notices{Leaving: true}, func(tb *Table, now time.Time) { tb.RecordDone("u1", Succeeded, 0, now) }, time.Second, false},
+		"leaving, then an answer that states nothing": {Notices{Leaving: true}, func(tb *Table, now time.Time) {
+			tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, Notices{}, now)
+		}, time.Second, false},
+		"leaving, then a new instance": {Notices{Leaving: true}, func(tb *Table, now time.Time) { applyList(tb, now, listEntry("u1", "d", 2)) }, time.Second, true},
+		"leaving, stated by another instance": {Notices{}, func(tb *Table, now time.Time) {
+			tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u1", Incarnation: 7}, Notices{Leaving: true}, now)
 		}, time.Second, true},
-		"rest":                             {Said{Rest: rest}, nil, rest - 1, false},
-		"rest ended":                       {Said{Rest: rest}, nil, rest, true},
-		"rest, then a good answer":         {Said{Rest: rest}, func(tb *Table, now time.Time) { tb.Done("u1", Good, 0, now) }, rest - 1, false},
-		"rest, then a request turned away": {Said{Rest: rest}, func(tb *Table, now time.Time) { tb.Done("u1", TurnedAway, 0, now) }, rest - 1, false},
-		"rest, then a shorter one": {Said{Rest: rest}, func(tb *Table, now time.Time) {
-			tb.TakeWord(contract.Life{Upstream: "u1", Born: 1}, Said{Rest: time.Second}, now)
+		"rest":                             {Notices{Backoff: rest}, nil, rest - 1, false},
+		"rest ended":                       {Notices{Backoff: rest}, nil, rest, true},
+		"rest, then a good answer":         {Notices{Backoff: rest}, func(tb *Table, now time.Time) { tb.RecordDone("u1", Succeeded, 0, now) }, rest - 1, false},
+		"rest, then a request turned away": {Notices{Backoff: rest}, func(tb *Table, now time.Time) { tb.RecordDone("u1", Rejected, 0, now) }, rest - 1, false},
+		"rest, then a shorter one": {Notices{Backoff: rest}, func(tb *Table, now time.Time) {
+			tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, Notices{Backoff: time.Second}, now)
 		}, rest - 1, false},
-		"rest, then a longer one": {Said{Rest: rest}, func(tb *Table, now time.Time) {
-			tb.TakeWord(contract.Life{Upstream: "u1", Born: 1}, Said{Rest: 2 * rest}, now)
+		"rest, then a longer one": {Notices{Backoff: rest}, func(tb *Table, now time.Time) {
+			tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, Notices{Backoff: 2 * rest}, now)
 		}, rest, false},
-		"rest, then listed again":           {Said{Rest: rest}, func(tb *Table, now time.Time) { applyList(tb, now, listEntry("u1", "d", 1)) }, rest - 1, false},
-		"rest, then not listed for a while": {Said{Rest: rest}, func(tb *Table, now time.Time) { applyList(tb, now); applyList(tb, now, listEntry("u1", "d", 1)) }, rest - 1, false},
-		"rest, then a new instance":         {Said{Rest: rest}, func(tb *Table, now time.Time) { applyList(tb, now, listEntry("u1", "d", 2)) }, 0, true},
-		"rest, then RestsEnded is called":   {Said{Rest: rest}, func(tb *Table, now time.Time) { tb.RestsEnded(now) }, rest - 1, false},
+		"rest, then listed again":           {Notices{Backoff: rest}, func(tb *Table, now time.Time) { applyList(tb, now, listEntry("u1", "d", 1)) }, rest - 1, false},
+		"rest, then not listed for a while": {Notices{Backoff: rest}, func(tb *Table, now time.Time) { applyList(tb, now); applyList(tb, now, listEntry("u1", "d", 1)) }, rest - 1, false},
+		"rest, then a new instance":         {Notices{Backoff: rest}, func(tb *Table, now time.Time) { applyList(tb, now, listEntry("u1", "d", 2)) }, 0, true},
+		"rest, then RestsEnded is called":   {Notices{Backoff: rest}, func(tb *Table, now time.Time) { tb.TakeEndedBackoffs(now) }, rest - 1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			now := time.Unix(1000, 0)
 			tb := newTwoCentreTable(1, now)
-			tb.TakeWord(contract.Life{Upstream: "u1", Born: 1}, c.said, now)
+			tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, c.said, now)
 			if c.then != nil {
 				c.then(tb, now)
 			}
@@ -88,9 +90,9 @@
 			onlyU1 := Query{Kind: config.EnginePool, DataCentre: "d", Exclude: []contract.UpstreamID{"u2"}}
 			_, err := tb.Pick(onlyU1, now, rand.New(rand.NewPCG(1, 1)))
 			is.Equal(err == nil, c.usable)
-			is.Equal(tb.Any(onlyU1, now), c.usable)
-			is.Equal(tb.Another(onlyU1, true, now), c.usable)
-			_, ok := tb.Best(onlyU1, now, rand.New(rand.NewPCG(1, 1)))
+			is.Equal(tb.CanPick(onlyU1, now), c.usable)
+			is.Equal(tb.HasAlternative(onlyU1, true, now), c.usable)
+			_, ok := tb.EstimateBest(onlyU1, now, rand.New(rand.NewPCG(1, 1)))
 			is.Equal(ok, c.usable)
 		})
 	}
@@ -102,20 +104,20 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tb := newTwoCentreTable(1, now)
-	tb.TakeWord(contract.Life{Upstream: "u1", Born: 1}, Said{Rest: 2 * time.Second}, now)
+	tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, Notices{Backoff: 2 * time.Second}, now)
 	is.Equal(pickID(tb, now), contract.UpstreamID("u2")) // in the other data centre
-	is.True(!tb.Outlook(engineQuery, now).Closed())
+	is.True(!tb.Outlook(engineQuery, now).NoneAccepting())
 	for range 5 {
-		tb.Done("u2", Down, 0, now)
+		tb.RecordDone("u2", ConnectionRefused, 0, now)
 	}
 	is.Equal(pickID(tb, now), contract.UpstreamID("u2")) // selected as the last resort
-	tb.TakeWord(contract.Life{Upstream: "u2", Born: 1}, Said{Leaving: true}, now)
+	tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u2", Incarnation: 1}, Notices{Leaving: true}, now)
 	is.Equal(pickID(tb, now), contract.UpstreamID(""))
 	o := tb.Outlook(engineQuery, now)
-	is.Equal(o, Outlook{Listed: 2, Resting: 1, Leaving: 1, In: 2 * time.Second, Rest: 2 * time.Second})
-	is.True(o.Closed())
-	tb.TakeWord(contract.Life{Upstream: "u1", Born: 1}, Said{Leaving: true}, now)
-	is.True(!tb.Outlook(engineQuery, now).Closed()) // no upstream will take requests later
+	is.Equal(o, Outlook{Listed: 2, Resting: 1, Leaving: 1, NextBackoffEnd: 2 * time.Second, NextBackoffLength: 2 * time.Second})
+	is.True(o.NoneAccepting())
+	tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, Notices{Leaving: true}, now)
+	is.True(!tb.Outlook(engineQuery, now).NoneAccepting()) // no upstream will take requests later
 }
 
 // TestAnnouncementsAffectReachability checks other effects of announcements: a VM that reaches no
@@ -125,20 +127,20 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tb := newTwoCentreTable(1, now)
-	tb.Reached("e", false, now)
+	tb.RecordDataCentreProbe("e", false, now)
 	pools := []contract.PoolID{PoolID("s", "v1", "d"), PoolID("s", "v1", "e")}
 	is.True(!tb.CutOff("d", pools, now))
 	tb.states["u1"].promptSentAt = now
 	is.True(tb.states["u1"].receivesPrompts(now))
-	tb.TakeWord(contract.Life{Upstream: "u1", Born: 1}, Said{Rest: time.Second}, now)
+	tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, Notices{Backoff: time.Second}, now)
 	is.True(!tb.states["u1"].receivesPrompts(now))
 	is.True(!tb.CutOff("d", pools, now)) // a resting upstream will be back soon
-	tb.TakeWord(contract.Life{Upstream: "u1", Born: 1}, Said{Leaving: true}, now)
+	tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, Notices{Leaving: true}, now)
 	is.True(tb.CutOff("d", pools, now))
 	random := rand.New(rand.NewPCG(1, 1))
-	is.Equal(len(tb.Away(now, random)), 1)
-	tb.TakeWord(contract.Life{Upstream: "u2", Born: 1}, Said{Leaving: true}, now)
-	is.Equal(len(tb.Away(now, random)), 0)
+	is.Equal(len(tb.ProbeTargets(now, random)), 1)
+	tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u2", Incarnation: 1}, Notices{Leaving: true}, now)
+	is.Equal(len(tb.ProbeTargets(now, random)), 0)
 }
 
 // TestAnnouncementsExpire checks that announcements are kept only for instances that are listed or
@@ -149,14 +151,14 @@
 	tb := NewTable(Options{Listed: true})
 	for n := range int64(1000) {
 		applyList(tb, now, listEntry("u1", "d", n+1))
-		tb.TakeWord(contract.Life{Upstream: "u1", Born: n + 1}, Said{Leaving: true, Rest: math.MaxInt64 / 2}, now)
+		tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u1", Incarnation: n + 1}, Notices{Leaving: true, Backoff: math.MaxInt64 / 2}, now)
 		now = now.Add(time.Second)
-		tb.Level("d", now)
+		tb.CompareUpstreams("d", now)
 	}
 	is.True(len(tb.announcements) <= int(announcementTTL/time.Second)+1)
 	for range 2 * int(announcementTTL/time.Second) {
 		now = now.Add(time.Second)
-		tb.Level("d", now)
+		tb.CompareUpstreams("d", now)
 	}
 	is.Equal(len(tb.announcements), 1) // still listed and still leaving
 	is.Equal(pickID(tb, now), contract.UpstreamID(""))
@@ -169,13 +171,13 @@
 	now := time.Unix(1000, 0)
 	tb := NewTable(Options{})
 	tb.Configure(map[contract.PoolID]*config.Pool{"p": {ID: "p", Kind: config.EnginePool, Slots: 4, Upstreams: []config.Upstream{{ID: "u1", URL: "u1"}}}})
-	report := func(life contract.Incarnation) { tb.Reported("u1", contract.Load{Incarnation: life}, now) }
+	report := func(life contract.Incarnation) { tb.ApplyReport("u1", contract.LoadReport{Incarnation: life}, now) }
 	report(5)
 	is.Equal(pickID(tb, now), contract.UpstreamID("u1"))
-	tb.TakeWord(tb.Life("u1"), Said{Rest: 2 * time.Second}, now)
+	tb.ApplyNotices(tb.Instance("u1"), Notices{Backoff: 2 * time.Second}, now)
 	now = now.Add(time.Second)
 	report(5)
-	tb.Done("u1", Good, 0, now)
+	tb.RecordDone("u1", Succeeded, 0, now)
 	is.Equal(pickID(tb, now), contract.UpstreamID(""))
 	report(6)
 	is.Equal(pickID(tb, now), contract.UpstreamID("u1"))
@@ -195,29 +197,29 @@
 	for at := time.Duration(0); at < 7*time.Second; at += 25 * time.Millisecond {
 		now = time.Unix(1000, 0).Add(at)
 		id := pickID(tb, now)
-		tb.Sent(id)
+		tb.RecordSent(id)
 		switch {
 		case id != "u1":
-			tb.Done(id, Good, 0, now)
+			tb.RecordDone(id, Succeeded, 0, now)
 		case at < 5*time.Second:
 			tries++
-			tb.Done(id, TurnedAway, 0, now)
+			tb.RecordDone(id, Rejected, 0, now)
 		default:
 			if back == 0 {
 				back = at - 5*time.Second
 			}
-			tb.Accepted(id)
-			tb.Done(id, Good, 0, now)
+			tb.RecordAccepted(id)
+			tb.RecordDone(id, Succeeded, 0, now)
 		}
 	}
 	is.True(tries <= 10) // a constant skip of 60 ms would give 67
 	is.True(back <= time.Second)
 	is.Equal(pickID(tb, now), contract.UpstreamID("u1"))
-	tb.Done("u1", Full, 0, now)
+	tb.RecordDone("u1", NoConnection, 0, now)
 	is.Equal(pickID(tb, now.Add(fullSkip)), contract.UpstreamID("u1"))
-	tb.Done("u1", TurnedAway, 0, now)
-	tb.Done("u1", Full, 0, now)
-	tb.Done("u1", Full, 0, now)
+	tb.RecordDone("u1", Rejected, 0, now)
+	tb.RecordDone("u1", NoConnection, 0, now)
+	tb.RecordDone("u1", NoConnection, 0, now)
 	is.Equal(pickID(tb, now.Add(fullSkip)), contract.UpstreamID("u1"))
 }
 
@@ -226,7 +228,7 @@
 func TestRandomAnnouncementsHold(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		type oracleEntry struct {
-			life  contract.Life
+			life  contract.UpstreamInstance
 			leave bool
 			until time.Time
 		}
@@ -238,24 +240,24 @@
 			id := contract.UpstreamID(fmt.Sprint("u", rapid.IntRange(1, 2).Draw(r, "upstream")))
 			switch rapid.IntRange(0, 4).Draw(r, "step") {
 			case 0:
-				said := Said{Leaving: rapid.IntRange(0, 9).Draw(r, "leaving") == 0, Rest: time.Duration(rapid.IntRange(0, 3000).Draw(r, "rest")) * time.Millisecond}
-				l := contract.Life{Upstream: id, Born: born[id]}
-				tb.TakeWord(l, said, now)
-				oracle = append(oracle, oracleEntry{l, said.Leaving, now.Add(said.Rest)})
+				said := Notices{Leaving: rapid.IntRange(0, 9).Draw(r, "leaving") == 0, Backoff: time.Duration(rapid.IntRange(0, 3000).Draw(r, "rest")) * time.Millisecond}
+				l := contract.UpstreamInstance{Upstream: id, Incarnation: born[id]}
+				tb.ApplyNotices(l, said, now)
+				oracle = append(oracle, oracleEntry{l, said.Leaving, now.Add(said.Backoff)})
 			case 1:
-				tb.Done(id, Result(rapid.IntRange(0, int(Broken)).Draw(r, "result")), 0, now)
+				tb.RecordDone(id, Result(rapid.IntRange(0, int(Broken)).Draw(r, "result")), 0, now)
 			case 2:
 				born[id] += int64(rapid.IntRange(0, 1).Draw(r, "restarts"))
 				applyList(tb, now, listEntry("u1", "d", born["u1"]), listEntry("u2", "e", born["u2"]))
 			case 3:
 				now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(r, "advance")) * time.Millisecond)
 			case 4:
-				tb.Level("d", now)
-				tb.RestsEnded(now)
+				tb.CompareUpstreams("d", now)
+				tb.TakeEndedBackoffs(now)
 			}
 			got := pickID(tb, now)
 			for _, e := range oracle {
-				if got == e.life.Upstream && born[got] == e.life.Born && (e.leave || now.Before(e.until)) {
+				if got == e.life.Upstream && born[got] == e.life.Incarnation && (e.leave || now.Before(e.until)) {
 					r.Fatalf("%s is selected at %v despite the announcement %+v", got, now, e)
 				}
 			}
--- a/upstream/outlook.go
+++ b/upstream/outlook.go
@@ -9,13 +9,13 @@
 	Listed, Resting, Leaving, AtLimit int
 	// PerSecond is the total request rate that the upstreams in AtLimit take from all VMs.
 	PerSecond float64
-	// In is the time until the first rest ends, and Rest the whole length of that rest:
+	// NextBackoffEnd is the time until the first rest ends, and Rest the whole length of that rest:
 	// callers have been turned away for about that long.
-	In, Rest time.Duration
+	NextBackoffEnd, NextBackoffLength time.Duration
 }
 
-// Closed reports whether no upstream takes requests now but at least one will later.
-func (o Outlook) Closed() bool {
+// NoneAccepting reports whether no upstream takes requests now but at least one will later.
+func (o Outlook) NoneAccepting() bool {
 	return o.Resting+o.AtLimit > 0 && o.Resting+o.AtLimit+o.Leaving == o.Listed
 }
 
@@ -34,8 +34,8 @@
 			o.Leaving++
 		case s.announced.isResting(now):
 			o.Resting++
-			if in := s.announced.restUntil.Sub(now); o.Resting == 1 || in < o.In {
-				o.In, o.Rest = in, s.announced.rest
+			if in := s.announced.restUntil.Sub(now); o.Resting == 1 || in < o.NextBackoffEnd {
+				o.NextBackoffEnd, o.NextBackoffLength = in, s.announced.rest
 			}
 		case !t.withinLimit(s, now):
 			o.AtLimit++
--- a/upstream/owners.go
+++ b/upstream/owners.go
@@ -21,14 +21,14 @@
 	// VMs are all VMs of the data centre including this one, in any order. It includes VMs
 	// that became silent recently, because they may only be disconnected from this VM.
 	VMs []contract.VMID
-	// Unsure means that there may be many more VMs: this VM then sends at most one request
+	// Incomplete means that there may be many more VMs: this VM then sends at most one request
 	// per second to each upstream that it owns.
-	Unsure bool
+	Incomplete bool
 }
 
 // SetOwners sets the VMs that divide the bounds of the upstreams of a data centre.
 func (t *Table) SetOwners(dc contract.DataCentreID, o Owners) {
-	if t.owners.dc == dc && t.owners.Self == o.Self && t.owners.Unsure == o.Unsure && slices.Equal(t.owners.VMs, o.VMs) {
+	if t.owners.dc == dc && t.owners.Self == o.Self && t.owners.Incomplete == o.Incomplete && slices.Equal(t.owners.VMs, o.VMs) {
 		return
 	}
 	t.owners = ownership{Owners: o, dc: dc, version: t.owners.version + 1}
--- a/upstream/pick.go
+++ b/upstream/pick.go
@@ -230,7 +230,7 @@
 const reportAveragingTime = 5 * time.Second
 
 // averageReport updates the expected requests of other VMs with a load report.
-func (s *state) averageReport(l contract.Load, elapsed time.Duration) {
+func (s *state) averageReport(l contract.LoadReport, elapsed time.Duration) {
 	ownThen := float64(s.inFlight - s.sentSinceReport + s.doneSinceReport)
 	others := max(float64(l.Running+l.Waiting)-ownThen, 0)
 	age := time.Duration(l.AgeMillis) * time.Millisecond
--- a/upstream/policy.go
+++ b/upstream/policy.go
@@ -16,8 +16,8 @@
 	PrefillPrice Mechanism = "price"
 	// PrefixCaching is the estimate of which prompt prefixes engines have cached.
 	PrefixCaching Mechanism = "kept"
-	// Telling is the announcement of requests, rests and answer ratings to other VMs.
-	Telling Mechanism = "telling"
+	// Gossip is the announcement of requests, rests and answer ratings to other VMs.
+	Gossip Mechanism = "telling"
 	// HomeUpstreams lets VMs agree without communication where to prefill a prefix.
 	HomeUpstreams Mechanism = "homes"
 	// PrefillRates is the learning of how long engines take to prefill a token.
@@ -26,14 +26,14 @@
 	Escalation Mechanism = "escalation"
 	// LargestAlone allows the largest model to answer first.
 	LargestAlone Mechanism = "largest-alone"
-	// Untried occasionally sends requests to models about which little is known.
-	Untried Mechanism = "untried"
+	// Exploration occasionally sends requests to models about which little is known.
+	Exploration Mechanism = "untried"
 	// EarlyRefusal immediately refuses requests that cannot be answered in the time left.
 	EarlyRefusal Mechanism = "early-refusal"
 )
 
 // Mechanisms lists all mechanisms, sorted by name.
-var Mechanisms = []Mechanism{EarlyRefusal, Escalation, HomeUpstreams, PrefixCaching, LargestAlone, PrefillRates, PrefillPrice, Telling, Untried}
+var Mechanisms = []Mechanism{EarlyRefusal, Escalation, HomeUpstreams, PrefixCaching, LargestAlone, PrefillRates, PrefillPrice, Gossip, Exploration}
 
 // Policy is the set of disabled mechanisms. The zero value disables none.
 type Policy struct{ disabled []Mechanism }
--- a/upstream/policy_test.go
+++ b/upstream/policy_test.go
@@ -16,7 +16,7 @@
 	is.NoErr(err)
 	is.True(!p.Has(PrefillPrice))
 	is.True(!p.Has(PrefixCaching))
-	is.True(p.Has(Telling))
+	is.True(p.Has(Gossip))
 	_, err = NewPolicy([]string{"prices"})
 	is.True(err != nil)
 	is.True(strings.Contains(err.Error(), `"prices"`) && strings.Contains(err.Error(), "telling"))
--- a/upstream/prefill.go
+++ b/upstream/prefill.go
@@ -4,39 +4,39 @@
 	"time"
 
 	"woaddoor/contract"
-	"woaddoor/reading"
+	"woaddoor/prefill"
 )
 
-// Expect records that a prompt is sent to an upstream. It returns the estimate for the
+// RecordExpected records that a prompt is sent to an upstream. It returns the estimate for the
 // request and its ticket in the upstream's prefill queue.
-func (t *Table) Expect(id contract.UpstreamID, w Work, dc contract.DataCentreID, now time.Time) (Estimate, reading.Ticket) {
+func (t *Table) RecordExpected(id contract.UpstreamID, w Work, dc contract.DataCentreID, now time.Time) (Estimate, prefill.QueueID) {
 	s, ok := t.states[id]
 	if !ok || !w.hasPrompt() {
 		return Estimate{}, 0
 	}
 	e := t.estimate(s, w, dc, now)
 	s.promptSentAt = now
-	ticket := s.queue.Add(e.Reading, true, now)
-	s.prefixCache.Read(w.Prompt)
+	ticket := s.queue.Add(e.Prefill, true, now)
+	s.prefixCache.Insert(w.Prompt)
 	return e, ticket
 }
 
-// Begun records that the answer to a prompt began, after the duration took since the request
+// RecordAnswerBegin records that the answer to a prompt began, after the duration took since the request
 // was sent, and updates the estimates of prefill time.
-func (t *Table) Begun(id contract.UpstreamID, ticket reading.Ticket, w Work, e Estimate, took time.Duration, now time.Time) {
+func (t *Table) RecordAnswerBegin(id contract.UpstreamID, ticket prefill.QueueID, w Work, e Estimate, took time.Duration, now time.Time) {
 	s, ok := t.states[id]
 	if !ok {
 		return
 	}
-	span := s.queue.Began(ticket, now)
-	s.health.recordFirstAnswer(took, e.First())
+	span := s.queue.AnswerBegan(ticket, now)
+	s.health.recordFirstAnswer(took, e.TimeToFirstToken())
 	if s.health.slownessVsEstimate() == 1 && t.opts.Policy.Has(PrefillRates) {
-		if span.Own >= minPrefillSpan && span.Own > span.Planned/2 {
-			t.prefillRates.Scale(w.Prompt.Model, float64(span.Took)/float64(span.Planned))
+		if span.Newest >= minPrefillSpan && span.Newest > span.Expected/2 {
+			t.prefillRates.RecordRatio(w.Prompt.Model, float64(span.Actual)/float64(span.Expected))
 			return
 		}
-		whole := e.Wait == 0 && e.Kept == 0
-		t.prefillRates.Observe(w.Prompt.Model, w.Prompt.Tokens-e.Kept, took, whole)
+		whole := e.Wait == 0 && e.CachedTokens == 0
+		t.prefillRates.RecordSample(w.Prompt.Model, w.Prompt.Tokens-e.CachedTokens, took, whole)
 	}
 }
 
@@ -44,28 +44,28 @@
 // learned. In a shorter one, the engine's steps for other requests take as long.
 const minPrefillSpan = 40 * time.Millisecond
 
-// Dropped records that a prompt's request ended before its answer began.
-func (t *Table) Dropped(id contract.UpstreamID, ticket reading.Ticket, now time.Time) {
+// RecordDropped records that a prompt's request ended before its answer began.
+func (t *Table) RecordDropped(id contract.UpstreamID, ticket prefill.QueueID, now time.Time) {
 	if s, ok := t.states[id]; ok {
 		s.queue.Drop(ticket, now)
 	}
 }
 
-// TokenTime returns a model's prefill time per token as measured by this VM, or zero if
+// PrefillTokenTime returns a model's prefill time per token as measured by this VM, or zero if
 // there are too few measurements.
-func (t *Table) TokenTime(m contract.ModelID) time.Duration {
-	tokenTime, _ := t.prefillRates.Known(m)
+func (t *Table) PrefillTokenTime(m contract.ModelID) time.Duration {
+	tokenTime, _ := t.prefillRates.OwnRate(m)
 	return tokenTime
 }
 
 // maxToldPrefill limits the prefill time that another VM can announce for a prompt.
 const maxToldPrefill = 30 * time.Second
 
-// Told records a prompt that another VM has sent to an upstream, with its expected prefill
+// RecordRemotePrompt records a prompt that another VM has sent to an upstream, with its expected prefill
 // time and the prefill time per token that the other VM measured, which is zero if it has
 // too few measurements.
-func (t *Table) Told(id contract.UpstreamID, p reading.Prompt, prefillTime, tokenTime time.Duration, now time.Time) {
-	t.prefillRates.Told(p.Model, tokenTime)
+func (t *Table) RecordRemotePrompt(id contract.UpstreamID, p prefill.Prompt, prefillTime, tokenTime time.Duration, now time.Time) {
+	t.prefillRates.SetRemoteRate(p.Model, tokenTime)
 	prefillTime = min(max(prefillTime, 0), maxToldPrefill)
 	s, ok := t.states[id]
 	if !ok {
@@ -73,5 +73,5 @@
 	}
 	s.promptSentAt = now
 	s.queue.Add(prefillTime, false, now)
-	s.prefixCache.Read(p)
+	s.prefixCache.Insert(p)
 }
--- a/upstream/prefill_price.go
+++ b/upstream/prefill_price.go
@@ -7,19 +7,19 @@
 	"woaddoor/cascade"
 )
 
-// Price returns the cost that the prefill of a prompt imposes on later requests, relative to
+// PrefillPrice returns the cost that the prefill of a prompt imposes on later requests, relative to
 // the worth of a mean request. Requests that arrive while the engine has a queue wait longer by
 // the duration of this prefill; the queue that the prefill itself creates counts half. Each
 // second of waiting brings a request closer to being late, which costs cascade.LateLoss. The
 // price applies even while all requests are in time, because the capacity saved then is
 // available for the next burst.
-func (t *Table) Price(e Estimate) float64 {
+func (t *Table) PrefillPrice(e Estimate) float64 {
 	if !t.opts.Policy.Has(PrefillPrice) {
 		return 0
 	}
 	d := &t.demand
-	requestsBehind := d.promptRate / float64(max(t.activeEngines, 1)) * (e.Wait + e.Reading/2).Seconds()
-	return requestsBehind * e.Reading.Seconds() * cascade.LateLoss / max(d.meanObjective, minObjectiveSeconds)
+	requestsBehind := d.promptRate / float64(max(t.activeEngines, 1)) * (e.Wait + e.Prefill/2).Seconds()
+	return requestsBehind * e.Prefill.Seconds() * cascade.LatePenalty / max(d.meanObjective, minObjectiveSeconds)
 }
 
 // demand estimates the prompts that arrive at all VMs together.
@@ -60,9 +60,9 @@
 	d.meanWorth += demandMeanWeight * (worth - d.meanWorth)
 }
 
-// Came records a prompt that arrived at this VM, which is one of vms VMs. It returns the worth
+// RecordPrompt records a prompt that arrived at this VM, which is one of vms VMs. It returns the worth
 // of the prompt relative to the mean.
-func (t *Table) Came(objective time.Duration, worth float64, vms int, now time.Time) float64 {
+func (t *Table) RecordPrompt(objective time.Duration, worth float64, vms int, now time.Time) float64 {
 	t.demand.recordPrompt(objective, worth, max(vms, 1), now)
 	if t.demand.meanWorth <= 0 {
 		return 1
--- a/upstream/reachability.go
+++ b/upstream/reachability.go
@@ -18,9 +18,9 @@
 	switch r {
 	case Unreachable:
 		t.unreachableUntil[s.pool.DataCentre] = now.Add(unreachableFor)
-	case Good, TurnedAway, Down:
+	case Succeeded, Rejected, ConnectionRefused:
 		delete(t.unreachableUntil, s.pool.DataCentre)
-	case Failed, Broken, Abandoned, Full:
+	case Failed, Broken, Abandoned, NoConnection:
 	}
 }
 
@@ -31,12 +31,12 @@
 	return s.pool.DataCentre != q.DataCentre && now.Before(t.unreachableUntil[s.pool.DataCentre])
 }
 
-// Doubt records that an upstream stopped responding: its data centre may be cut off.
-func (t *Table) Doubt(dc contract.DataCentreID) { t.suspectedCentres[dc] = true }
+// SuspectDataCentre records that an upstream stopped responding: its data centre may be cut off.
+func (t *Table) SuspectDataCentre(dc contract.DataCentreID) { t.suspectedCentres[dc] = true }
 
-// Away returns the address of one random upstream, as a probe target, for each data centre that
+// ProbeTargets returns the address of one random upstream, as a probe target, for each data centre that
 // appears or is suspected to be cut off.
-func (t *Table) Away(now time.Time, random *rand.Rand) map[contract.DataCentreID]string {
+func (t *Table) ProbeTargets(now time.Time, random *rand.Rand) map[contract.DataCentreID]string {
 	drawn := make(map[contract.DataCentreID]string)
 	seen := make(map[contract.DataCentreID]int)
 	for _, s := range t.sortedStates {
@@ -52,8 +52,8 @@
 	return drawn
 }
 
-// Reached records whether a data centre that appeared to be cut off could be reached.
-func (t *Table) Reached(dc contract.DataCentreID, ok bool, now time.Time) {
+// RecordDataCentreProbe records whether a data centre that appeared to be cut off could be reached.
+func (t *Table) RecordDataCentreProbe(dc contract.DataCentreID, ok bool, now time.Time) {
 	delete(t.suspectedCentres, dc)
 	if ok {
 		delete(t.unreachableUntil, dc)
--- a/upstream/reachability_test.go
+++ b/upstream/reachability_test.go
@@ -14,26 +14,35 @@
 	now := time.Unix(100, 0)
 	pools := func(entries []Entry) (ids []contract.PoolID) {
 		for _, e := range entries {
-			ids = append(ids, e.PoolOf())
+			ids = append(ids, e.PoolID())
 		}
 		return ids
 	}
 	finishRequests := func(tb *Table, r Result, ids ...contract.UpstreamID) {
 		for _, id := range ids {
-			tb.Sent(id)
-			tb.Done(id, r, 0, now)
+			tb.RecordSent(id)
+			tb.RecordDone(id, r, 0, now)
 		}
 	}
 	for name, c := range map[string]struct {
 		change func(tb *Table)
 		cutOff bool
 	}{
-		"all upstreams reachable":                           {func(*Table) {}, false},
-		"other data centre unreachable":                     {func(tb *Table) { finishRequests(tb, Unreachable, "e0") }, false},
-		"other data centre unreachable, own upstreams down": {func(tb *Table) { finishRequests(tb, Unreachable, "e0", "d0"); finishRequests(tb, Down, "d1") }, true},
-		"other data centre refuses connections":             {func(tb *Table) { finishRequests(tb, Down, "e0", "d0", "d1") }, false},
-		"one own upstream recovered":                        {func(tb *Table) { finishRequests(tb, Unreachable, "e0", "d0", "d1"); finishRequests(tb, Good, "d1") }, false},
-		"other data centre reachable again":                 {func(tb *Table) { finishRequests(tb, Unreachable, "e0", "d0", "d1"); tb.Reached("e", true, now) }, false},
+		"all upstreams reachable":       {func(*Table) {}, false},
+		"other data centre unreachable": {func(tb *Table) { finishRequests(tb, Unreachable, "e0") }, false},
+		"other data centre unreachable, own upstreams down": {func(tb *Table) {
+			finishRequests(tb, Unreachable, "e0", "d0")
+			finishRequests(tb, ConnectionRefused, "d1")
+		}, true},
+		"other data centre refuses connections": {func(tb *Table) { finishRequests(tb, ConnectionRefused, "e0", "d0", "d1") }, false},
+		"one own upstream recovered": {func(tb *Table) {
+			finishRequests(tb, Unreachable, "e0", "d0", "d1")
+			finishRequests(tb, Succeeded, "d1")
+		}, false},
+		"other data centre reachable again": {func(tb *Table) {
+			finishRequests(tb, Unreachable, "e0", "d0", "d1")
+			tb.RecordDataCentreProbe("e", true, now)
+		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -52,21 +61,21 @@
 	now := time.Unix(100, 0)
 	tb, _ := newListedTable(3)
 	r := seededRandom()
-	is.Equal(len(tb.Away(now, r)), 0)
-	tb.Sent("e0")
-	tb.Done("e0", Unreachable, 0, now)
+	is.Equal(len(tb.ProbeTargets(now, r)), 0)
+	tb.RecordSent("e0")
+	tb.RecordDone("e0", Unreachable, 0, now)
 	seen := make(map[string]bool)
 	for range 60 {
-		for dc, address := range tb.Away(now, r) {
+		for dc, address := range tb.ProbeTargets(now, r) {
 			is.Equal(dc, contract.DataCentreID("e"))
 			seen[address] = true
 		}
 	}
 	is.Equal(len(seen), 3)
-	tb.Reached("e", true, now)
-	is.Equal(len(tb.Away(now, r)), 0)
-	tb.Doubt("e")
-	is.Equal(len(tb.Away(now, r)), 1)
-	tb.Reached("e", false, now)
-	is.Equal(len(tb.Away(now.Add(unreachableFor), r)), 0)
+	tb.RecordDataCentreProbe("e", true, now)
+	is.Equal(len(tb.ProbeTargets(now, r)), 0)
+	tb.SuspectDataCentre("e")
+	is.Equal(len(tb.ProbeTargets(now, r)), 1)
+	tb.RecordDataCentreProbe("e", false, now)
+	is.Equal(len(tb.ProbeTargets(now.Add(unreachableFor), r)), 0)
 }
--- a/upstream/replay_test.go
+++ b/upstream/replay_test.go
@@ -12,7 +12,7 @@
 
 	"woaddoor/config"
 	"woaddoor/contract"
-	"woaddoor/reading"
+	"woaddoor/prefill"
 )
 
 // Prefill seconds per token of the simulated models.
@@ -39,14 +39,14 @@
 // replayEngine is an engine that prefills prompts one after another.
 type replayEngine struct {
 	freeAt      time.Time
-	prefixCache *reading.Kept
+	prefixCache *prefill.PrefixCache
 }
 
 // replayRequest is one request of the simulated load.
 type replayRequest struct {
 	kind      string
 	arrival   time.Duration
-	prompt    reading.Prompt
+	prompt    prefill.Prompt
 	objective time.Duration
 }
 
@@ -81,14 +81,14 @@
 	var entries []Entry
 	for i := range engines {
 		id := contract.UpstreamID(fmt.Sprintf("e%02d", i))
-		entries = append(entries, Entry{ID: id, Service: "s", Address: string(id), DataCentre: "d", Release: "v1", Slots: 64, Memory: memory})
-		r.engines[id] = &replayEngine{prefixCache: reading.NewKept(memory)}
+		entries = append(entries, Entry{ID: id, Service: "s", Address: string(id), DataCentre: "d", Release: "v1", Slots: 64, CacheTokens: memory})
+		r.engines[id] = &replayEngine{prefixCache: prefill.NewPrefixCache(memory)}
 	}
 	for range vms {
 		tb := NewTable(Options{Listed: true, Policy: policy})
-		tb.ConfigureList(List{Entries: entries, Connections: func(contract.ServiceID) int { return 100 }})
-		tb.SetCosts(map[contract.ModelID]float64{"small": 0.008, "large": 0.12})
-		tb.SetGroup(Group{Region: true})
+		tb.ApplyList(List{Entries: entries, Connections: func(contract.ServiceID) int { return 100 }})
+		tb.SetModelPrices(map[contract.ModelID]float64{"small": 0.008, "large": 0.12})
+		tb.SetGossipScope(GossipScope{Region: true})
 		r.vms = append(r.vms, tb)
 	}
 	return r
@@ -108,7 +108,7 @@
 	for at := time.Duration(0); at < end; at += 250 * time.Millisecond {
 		r.schedule(at, func() {
 			for _, tb := range r.vms {
-				tb.Level("d", r.now)
+				tb.CompareUpstreams("d", r.now)
 			}
 		})
 	}
@@ -125,25 +125,25 @@
 func (r *replay) send(q replayRequest) {
 	sender := r.random.IntN(len(r.vms))
 	tb := r.vms[sender]
-	tb.Came(q.objective, 1, len(r.vms), r.now)
+	tb.RecordPrompt(q.objective, 1, len(r.vms), r.now)
 	w := Work{Prompt: q.prompt, Objective: q.objective}
 	id, err := tb.Pick(Query{Kind: config.EnginePool, DataCentre: "d", Prefix: q.prompt.Parts[0].Key, Work: w}, r.now, r.random)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	tb.Sent(id)
-	expected, ticket := tb.Expect(id, w, "d", r.now)
+	tb.RecordSent(id)
+	expected, ticket := tb.RecordExpected(id, w, "d", r.now)
 	for i, other := range r.vms {
-		if i != sender && r.policy.Has(Telling) {
-			token := tb.TokenTime(q.prompt.Model)
-			r.schedule(replayGossipDelay, func() { other.Told(id, q.prompt, expected.Reading, token, r.now) })
+		if i != sender && r.policy.Has(Gossip) {
+			token := tb.PrefillTokenTime(q.prompt.Model)
+			r.schedule(replayGossipDelay, func() { other.RecordRemotePrompt(id, q.prompt, expected.Prefill, token, r.now) })
 		}
 	}
 	sent := r.now
 	r.schedule(r.engines[id].prefill(r, q.prompt), func() {
 		took := r.now.Sub(sent)
-		tb.Begun(id, ticket, w, expected, took, r.now)
-		tb.Done(id, Good, took, r.now)
+		tb.RecordAnswerBegin(id, ticket, w, expected, took, r.now)
+		tb.RecordDone(id, Succeeded, took, r.now)
 		r.total[q.kind]++
 		if took > q.objective {
 			r.late[q.kind]++
@@ -152,19 +152,19 @@
 }
 
 // prefill lets an engine prefill a prompt and returns the time until the answer begins.
-func (e *replayEngine) prefill(r *replay, p reading.Prompt) time.Duration {
+func (e *replayEngine) prefill(r *replay, p prefill.Prompt) time.Duration {
 	token := replaySmallTokenSeconds
 	if p.Model == "large" {
 		token = replayLargeTokenSeconds
 	}
-	uncached := p.Tokens - e.prefixCache.Of(p)
-	e.prefixCache.Read(p)
+	uncached := p.Tokens - e.prefixCache.CachedTokens(p)
+	e.prefixCache.Insert(p)
 	r.prefilledTokens += uncached
 	if e.freeAt.Before(r.now) {
 		e.freeAt = r.now
 	}
 	e.freeAt = e.freeAt.Add(time.Duration(token * float64(uncached) * float64(time.Second)))
-	return e.freeAt.Sub(r.now) + reading.Base
+	return e.freeAt.Sub(r.now) + prefill.BaseLatency
 }
 
 // lateFraction returns the fraction of a kind's requests that were late.
@@ -174,8 +174,8 @@
 
 // request returns a request whose prompt has a shared prefix and a unique rest.
 func (r *replay) request(kind string, at time.Duration, m contract.ModelID, prefix uint64, shared, unique int, objective time.Duration) replayRequest {
-	parts := []reading.Part{{Key: prefix, Tokens: shared}, {Key: r.random.Uint64(), Tokens: unique}}
-	return replayRequest{kind: kind, arrival: at, objective: objective, prompt: reading.Prompt{Model: m, Tokens: shared + unique, Parts: parts}}
+	parts := []prefill.Part{{Key: prefix, Tokens: shared}, {Key: r.random.Uint64(), Tokens: unique}}
+	return replayRequest{kind: kind, arrival: at, objective: objective, prompt: prefill.Prompt{Model: m, Tokens: shared + unique, Parts: parts}}
 }
 
 // steady returns requests of a kind at a mean rate, each with one of a number of shared prefixes.
--- a/upstream/rest_replay_test.go
+++ b/upstream/rest_replay_test.go
@@ -97,18 +97,18 @@
 	if err != nil {
 		return
 	}
-	tb.Sent(id)
+	tb.RecordSent(id)
 	elapsed := f.now.Sub(start)
 	refuses := id < contract.UpstreamID(fmt.Sprintf("u%02d", restRefusing))
 	if refuses && elapsed < restRefusalTime {
 		f.turnedAway++
-		tb.Done(id, TurnedAway, 0, f.now)
-		tb.TakeWord(tb.Life(id), Said{Rest: restRequested}, f.now)
+		tb.RecordDone(id, Rejected, 0, f.now)
+		tb.ApplyNotices(tb.Instance(id), Notices{Backoff: restRequested}, f.now)
 		if gossip {
 			f.schedule(restGossipDelay, func() {
 				for _, other := range f.vms {
 					if other != tb {
-						other.RestTold(id, restRequested-restGossipDelay, f.now)
+						other.RecordRemoteBackoff(id, restRequested-restGossipDelay, f.now)
 					}
 				}
 			})
@@ -119,8 +119,8 @@
 	if refuses && elapsed < restRefusalTime+restRequested {
 		f.arrivalsAfterReturn[id] = append(f.arrivalsAfterReturn[id], f.now)
 	}
-	tb.Accepted(id)
-	f.schedule(restServiceTime, func() { tb.Done(id, Good, restServiceTime, f.now) })
+	tb.RecordAccepted(id)
+	f.schedule(restServiceTime, func() { tb.RecordDone(id, Succeeded, restServiceTime, f.now) })
 }
 
 // TestRestGossip simulates 600 requests per second to 40 upstreams, 8 of which turn away everything for
--- a/upstream/slow_upstream_test.go
+++ b/upstream/slow_upstream_test.go
@@ -30,7 +30,7 @@
 			gotLate := 0
 			for n := range uint64(requests) {
 				for _, id := range []contract.UpstreamID{"a", "b"} {
-					tb.Reported(id, loadReport(1), now)
+					tb.ApplyReport(id, loadReport(1), now)
 				}
 				q := reportingQuery
 				q.Prefix = prefix * (n + 1) * 0x9e3779b97f4a7c15
@@ -43,9 +43,9 @@
 				if id == "a" && n >= requests-lastRequests {
 					gotLate++
 				}
-				tb.Sent(id)
+				tb.RecordSent(id)
 				now = now.Add(10 * time.Millisecond)
-				tb.Done(id, Good, took, now)
+				tb.RecordDone(id, Succeeded, took, now)
 			}
 			t.Logf("a got %d requests and b %d; a got %d of the last %d", got["a"], got["b"], gotLate, lastRequests)
 			is.True(gotLate >= lastRequests/3)
--- a/upstream/table.go
+++ b/upstream/table.go
@@ -21,7 +21,7 @@
 
 	"woaddoor/config"
 	"woaddoor/contract"
-	"woaddoor/reading"
+	"woaddoor/prefill"
 )
 
 // Options configure the selection.
@@ -74,12 +74,12 @@
 	// prefillRates estimates how long engines take to prefill a prompt, demand estimates
 	// the arriving prompts, and activeEngines counts the engines that currently receive
 	// prompts.
-	prefillRates  *reading.Rates
+	prefillRates  *prefill.Rates
 	demand        demand
 	activeEngines int
 	// gossipScope defines for which upstreams this VM learns of other VMs' requests;
 	// meanWait is the mean prefill queue wait at those upstreams.
-	gossipScope Group
+	gossipScope GossipScope
 	meanWait    time.Duration
 	// meanDecodeTime is the mean time that a listed upstream works on a prompt after its
 	// answer has begun.
@@ -92,7 +92,7 @@
 	coldTransitions []ColdTransition
 	// announcements holds what each instance stated about itself in its answers. limited holds
 	// the listed upstreams whose announced rate limit is in force, sorted by ID.
-	announcements map[contract.Life]*announcement
+	announcements map[contract.UpstreamInstance]*announcement
 	limited       []*state
 }
 
@@ -103,7 +103,7 @@
 	hashSeed uint64 // hash of the upstream ID, for rendezvous hashing
 
 	incarnation contract.Incarnation
-	load        contract.Load
+	load        contract.LoadReport
 	// reportedAt is when the last load report was requested; zero means never.
 	reportedAt time.Time
 	// leavingIncarnation is the incarnation that is known to be leaving. A later
@@ -121,8 +121,8 @@
 	health             health // only used for listed upstreams
 	// queue and prefixCache are the estimated prefill queue and the estimated prompt cache
 	// of a listed upstream.
-	queue       reading.Queue
-	prefixCache *reading.Kept
+	queue       prefill.Queue
+	prefixCache *prefill.PrefixCache
 	// promptSentAt is when any VM was last known to send a prompt to the upstream.
 	promptSentAt time.Time
 	// cachedRank is this VM's rank among the owners of this upstream, computed for version
@@ -144,7 +144,7 @@
 	o := opts.withDefaults()
 	return &Table{
 		opts: o, unreachableUntil: make(map[contract.DataCentreID]time.Time), suspectedCentres: make(map[contract.DataCentreID]bool), states: make(map[contract.UpstreamID]*state), pools: make(map[contract.PoolID][]*state), byDataCentre: make(map[contract.DataCentreID][]*state),
-		prefillRates: reading.NewRates(nil), announcements: make(map[contract.Life]*announcement),
+		prefillRates: prefill.NewRates(nil), announcements: make(map[contract.UpstreamInstance]*announcement),
 	}
 }
 
@@ -157,7 +157,7 @@
 		for _, u := range p.Upstreams {
 			s, had := t.states[u.ID]
 			if !had || s.upstream.URL != u.URL {
-				s = &state{hashSeed: xxhash.Sum64String(string(u.ID)), prefixCache: reading.NewKept(0)}
+				s = &state{hashSeed: xxhash.Sum64String(string(u.ID)), prefixCache: prefill.NewPrefixCache(0)}
 			}
 			s.upstream, s.pool = u, p
 			states[u.ID] = s
@@ -173,9 +173,9 @@
 	}
 }
 
-// Reported applies a load report that was requested at askedAt. It ignores a report that is
+// ApplyReport applies a load report that was requested at askedAt. It ignores a report that is
 // older than the last one or that comes from an earlier incarnation.
-func (t *Table) Reported(id contract.UpstreamID, l contract.Load, askedAt time.Time) {
+func (t *Table) ApplyReport(id contract.UpstreamID, l contract.LoadReport, askedAt time.Time) {
 	s, ok := t.states[id]
 	if !ok || askedAt.Before(s.reportedAt) || l.Incarnation < s.incarnation {
 		return
@@ -185,7 +185,7 @@
 		// incarnation, except for the count of requests still in flight.
 		s.incarnation, s.failures, s.breakerOpenUntil, s.serviceTime, s.othersInFlight = l.Incarnation, 0, time.Time{}, 0, 0
 		s.born = int64(l.Incarnation)
-		s.announced = t.announcements[contract.Life{Upstream: id, Born: s.born}]
+		s.announced = t.announcements[contract.UpstreamInstance{Upstream: id, Incarnation: s.born}]
 	}
 	if l.Draining {
 		s.leavingIncarnation = l.Incarnation
@@ -195,9 +195,9 @@
 	s.sentSinceReport, s.doneSinceReport = 0, 0
 }
 
-// Unlisted applies the set of upstreams that the platform lists as leaving, or that its
+// MarkLeaving applies the set of upstreams that the platform lists as leaving, or that its
 // list, which lags, no longer contains as live.
-func (t *Table) Unlisted(leaving map[contract.UpstreamID]bool) {
+func (t *Table) MarkLeaving(leaving map[contract.UpstreamID]bool) {
 	for id, s := range t.states {
 		if leaving[id] {
 			s.leavingIncarnation = max(s.leavingIncarnation, s.incarnation)
@@ -205,16 +205,16 @@
 	}
 }
 
-// Sent records that a request was sent to an upstream.
-func (t *Table) Sent(id contract.UpstreamID) {
+// RecordSent records that a request was sent to an upstream.
+func (t *Table) RecordSent(id contract.UpstreamID) {
 	if s, ok := t.states[id]; ok {
 		s.inFlight++
 		s.sentSinceReport++
 	}
 }
 
-// Running returns how many requests of this VM are in flight to the upstreams of a data centre.
-func (t *Table) Running(dc contract.DataCentreID) int {
+// InFlightIn returns how many requests of this VM are in flight to the upstreams of a data centre.
+func (t *Table) InFlightIn(dc contract.DataCentreID) int {
 	n := 0
 	for _, s := range t.byDataCentre[dc] {
 		n += s.inFlight
@@ -227,21 +227,21 @@
 
 // Possible values of Result.
 const (
-	// Good means that a complete answer arrived.
-	Good Result = iota
+	// Succeeded means that a complete answer arrived.
+	Succeeded Result = iota
 	// Failed means that the upstream failed; it counts towards the circuit breaker.
 	Failed
 	// Abandoned means that the caller cancelled; it reveals nothing about the upstream.
 	Abandoned
 	// Unreachable means that no connection could be established: nothing was sent.
 	Unreachable
-	// Down means that the connection was refused because no process listens on the port:
+	// ConnectionRefused means that the connection was refused because no process listens on the port:
 	// nothing was sent, and the upstream's machine is reachable.
-	Down
-	// Full means that no connection to the upstream is free: nothing was sent.
-	Full
-	// TurnedAway means that the upstream refused the request without executing it.
-	TurnedAway
+	ConnectionRefused
+	// NoConnection means that no connection to the upstream is free: nothing was sent.
+	NoConnection
+	// Rejected means that the upstream refused the request without executing it.
+	Rejected
 	// Broken means that the connection closed or stalled before the answer was complete.
 	// The upstream process may have ended.
 	Broken
@@ -256,8 +256,8 @@
 	serviceTimeWeight  = 0.2 // weight of the newest sample
 )
 
-// Done records that a request ended with result r after the duration took.
-func (t *Table) Done(id contract.UpstreamID, r Result, took time.Duration, now time.Time) {
+// RecordDone records that a request ended with result r after the duration took.
+func (t *Table) RecordDone(id contract.UpstreamID, r Result, took time.Duration, now time.Time) {
 	s, ok := t.states[id]
 	if !ok {
 		return
@@ -272,7 +272,7 @@
 		return
 	}
 	switch r {
-	case Good:
+	case Succeeded:
 		s.failures = 0
 		s.breakerOpenUntil = time.Time{}
 		s.recordServiceTime(took, now)
@@ -296,8 +296,8 @@
 	return ""
 }
 
-// Every returns the configuration of all upstreams, in no particular order.
-func (t *Table) Every() []config.Upstream {
+// All returns the configuration of all upstreams, in no particular order.
+func (t *Table) All() []config.Upstream {
 	every := make([]config.Upstream, 0, len(t.states))
 	for _, s := range t.states {
 		every = append(every, s.upstream)
@@ -305,9 +305,9 @@
 	return every
 }
 
-// Places returns the total number of slots (concurrent requests) of the usable upstreams of a
+// UsableSlots returns the total number of slots (concurrent requests) of the usable upstreams of a
 // kind: those in the data centre dc or, if it has none, those in all data centres.
-func (t *Table) Places(kind config.PoolKind, dc contract.DataCentreID, now time.Time) int {
+func (t *Table) UsableSlots(kind config.PoolKind, dc contract.DataCentreID, now time.Time) int {
 	local, all := 0, 0
 	for _, s := range t.states {
 		if s.pool.Kind != kind || !t.usable(s, "", now) {
@@ -324,9 +324,9 @@
 	return all
 }
 
-// Heard reports whether any upstream has ever sent a load report or, if listed, its load
+// HasReport reports whether any upstream has ever sent a load report or, if listed, its load
 // in an answer.
-func (t *Table) Heard() bool {
+func (t *Table) HasReport() bool {
 	for _, s := range t.states {
 		if !s.reportedAt.IsZero() {
 			return true
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -24,8 +24,8 @@
 	return t
 }
 
-func loadReport(inc contract.Incarnation) contract.Load {
-	return contract.Load{Incarnation: inc, Versions: []contract.VersionID{testVersion}}
+func loadReport(inc contract.Incarnation) contract.LoadReport {
+	return contract.LoadReport{Incarnation: inc, Versions: []contract.VersionID{testVersion}}
 }
 
 var reportingQuery = Query{Kind: config.EnginePool, DataCentre: "d", Version: testVersion}
@@ -41,7 +41,7 @@
 	_, err := tb.Pick(reportingQuery, now, seededRandom())
 	is.Equal(err, ErrNone) // no load report yet
 
-	tb.Reported("a", loadReport(1), now)
+	tb.ApplyReport("a", loadReport(1), now)
 	_, err = tb.Pick(reportingQuery, now, seededRandom())
 	is.NoErr(err)
 
@@ -52,19 +52,19 @@
 	// The upstream reports that it is draining, while the lagging list still has it as live.
 	draining := loadReport(1)
 	draining.Draining = true
-	tb.Reported("a", draining, now.Add(time.Second))
-	tb.Unlisted(map[contract.UpstreamID]bool{})
-	tb.Reported("a", loadReport(1), now.Add(2*time.Second)) // a stale report of the same incarnation
+	tb.ApplyReport("a", draining, now.Add(time.Second))
+	tb.MarkLeaving(map[contract.UpstreamID]bool{})
+	tb.ApplyReport("a", loadReport(1), now.Add(2*time.Second)) // a stale report of the same incarnation
 	_, err = tb.Pick(reportingQuery, now.Add(2*time.Second), seededRandom())
 	is.Equal(err, ErrNone)
 
 	// A new incarnation at the same address, followed by a late report of the previous one.
-	tb.Reported("a", loadReport(2), now.Add(3*time.Second))
-	tb.Reported("a", draining, now.Add(4*time.Second))
+	tb.ApplyReport("a", loadReport(2), now.Add(3*time.Second))
+	tb.ApplyReport("a", draining, now.Add(4*time.Second))
 	_, err = tb.Pick(reportingQuery, now.Add(4*time.Second), seededRandom())
 	is.NoErr(err)
 
-	tb.Unlisted(map[contract.UpstreamID]bool{"a": true})
+	tb.MarkLeaving(map[contract.UpstreamID]bool{"a": true})
 	_, err = tb.Pick(reportingQuery, now.Add(4*time.Second), seededRandom())
 	is.Equal(err, ErrNone)
 }
@@ -75,10 +75,10 @@
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	tb := newReportingTable("a", "b")
-	tb.Reported("a", loadReport(1), now)
+	tb.ApplyReport("a", loadReport(1), now)
 	other := loadReport(1)
 	other.Versions = []contract.VersionID{"m@2"}
-	tb.Reported("b", other, now)
+	tb.ApplyReport("b", other, now)
 	for range 20 {
 		id, err := tb.Pick(reportingQuery, now, seededRandom())
 		is.NoErr(err)
@@ -92,20 +92,20 @@
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	tb := newReportingTable("a")
-	tb.Reported("a", loadReport(1), now)
+	tb.ApplyReport("a", loadReport(1), now)
 	for range breakerThreshold {
-		tb.Sent("a")
-		tb.Done("a", Failed, 0, now)
+		tb.RecordSent("a")
+		tb.RecordDone("a", Failed, 0, now)
 	}
 	_, err := tb.Pick(reportingQuery, now, seededRandom())
 	is.Equal(err, ErrNone)
 	now = now.Add(breakerBackoffBase)
 	_, err = tb.Pick(reportingQuery, now, seededRandom())
 	is.NoErr(err) // the probe
-	tb.Sent("a")
+	tb.RecordSent("a")
 	_, err = tb.Pick(reportingQuery, now, seededRandom())
 	is.Equal(err, ErrNone) // no second probe while one is in flight
-	tb.Done("a", Good, time.Millisecond, now)
+	tb.RecordDone("a", Succeeded, time.Millisecond, now)
 	_, err = tb.Pick(reportingQuery, now, seededRandom())
 	is.NoErr(err)
 }
@@ -123,11 +123,11 @@
 			id := contract.UpstreamID(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id"))
 			switch rapid.SampledFrom([]string{"report", "drain", "pick"}).Draw(t, "event") {
 			case "report":
-				tb.Reported(id, loadReport(1), now)
+				tb.ApplyReport(id, loadReport(1), now)
 			case "drain":
 				l := loadReport(1)
 				l.Draining = true
-				tb.Reported(id, l, now)
+				tb.ApplyReport(id, l, now)
 				gone[id] = true
 			case "pick":
 				q := reportingQuery
@@ -139,8 +139,8 @@
 				if got == id || gone[got] || now.Sub(tb.states[got].reportedAt) >= defaultReportTimeout {
 					t.Fatalf("picked %s", got)
 				}
-				tb.Sent(got)
-				tb.Done(got, Good, time.Millisecond, now)
+				tb.RecordSent(got)
+				tb.RecordDone(got, Succeeded, time.Millisecond, now)
 			}
 		}
 	})
