--- a/usage/closing.go
+++ b/usage/closing.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Terms are the reporting rules of a deployment.
-type Terms struct {
+// Rules are the reporting rules of a deployment.
+type Rules struct {
 	// Window is the length of a window, Late how long after its end the report is due.
-	Window, Late time.Duration
+	Window, ReportDeadline time.Duration
 }
 
 // Delays between the end of a window and its closing, as fractions of Late.
@@ -22,18 +22,18 @@
 )
 
 // minCloseDelay returns the shortest time from the end of a window to its closing.
-func (t Terms) minCloseDelay() time.Duration {
-	return time.Duration(minDelayFraction * float64(t.Late))
+func (t Rules) minCloseDelay() time.Duration {
+	return time.Duration(minDelayFraction * float64(t.ReportDeadline))
 }
 
 // maxCloseDelay returns the time after the end of a window at which it is closed even if some
 // peers are silent.
-func (t Terms) maxCloseDelay() time.Duration {
-	return time.Duration(maxDelayFraction * float64(t.Late))
+func (t Rules) maxCloseDelay() time.Duration {
+	return time.Duration(maxDelayFraction * float64(t.ReportDeadline))
 }
 
-// Fixed is a closed window, whose counts no longer change.
-type Fixed struct {
+// ClosedWindow is a closed window, whose counts no longer change.
+type ClosedWindow struct {
 	Window Window `json:"window"`
 	Counts Counts `json:"counts"`
 }
@@ -42,31 +42,33 @@
 // closed. Those in Fixed still have to be reported with exactly these counts; the others were
 // reported, or their report would have been too late.
 type Record struct {
-	ClosedThrough Window  `json:"through"`
-	Fixed         []Fixed `json:"fixed,omitempty"`
+	ClosedThrough Window         `json:"through"`
+	Unreported    []ClosedWindow `json:"fixed,omitempty"`
 }
 
-// Done returns the record without a window that was reported or given up.
-func (r Record) Done(w Window) Record {
-	r.Fixed = slices.DeleteFunc(slices.Clone(r.Fixed), func(f Fixed) bool { return f.Window == w })
+// Without returns the record without a window that was reported or given up.
+func (r Record) Without(w Window) Record {
+	r.Unreported = slices.DeleteFunc(slices.Clone(r.Unreported), func(f ClosedWindow) bool { return f.Window == w })
 	return r
 }
 
 // pastDeadline reports whether it is too late to report a window.
-func (t Terms) pastDeadline(w Window, now time.Time) bool { return now.Sub(w.End(t.Window)) > t.Late }
+func (t Rules) pastDeadline(w Window, now time.Time) bool {
+	return now.Sub(w.End(t.Window)) > t.ReportDeadline
+}
 
 // Close returns the record with all windows closed that can be closed now, and whether it has
 // changed. Each peer has last sent all its counts at reportedAt or later. Windows without
 // counts need no report.
-func (t Terms) Close(r Record, s *Sums, reportedAt, now time.Time) (Record, bool) {
-	next := Record{ClosedThrough: r.ClosedThrough, Fixed: slices.Clone(r.Fixed)}
+func (t Rules) Close(r Record, s *Counter, reportedAt, now time.Time) (Record, bool) {
+	next := Record{ClosedThrough: r.ClosedThrough, Unreported: slices.Clone(r.Unreported)}
 	for _, w := range s.Windows() {
 		if w <= r.ClosedThrough || !t.shouldClose(w, reportedAt, now) {
 			continue
 		}
 		next.ClosedThrough = max(next.ClosedThrough, w)
 		if !t.pastDeadline(w, now) {
-			next.Fixed = append(next.Fixed, Fixed{w, s.Total(w)})
+			next.Unreported = append(next.Unreported, ClosedWindow{w, s.Total(w)})
 		}
 	}
 	return next, next.ClosedThrough != r.ClosedThrough
@@ -74,7 +76,7 @@
 
 // shouldClose reports whether a window can be closed now: after the shortest delay if all
 // peers have sent their counts since its end, otherwise after the longest delay.
-func (t Terms) shouldClose(w Window, reportedAt, now time.Time) bool {
+func (t Rules) shouldClose(w Window, reportedAt, now time.Time) bool {
 	end := w.End(t.Window)
 	if now.Sub(end) >= t.maxCloseDelay() {
 		return true
@@ -82,10 +84,10 @@
 	return now.Sub(end) >= t.minCloseDelay() && !reportedAt.Before(end)
 }
 
-// Missed returns the closed windows that were not reported in time.
-func (t Terms) Missed(r Record, now time.Time) []Window {
+// Overdue returns the closed windows that were not reported in time.
+func (t Rules) Overdue(r Record, now time.Time) []Window {
 	var out []Window
-	for _, f := range r.Fixed {
+	for _, f := range r.Unreported {
 		if t.pastDeadline(f.Window, now) {
 			out = append(out, f.Window)
 		}
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -53,14 +53,14 @@
 
 // Part holds the counts of one VM incarnation in one window so far.
 type Part struct {
-	Life   contract.VMLife `cbor:"1,keyasint"`
-	Window Window          `cbor:"2,keyasint"`
-	Counts Counts          `cbor:"3,keyasint"`
+	Source contract.VMInstance `cbor:"1,keyasint"`
+	Window Window              `cbor:"2,keyasint"`
+	Counts Counts              `cbor:"3,keyasint"`
 }
 
 type partKey struct {
 	window Window
-	source contract.VMLife
+	source contract.VMInstance
 }
 
 // trackedPart holds the counts of a Part and the number of the change that last
@@ -70,32 +70,32 @@
 	lastChange uint64
 }
 
-// Sums holds the parts that a VM knows. It is not safe for concurrent use.
-type Sums struct {
+// Counter holds the parts that a VM knows. It is not safe for concurrent use.
+type Counter struct {
 	parts map[partKey]*trackedPart
 	// newestChange is the number of the last change to any part.
 	newestChange uint64
 }
 
-// NewSums returns an empty Sums.
-func NewSums() *Sums { return &Sums{parts: make(map[partKey]*trackedPart)} }
+// NewCounter returns an empty Sums.
+func NewCounter() *Counter { return &Counter{parts: make(map[partKey]*trackedPart)} }
 
-// Began counts one started request for an incarnation of this VM.
-func (s *Sums) Began(source contract.VMLife, window Window, w contract.WorkspaceID) {
+// CountStart counts one started request for an incarnation of this VM.
+func (s *Counter) CountStart(source contract.VMInstance, window Window, w contract.WorkspaceID) {
 	p := s.getOrCreate(source, window)
 	p.counts[w]++
 	s.markChanged(p)
 }
 
-// Told merges a part that another VM has sent.
-func (s *Sums) Told(received Part) {
-	p := s.getOrCreate(received.Life, received.Window)
+// Merge merges a part that another VM has sent.
+func (s *Counter) Merge(received Part) {
+	p := s.getOrCreate(received.Source, received.Window)
 	if p.counts.mergeMax(received.Counts) {
 		s.markChanged(p)
 	}
 }
 
-func (s *Sums) getOrCreate(source contract.VMLife, window Window) *trackedPart {
+func (s *Counter) getOrCreate(source contract.VMInstance, window Window) *trackedPart {
 	key := partKey{window, source}
 	p, ok := s.parts[key]
 	if !ok {
@@ -105,14 +105,14 @@
 	return p
 }
 
-func (s *Sums) markChanged(p *trackedPart) {
+func (s *Counter) markChanged(p *trackedPart) {
 	s.newestChange++
 	p.lastChange = s.newestChange
 }
 
-// Since returns the parts that were raised after the given change number, and the
+// ChangedSince returns the parts that were raised after the given change number, and the
 // number of the newest change. Change number 0 selects all parts.
-func (s *Sums) Since(change uint64) ([]Part, uint64) {
+func (s *Counter) ChangedSince(change uint64) ([]Part, uint64) {
 	var out []Part
 	for key, p := range s.parts {
 		if p.lastChange > change {
@@ -120,13 +120,13 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b Part) int {
-		return cmp.Or(cmp.Compare(a.Window, b.Window), cmp.Compare(a.Life.VM, b.Life.VM), cmp.Compare(a.Life.Incarnation, b.Life.Incarnation))
+		return cmp.Or(cmp.Compare(a.Window, b.Window), cmp.Compare(a.Source.VM, b.Source.VM), cmp.Compare(a.Source.Incarnation, b.Source.Incarnation))
 	})
 	return out, s.newestChange
 }
 
 // Total returns the counts of a window, summed over all VM incarnations.
-func (s *Sums) Total(w Window) Counts {
+func (s *Counter) Total(w Window) Counts {
 	total := make(Counts)
 	for key, p := range s.parts {
 		if key.window != w {
@@ -140,7 +140,7 @@
 }
 
 // Windows returns the windows that have counts, in ascending order.
-func (s *Sums) Windows() []Window {
+func (s *Counter) Windows() []Window {
 	seen := make(map[Window]bool)
 	for key := range s.parts {
 		seen[key.window] = true
@@ -148,7 +148,7 @@
 	return slices.Sorted(maps.Keys(seen))
 }
 
-// Forget drops the parts of all windows before the given one.
-func (s *Sums) Forget(before Window) {
+// DropBefore drops the parts of all windows before the given one.
+func (s *Counter) DropBefore(before Window) {
 	maps.DeleteFunc(s.parts, func(key partKey, _ *trackedPart) bool { return key.window < before })
 }
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -14,17 +14,17 @@
 )
 
 // testTerms use windows of 5 s, with reports due 10 s after their end.
-var testTerms = Terms{Window: 5 * time.Second, Late: 10 * time.Second}
+var testTerms = Rules{Window: 5 * time.Second, ReportDeadline: 10 * time.Second}
 
 // TestSumsConverge draws VMs that count requests and exchange parts late, twice, in any order
 // and through other VMs. A VM that has received all parts must have the true sums.
 func TestSumsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		vms := make([]*Sums, rapid.IntRange(2, 5).Draw(t, "vms"))
-		incarnations := make([]contract.VMLife, len(vms))
+		vms := make([]*Counter, rapid.IntRange(2, 5).Draw(t, "vms"))
+		incarnations := make([]contract.VMInstance, len(vms))
 		for i := range vms {
-			vms[i] = NewSums()
-			incarnations[i] = contract.VMLife{VM: contract.VMID(strconv.Itoa(i)), Incarnation: 1}
+			vms[i] = NewCounter()
+			incarnations[i] = contract.VMInstance{VM: contract.VMID(strconv.Itoa(i)), Incarnation: 1}
 		}
 		expected := make(map[Window]Counts)
 		var inFlight []Part
@@ -34,31 +34,31 @@
 			case 0, 1:
 				i, w := drawVM("counts"), Window(rapid.IntRange(0, 2).Draw(t, "window"))
 				id := contract.WorkspaceID(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "workspace"))
-				vms[i].Began(incarnations[i], w, id)
+				vms[i].CountStart(incarnations[i], w, id)
 				if expected[w] == nil {
 					expected[w] = make(Counts)
 				}
 				expected[w][id]++
 			case 2:
-				parts, _ := vms[drawVM("tells")].Since(0)
+				parts, _ := vms[drawVM("tells")].ChangedSince(0)
 				inFlight = append(inFlight, parts...)
 			case 3:
 				if len(inFlight) > 0 { // deliver one part, which may be delivered again
-					vms[drawVM("hears")].Told(inFlight[rapid.IntRange(0, len(inFlight)-1).Draw(t, "part")])
+					vms[drawVM("hears")].Merge(inFlight[rapid.IntRange(0, len(inFlight)-1).Draw(t, "part")])
 				}
 			case 4: // a VM passes on all parts that it knows
 				i := drawVM("hub")
-				parts, _ := vms[drawVM("teller")].Since(0)
+				parts, _ := vms[drawVM("teller")].ChangedSince(0)
 				for _, p := range parts {
-					vms[i].Told(p)
+					vms[i].Merge(p)
 				}
 			}
 		}
-		merged := NewSums()
+		merged := NewCounter()
 		for _, s := range vms {
-			parts, _ := s.Since(0)
+			parts, _ := s.ChangedSince(0)
 			for _, p := range parts {
-				merged.Told(p)
+				merged.Merge(p)
 			}
 		}
 		for w, want := range expected {
@@ -73,20 +73,20 @@
 // grown.
 func TestSinceReturnsChangedParts(t *testing.T) {
 	is := is.New(t)
-	s := NewSums()
-	self := contract.VMLife{VM: "me"}
-	s.Began(self, 1, "w")
-	parts, mark := s.Since(0)
+	s := NewCounter()
+	self := contract.VMInstance{VM: "me"}
+	s.CountStart(self, 1, "w")
+	parts, mark := s.ChangedSince(0)
 	is.Equal(len(parts), 1)
-	s.Told(Part{contract.VMLife{VM: "other"}, 1, Counts{"w": 2}})
-	s.Told(Part{contract.VMLife{VM: "other"}, 1, Counts{"w": 2}})
-	parts, mark = s.Since(mark)
-	is.Equal(parts, []Part{{contract.VMLife{VM: "other"}, 1, Counts{"w": 2}}})
-	s.Told(Part{contract.VMLife{VM: "other"}, 1, Counts{"w": 1}}) // outdated
-	parts, _ = s.Since(mark)
+	s.Merge(Part{contract.VMInstance{VM: "other"}, 1, Counts{"w": 2}})
+	s.Merge(Part{contract.VMInstance{VM: "other"}, 1, Counts{"w": 2}})
+	parts, mark = s.ChangedSince(mark)
+	is.Equal(parts, []Part{{contract.VMInstance{VM: "other"}, 1, Counts{"w": 2}}})
+	s.Merge(Part{contract.VMInstance{VM: "other"}, 1, Counts{"w": 1}}) // outdated
+	parts, _ = s.ChangedSince(mark)
 	is.Equal(len(parts), 0)
 	is.Equal(s.Total(1), Counts{"w": 3})
-	s.Forget(2)
+	s.DropBefore(2)
 	is.Equal(len(s.Windows()), 0)
 }
 
@@ -106,8 +106,8 @@
 	is := is.New(t)
 	const w = Window(100)
 	end := w.End(testTerms.Window)
-	s := NewSums()
-	s.Began(contract.VMLife{VM: "a"}, w, "x")
+	s := NewCounter()
+	s.CountStart(contract.VMInstance{VM: "a"}, w, "x")
 	for _, c := range []struct {
 		reportedAt, now time.Duration // relative to the end of the window
 		wantClosed      bool
@@ -124,23 +124,23 @@
 	}
 	now := end.Add(testTerms.minCloseDelay())
 	r, _ := testTerms.Close(Record{}, s, now, now)
-	is.Equal(r, Record{ClosedThrough: w, Fixed: []Fixed{{w, Counts{"x": 1}}}})
-	s.Began(contract.VMLife{VM: "b"}, w, "x") // arrives after the window was closed
+	is.Equal(r, Record{ClosedThrough: w, Unreported: []ClosedWindow{{w, Counts{"x": 1}}}})
+	s.CountStart(contract.VMInstance{VM: "b"}, w, "x") // arrives after the window was closed
 	again, changed := testTerms.Close(r, s, now, now)
 	is.True(!changed)
-	is.Equal(again.Fixed, r.Fixed)
-	is.Equal(r.Done(w), Record{ClosedThrough: w, Fixed: []Fixed{}})
-	is.Equal(testTerms.Missed(r, end.Add(testTerms.Late)), nil)
-	is.Equal(testTerms.Missed(r, end.Add(testTerms.Late+1)), []Window{w})
+	is.Equal(again.Unreported, r.Unreported)
+	is.Equal(r.Without(w), Record{ClosedThrough: w, Unreported: []ClosedWindow{}})
+	is.Equal(testTerms.Overdue(r, end.Add(testTerms.ReportDeadline)), nil)
+	is.Equal(testTerms.Overdue(r, end.Add(testTerms.ReportDeadline+1)), []Window{w})
 }
 
 // TestCloseSkipsExpiredWindows checks that a lease holder that takes over after the deadline
 // of a window skips it and still closes the next one.
 func TestCloseSkipsExpiredWindows(t *testing.T) {
 	is := is.New(t)
-	s := NewSums()
-	s.Began(contract.VMLife{VM: "a"}, 100, "x")
-	s.Began(contract.VMLife{VM: "a"}, 102, "x")
+	s := NewCounter()
+	s.CountStart(contract.VMInstance{VM: "a"}, 100, "x")
+	s.CountStart(contract.VMInstance{VM: "a"}, 102, "x")
 	now := Window(102).End(testTerms.Window).Add(testTerms.minCloseDelay())
 	r, changed := testTerms.Close(Record{}, s, now, now)
 	is.True(changed)
@@ -150,7 +150,7 @@
 
 func closedWindows(r Record) []Window {
 	var out []Window
-	for _, f := range r.Fixed {
+	for _, f := range r.Unreported {
 		out = append(out, f.Window)
 	}
 	return out
--- a/vm/hubs.go
+++ b/vm/hubs.go
@@ -30,9 +30,11 @@
 // order of Ranked.
 func Hubs(ranked []Member) []Member { return ranked[:HubCount(len(ranked))] }
 
-// Ranked returns the VMs of a data centre in watcher order: the first ones watch
+// WatcherOrder returns the VMs of a data centre in watcher order: the first ones watch
 // the platform, and each of the others takes over when VMs before it fail.
-func Ranked(members []Member, dc contract.DataCentreID) []Member { return Rank(members, dc, watchKey) }
+func WatcherOrder(members []Member, dc contract.DataCentreID) []Member {
+	return Rank(members, dc, watchKey)
+}
 
 // HubsFor returns the hubs in the order in which a leaf tries them. Rendezvous
 // hashing ensures that the loss of a hub moves only its own leaves.
@@ -44,9 +46,9 @@
 	return ordered
 }
 
-// Agreed marks the live VMs of this data centre as heard from now. It is called
+// RefreshLocal marks the live VMs of this data centre as heard from now. It is called
 // when a hub confirms that it knows the same live VMs as this one.
-func (t *Table) Agreed(now time.Time) {
+func (t *Table) RefreshLocal(now time.Time) {
 	for id, s := range t.members {
 		if s.member.DataCentre == t.self.DataCentre && now.Sub(s.lastHeard) <= DeadAfter {
 			s.lastHeard = now
@@ -55,11 +57,11 @@
 	}
 }
 
-// Told merges what a hub knows about the VMs of this data centre. The ages from the
+// MergeHubView merges what a hub knows about the VMs of this data centre. The ages from the
 // hub apply even where a call of Agreed has set a shorter one.
-func (t *Table) Told(members []Member, now time.Time) {
+func (t *Table) MergeHubView(members []Member, now time.Time) {
 	for _, m := range members {
-		t.Heard(m, now)
+		t.ApplyHeartbeat(m, now)
 		s, ok := t.members[m.VM]
 		if ok && s.member.Incarnation == m.Incarnation {
 			s.lastHeard = now.Add(-max(m.Age, 0))
@@ -68,9 +70,9 @@
 	}
 }
 
-// Silent returns the VMs that are considered dead but were heard from within the
+// RecentlyDead returns the VMs that are considered dead but were heard from within the
 // given time, the most recently heard first.
-func (t *Table) Silent(within time.Duration, now time.Time) []Member {
+func (t *Table) RecentlyDead(within time.Duration, now time.Time) []Member {
 	var out []Member
 	for _, s := range t.members {
 		if age := now.Sub(s.lastHeard); age > t.deadAfter(s.member) && age <= within {
@@ -83,9 +85,9 @@
 	return out
 }
 
-// DigestOf returns a digest of the VMs and their incarnations. Two VMs compare
+// MembersDigest returns a digest of the VMs and their incarnations. Two VMs compare
 // digests to find out whether they know the same ones.
-func DigestOf(members []Member) uint64 {
+func MembersDigest(members []Member) uint64 {
 	sum := uint64(len(members)) // one that tells of nothing differs from none
 	for _, m := range members {
 		h := xxhash.New()
--- a/vm/vm.go
+++ b/vm/vm.go
@@ -17,11 +17,11 @@
 
 // Member describes a VM of the system. A VM reports its own description.
 type Member struct {
-	VM          contract.VMID         `cbor:"1,keyasint"`
-	DataCentre  contract.DataCentreID `cbor:"2,keyasint"`
-	Incarnation contract.Incarnation  `cbor:"3,keyasint"`
-	EntryLink   string                `cbor:"4,keyasint,omitempty"`
-	ControlLink string                `cbor:"5,keyasint"`
+	VM             contract.VMID         `cbor:"1,keyasint"`
+	DataCentre     contract.DataCentreID `cbor:"2,keyasint"`
+	Incarnation    contract.Incarnation  `cbor:"3,keyasint"`
+	EntryAddress   string                `cbor:"4,keyasint,omitempty"`
+	ControlAddress string                `cbor:"5,keyasint"`
 	// EntryIncarnation is the incarnation of the entry process. Zero means that
 	// there is none.
 	EntryIncarnation contract.Incarnation `cbor:"6,keyasint,omitempty"`
@@ -30,10 +30,10 @@
 	Leaving  bool              `cbor:"8,keyasint,omitempty"`
 	// Age is the time since the sender of this description last heard from the VM.
 	Age time.Duration `cbor:"9,keyasint,omitempty"`
-	// Strength ranks VMs of different sizes: the strongest are the first to watch
+	// CapacityUnits ranks VMs of different sizes: the strongest are the first to watch
 	// the platform and to represent their data centre. Any unit works if all VMs
 	// use it.
-	Strength int `cbor:"10,keyasint,omitempty"`
+	CapacityUnits int `cbor:"10,keyasint,omitempty"`
 }
 
 // How long a VM may be silent before it is considered dead. Heartbeats from other
@@ -72,10 +72,10 @@
 // Self returns the description of this VM.
 func (t *Table) Self() Member { return t.self }
 
-// Heard applies a heartbeat, received from the VM itself or through a peer.
+// ApplyHeartbeat applies a heartbeat, received from the VM itself or through a peer.
 // Member.Age is the age of the heartbeat. Heartbeats of an earlier incarnation, or
 // older than the known state, are ignored: they may arrive late and in any order.
-func (t *Table) Heard(m Member, now time.Time) {
+func (t *Table) ApplyHeartbeat(m Member, now time.Time) {
 	if m.VM == t.self.VM {
 		return
 	}
@@ -95,9 +95,9 @@
 	t.members[m.VM] = observation{m, heardAt}
 }
 
-// Listed applies the platform's VM list. The list lags behind, so it only adds to
+// SetPlatformList applies the platform's VM list. The list lags behind, so it only adds to
 // the heartbeats and never makes a silent VM live.
-func (t *Table) Listed(entries []contract.VMEntry) {
+func (t *Table) SetPlatformList(entries []contract.VMEntry) {
 	clear(t.platformStates)
 	for _, e := range entries {
 		if !e.Upstream {
@@ -141,8 +141,8 @@
 	return ranked[:min(n, len(ranked))]
 }
 
-// Near returns the other live VMs of this data centre.
-func (t *Table) Near(now time.Time) []Member {
+// LocalPeers returns the other live VMs of this data centre.
+func (t *Table) LocalPeers(now time.Time) []Member {
 	var peers []Member
 	for _, m := range t.Live(now) {
 		if m.DataCentre == t.self.DataCentre && m.VM != t.self.VM {
@@ -152,8 +152,8 @@
 	return peers
 }
 
-// Knows reports whether the latest known incarnation of a VM is that of m.
-func (t *Table) Knows(m Member) bool {
+// KnowsIncarnation reports whether the latest known incarnation of a VM is that of m.
+func (t *Table) KnowsIncarnation(m Member) bool {
 	s, ok := t.members[m.VM]
 	return ok && s.member.Incarnation == m.Incarnation
 }
@@ -170,8 +170,8 @@
 	return d.Sum64()
 }
 
-// Far returns up to n live VMs of each other data centre, in watcher order.
-func (t *Table) Far(n int, now time.Time) []Member {
+// RemoteDelegates returns up to n live VMs of each other data centre, in watcher order.
+func (t *Table) RemoteDelegates(n int, now time.Time) []Member {
 	var remote []Member
 	live := t.Live(now)
 	for _, dc := range dataCentres(live) {
@@ -217,7 +217,7 @@
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(b.member.Strength, a.member.Strength), cmp.Compare(a.rank, b.rank))
+		return cmp.Or(cmp.Compare(b.member.CapacityUnits, a.member.CapacityUnits), cmp.Compare(a.rank, b.rank))
 	})
 	ranked := make([]Member, 0, len(candidates))
 	for _, p := range candidates {
@@ -229,9 +229,9 @@
 // watchKey is the hash key of the watcher order.
 const watchKey = "watch"
 
-// Watches reports whether this VM is one of the n VMs of its data centre that watch
+// IsWatcher reports whether this VM is one of the n VMs of its data centre that watch
 // the platform for all VMs.
-func (t *Table) Watches(n int, now time.Time) bool { return t.WatcherRank(now) < n }
+func (t *Table) IsWatcher(n int, now time.Time) bool { return t.WatcherRank(now) < n }
 
 // WatcherRank returns the position of this VM, counted from 0, in the watcher order
 // of its data centre.
@@ -240,10 +240,10 @@
 	return slices.IndexFunc(ranked, func(m Member) bool { return m.VM == t.self.VM })
 }
 
-// Sources returns the peers to ask for the newest configuration, best first: the
+// ConfigSources returns the peers to ask for the newest configuration, best first: the
 // VMs of this data centre, then those of each other data centre, with the watchers
 // first in each.
-func (t *Table) Sources(now time.Time) []Member {
+func (t *Table) ConfigSources(now time.Time) []Member {
 	live := t.Live(now)
 	var sources []Member
 	for _, m := range Rank(live, t.self.DataCentre, watchKey) {
--- a/vm/vm_test.go
+++ b/vm/vm_test.go
@@ -22,8 +22,8 @@
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	table := NewTable(member("a", 1))
-	table.Heard(member("b", 2), now)
-	table.Heard(member("b", 1), now.Add(time.Second)) // late, from the earlier incarnation
+	table.ApplyHeartbeat(member("b", 2), now)
+	table.ApplyHeartbeat(member("b", 1), now.Add(time.Second)) // late, from the earlier incarnation
 	is.Equal(table.Live(now)[1].Incarnation, contract.Incarnation(2))
 	is.True(table.Superseded("b", 1))
 	is.True(!table.Superseded("b", 2))
@@ -39,11 +39,11 @@
 	table := NewTable(member("a", 1))
 	leaving := member("b", 1)
 	leaving.Leaving = true
-	table.Heard(leaving, now)
-	table.Heard(member("b", 1), now.Add(time.Second))
-	table.Listed([]contract.VMEntry{{ID: "b", State: contract.VMLive}})
+	table.ApplyHeartbeat(leaving, now)
+	table.ApplyHeartbeat(member("b", 1), now.Add(time.Second))
+	table.SetPlatformList([]contract.VMEntry{{ID: "b", State: contract.VMLive}})
 	is.True(table.Live(now.Add(time.Second))[1].Leaving)
-	table.Heard(member("b", 2), now.Add(2*time.Second)) // a new incarnation
+	table.ApplyHeartbeat(member("b", 2), now.Add(2*time.Second)) // a new incarnation
 	is.True(!table.Live(now.Add(2 * time.Second))[1].Leaving)
 }
 
@@ -57,9 +57,9 @@
 		for i := range n {
 			table := NewTable(member(fmt.Sprint(i), 1))
 			for j := range n {
-				table.Heard(member(fmt.Sprint(j), 1), now)
+				table.ApplyHeartbeat(member(fmt.Sprint(j), 1), now)
 			}
-			if table.Watches(2, now) {
+			if table.IsWatcher(2, now) {
 				watching++
 			}
 		}
--- a/workspace/queue.go
+++ b/workspace/queue.go
@@ -38,8 +38,8 @@
 	// ReserveFraction is the fraction of the capacity that only workspaces below
 	// their share may use. Zero means 0.5.
 	ReserveFraction float64
-	// TotalShare is the sum of the weights of all workspaces. Zero means 10.
-	TotalShare int
+	// TotalWeight is the sum of the weights of all workspaces. Zero means 10.
+	TotalWeight int
 }
 
 // Default values of Options.
@@ -53,28 +53,28 @@
 // ID identifies a request in the queue.
 type ID uint64
 
-// Item is a request that is offered to the queue.
-type Item struct {
+// Request is a request that is offered to the queue.
+type Request struct {
 	ID        ID
 	Workspace contract.WorkspaceID
-	// Share is the weight of the workspace. Zero means 1.
-	Share int
-	Class Class
+	// Weight is the weight of the workspace. Zero means 1.
+	Weight int
+	Class  Class
 	// Deadline is when the response is no longer needed.
 	Deadline time.Time
 }
 
-// Verdict is the decision on an offered request.
-type Verdict uint8
+// Decision is the decision on an offered request.
+type Decision uint8
 
 // Decisions on an offered request.
 const (
-	// Run means that the request starts now.
-	Run Verdict = iota
-	// Wait means that the request is queued until Done or Expire returns it.
-	Wait
-	// Refuse means that the request is rejected at once and will not run.
-	Refuse
+	// Admitted means that the request starts now.
+	Admitted Decision = iota
+	// Queued means that the request is queued until Done or Expire returns it.
+	Queued
+	// Rejected means that the request is rejected at once and will not run.
+	Rejected
 )
 
 // Queue holds the waiting requests and counts the running ones. It is not safe for
@@ -96,7 +96,7 @@
 	id            contract.WorkspaceID
 	weight        float64
 	running       int
-	waiting       [classCount][]Item
+	waiting       [classCount][]Request
 	virtualFinish float64 // virtual finish time of the request started last
 }
 
@@ -105,7 +105,7 @@
 	opts.Capacity = cmp.Or(opts.Capacity, defaultCapacity)
 	opts.MaxQueue = cmp.Or(opts.MaxQueue, defaultMaxQueue)
 	opts.ReserveFraction = cmp.Or(opts.ReserveFraction, defaultReserveFraction)
-	opts.TotalShare = cmp.Or(opts.TotalShare, defaultTotalWeight)
+	opts.TotalWeight = cmp.Or(opts.TotalWeight, defaultTotalWeight)
 	return &Queue{opts: opts, flows: make(map[contract.WorkspaceID]*flow), meanServiceTime: initialServiceTime}
 }
 
@@ -115,8 +115,8 @@
 // SetCapacity sets how many requests may run at once, at least one.
 func (q *Queue) SetCapacity(n int) { q.opts.Capacity = max(n, 1) }
 
-// SetTotalShare sets the sum of the weights of all workspaces, at least 1.
-func (q *Queue) SetTotalShare(n int) { q.opts.TotalShare = max(n, 1) }
+// SetTotalWeight sets the sum of the weights of all workspaces, at least 1.
+func (q *Queue) SetTotalWeight(n int) { q.opts.TotalWeight = max(n, 1) }
 
 // Running returns the number of running requests.
 func (q *Queue) Running() int { return q.running }
@@ -126,33 +126,33 @@
 
 // Offer asks to start a request. A rejected request gets the time after which to
 // retry, randomized so that rejected callers do not all return at once.
-func (q *Queue) Offer(item Item, now time.Time, random *rand.Rand) (Verdict, time.Duration) {
+func (q *Queue) Offer(item Request, now time.Time, random *rand.Rand) (Decision, time.Duration) {
 	f := q.flowFor(item)
 	if q.queuedAhead(f, item.Class) == 0 && q.canStart(f) {
 		q.start(f)
 		q.recordOffer(false)
-		return Run, 0
+		return Admitted, 0
 	}
 	wait := q.expectedWait(f, item.Class)
 	if q.waiting >= q.opts.MaxQueue || now.Add(q.timeToFinish(wait)).After(item.Deadline) || q.overQueueShare(f) {
 		q.recordOffer(true)
-		return Refuse, q.retryAfter(wait, random)
+		return Rejected, q.retryAfter(wait, random)
 	}
 	q.recordOffer(false)
 	f.waiting[item.Class] = append(f.waiting[item.Class], item)
 	q.waiting++
-	return Wait, 0
+	return Queued, 0
 }
 
 // flowFor returns the flow of the item's workspace with its weight updated, and
 // creates it if necessary.
-func (q *Queue) flowFor(item Item) *flow {
+func (q *Queue) flowFor(item Request) *flow {
 	f, ok := q.flows[item.Workspace]
 	if !ok {
 		f = &flow{id: item.Workspace}
 		q.flows[item.Workspace] = f
 	}
-	f.weight = float64(max(item.Share, 1))
+	f.weight = float64(max(item.Weight, 1))
 	return f
 }
 
@@ -184,13 +184,13 @@
 // guaranteedSlots returns the slots that a flow is entitled to by its weight among
 // all workspaces, at least 1.
 func (q *Queue) guaranteedSlots(f *flow) float64 {
-	return max(float64(q.opts.Capacity)*f.weight/float64(q.opts.TotalShare), 1)
+	return max(float64(q.opts.Capacity)*f.weight/float64(q.opts.TotalWeight), 1)
 }
 
-// Within reports whether a workspace runs no more requests than its guaranteed
+// WithinShare reports whether a workspace runs no more requests than its guaranteed
 // slots. Engines are asked to prefer requests of such workspaces: otherwise their
 // own queues would make everyone wait behind a busy workspace.
-func (q *Queue) Within(w contract.WorkspaceID) bool {
+func (q *Queue) WithinShare(w contract.WorkspaceID) bool {
 	f, ok := q.flows[w]
 	return !ok || float64(f.running) <= q.guaranteedSlots(f)
 }
@@ -275,7 +275,7 @@
 
 // Done records that a request of the workspace has ended after took, and returns
 // the waiting requests that start in its place.
-func (q *Queue) Done(w contract.WorkspaceID, took time.Duration) []Item {
+func (q *Queue) Done(w contract.WorkspaceID, took time.Duration) []Request {
 	f, ok := q.flows[w]
 	if !ok || f.running == 0 {
 		return nil
@@ -291,8 +291,8 @@
 }
 
 // StartWaiting starts as many waiting requests as possible now and returns them.
-func (q *Queue) StartWaiting() []Item {
-	var started []Item
+func (q *Queue) StartWaiting() []Request {
+	var started []Request
 	for {
 		f := q.nextFlow()
 		if f == nil {
@@ -327,20 +327,20 @@
 
 // Expire removes and returns the waiting requests that can no longer end by their
 // deadline, so that their callers get a final response before the deadline.
-func (q *Queue) Expire(now time.Time) []Item {
+func (q *Queue) Expire(now time.Time) []Request {
 	earliestFinish := now.Add(q.timeToFinish(0))
-	return q.remove(func(i Item) bool { return earliestFinish.After(i.Deadline) })
+	return q.remove(func(i Request) bool { return earliestFinish.After(i.Deadline) })
 }
 
-// Abandon removes a waiting request whose caller has disconnected. It returns false
+// Cancel removes a waiting request whose caller has disconnected. It returns false
 // if the request does not wait, because it is running or has ended.
-func (q *Queue) Abandon(id ID) bool {
-	return len(q.remove(func(i Item) bool { return i.ID == id })) > 0
+func (q *Queue) Cancel(id ID) bool {
+	return len(q.remove(func(i Request) bool { return i.ID == id })) > 0
 }
 
 // remove takes all matching requests out of the queue and returns them.
-func (q *Queue) remove(matches func(Item) bool) []Item {
-	var removed []Item
+func (q *Queue) remove(matches func(Request) bool) []Request {
+	var removed []Request
 	for _, f := range q.flows {
 		for c := range f.waiting {
 			kept := f.waiting[c][:0]
--- a/workspace/queue_test.go
+++ b/workspace/queue_test.go
@@ -23,7 +23,7 @@
 		now := time.Unix(0, 0)
 		waiting := make(map[ID]bool)
 		var running []contract.WorkspaceID
-		markStarted := func(items []Item) {
+		markStarted := func(items []Request) {
 			for _, i := range items {
 				if !waiting[i.ID] {
 					t.Fatalf("started request %d, which was not waiting", i.ID)
@@ -36,17 +36,17 @@
 			now = now.Add(50 * time.Millisecond)
 			switch rapid.SampledFrom([]string{"offer", "offer", "done", "expire", "abandon"}).Draw(t, "event") {
 			case "offer":
-				item := Item{
+				item := Request{
 					ID: ID(n), Workspace: contract.WorkspaceID(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "w")),
-					Share: rapid.IntRange(1, 3).Draw(t, "share"), Class: Class(rapid.IntRange(0, 1).Draw(t, "class")),
+					Weight: rapid.IntRange(1, 3).Draw(t, "share"), Class: Class(rapid.IntRange(0, 1).Draw(t, "class")),
 					Deadline: now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond),
 				}
 				switch v, after := q.Offer(item, now, r); v {
-				case Run:
+				case Admitted:
 					running = append(running, item.Workspace)
-				case Wait:
+				case Queued:
 					waiting[item.ID] = true
-				case Refuse:
+				case Rejected:
 					if after < minRetryAfter {
 						t.Fatalf("rejected with retry after %v", after)
 					}
@@ -63,7 +63,7 @@
 				}
 			case "abandon":
 				id := ID(rapid.IntRange(0, n).Draw(t, "id"))
-				if q.Abandon(id) != waiting[id] {
+				if q.Cancel(id) != waiting[id] {
 					t.Fatalf("abandoning request %d: waiting was %v", id, waiting[id])
 				}
 				delete(waiting, id)
@@ -88,11 +88,11 @@
 		if fifoFree > 0 {
 			fifoFree--
 		}
-		q.Offer(Item{ID: ID(i), Workspace: "loud", Deadline: now.Add(time.Hour)}, now, newRandom())
+		q.Offer(Request{ID: ID(i), Workspace: "loud", Deadline: now.Add(time.Hour)}, now, newRandom())
 	}
 	is.Equal(fifoFree, 0) // first come, first served: no slot is left
-	v, _ := q.Offer(Item{ID: 1000, Workspace: "quiet", Deadline: now.Add(time.Second)}, now, newRandom())
-	is.Equal(v, Run)
+	v, _ := q.Offer(Request{ID: 1000, Workspace: "quiet", Deadline: now.Add(time.Second)}, now, newRandom())
+	is.Equal(v, Admitted)
 }
 
 // TestRejectsRequestThatWouldMissDeadline checks that a request that would wait
@@ -104,12 +104,12 @@
 	r := newRandom()
 	far := now.Add(time.Hour)
 	for i := range 50 {
-		q.Offer(Item{ID: ID(i), Workspace: "a", Deadline: far}, now, r)
+		q.Offer(Request{ID: ID(i), Workspace: "a", Deadline: far}, now, r)
 	}
 	retryAfters := make(map[time.Duration]bool)
 	for i := range 20 {
-		v, after := q.Offer(Item{ID: ID(100 + i), Workspace: "a", Deadline: now.Add(time.Second)}, now, r)
-		is.Equal(v, Refuse)
+		v, after := q.Offer(Request{ID: ID(100 + i), Workspace: "a", Deadline: now.Add(time.Second)}, now, r)
+		is.Equal(v, Rejected)
 		retryAfters[after] = true
 	}
 	is.Equal(len(retryAfters), 20)
@@ -128,7 +128,7 @@
 		if i%2 == 0 {
 			w, share = "three", 3
 		}
-		if v, _ := q.Offer(Item{ID: ID(i), Workspace: w, Share: share, Deadline: now.Add(time.Hour)}, now, newRandom()); v == Run {
+		if v, _ := q.Offer(Request{ID: ID(i), Workspace: w, Weight: share, Deadline: now.Add(time.Hour)}, now, newRandom()); v == Admitted {
 			running = append(running, w)
 		}
 	}
