--- a/contract/ids.go
+++ b/contract/ids.go
@@ -46,9 +46,9 @@
 // HTTP service.
 type UpstreamID string
 
-// UpstreamInstance identifies one run of an upstream. An upstream that restarts under the same id is a
-// new Life: load, limits and failures that were recorded for the previous one do not apply
-// to it.
+// UpstreamInstance identifies one run of an upstream. An upstream that restarts under the same id is
+// a new instance: load, limits and failures that were recorded for the previous instance do not
+// apply to it.
 type UpstreamInstance struct {
 	Upstream UpstreamID `cbor:"1,keyasint"`
 	// Incarnation distinguishes the runs of an upstream that restarts under the same id. It is
@@ -95,7 +95,7 @@
 // PricePerMillion is the price of one million tokens.
 type PricePerMillion Money
 
-// tokensPerPrice is the number of tokens that a Price applies to.
+// tokensPerPrice is the number of tokens that a PricePerMillion applies to.
 const tokensPerPrice = 1_000_000
 
 // Cost returns the price of n tokens, rounded down to one millionth of the
--- a/datacentre/status.go
+++ b/datacentre/status.go
@@ -56,9 +56,9 @@
 }
 
 // AssessRevision reports on which VMs a revision is in force. expected holds the VMs known to
-// exist. Each VM that has not acknowledged the revision is pending until sureAt.
-func AssessRevision(revision contract.Revision, statuses []Status, expected map[contract.VMID]contract.DataCentreID, sureAt time.Time) RevisionStatus {
-	f := RevisionStatus{Revision: revision, EnforcedAt: sureAt}
+// exist. Each VM that has not acknowledged the revision is pending until enforcedAt.
+func AssessRevision(revision contract.Revision, statuses []Status, expected map[contract.VMID]contract.DataCentreID, enforcedAt time.Time) RevisionStatus {
+	r := RevisionStatus{Revision: revision, EnforcedAt: enforcedAt}
 	acknowledged := make(map[contract.VMID]contract.Revision)
 	dataCentreOf := make(map[contract.VMID]contract.DataCentreID)
 	for _, status := range statuses {
@@ -74,21 +74,21 @@
 	}
 	for v, dc := range dataCentreOf {
 		if acknowledged[v] >= revision {
-			f.InForce = append(f.InForce, v)
+			r.InForce = append(r.InForce, v)
 			continue
 		}
-		f.Pending = append(f.Pending, PendingVM{dc, v, acknowledged[v], sureAt})
+		r.Pending = append(r.Pending, PendingVM{dc, v, acknowledged[v], enforcedAt})
 	}
-	slices.Sort(f.InForce)
-	slices.SortFunc(f.Pending, func(a, b PendingVM) int { return cmp.Compare(a.VM, b.VM) })
-	return f
+	slices.Sort(r.InForce)
+	slices.SortFunc(r.Pending, func(a, b PendingVM) int { return cmp.Compare(a.VM, b.VM) })
+	return r
 }
 
 // InForceEverywhere reports whether the revision is in force everywhere at now: every VM has
 // acknowledged it, or no VM can act on an older one any more.
-func (f RevisionStatus) InForceEverywhere(now time.Time) bool {
-	if len(f.Pending) == 0 {
-		return len(f.InForce) > 0
+func (r RevisionStatus) InForceEverywhere(now time.Time) bool {
+	if len(r.Pending) == 0 {
+		return len(r.InForce) > 0
 	}
-	return !f.EnforcedAt.IsZero() && now.After(f.EnforcedAt)
+	return !r.EnforcedAt.IsZero() && now.After(r.EnforcedAt)
 }
--- a/internal/mutants/main.go
+++ b/internal/mutants/main.go
@@ -105,7 +105,7 @@
 	{"an empty set of pools does not mean all pools", "relay/evacuation.go", "return len(c.pools) == 0", "return false", "./platform", "TestServiceWithoutUpstreamsRefuses"},
 	{"a quarantined content is not sent", "relay/quarantine.go", "!r.quarantineCases.Blocks(j.contentPrint(), now)", "!r.quarantineCases.Blocks(quarantine.Print{}, now)", "./platform", "TestCrashingRequestIsQuarantined"},
 	{"VMs exchange request contents that crash upstreams", "site/receive.go", "exchange.MergeSuspects(msg.Suspects, msg.Self.VM) || worse", "worse", "./platform", "TestQuarantineDuringStoreOutage"},
-	{"quarantined request contents survive the loss of all VMs", "site/held.go", "s.opts.Relay.SetQuarantined(h)", "_ = h", "./platform", "TestQuarantineSurvivesRestartOfAllVMs"},
+	{"quarantined request contents survive the loss of all VMs", "site/quarantine.go", "s.opts.Relay.SetQuarantined(content)", "_ = content", "./platform", "TestQuarantineSurvivesRestartOfAllVMs"},
 	{"simultaneous upstream crashes count as one", "quarantine/table.go", "if n == 0 || sentAfter || apart {", "if n == 0 || sentAfter || !apart {", "./quarantine", "TestUnrelatedCrashesDoNotHoldContent"},
 	{"an answer clears a request content", "quarantine/table.go", "	t.resetTo(c, c.Epoch+1, now)\n	return true\n", "	return true\n", "./quarantine", "TestUnrelatedCrashesDoNotHoldContent"},
 	{"a broken connection is not a crash", "relay/crashes.go", "if !exchange.IsConnectionRefused(err) {", "if false {", "./platform", "TestBrokenConnectionsAreNotCrashes"},
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -12,13 +12,13 @@
 	"woaddoor/keys"
 )
 
-// echoMessage is the request and the response of the KindVote handler in these tests.
+// echoMessage is the request and the response of the KindTicketVote handler in these tests.
 type echoMessage struct {
 	Text string `cbor:"1,keyasint"`
 }
 
-// newEndpoint starts an endpoint with the keys of the given name. Its KindVote handler
-// echoes the text of a message with the peer's name, or fails on the text "fail".
+// newEndpoint starts an endpoint with the keys of the given name. Its KindTicketVote
+// handler echoes the text of a message with the peer's name, or fails on the text "fail".
 func newEndpoint(t *testing.T, dir, name string) *Endpoint {
 	t.Helper()
 	is := is.New(t)
--- a/link/server.go
+++ b/link/server.go
@@ -66,9 +66,9 @@
 	transport *quic.Transport
 	listener  *quic.Listener
 	handlers  map[Kind]handler
-	// InOtherDataCentre reports whether the peer at an address is in another data centre. Sent counts
-	// messages to such peers separately. Far may be nil, and must be set before Serve
-	// is called.
+	// InOtherDataCentre reports whether the peer at an address is in another data centre.
+	// SentCounts counts the messages to such peers separately. InOtherDataCentre may be nil,
+	// and must be set before Serve is called.
 	InOtherDataCentre func(address string) bool
 	sharedConns       bool
 	traffic           traffic
@@ -202,7 +202,7 @@
 func (e *Endpoint) dispatch(ctx context.Context, peer string, req requestFrame) responseFrame {
 	handle, ok := e.handlers[req.Kind]
 	if !ok {
-		return responseFrame{Error: fmt.Sprintf("no handler for messages of kind %d", req.Kind)}
+		return responseFrame{Error: fmt.Sprintf("kind %d is not answered here", req.Kind)}
 	}
 	resp, err := handle(ctx, peer, req.Body)
 	if err != nil {
--- a/link/traffic.go
+++ b/link/traffic.go
@@ -33,8 +33,8 @@
 )
 
 // SentCount is the number of messages of one kind, requests and responses together, that an
-// endpoint has sent to peers in its own data centre or, if Far is set, in other data
-// centres, and their total size in bytes before encryption.
+// endpoint has sent to peers in its own data centre or, if OtherDataCentre is set, in other
+// data centres, and their total size in bytes before encryption.
 type SentCount struct {
 	Kind            Kind
 	OtherDataCentre bool
--- a/protocol/protocol.go
+++ b/protocol/protocol.go
@@ -52,7 +52,7 @@
 	Revision contract.Revision `cbor:"3,keyasint"`
 	// Stopping is set when the entry process is shutting down.
 	Stopping bool `cbor:"4,keyasint"`
-	// RolloutEvidence holds the good and bad answers that the entry process has counted for versions in rollout.
+	// RolloutEvidence holds the good and bad answers that the entry process has counted for versions that are being rolled out.
 	RolloutEvidence rollout.Evidence `cbor:"5,keyasint"`
 	// HaltedVersions lists the model versions that are halted at the entry process.
 	HaltedVersions []contract.VersionID `cbor:"6,keyasint"`
@@ -77,7 +77,7 @@
 	LeavingUpstreams []contract.UpstreamID `cbor:"6,keyasint"`
 }
 
-// Heartbeat tells a peer's control process that the sender is alive. The next heartbeat makes up for a lost one.
+// Heartbeat informs a peer's control process that the sender is alive. The next heartbeat makes up for a lost one.
 // Late ones are recognized by the incarnation and age of their members.
 //
 // Its size does not grow with the number of VMs. Within a data centre, a heartbeat carries only the sender once
@@ -86,7 +86,7 @@
 	Members []vm.Member `cbor:"1,keyasint"`
 	// HaltedVersions lists the model versions that the sender knows to be halted.
 	HaltedVersions []contract.VersionID `cbor:"2,keyasint,omitempty"`
-	// RolloutEvidence holds the answers that the sender's entry process has counted for versions in rollout. To
+	// RolloutEvidence holds the answers that the sender's entry process has counted for versions that are being rolled out. To
 	// another data centre, it is the sum of the evidence known from the sender's data centre.
 	RolloutEvidence rollout.Evidence `cbor:"3,keyasint,omitempty"`
 	// MembersDigest is a digest of the VMs that the sender knows in its data centre. Heartbeats between two VMs carry
--- a/site/broadcast.go
+++ b/site/broadcast.go
@@ -14,8 +14,8 @@
 
 // How a change reaches all VMs: the VM that receives it from the store sends it to the
 // hubs of its data centre, to its own leaves and to one VM of each other data centre.
-// That VM sends it to the hubs there, and each hub to its leaves. Whatever is lost on the
-// way arrives with the next heartbeat.
+// That VM sends it to the hubs there, and each hub to its leaves. A VM that misses
+// a message receives the change with the next heartbeat.
 
 // Timings and limits of broadcasts.
 const (
@@ -51,14 +51,14 @@
 	p.urgentRounds.run(func() { p.forwardUrgent(ctx, false) })
 }
 
-// forwardUrgent forwards news of a harmful event. A representative of this data centre
+// forwardUrgent forwards news of a harmful event. A delegate of this data centre
 // informs the others. News from another data centre, or of an event on this VM, also goes
 // to the hubs here. Leaves receive it with the next heartbeat.
 func (p *Peers) forwardUrgent(ctx context.Context, fromLocal bool) {
 	if !fromLocal {
 		p.gossipToHubs(ctx, nil)
 	}
-	if p.IsRepresentative() {
+	if p.IsDelegate() {
 		p.gossipToRemote(ctx, nil, func(contract.DataCentreID) bool { return true })
 	}
 }
--- a/site/broadcast_test.go
+++ b/site/broadcast_test.go
@@ -67,7 +67,7 @@
 					case <-ctx.Done():
 						return
 					case <-recorder.sent:
-					case <-recorder.opinions:
+					case <-recorder.confidence:
 					}
 				}
 			}()
--- a/site/coalescer_test.go
+++ b/site/coalescer_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// TestCoalescer checks that a burst of calls runs once at once and once at the end of the
-// interval, and that the last call of a burst is never lost.
+// TestCoalescer checks that a burst of calls runs the function once immediately and once
+// at the end of the interval, and that the last call of a burst is never lost.
 func TestCoalescer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/site/election.go
+++ b/site/election.go
@@ -19,8 +19,8 @@
 	StaleAfter, RankStep time.Duration
 }
 
-// Timing fractions of the bound within which a change must be known. Watches may be cut
-// without an error, all at once, so half of the bound remains for the next watch. If the
+// Timing fractions of the bound within which a change must be known. All watches may
+// break at once without an error, so half of the bound remains for the next watch. If the
 // active watcher fails, a VM has a quarter of the bound left to call the store and inform
 // its peers.
 const (
@@ -50,8 +50,8 @@
 	// Local is the rank of the VM in its data centre. DataCentre is the rank of the data
 	// centre among those that share a watcher. Both start at 0.
 	Local, DataCentre int
-	// Isolated is set until another VM of the same data centre has replied to this VM.
-	Isolated bool
+	// NoLocalPeers is set until another VM of the same data centre has replied to this VM.
+	NoLocalPeers bool
 }
 
 const (
@@ -81,8 +81,8 @@
 // the store accepts is found within the bound. Later ranks are spread ever wider: a store
 // that has rejected several VMs in several data centres is unavailable to all. When all
 // ranks beyond the eighth had the same delay, each of 295 VMs called a store that was
-// unavailable for 7 s, which made 2,324 calls a day. An isolated VM is the first in
-// order.
+// unavailable for 7 s, which made 2,324 calls a day. A VM without local
+// peers is the first in order.
 func (r Rank) delay(t Timing) time.Duration {
 	steps := r.Local + r.Local*r.Local/linearRanks
 	return t.RankStep*time.Duration(steps) + dataCentreStep*time.Duration(r.DataCentre)
@@ -97,16 +97,16 @@
 	// requestRanks is the number of ranks that wait for each other, and the number of
 	// ranks from which a VM that knows no other VM picks its own at random.
 	requestRanks = 10
-	// isolatedRankStep replaces requestRankStep for a VM that knows no other VM yet, so
+	// noPeersRankStep replaces requestRankStep for a VM that knows no other VM yet, so
 	// that its first client request is served within startupWait.
-	isolatedRankStep = 5 * time.Millisecond
+	noPeersRankStep = 5 * time.Millisecond
 )
 
 // requestDelay returns how long a VM with waiting client requests lets the other VMs of
 // its data centre go first before it lists the store.
 func (r Rank) requestDelay(randomRank int) time.Duration {
-	if r.Isolated {
-		return isolatedRankStep * time.Duration(randomRank)
+	if r.NoLocalPeers {
+		return noPeersRankStep * time.Duration(randomRank)
 	}
 	return requestRankStep * time.Duration(min(r.Local, requestRanks))
 }
@@ -116,7 +116,7 @@
 // safe for concurrent use.
 //
 // A VM that finds the last store confirmation stale begins to watch. It stops when it
-// hears of another active watcher that precedes it. So one VM watches where all VMs can
+// learns of another active watcher that precedes it. So one VM watches where all VMs can
 // communicate, and one on each side of a network partition. The VMs need not agree on
 // which of them are alive.
 type WatcherElection struct {
@@ -214,7 +214,7 @@
 func (e *WatcherElection) Age(now time.Time) time.Duration { return now.Sub(e.confirmedAt) }
 
 // precedes defines an order of watchers that is the same on all VMs. A watcher with a
-// higher Strength comes first.
+// higher CapacityUnits comes first.
 func (w Watcher) precedes(o Watcher) bool {
 	if w.CapacityUnits != o.CapacityUnits {
 		return w.CapacityUnits > o.CapacityUnits
--- a/site/election_test.go
+++ b/site/election_test.go
@@ -29,10 +29,10 @@
 	dc         int
 	rank       Rank
 	election   *WatcherElection
-	watchUntil time.Time // end of the current watch; zero while it holds none
-	// storeRefuses is set while the store rejects its calls, and frozen while it does not
+	watchUntil time.Time // end of the current watch; zero without a watch
+	// storeRejects is set while the store rejects its calls, and frozen while it does not
 	// run. Only VMs with the same partition number receive its messages.
-	storeRefuses, frozen bool
+	storeRejects, frozen bool
 	partition            int
 	known                bool
 	// revision is the revision of the newest change that it knows.
@@ -53,12 +53,12 @@
 // step advances all VMs to a time.
 func (f *modelFleet) step(now time.Time) {
 	for _, v := range f.vms {
-		changePending := !v.watchUntil.IsZero() && !v.storeRefuses && v.revision < f.revision // the change ends the watch
+		changePending := !v.watchUntil.IsZero() && !v.storeRejects && v.revision < f.revision // the change ends the watch
 		if v.frozen || now.Before(v.watchUntil) && !changePending || !v.watchUntil.IsZero() && f.finishCall(v, now) || !v.election.ShouldWatch(v.known, v.rank, now) {
 			continue
 		}
 		f.calls++
-		if !v.known && !v.storeRefuses { // a list call returns at once
+		if !v.known && !v.storeRejects { // a list call returns at once
 			f.finishCall(v, now)
 			continue
 		}
@@ -70,8 +70,8 @@
 // returns false, so that step goes on with the VM.
 func (f *modelFleet) finishCall(v *modelVM, now time.Time) bool {
 	v.watchUntil = time.Time{}
-	v.election.RecordStoreCall(!v.storeRefuses, now)
-	if v.storeRefuses {
+	v.election.RecordStoreCall(!v.storeRejects, now)
+	if v.storeRejects {
 		return false
 	}
 	v.known, v.revision = true, f.revision
@@ -128,9 +128,9 @@
 			case "resume":
 				v.frozen = false
 			case "reject calls":
-				v.storeRefuses = true
+				v.storeRejects = true
 			case "accept calls":
-				v.storeRefuses = false
+				v.storeRejects = false
 			case "partition":
 				for _, other := range f.vms {
 					if other.dc == v.dc {
@@ -170,7 +170,7 @@
 // store.
 func (f *modelFleet) storeReachable(v *modelVM) bool {
 	for _, other := range f.vms {
-		if !other.frozen && !other.storeRefuses && other.partition == v.partition {
+		if !other.frozen && !other.storeRejects && other.partition == v.partition {
 			return true
 		}
 	}
@@ -208,8 +208,8 @@
 	is.True(f.calls <= 11) // one a second
 }
 
-// TestStrongerVMPrecedesWeaker checks that a VM with a higher Strength is preferred as
-// watcher.
+// TestStrongerVMPrecedesWeaker checks that a VM with a higher CapacityUnits is preferred
+// as watcher.
 func TestStrongerVMPrecedesWeaker(t *testing.T) {
 	is := is.New(t)
 	strong := Watcher{VM: "b", CapacityUnits: 8}
@@ -263,11 +263,11 @@
 	}
 	simulate(20 * time.Second)
 	for _, v := range f.vms {
-		v.storeRefuses = true
+		v.storeRejects = true
 	}
 	is.True(simulate(7*time.Second) <= 50)
 	for _, v := range f.vms {
-		v.storeRefuses = false
+		v.storeRejects = false
 	}
 	simulate(6 * time.Second)
 	watchers := simulate(10 * time.Second)
@@ -293,12 +293,12 @@
 func TestFewVMsListStoreForWaitingRequests(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1000, 0)
-	countListing := func(isolated bool, after time.Duration) int {
+	countListing := func(noLocalPeers bool, after time.Duration) int {
 		n := 0
 		for rank := range 100 {
 			e := NewWatcherElection(Watcher{VM: "v"}, testTiming, start.Add(time.Hour))
 			e.RecordWaitingRequest(rank%requestRanks, start)
-			if e.ShouldWatch(false, Rank{Local: rank, Isolated: isolated}, start.Add(after)) {
+			if e.ShouldWatch(false, Rank{Local: rank, NoLocalPeers: noLocalPeers}, start.Add(after)) {
 				n++
 			}
 		}
--- a/site/evacuations_test.go
+++ b/site/evacuations_test.go
@@ -45,7 +45,7 @@
 	is := is.New(t)
 	core, logged := observer.New(zap.InfoLevel)
 	f := &follower[Evacuation]{
-		source: namedSource{}, log: zap.New(core), registry: metrics.NewRegistry(), ledger: NewObjectCache("k"),
+		source: namedSource{}, log: zap.New(core), registry: metrics.NewRegistry(), cache: NewObjectCache("k"),
 		decodeErrors: make(map[string]string), apply: func(Changes[Evacuation], bool) {},
 	}
 	apply := func(revision contract.Revision, err error) {
--- a/site/follow.go
+++ b/site/follow.go
@@ -81,7 +81,7 @@
 	// mu guards the fields below. It is held while changes are applied, so that changes
 	// from the store and from peers take effect one after the other.
 	mu       sync.Mutex
-	ledger   *ObjectCache
+	cache    *ObjectCache
 	election *WatcherElection
 	// decodeErrors holds the last logged decoding error of each object that cannot be
 	// decoded.
@@ -141,7 +141,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	_, known := f.ledger.Revision()
+	_, known := f.cache.Revision()
 	wasWatching := f.election.watching
 	if f.election.ShouldWatch(known, rank, now) == wasWatching {
 		return wasWatching
@@ -172,7 +172,7 @@
 	rank := f.rank()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	_, known := f.ledger.Revision()
+	_, known := f.cache.Revision()
 	due := f.election.WatchDueAt(known, rank).Sub(f.now())
 	if !known { // the rank changes as other VMs become known, and requests may be waiting
 		return min(max(due, minIdleInterval), idleCheckInterval)
@@ -226,7 +226,7 @@
 func (f *follower[T]) acceptPage(c Changes[T], more bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if _, known := f.ledger.Revision(); known {
+	if _, known := f.cache.Revision(); known {
 		return f.relist
 	}
 	if more {
@@ -242,7 +242,7 @@
 	f.applyChanges(c, full)
 	f.mu.Lock()
 	f.election.RecordStoreCall(true, f.now())
-	f.ledger.Confirm(c.Revision)
+	f.cache.Confirm(c.Revision)
 	f.mu.Unlock()
 	if current, _ := f.lastChange(); current > previous {
 		f.count("changes_told_total", "store")
@@ -262,7 +262,7 @@
 // age returns the time since the last confirmation by the store, or zero before the first
 // one. The caller holds mu.
 func (f *follower[T]) age(now time.Time) time.Duration {
-	if _, known := f.ledger.Revision(); !known {
+	if _, known := f.cache.Revision(); !known {
 		return 0
 	}
 	return f.election.Age(now).Round(time.Millisecond)
@@ -281,7 +281,7 @@
 func (f *follower[T]) revision() (contract.Revision, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ledger.Revision()
+	return f.cache.Revision()
 }
 
 // lastChange returns the revision of the newest known change, and whether this VM has any
@@ -289,8 +289,8 @@
 func (f *follower[T]) lastChange() (contract.Revision, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	_, known := f.ledger.Revision()
-	return f.ledger.LastChange(), known
+	_, known := f.cache.Revision()
+	return f.cache.LastChange(), known
 }
 
 // applyChanges applies the changes that are newer than the known state, from the store or
@@ -303,7 +303,7 @@
 		d.Items = append(d.Items, i.RawObject)
 	}
 	accepted := Changes[T]{Revision: c.Revision}
-	for n, changed := range f.ledger.Apply(d) {
+	for n, changed := range f.cache.Apply(d) {
 		if changed {
 			accepted.Items = append(accepted.Items, c.Items[n])
 			f.recordDecodeResult(c.Items[n])
--- a/site/follow_test.go
+++ b/site/follow_test.go
@@ -17,7 +17,7 @@
 	is := is.New(t)
 	firstPageItems, sendFromPeer := 0, func() {}
 	f := &follower[Evacuation]{
-		source: namedSource{}, log: zap.NewNop(), registry: metrics.NewRegistry(), ledger: NewObjectCache("k"), election: NewWatcherElection(Watcher{VM: "v"}, testTiming, time.Time{}),
+		source: namedSource{}, log: zap.NewNop(), registry: metrics.NewRegistry(), cache: NewObjectCache("k"), election: NewWatcherElection(Watcher{VM: "v"}, testTiming, time.Time{}),
 		decodeErrors: make(map[string]string), apply: func(Changes[Evacuation], bool) {}, onStoreCall: func(bool) {}, now: time.Now,
 	}
 	f.applyFirstPage = func(c Changes[Evacuation]) {
@@ -45,7 +45,7 @@
 	is := is.New(t)
 	storeFailed := false
 	f := &follower[Evacuation]{
-		source: stoppedSource{}, log: zap.NewNop(), registry: metrics.NewRegistry(), ledger: NewObjectCache("k"), election: NewWatcherElection(Watcher{VM: "v"}, testTiming, time.Time{}),
+		source: stoppedSource{}, log: zap.NewNop(), registry: metrics.NewRegistry(), cache: NewObjectCache("k"), election: NewWatcherElection(Watcher{VM: "v"}, testTiming, time.Time{}),
 		onStoreCall: func(ok bool) { storeFailed = storeFailed || !ok }, now: time.Now,
 	}
 	is.NoErr(f.syncOnce(context.Background()))
--- a/site/gossip.go
+++ b/site/gossip.go
@@ -50,17 +50,17 @@
 	// Suspects are request contents that crash upstreams and whose state has recently
 	// changed.
 	Suspects []quarantine.Update `cbor:"14,keyasint,omitempty"`
-	// LimitsDigest identifies the upstream limits that the sender considers valid. A
+	// LimitsDigest identifies the rate limits of upstreams that the sender considers valid. A
 	// recipient that knows others replies with Limits, because reports of limits may have
 	// been lost and a VM that has just started did not receive them.
 	LimitsDigest uint64                 `cbor:"15,keyasint,omitempty"`
 	Limits       []upstream.LimitUpdate `cbor:"16,keyasint,omitempty"`
-	// Usage is what a leaf has counted since its hub last replied.
+	// Usage is the usage that a leaf has counted since its hub last replied.
 	Usage []usage.Part `cbor:"17,keyasint,omitempty"`
-	// Work is the work that a leaf gives to the upstreams of each service.
-	Work map[contract.ServiceID]scaling.Load `cbor:"19,keyasint,omitempty"`
-	// Lease is what the sender knows of the lease whose holder acts for all VMs. It is
-	// nil if the sender knows nothing.
+	// Load is the load that a leaf puts on the upstreams of each service.
+	Load map[contract.ServiceID]scaling.Load `cbor:"19,keyasint,omitempty"`
+	// Lease is what the sender knows of the lease whose holder makes the platform's calls
+	// for all VMs. It is nil if the sender knows nothing.
 	Lease *LeaseStatus `cbor:"18,keyasint,omitempty"`
 }
 
@@ -136,9 +136,9 @@
 	case audienceLocal:
 		msg.Members = p.liveLeavesLocked(now)
 	case audienceHub:
-		msg.Members = append(p.liveLeavesLocked(now), p.remoteRepresentativesLocked(v)...)
+		msg.Members = append(p.liveLeavesLocked(now), p.remoteDelegatesLocked(v)...)
 	case audienceRemote:
-		msg.Members = p.localRepresentativesLocked(v)
+		msg.Members = p.localDelegatesLocked(v)
 	}
 	kinds := slices.Collect(maps.Values(p.kinds))
 	exchange := p.relay
@@ -167,9 +167,9 @@
 	return out
 }
 
-// remoteRepresentativesLocked returns the representatives of other data centres. The
+// remoteDelegatesLocked returns the delegates of other data centres. The
 // caller holds mu.
-func (p *Peers) remoteRepresentativesLocked(v *view) []vm.Member {
+func (p *Peers) remoteDelegatesLocked(v *view) []vm.Member {
 	var out []vm.Member
 	for _, members := range v.remote {
 		out = append(out, members...)
@@ -177,10 +177,10 @@
 	return out
 }
 
-// localRepresentativesLocked returns the representatives of this data centre. The caller
+// localDelegatesLocked returns the delegates of this data centre. The caller
 // holds mu.
-func (p *Peers) localRepresentativesLocked(v *view) []vm.Member {
-	return slices.Clone(v.ranked[:min(representatives, len(v.ranked))])
+func (p *Peers) localDelegatesLocked(v *view) []vm.Member {
+	return slices.Clone(v.ranked[:min(delegates, len(v.ranked))])
 }
 
 // gossipToHub returns this leaf's message for its hub.
@@ -213,7 +213,7 @@
 func (p *Peers) handleGossip(ctx context.Context, _ string, msg GossipMessage) (GossipMessage, error) {
 	p.recordMembers(msg, false)
 	p.recordUsage(msg.Usage)
-	p.recordWork(p.leafWork, lifeOf(msg.Self), msg.Work)
+	p.recordLoad(p.leafLoad, instanceOf(msg.Self), msg.Load)
 	p.recordLease(msg.Lease)
 	go p.applyGossip(context.WithoutCancel(ctx), msg)
 	reply := p.gossipReply(msg)
@@ -238,8 +238,8 @@
 	return p.gossipFor(audienceLocal)
 }
 
-// reconcileLimits applies the upstream limits in a reply, and reports to that VM the
-// limits that it lacks.
+// reconcileLimits applies the rate limits of upstreams in a reply, and reports to the
+// replying VM the limits that it lacks.
 func (p *Peers) reconcileLimits(reply GossipMessage) {
 	exchange := p.relayOrNil()
 	if exchange == nil {
@@ -252,7 +252,7 @@
 	p.sendReportMessages(reply.Self, limitsToSend(exchange.Limits(), reply.Limits), false)
 }
 
-// limitsToSend returns the limits that another VM does not know or knows in an older
+// limitsToSend returns the rate limits that another VM does not know or knows in an older
 // version. A limit that has ended is left out if the other VM does not know it.
 func limitsToSend(ours, theirs []upstream.LimitUpdate) []report {
 	versions := make(map[contract.UpstreamInstance]uint64, len(theirs))
@@ -277,7 +277,7 @@
 }
 
 // remoteMembersOneIn is the average number of replies to a leaf per reply that includes
-// the representatives of other data centres. A leaf needs them only when it becomes a
+// the delegates of other data centres. A leaf needs them only when it becomes a
 // hub.
 const remoteMembersOneIn = 10
 
@@ -292,7 +292,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	reply.Members = p.remoteRepresentativesLocked(v)
+	reply.Members = p.remoteDelegatesLocked(v)
 	if reply.DigestMatches {
 		return reply
 	}
--- a/site/hubs.go
+++ b/site/hubs.go
@@ -123,14 +123,14 @@
 // heartbeatHub exchanges gossip with the hub of this leaf, or with the next hub if that
 // one does not reply.
 func (p *Peers) heartbeatHub(ctx context.Context, v *view) {
-	work := p.localWork()
+	load := p.localLoad()
 	for _, m := range p.hubsForLeaf(v) {
 		msg := p.gossipToHub()
-		msg.Work = work
+		msg.Load = load
 		var sequence uint64
-		msg.Usage, sequence = p.usageFor(lifeOf(m))
+		msg.Usage, sequence = p.usageFor(instanceOf(m))
 		if p.exchangeGossip(ctx, m.ControlAddress, localTimeout, msg) {
-			p.acknowledgeUsage(lifeOf(m), sequence)
+			p.acknowledgeUsage(instanceOf(m), sequence)
 			return
 		}
 	}
@@ -225,7 +225,7 @@
 		}
 	}
 	for _, s := range [][]string{seeds, candidates} {
-		rand.Shuffle(len(s), func(address, b int) { s[address], s[b] = s[b], s[address] })
+		rand.Shuffle(len(s), func(a, b int) { s[a], s[b] = s[b], s[a] })
 	}
 	return append(seeds[:min(1, len(seeds))], candidates[:min(maxDiscoveryTargets, len(candidates))]...)
 }
--- a/site/lease.go
+++ b/site/lease.go
@@ -8,8 +8,8 @@
 	"woaddoor/lease"
 )
 
-// LeaseStatus is what a VM knows of the lease whose holder acts for all VMs, without the
-// record stored in it.
+// LeaseStatus is what a VM knows of the lease whose holder makes the platform's calls for
+// all VMs, without the record stored in the lease.
 type LeaseStatus struct {
 	Object  lease.Object           `cbor:"1,keyasint"`
 	Version contract.ObjectVersion `cbor:"2,keyasint"`
@@ -51,31 +51,31 @@
 
 // leaseHolder is the link address of the lease holder at a version of the lease.
 type leaseHolder struct {
-	life    contract.VMInstance
-	link    string
-	version contract.ObjectVersion
+	instance contract.VMInstance
+	link     string
+	version  contract.ObjectVersion
 }
 
 // leaseHolderLink returns the link address of a holder, or an empty string if it is
 // unknown.
-func (p *Peers) leaseHolderLink(life contract.VMInstance) string {
+func (p *Peers) leaseHolderLink(instance contract.VMInstance) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	self := p.table.Self()
 	switch {
-	case life == lifeOf(self):
+	case instance == instanceOf(self):
 		return self.ControlAddress
-	case life == p.leaseHolder.life:
+	case instance == p.leaseHolder.instance:
 		return p.leaseHolder.link
 	}
 	return ""
 }
 
 // LeaseDelay returns how long this VM waits before it acquires a free lease, and whether it may
-// acquire it at all. Only the representatives of a data centre may, one after the other.
+// acquire it at all. Only the delegates of a data centre may, one after the other.
 func (p *Peers) LeaseDelay() (time.Duration, bool) {
 	rank := p.Rank()
-	return writeDelayFor(rank), rank.Local < representatives
+	return writeDelayFor(rank), rank.Local < delegates
 }
 
 // AnnounceLease informs the other hubs and data centres at once that the lease holder has
--- a/site/limits_test.go
+++ b/site/limits_test.go
@@ -89,8 +89,8 @@
 // forwards each of them to all its leaves.
 func TestLimitsToSend(t *testing.T) {
 	is := is.New(t)
-	known := func(id string, version uint64, word upstream.LimitStatement) upstream.LimitUpdate {
-		return upstream.LimitUpdate{Instance: contract.UpstreamInstance{Upstream: contract.UpstreamID(id)}, Limit: upstream.RateLimit{Statement: word}, Version: version}
+	known := func(id string, version uint64, statement upstream.LimitStatement) upstream.LimitUpdate {
+		return upstream.LimitUpdate{Instance: contract.UpstreamInstance{Upstream: contract.UpstreamID(id)}, Limit: upstream.RateLimit{Statement: statement}, Version: version}
 	}
 	ours := []upstream.LimitUpdate{
 		known("same", 2, upstream.LimitStated), known("older", 2, upstream.LimitStated), known("newer", 4, upstream.LimitNone),
--- a/site/object_cache.go
+++ b/site/object_cache.go
@@ -24,7 +24,7 @@
 // concurrent use.
 type ObjectCache struct {
 	kind string
-	// revision is the store revision up to which the ledger is complete, and lastChange
+	// revision is the store revision up to which the cache is complete, and lastChange
 	// that of its newest change.
 	revision, lastChange contract.Revision
 	known                bool
@@ -49,12 +49,12 @@
 	removalsPerObject = 4
 )
 
-// NewObjectCache returns an empty ledger.
+// NewObjectCache returns an empty cache.
 func NewObjectCache(kind string) *ObjectCache {
 	return &ObjectCache{kind: kind, items: make(map[string]RawObject)}
 }
 
-// Revision returns the store revision up to which the ledger is complete, and whether it
+// Revision returns the store revision up to which the cache is complete, and whether it
 // holds anything.
 func (l *ObjectCache) Revision() (contract.Revision, bool) { return l.revision, l.known }
 
@@ -97,7 +97,7 @@
 	case exists && i.Revision < old.Revision:
 		return false
 	case !exists && l.known && i.Revision <= l.revision && !(d.Full && d.Revision >= l.revision):
-		return false // removed since: the ledger is complete up to its revision
+		return false // removed since: the cache is complete up to its revision
 	}
 	l.items[i.Name] = i
 	l.lastChange = max(l.lastChange, i.Revision)
--- a/site/orders.go
+++ b/site/orders.go
@@ -114,7 +114,7 @@
 func (s *Site) storeUnreachable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.listing.storeUnreachable
+	return s.upstreamList.storeUnreachable
 }
 
 // writeDelay returns how long this VM waits before a write.
--- a/site/peer_stats.go
+++ b/site/peer_stats.go
@@ -9,8 +9,8 @@
 
 // PeerStats describes this VM's position among its peers, for operators.
 type PeerStats struct {
-	// LocalVMs is the number of live VMs in this data centre, including this one. Silent is
-	// the number of VMs there from which nothing was received for a short while, but
+	// LocalVMs is the number of live VMs in this data centre, including this one. SilentVMs
+	// is the number of VMs there from which nothing was received for a short while, but
 	// something within the last minute.
 	LocalVMs, SilentVMs int
 	// LocalRank is the local rank of this VM in the order in which VMs would watch the store.
--- a/site/peers.go
+++ b/site/peers.go
@@ -25,9 +25,9 @@
 // replicatedKind is a kind of objects that VMs send to each other.
 type replicatedKind interface {
 	status() (KindStatus, bool)
-	compareWithPeer(h KindStatus) Comparison
-	changesSince(after contract.Revision, holds bool) Delta
-	applyFromPeer(d Delta, h KindStatus, from string)
+	compareWithPeer(status KindStatus) Comparison
+	changesSince(after contract.Revision, known bool) Delta
+	applyFromPeer(d Delta, status KindStatus, from string)
 	isWatching() bool
 }
 
@@ -48,10 +48,10 @@
 	// list of a thousand upstreams, 0.25 MB, to all its leaves at once, this takes 2.4 s.
 	// With a timeout of 0.9 s the transfer was aborted and restarted endlessly.
 	pullTimeout = 6 * time.Second
-	// representatives is the number of VMs of a data centre that exchange messages with
-	// other data centres. spareRepresentatives is the number of further VMs of another
-	// data centre that are tried if its representatives do not reply.
-	representatives, spareRepresentatives = 2, 1
+	// delegates is the number of VMs of a data centre that exchange messages with
+	// other data centres. spareDelegates is the number of further VMs of another
+	// data centre that are tried if its delegates do not reply.
+	delegates, spareDelegates = 2, 1
 	// changeInterval is the minimum time between two rounds in which a VM announces
 	// changes. Changes come in bursts of dozens, and one message announces them all.
 	changeInterval = 80 * time.Millisecond
@@ -82,8 +82,8 @@
 	started  time.Time
 	// changeRounds and confirmationRounds limit the rate of the rounds that announce
 	// changes and the absence of changes. urgentRounds limits the rate of those that
-	// announce harm: failed responses of a release on trial and request contents that
-	// crash upstreams.
+	// announce harmful events: failed responses of a release on trial and request contents
+	// that crash upstreams.
 	changeRounds, confirmationRounds, urgentRounds *coalescer
 	// discoverNow triggers an immediate message to VMs that the store lists. unknownPeer
 	// signals contact from a VM that this one has not yet seen in the store's list.
@@ -99,8 +99,8 @@
 	// firstStart is set if all VMs start for the very first time, so that no client is
 	// waiting.
 	firstStart bool
-	// lease and usage belong to the lease whose holder acts for all VMs. They are nil
-	// where there is no lease.
+	// lease and usage belong to the lease whose holder makes the platform's calls for all
+	// VMs. They are nil where there is no lease.
 	lease *leader.LeaseClient
 	usage *leader.UsageLedger
 	// shuttingDown is set when this VM is about to end.
@@ -142,24 +142,25 @@
 	announced map[string]contract.Revision
 	// leaseHolder is the link address of the lease holder.
 	leaseHolder leaseHolder
-	// leafWork holds the work reported by this VM's leaves, and hubWork that reported by
+	// leafLoad holds the load reported by this VM's leaves, and hubLoad that reported by
 	// other hubs while this VM holds the lease.
-	leafWork, hubWork workReports
+	leafLoad, hubLoad loadReports
 }
 
 // PeersOptions configure Peers.
 type PeersOptions struct {
 	Endpoint *link.Endpoint
 	Self     vm.Member
-	// Seeds are link addresses at which other VMs may be found.
+	// Seeds are link addresses (UDP addresses of endpoints of package link) at which other
+	// VMs may be found.
 	Seeds []string
 	// Regions names the region of each data centre. The data centres of a region share
 	// one watcher of the store. If Regions is empty, all data centres do.
 	Regions map[contract.DataCentreID]string
 	// FirstStart is set if all VMs start for the very first time.
 	FirstStart bool
-	// Lease and Usage belong to the lease whose holder acts for all VMs. Both are nil
-	// where there is no lease.
+	// Lease and Usage belong to the lease whose holder makes the platform's calls for all
+	// VMs. Both are nil where there is no lease.
 	Lease *leader.LeaseClient
 	Usage *leader.UsageLedger
 	Log   *zap.Logger
@@ -176,7 +177,7 @@
 		kinds: make(map[string]replicatedKind), seeds: slices.DeleteFunc(slices.Clone(opts.Seeds), func(s string) bool { return s == opts.Self.ControlAddress }),
 		table: vm.NewTable(opts.Self), listedAddresses: make(map[string]bool), memberIPs: make(map[string]bool),
 		leaves: make(map[contract.VMID]leaf), unresponsiveUntil: make(map[string]time.Time), counts: make(map[contract.DataCentreID]dataCentreCount),
-		leafWork: make(workReports), hubWork: make(workReports),
+		leafLoad: make(loadReports), hubLoad: make(loadReports),
 		announced: make(map[string]contract.Revision), unknownToHub: make(map[contract.VMID]string), activePulls: make(map[string]activePull),
 	}
 	p.firstStart = opts.FirstStart && len(p.seeds) > 0
@@ -204,8 +205,8 @@
 	Suspects() []quarantine.Update
 	MergeSuspects(suspects []quarantine.Update, from contract.VMID) (urgent bool)
 	MergeSent(sent []relay.SentPrompt)
-	MergeConfidence(opinions []relay.ConfidenceReport)
-	MergeBackoffs(rests []relay.Backoff)
+	MergeConfidence(reports []relay.ConfidenceReport)
+	MergeBackoffs(backoffs []relay.Backoff)
 	MergeLimits(limits []upstream.LimitUpdate, fresh bool, from contract.VMID)
 	Limits() []upstream.LimitUpdate
 	LimitsDigest() uint64
@@ -313,14 +314,14 @@
 func (p *Peers) EstimatedVMs() int { return p.currentView().total }
 
 // GossipScope returns the group of VMs whose requests to upstreams are reported to this VM.
-func (p *Peers) GossipScope() upstream.GossipScope { return p.currentView().group }
+func (p *Peers) GossipScope() upstream.GossipScope { return p.currentView().scope }
 
 // Rank returns the rank of this VM among those that may watch the store for its region.
 func (p *Peers) Rank() Rank { return p.currentView().rank }
 
-// IsRepresentative reports whether this VM is one of the representatives of its data
+// IsDelegate reports whether this VM is one of the delegates of its data
 // centre.
-func (p *Peers) IsRepresentative() bool { return p.currentView().rank.Local < representatives }
+func (p *Peers) IsDelegate() bool { return p.currentView().rank.Local < delegates }
 
 // AsWatcher returns this VM as a candidate for watching the store.
 func (p *Peers) AsWatcher() Watcher {
@@ -392,7 +393,7 @@
 	} else {
 		go p.heartbeatHub(ctx, v)
 	}
-	if tick%heartbeatsPerRemote != 0 || v.rank.Local >= representatives {
+	if tick%heartbeatsPerRemote != 0 || v.rank.Local >= delegates {
 		return
 	}
 	msg := p.gossipFor(audienceRemote)
--- /dev/null
+++ b/site/quarantine.go
@@ -0,0 +1,99 @@
+package site
+
+import (
+	"context"
+	"errors"
+
+	"go.uber.org/zap"
+
+	"woaddoor/clock"
+	"woaddoor/logs"
+	"woaddoor/quarantine"
+)
+
+// QuarantineStore writes quarantined request contents to the store, where they survive a power
+// loss of all VMs at once.
+type QuarantineStore interface {
+	// PutQuarantined adds a request content. It leaves an existing object unchanged.
+	PutQuarantined(ctx context.Context, content quarantine.QuarantinedContent) error
+	// CountTrial counts one more trial of a request content if its object still has the
+	// known revision, so that only one VM gets the trial.
+	CountTrial(ctx context.Context, content quarantine.QuarantinedContent) error
+	// DeleteQuarantined removes a request content.
+	DeleteQuarantined(ctx context.Context, fingerprint quarantine.Fingerprint) error
+}
+
+// States of a quarantined request content in write keys and logs.
+const (
+	stateQuarantined = "held"
+	stateCleared     = "cleared"
+)
+
+// applyQuarantined applies the quarantined request contents in the store to the relay.
+func (s *Site) applyQuarantined(c Changes[quarantine.QuarantinedContent], full bool) {
+	stored := make(map[quarantine.Fingerprint]bool, len(c.Items))
+	for _, i := range c.Items {
+		fingerprint, err := quarantine.ParseFingerprint(i.Name)
+		switch {
+		case err != nil, !i.Deleted && i.Err != nil:
+			continue // the follower logs it
+		case i.Deleted:
+			s.opts.Relay.RemoveQuarantined(fingerprint, i.Revision)
+		default:
+			stored[fingerprint] = true
+			content := i.Value
+			content.Revision = i.Revision
+			s.opts.Relay.SetQuarantined(content)
+		}
+	}
+	if !full {
+		return
+	}
+	for _, fingerprint := range s.opts.Relay.QuarantinedExcept(stored) { // a request content stored after the list was made has a later revision
+		s.opts.Relay.RemoveQuarantined(fingerprint, c.Revision)
+	}
+}
+
+// syncQuarantine writes changes of quarantined request contents to the store until ctx ends. It
+// runs in its own loop because calls to a slow store would delay the verdicts on
+// releases.
+func (s *Site) syncQuarantine(ctx context.Context) {
+	pending := make(map[writeKey]*pendingWrite)
+	for ctx.Err() == nil {
+		clock.Sleep(ctx, tickInterval)
+		s.writeQuarantineUpdates(ctx, pending)
+	}
+}
+
+// writeQuarantineUpdates writes changes of quarantined request contents once this VM's write
+// delay has passed. Trials are claimed without a delay.
+func (s *Site) writeQuarantineUpdates(ctx context.Context, pending map[writeKey]*pendingWrite) {
+	changes := s.opts.Relay.QuarantineUpdates()
+	for _, content := range changes.Add {
+		if s.mayWrite(pending, writeKey{content.Fingerprint.String(), stateQuarantined}, s.opts.Now()) {
+			s.logQuarantineWrite(content, stateQuarantined, s.opts.QuarantineStore.PutQuarantined(ctx, content))
+		}
+	}
+	for _, content := range changes.Remove {
+		if s.mayWrite(pending, writeKey{content.Fingerprint.String(), stateCleared}, s.opts.Now()) {
+			s.logQuarantineWrite(content, stateCleared, s.opts.QuarantineStore.DeleteQuarantined(ctx, content.Fingerprint))
+		}
+	}
+	for _, content := range changes.Trials {
+		err := s.opts.QuarantineStore.CountTrial(ctx, content)
+		s.opts.Relay.SetTrialGranted(content.Fingerprint, err == nil)
+		if err != nil && !errors.Is(err, ErrConflict) {
+			s.log.Warn("held-trial-failed", append(logs.ErrorFields(err), zap.Stringer("print", content.Fingerprint))...)
+		}
+	}
+}
+
+// logQuarantineWrite logs the outcome of a write.
+func (s *Site) logQuarantineWrite(content quarantine.QuarantinedContent, state string, err error) {
+	fields := []zap.Field{zap.Stringer("print", content.Fingerprint), zap.String("state", state), zap.String("route", content.Route), zap.String("workspace", string(content.Workspace))}
+	if err != nil {
+		s.log.Warn("held-note-failed", append(fields, logs.ErrorFields(err)...)...)
+		return
+	}
+	s.log.Info("held-noted", fields...)
+}
--- a/site/receive.go
+++ b/site/receive.go
@@ -12,17 +12,17 @@
 	"woaddoor/vm"
 )
 
-// isolatedPeriod is how long after its start a VM waits for a reply from its own data
+// localReplyWait is how long after its start a VM waits for a reply from its own data
 // centre. After that, replies from other data centres suffice for it to consider itself
 // the first VM of its own.
-const isolatedPeriod = 1500 * time.Millisecond
+const localReplyWait = 1500 * time.Millisecond
 
 // updateRankKnown notes that this VM knows its rank: a VM of its own data centre has
-// replied, or only others have replied during isolatedPeriod.
+// replied, or only others have replied during localReplyWait.
 func (p *Peers) updateRankKnown(reply GossipMessage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.rankKnown && (reply.Self.DataCentre == p.dc || p.now().Sub(p.started) > isolatedPeriod) {
+	if !p.rankKnown && (reply.Self.DataCentre == p.dc || p.now().Sub(p.started) > localReplyWait) {
 		p.rankKnown = true
 		p.viewStale.Store(true)
 	}
@@ -169,14 +169,14 @@
 const pullTakeoverAfter = 1200 * time.Millisecond
 
 // mayPull reports whether this VM may request changes from a peer. It requests them from
-// other data centres only as a representative of its own, or, after remotePullDelay,
+// other data centres only as a delegate of its own, or, after remotePullDelay,
 // while it knows no other VM there.
 func (p *Peers) mayPull(fromLocal bool) bool {
 	if fromLocal {
 		return true
 	}
 	v := p.currentView()
-	return v.isHub && v.rank.Local < representatives || len(v.localPeers) == 0 && p.now().Sub(p.started) > remotePullDelay
+	return v.isHub && v.rank.Local < delegates || len(v.localPeers) == 0 && p.now().Sub(p.started) > remotePullDelay
 }
 
 // pull requests the changes of a kind from a VM and reports whether it received them. It
--- a/site/registration.go
+++ b/site/registration.go
@@ -12,7 +12,7 @@
 
 // Timings of the VM list in the store. A VM registers there if no other VM knows it yet.
 // The list is read by VMs that get no reply from others, by VMs that are contacted by an
-// unknown VM, and periodically by the representatives of each data centre. When each of
+// unknown VM, and periodically by the delegates of each data centre. When each of
 // 295 VMs read the list, a start took 590 store calls.
 const (
 	minRegisterPause = 700 * time.Millisecond
@@ -35,8 +35,8 @@
 func (s *Site) maintainRegistration(ctx context.Context) {
 	if s.opts.Peers.IsSeed() && !s.opts.FirstStart {
 		// VMs that start together with a seed are rejected until it knows them. Without
-		// this read, 0.3 s more passed without a VM that serves after a power loss
-		// everywhere.
+		// this read, it took 0.3 s longer until a VM served after a power loss of all
+		// VMs.
 		go s.retryUntilSuccess(ctx, s.listVMs)
 	}
 	if !s.opts.FirstStart && s.awaitJoin(ctx, joinTimeout) {
@@ -50,7 +50,7 @@
 		select {
 		case <-ctx.Done():
 		case <-regularly.C:
-			if s.opts.Peers.IsRepresentative() || s.opts.Peers.Alone() {
+			if s.opts.Peers.IsDelegate() || s.opts.Peers.Alone() {
 				s.retryUntilSuccess(ctx, s.listVMs)
 			}
 		case <-s.opts.Peers.UnknownPeer():
--- a/site/replicate.go
+++ b/site/replicate.go
@@ -13,7 +13,7 @@
 func (f *follower[T]) confirmFromPeer(status KindStatus) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.ledger.Confirm(status.Revision)
+	f.cache.Confirm(status.Revision)
 	now := f.now()
 	wasWatching := f.election.watching
 	changed := f.election.RecordPeerStatus(now.Add(-status.Age), status.ActiveWatcher, now.Add(-status.ActiveWatcherAge), now)
@@ -27,10 +27,10 @@
 func (f *follower[T]) status() (KindStatus, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	revision, known := f.ledger.Revision()
+	revision, known := f.cache.Revision()
 	now := f.now()
 	return KindStatus{
-		Kind: f.source.Name(), LastChange: f.ledger.LastChange(), Revision: revision, Age: f.election.Age(now),
+		Kind: f.source.Name(), LastChange: f.cache.LastChange(), Revision: revision, Age: f.election.Age(now),
 		ActiveWatcher: f.election.activeWatcher, ActiveWatcherAge: now.Sub(f.election.activeWatcherAt),
 	}, known
 }
@@ -60,7 +60,7 @@
 func (f *follower[T]) changesSince(after contract.Revision, known bool) Delta {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ledger.Since(after, known)
+	return f.cache.Since(after, known)
 }
 
 // applyFromPeer applies a delta received from a peer.
--- a/site/reports.go
+++ b/site/reports.go
@@ -21,12 +21,12 @@
 	Sent []relay.SentPrompt `cbor:"1,keyasint,omitempty"`
 	// Forward asks the recipient to forward the report within its data centre.
 	Forward bool `cbor:"2,keyasint,omitempty"`
-	// Opinions are models' ratings of responses.
-	Opinions []relay.ConfidenceReport `cbor:"3,keyasint,omitempty"`
+	// Confidence holds what models report about their own answers.
+	Confidence []relay.ConfidenceReport `cbor:"3,keyasint,omitempty"`
 	// From is the sending VM.
 	From contract.VMID `cbor:"4,keyasint,omitempty"`
-	// Rests are the rest periods that upstreams have requested.
-	Rests []relay.Backoff `cbor:"5,keyasint,omitempty"`
+	// Backoffs are the back-offs that upstreams have requested.
+	Backoffs []relay.Backoff `cbor:"5,keyasint,omitempty"`
 	// Limits are the rate limits of upstreams as the sender knows them.
 	Limits []upstream.LimitUpdate `cbor:"6,keyasint,omitempty"`
 }
@@ -34,20 +34,20 @@
 // Timings and limits of UpstreamReport.
 const (
 	// reportInterval is the minimum time between two rounds of a VM's own reports. An
-	// engine takes longer than that to read a prompt, and one message reports all
+	// engine takes longer than that for the prefill of a prompt, and one message reports all
 	// requests of the interval.
 	reportInterval = 15 * time.Millisecond
 	// forwardInterval is the minimum time between two rounds in which a hub forwards
 	// reports. It adds half of it to their mean age, compared with the 50 to 300 ms that
-	// engines take to read a prompt. Each round costs one message to each leaf.
+	// engines take for a prefill. Each round costs one message to each leaf.
 	forwardInterval = 100 * time.Millisecond
 	// maxQueuedReports limits the reports that wait to be sent. The other constants limit
 	// the reports in a message so that it fits into a packet.
-	maxQueuedReports      = 512
-	maxSentPerMessage     = 10
-	maxOpinionsPerMessage = 8
-	maxRestsPerMessage    = 16
-	maxLimitsPerMessage   = 16
+	maxQueuedReports        = 512
+	maxSentPerMessage       = 10
+	maxConfidencePerMessage = 8
+	maxBackoffsPerMessage   = 16
+	maxLimitsPerMessage     = 16
 	// maxVMsForRegionalReports is the number of VMs up to which reports also go to other
 	// data centres.
 	maxVMsForRegionalReports = 12
@@ -72,8 +72,8 @@
 	// knownToHubs means that the other hubs of this data centre already have the report.
 	knownToHubs bool
 	sent        *relay.SentPrompt
-	opinion     *relay.ConfidenceReport
-	rest        *relay.Backoff
+	confidence  *relay.ConfidenceReport
+	backoff     *relay.Backoff
 	limit       *upstream.LimitUpdate
 	// remote means that the report goes to other data centres regardless of the number of
 	// VMs.
@@ -91,17 +91,17 @@
 // ReportSent reports a prompt to other VMs without blocking.
 func (p *Peers) ReportSent(s relay.SentPrompt) { p.queueReport(report{sent: &s}) }
 
-// ReportConfidence reports a model's rating of a response to other VMs. It is not urgent and goes
-// out with the next prompt that is reported.
-func (p *Peers) ReportConfidence(o relay.ConfidenceReport) {
+// ReportConfidence reports a model's confidence in its own answer to other VMs. It is not
+// urgent and goes out with the next prompt that is reported.
+func (p *Peers) ReportConfidence(c relay.ConfidenceReport) {
 	p.reports.mu.Lock()
 	defer p.reports.mu.Unlock()
-	p.reports.enqueue(&p.reports.pending, report{opinion: &o})
+	p.reports.enqueue(&p.reports.pending, report{confidence: &c})
 }
 
-// ReportBackoff reports to other VMs without blocking that an upstream has requested a rest
-// period.
-func (p *Peers) ReportBackoff(r relay.Backoff) { p.queueReport(report{rest: &r}) }
+// ReportBackoff reports to other VMs without blocking that an upstream has requested a
+// back-off.
+func (p *Peers) ReportBackoff(b relay.Backoff) { p.queueReport(report{backoff: &b}) }
 
 // ReportLimit reports a rate limit of an upstream to other VMs without blocking. toRemote sends
 // it to other data centres too, regardless of the number of VMs.
@@ -134,13 +134,13 @@
 	} else {
 		p.queueForward(pending)
 	}
-	if !v.group.Region {
+	if !v.scope.Region {
 		pending = slices.DeleteFunc(slices.Clone(pending), func(r report) bool { return !r.remote })
 		if len(pending) == 0 {
 			return
 		}
 	}
-	for _, m := range p.oneRepresentativePerDataCentre(v) {
+	for _, m := range p.oneDelegatePerDataCentre(v) {
 		p.sendReportMessages(m, pending, true)
 	}
 }
@@ -197,19 +197,19 @@
 		switch {
 		case r.sent != nil:
 			m.Sent = append(m.Sent, *r.sent)
-		case r.rest != nil:
-			m.Rests = append(m.Rests, *r.rest)
+		case r.backoff != nil:
+			m.Backoffs = append(m.Backoffs, *r.backoff)
 		case r.limit != nil:
 			m.Limits = append(m.Limits, *r.limit)
 		default:
-			m.Opinions = append(m.Opinions, *r.opinion)
+			m.Confidence = append(m.Confidence, *r.confidence)
 		}
-		if len(m.Sent) == maxSentPerMessage || len(m.Opinions) == maxOpinionsPerMessage || len(m.Rests) == maxRestsPerMessage || len(m.Limits) == maxLimitsPerMessage {
+		if len(m.Sent) == maxSentPerMessage || len(m.Confidence) == maxConfidencePerMessage || len(m.Backoffs) == maxBackoffsPerMessage || len(m.Limits) == maxLimitsPerMessage {
 			messages = append(messages, m)
 			m = UpstreamReport{From: from, Forward: forward}
 		}
 	}
-	if len(m.Sent)+len(m.Opinions)+len(m.Rests)+len(m.Limits) > 0 {
+	if len(m.Sent)+len(m.Confidence)+len(m.Backoffs)+len(m.Limits) > 0 {
 		messages = append(messages, m)
 	}
 	if len(messages) == 0 {
@@ -227,9 +227,9 @@
 	}()
 }
 
-// oneRepresentativePerDataCentre returns a random representative of each other data
+// oneDelegatePerDataCentre returns a random delegate of each other data
 // centre of the region.
-func (p *Peers) oneRepresentativePerDataCentre(v *view) []vm.Member {
+func (p *Peers) oneDelegatePerDataCentre(v *view) []vm.Member {
 	var chosen []vm.Member
 	for _, dc := range slices.Sorted(maps.Keys(v.remote)) {
 		if members := v.remote[dc]; len(members) > 0 && p.sameRegion(dc) {
@@ -246,8 +246,8 @@
 	p.mu.Unlock()
 	if exchange != nil {
 		exchange.MergeSent(m.Sent)
-		exchange.MergeConfidence(m.Opinions)
-		exchange.MergeBackoffs(m.Rests)
+		exchange.MergeConfidence(m.Confidence)
+		exchange.MergeBackoffs(m.Backoffs)
 		exchange.MergeLimits(m.Limits, true, m.From)
 	}
 	// Reports from a leaf or another data centre go to the other hubs and to the leaves.
@@ -264,11 +264,11 @@
 	for i := range m.Sent {
 		out = append(out, report{from: m.From, knownToHubs: knownToHubs, sent: &m.Sent[i]})
 	}
-	for i := range m.Opinions {
-		out = append(out, report{from: m.From, knownToHubs: knownToHubs, opinion: &m.Opinions[i]})
+	for i := range m.Confidence {
+		out = append(out, report{from: m.From, knownToHubs: knownToHubs, confidence: &m.Confidence[i]})
 	}
-	for i := range m.Rests {
-		out = append(out, report{from: m.From, knownToHubs: knownToHubs, rest: &m.Rests[i]})
+	for i := range m.Backoffs {
+		out = append(out, report{from: m.From, knownToHubs: knownToHubs, backoff: &m.Backoffs[i]})
 	}
 	for i := range m.Limits {
 		out = append(out, report{from: m.From, knownToHubs: knownToHubs, limit: &m.Limits[i]})
--- a/site/reports_test.go
+++ b/site/reports_test.go
@@ -22,17 +22,17 @@
 
 // recordingRelay records the reports that it receives, except empty ones.
 type recordingRelay struct {
-	sent     chan []relay.SentPrompt
-	opinions chan []relay.ConfidenceReport
-	rests    chan []relay.Backoff
-	limits   chan []upstream.LimitUpdate
-	known    []upstream.LimitUpdate
-	digest   uint64
+	sent       chan []relay.SentPrompt
+	confidence chan []relay.ConfidenceReport
+	backoffs   chan []relay.Backoff
+	limits     chan []upstream.LimitUpdate
+	known      []upstream.LimitUpdate
+	digest     uint64
 }
 
 func newRecordingRelay() *recordingRelay {
 	return &recordingRelay{
-		sent: make(chan []relay.SentPrompt, 10), opinions: make(chan []relay.ConfidenceReport, 10), rests: make(chan []relay.Backoff, 10),
+		sent: make(chan []relay.SentPrompt, 10), confidence: make(chan []relay.ConfidenceReport, 10), backoffs: make(chan []relay.Backoff, 10),
 		limits: make(chan []upstream.LimitUpdate, 10),
 	}
 }
@@ -43,12 +43,12 @@
 func (*recordingRelay) MergeOrderAges([]relay.OrderAge)             {}
 func (*recordingRelay) Suspects() []quarantine.Update               { return nil }
 func (r *recordingRelay) MergeSent(sent []relay.SentPrompt)         { sendNonEmpty(r.sent, sent) }
-func (r *recordingRelay) MergeConfidence(opinions []relay.ConfidenceReport) {
-	sendNonEmpty(r.opinions, opinions)
+func (r *recordingRelay) MergeConfidence(reports []relay.ConfidenceReport) {
+	sendNonEmpty(r.confidence, reports)
 }
-func (r *recordingRelay) MergeBackoffs(rests []relay.Backoff) { sendNonEmpty(r.rests, rests) }
-func (r *recordingRelay) Limits() []upstream.LimitUpdate      { return r.known }
-func (r *recordingRelay) LimitsDigest() uint64                { return r.digest }
+func (r *recordingRelay) MergeBackoffs(backoffs []relay.Backoff) { sendNonEmpty(r.backoffs, backoffs) }
+func (r *recordingRelay) Limits() []upstream.LimitUpdate         { return r.known }
+func (r *recordingRelay) LimitsDigest() uint64                   { return r.digest }
 func (r *recordingRelay) MergeLimits(limits []upstream.LimitUpdate, _ bool, _ contract.VMID) {
 	sendNonEmpty(r.limits, limits)
 }
@@ -122,14 +122,14 @@
 	is := is.New(t)
 	a, others := fourPeers(t)
 	sent := relay.SentPrompt{Upstream: "u", Model: "m", Tokens: 900, Parts: []prefill.Part{{Key: 7, Tokens: 800}, {Key: 8, Tokens: 100}}, PrefillTime: time.Second}
-	rest := relay.Backoff{Life: contract.UpstreamInstance{Upstream: "u", Incarnation: 3}, Remaining: time.Second}
+	backoff := relay.Backoff{Life: contract.UpstreamInstance{Upstream: "u", Incarnation: 3}, Remaining: time.Second}
 	a.ReportConfidence(relay.ConfidenceReport{Model: "m", Largest: "l", Confidence: 0.5})
-	a.ReportBackoff(rest)
+	a.ReportBackoff(backoff)
 	a.ReportSent(sent)
 	for _, recorder := range others {
 		is.Equal(<-recorder.sent, []relay.SentPrompt{sent})
-		is.Equal(<-recorder.opinions, []relay.ConfidenceReport{{Model: "m", Largest: "l", Confidence: 0.5}})
-		is.Equal(<-recorder.rests, []relay.Backoff{rest})
+		is.Equal(<-recorder.confidence, []relay.ConfidenceReport{{Model: "m", Largest: "l", Confidence: 0.5}})
+		is.Equal(<-recorder.backoffs, []relay.Backoff{backoff})
 	}
 }
 
--- a/site/site.go
+++ b/site/site.go
@@ -31,7 +31,7 @@
 	// is nil where the deployment supports no evacuations.
 	Evacuations Source[Evacuation]
 	// Quarantined lists the quarantined request contents, which are sent to no upstream.
-	// HeldNotes writes them to the store. Either both are set or neither.
+	// QuarantineStore writes them to the store. Either both are set or neither.
 	Quarantined     Source[quarantine.QuarantinedContent]
 	QuarantineStore QuarantineStore
 	// WriteRolloutStatus records in the store that a rollout order has started, or how it ended.
@@ -40,11 +40,11 @@
 	// Leader runs the tasks that only one VM of the deployment performs. It is nil where
 	// there are no such tasks.
 	Leader *leader.Leader
-	// ListVMs returns the link addresses of the VMs registered in the store. PutVM registers
-	// this VM.
+	// ListVMs returns the link addresses of the VMs registered in the store. RegisterVM
+	// registers this VM.
 	ListVMs    func(ctx context.Context) (map[contract.VMID]string, error)
 	RegisterVM func(ctx context.Context) error
-	// Link is this VM's link address.
+	// Link is this VM's link address: the UDP address of its endpoint of package link.
 	Link  string
 	Relay *relay.Relay
 	Log   *zap.Logger
@@ -73,7 +73,7 @@
 
 	// mu guards the fields below.
 	mu             sync.Mutex
-	listing        *UpstreamList
+	upstreamList   *UpstreamList
 	upstreamsKnown bool
 	// partial is set while only the first page of the first upstream list is known.
 	// pushedTable is the configuration that was in force when the relay last received the
@@ -90,7 +90,7 @@
 		opts.Registry = metrics.NewRegistry()
 	}
 	return &Site{
-		opts: opts, log: opts.Log, listing: NewUpstreamList(), wake: make(chan struct{}, 1),
+		opts: opts, log: opts.Log, upstreamList: NewUpstreamList(), wake: make(chan struct{}, 1),
 		ready: make(chan struct{}), requestWaiting: make(chan struct{}),
 		randomRank:  rand.IntN(requestRanks),
 		orderWrites: make(map[writeKey]*pendingWrite), activeEvacuations: make(map[string]activeEvacuation),
@@ -113,7 +113,7 @@
 const startupWait = 100 * time.Millisecond
 
 // AwaitReady waits until this VM can serve, for at most startupWait. If the VM has no state,
-// Await makes it list the store at once: clients reach a VM that is not ready only when
+// AwaitReady makes it list the store at once: clients reach a VM that is not ready only when
 // other VMs are down too, so there may be no peer to get the state from. After all six
 // VMs of a deployment were killed, 194 requests were rejected within 0.3 s while the VMs
 // waited for each other.
@@ -134,7 +134,7 @@
 	}
 }
 
-// signalIfReady releases the requests that wait in Await once this VM can serve. The
+// signalIfReady releases the requests that wait in AwaitReady once this VM can serve. The
 // caller holds mu.
 func (s *Site) signalIfReady() {
 	if s.table.Load() != nil && s.upstreamsKnown {
@@ -146,11 +146,11 @@
 func (s *Site) Upstreams() []upstream.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.listing.Entries()
+	return s.upstreamList.Entries()
 }
 
-// ConfirmationAges returns the time since the store last confirmed the configuration and the list of
-// upstreams. An age is negative if the store has never confirmed it.
+// ConfirmationAges returns the time since the store last confirmed the configuration and
+// the list of upstreams. An age is negative if the store has never confirmed it.
 func (s *Site) ConfirmationAges() (configuration, upstreams time.Duration) {
 	return s.age(s.opts.Configurations.Name()), s.age(s.opts.Upstreams.Name())
 }
@@ -188,9 +188,9 @@
 		runs = append(runs, evacuations.run)
 	}
 	if s.opts.Quarantined != nil {
-		held := newFollower(ctx, s, s.opts.Quarantined, s.applyHeld, func(bool) {})
-		s.opts.Peers.registerKind(s.opts.Quarantined.Name(), held)
-		runs = append(runs, held.run, s.syncHeld)
+		quarantined := newFollower(ctx, s, s.opts.Quarantined, s.applyQuarantined, func(bool) {})
+		s.opts.Peers.registerKind(s.opts.Quarantined.Name(), quarantined)
+		runs = append(runs, quarantined.run, s.syncQuarantine)
 	}
 	if s.opts.Leader != nil {
 		runs = append(runs, s.runLeader, s.opts.Peers.reportUsage)
@@ -260,22 +260,22 @@
 	if t != nil {
 		services = t.Services
 	}
-	changed, removed := s.listing.TakeChanges()
+	changed, removed := s.upstreamList.TakeChanges()
 	if s.partial {
-		s.opts.Relay.SetPartialUpstreams(s.listing.Entries(), services)
+		s.opts.Relay.SetPartialUpstreams(s.upstreamList.Entries(), services)
 		return
 	}
 	if s.pushedTable != nil && s.pushedTable == t && s.opts.Relay.ChangeUpstreams(changed, removed, services) {
 		return
 	}
-	s.opts.Relay.SetUpstreams(s.listing.Entries(), services)
+	s.opts.Relay.SetUpstreams(s.upstreamList.Entries(), services)
 	s.pushedTable = t
 }
 
 func (s *Site) recordStoreCall(ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.listing.RecordStoreCall(ok, s.opts.Now())
+	s.upstreamList.RecordStoreCall(ok, s.opts.Now())
 }
 
 // applyFirstUpstreams applies the first page of a long list so that the VM can serve
@@ -293,14 +293,14 @@
 	defer s.mu.Unlock()
 	s.upstreamsKnown, s.partial = true, partial
 	for _, i := range c.Items {
-		if s.listing.IsUnchanged(i) {
+		if s.upstreamList.IsUnchanged(i) {
 			continue
 		}
 		s.log.Info("upstream", zap.String("upstream", i.Name), zap.Bool("gone", i.Deleted), zap.Bool("leaving", i.Value.Leaving),
 			zap.String("service", string(i.Value.Service)), zap.String("release", i.Value.Release),
 			zap.String("address", i.Value.Address), zap.Int64("revision", int64(i.Revision)))
 	}
-	if s.listing.Apply(c, full, s.opts.Now()) {
+	if s.upstreamList.Apply(c, full, s.opts.Now()) {
 		s.pushUpstreams()
 	}
 	s.signalIfReady()
@@ -322,7 +322,7 @@
 		case <-s.wake:
 		}
 		s.mu.Lock()
-		if s.listing.Expire(s.opts.Now()) {
+		if s.upstreamList.Expire(s.opts.Now()) {
 			s.pushUpstreams()
 		}
 		s.mu.Unlock()
@@ -344,7 +344,7 @@
 	}
 	return &follower[T]{
 		decodeErrors: make(map[string]string), applyFirstPage: func(Changes[T]) {},
-		source: source, log: s.log, registry: s.opts.Registry, apply: apply, onStoreCall: onStoreCall, ledger: NewObjectCache(source.Name()),
+		source: source, log: s.log, registry: s.opts.Registry, apply: apply, onStoreCall: onStoreCall, cache: NewObjectCache(source.Name()),
 		requestWaiting: s.requestWaiting, randomRank: s.randomRank,
 		election: NewWatcherElection(s.opts.Peers.AsWatcher(), source.Timing(), listNotBefore),
 		rank:     s.opts.Peers.Rank, announceChange: func() { s.opts.Peers.AnnounceChange(ctx) }, announceNoChange: func() { s.opts.Peers.AnnounceNoChange(ctx) }, now: s.opts.Now,
--- a/site/source.go
+++ b/site/source.go
@@ -56,7 +56,7 @@
 	// Timing returns the timing with which the kind is kept up to date.
 	Timing() Timing
 	// List returns all objects. It passes the result of each store call to page, and
-	// fails with ErrEnough when page returns false.
+	// fails with ErrStopListing when page returns false.
 	List(ctx context.Context, page func(c Changes[T], more bool) bool) (Changes[T], error)
 	// Watch waits for changes after a revision. It fails with ErrHistoryGone if the store
 	// no longer has the changes since then, so that List is needed.
--- a/site/startup_test.go
+++ b/site/startup_test.go
@@ -12,22 +12,22 @@
 	"woaddoor/link"
 )
 
-// ledgerKind is a kind of objects without a store. A VM has it from the start or receives
+// cacheKind is a kind of objects without a store. A VM has it from the start or receives
 // it from a peer.
-type ledgerKind struct {
-	// mu guards ledger.
-	mu     sync.Mutex
-	ledger *ObjectCache
+type cacheKind struct {
+	// mu guards cache.
+	mu    sync.Mutex
+	cache *ObjectCache
 }
 
-func (k *ledgerKind) status() (KindStatus, bool) {
+func (k *cacheKind) status() (KindStatus, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	revision, known := k.ledger.Revision()
-	return KindStatus{Kind: "servers", LastChange: k.ledger.LastChange(), Revision: revision}, known
+	revision, known := k.cache.Revision()
+	return KindStatus{Kind: "servers", LastChange: k.cache.LastChange(), Revision: revision}, known
 }
 
-func (k *ledgerKind) compareWithPeer(peer KindStatus) Comparison {
+func (k *cacheKind) compareWithPeer(peer KindStatus) Comparison {
 	own, known := k.status()
 	if !known || peer.LastChange > own.Revision {
 		return Comparison{Behind: true, Request: ChangesRequest{Kind: peer.Kind, After: own.Revision, Known: known}}
@@ -35,19 +35,19 @@
 	return Comparison{}
 }
 
-func (k *ledgerKind) changesSince(after contract.Revision, known bool) Delta {
+func (k *cacheKind) changesSince(after contract.Revision, known bool) Delta {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.ledger.Since(after, known)
+	return k.cache.Since(after, known)
 }
 
-func (k *ledgerKind) applyFromPeer(d Delta, _ KindStatus, _ string) {
+func (k *cacheKind) applyFromPeer(d Delta, _ KindStatus, _ string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.ledger.Apply(d)
+	k.cache.Apply(d)
 }
 
-func (k *ledgerKind) isWatching() bool { return false }
+func (k *cacheKind) isWatching() bool { return false }
 
 // startWithList starts VMs of which one knows a list of upstreams, and waits until all
 // do. It returns how long that took and how many bytes of changes were sent.
@@ -56,9 +56,9 @@
 	ctx, cancel := context.WithCancel(tb.Context())
 	defer cancel()
 	all := startFleet(tb, ctx, dataCentres, perDataCentre, func(n int, p *Peers) {
-		k := &ledgerKind{ledger: NewObjectCache("servers")}
+		k := &cacheKind{cache: NewObjectCache("servers")}
 		if n == 0 {
-			k.ledger.Apply(upstreamDelta(upstreams))
+			k.cache.Apply(upstreamDelta(upstreams))
 		}
 		p.packedLists.threshold = threshold
 		p.registerKind("servers", k)
--- a/site/upstream_list.go
+++ b/site/upstream_list.go
@@ -37,7 +37,7 @@
 // upstreams register again within about two seconds.
 const lapseGracePeriod = 2300 * time.Millisecond
 
-// NewUpstreamList returns an empty listing.
+// NewUpstreamList returns an empty list.
 func NewUpstreamList() *UpstreamList {
 	return &UpstreamList{
 		entries: make(map[contract.UpstreamID]listedEntry), lapsed: make(map[contract.UpstreamID]bool), changed: make(map[contract.UpstreamID]bool),
--- a/site/scale_bench_test.go
+++ b/site/upstream_list_bench_test.go
@@ -20,8 +20,8 @@
 	return out
 }
 
-// listingOfMany returns a listing of n upstreams and the changes from which it was built.
-func listingOfMany(n int, now time.Time) (*UpstreamList, Changes[upstream.Entry]) {
+// upstreamListOfMany returns a list of n upstreams and the changes from which it was built.
+func upstreamListOfMany(n int, now time.Time) (*UpstreamList, Changes[upstream.Entry]) {
 	l := NewUpstreamList()
 	c := Changes[upstream.Entry]{Revision: 1}
 	for _, e := range manyEntries(n) {
@@ -34,7 +34,7 @@
 // BenchmarkListChange measures a change of one entry in a list of 10,000.
 func BenchmarkListChange(b *testing.B) {
 	now := time.Unix(0, 0)
-	l, c := listingOfMany(10_000, now)
+	l, c := upstreamListOfMany(10_000, now)
 	b.ResetTimer()
 	for i := range b.N {
 		one := c.Items[i%10_000]
@@ -48,7 +48,7 @@
 // second.
 func BenchmarkListExpire(b *testing.B) {
 	now := time.Unix(0, 0)
-	l, _ := listingOfMany(10_000, now)
+	l, _ := upstreamListOfMany(10_000, now)
 	b.ResetTimer()
 	for range b.N {
 		l.Expire(now)
--- a/site/upstream_list_test.go
+++ b/site/upstream_list_test.go
@@ -23,7 +23,7 @@
 	return Changes[upstream.Entry]{Revision: 9, Items: []Item[upstream.Entry]{{RawObject: RawObject{Name: id, Revision: 1, Deleted: true}}}}
 }
 
-func listingOf(ids ...string) *UpstreamList {
+func upstreamListOf(ids ...string) *UpstreamList {
 	l := NewUpstreamList()
 	c := Changes[upstream.Entry]{Revision: 1}
 	for _, id := range ids {
@@ -39,11 +39,11 @@
 func TestRemovedAndLapsedEntries(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
-	l := listingOf("a", "b")
+	l := upstreamListOf("a", "b")
 	l.Apply(removalOf("a"), false, now)
 	is.Equal(len(l.Entries()), 1)
 
-	l = listingOf("a", "b")
+	l = upstreamListOf("a", "b")
 	l.RecordStoreCall(false, now)
 	l.RecordStoreCall(true, now.Add(time.Second))
 	l.Apply(Changes[upstream.Entry]{Revision: 9, Items: []Item[upstream.Entry]{entry("b")}}, true, now.Add(time.Second))
@@ -51,7 +51,7 @@
 	l.Expire(now.Add(time.Second + lapseGracePeriod))
 	is.Equal(len(l.Entries()), 1)
 
-	l = listingOf("a")
+	l = upstreamListOf("a")
 	l.RecordStoreCall(false, now)
 	l.RecordStoreCall(true, now)
 	l.Apply(removalOf("a"), false, now.Add(lapseGracePeriod)) // long after the recovery
@@ -63,7 +63,7 @@
 func TestLeavingUpstreamIsNotKept(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
-	l := listingOf("a")
+	l := upstreamListOf("a")
 	leaving := entry("a")
 	leaving.Revision, leaving.Value.Leaving = 2, true
 	l.Apply(Changes[upstream.Entry]{Revision: 2, Items: []Item[upstream.Entry]{leaving}}, false, now)
@@ -74,18 +74,18 @@
 	is.Equal(len(l.Entries()), 0)
 }
 
-// refusingSource is a store that rejects all calls.
-type refusingSource struct{}
+// rejectingSource is a store that rejects all calls.
+type rejectingSource struct{}
 
-func (refusingSource) Name() string   { return "servers" }
-func (refusingSource) Timing() Timing { return testTiming }
-func (refusingSource) List(context.Context, func(Changes[upstream.Entry], bool) bool) (Changes[upstream.Entry], error) {
+func (rejectingSource) Name() string   { return "servers" }
+func (rejectingSource) Timing() Timing { return testTiming }
+func (rejectingSource) List(context.Context, func(Changes[upstream.Entry], bool) bool) (Changes[upstream.Entry], error) {
 	return Changes[upstream.Entry]{}, ErrRateLimited
 }
-func (refusingSource) Watch(context.Context, contract.Revision, time.Duration) (Changes[upstream.Entry], error) {
+func (rejectingSource) Watch(context.Context, contract.Revision, time.Duration) (Changes[upstream.Entry], error) {
 	return Changes[upstream.Entry]{}, ErrRateLimited
 }
-func (refusingSource) Decode(RawObject) (upstream.Entry, error) { return upstream.Entry{}, nil }
+func (rejectingSource) Decode(RawObject) (upstream.Entry, error) { return upstream.Entry{}, nil }
 
 // TestPeerConfirmationEndsOutage checks that a confirmation from a peer ends the outage
 // for a VM whose own calls the store rejected. Otherwise it would treat every later
@@ -93,14 +93,14 @@
 func TestPeerConfirmationEndsOutage(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
-	l := listingOf("a")
+	l := upstreamListOf("a")
 	f := &follower[upstream.Entry]{
-		source: refusingSource{}, log: zap.NewNop(), registry: metrics.NewRegistry(), ledger: NewObjectCache("servers"), now: func() time.Time { return now },
+		source: rejectingSource{}, log: zap.NewNop(), registry: metrics.NewRegistry(), cache: NewObjectCache("servers"), now: func() time.Time { return now },
 		election:    NewWatcherElection(Watcher{VM: "a"}, testTiming, time.Time{}),
 		onStoreCall: func(ok bool) { l.RecordStoreCall(ok, now) },
 		apply:       func(c Changes[upstream.Entry], full bool) { l.Apply(c, full, now) },
 	}
-	f.ledger.Apply(Delta{Full: true, Revision: 1, Items: []RawObject{{Name: "a", Revision: 1}}})
+	f.cache.Apply(Delta{Full: true, Revision: 1, Items: []RawObject{{Name: "a", Revision: 1}}})
 	is.True(f.syncOnce(t.Context()) != nil) // the store rejects the call
 	is.True(!f.compareWithPeer(KindStatus{Kind: "servers", LastChange: 1, Revision: 1, ActiveWatcher: Watcher{VM: "b"}}).Behind)
 	now = now.Add(lapseGracePeriod)
@@ -116,14 +116,14 @@
 	return out
 }
 
-// TestLedgersConverge sends deltas between three ledgers, late, twice and in any order. A
-// ledger that knows the newest revision must hold what the store holds.
-func TestLedgersConverge(t *testing.T) {
+// TestObjectCachesConverge sends deltas between three caches, late, twice and in any order.
+// A cache that knows the newest revision must hold what the store holds.
+func TestObjectCachesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := map[string]RawObject{}
 		var log []RawObject
 		revision := contract.Revision(0)
-		ledgers := []*ObjectCache{NewObjectCache("k"), NewObjectCache("k"), NewObjectCache("k")}
+		caches := []*ObjectCache{NewObjectCache("k"), NewObjectCache("k"), NewObjectCache("k")}
 		var sent []Delta
 		full := func() Delta {
 			d := Delta{Kind: "k", Full: true, Revision: revision}
@@ -133,7 +133,7 @@
 			return d
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
-			l := ledgers[rapid.IntRange(0, 2).Draw(t, "vm")]
+			l := caches[rapid.IntRange(0, 2).Draw(t, "vm")]
 			switch rapid.SampledFrom([]string{"put", "delete", "list", "watch", "send", "resend"}).Draw(t, "event") {
 			case "put":
 				revision++
@@ -162,7 +162,7 @@
 				}
 				l.Apply(d)
 			case "send":
-				from := ledgers[rapid.IntRange(0, 2).Draw(t, "from")]
+				from := caches[rapid.IntRange(0, 2).Draw(t, "from")]
 				at, known := l.Revision()
 				if _, knows := from.Revision(); !knows {
 					continue
@@ -181,18 +181,18 @@
 				}
 			}
 		}
-		for _, l := range ledgers {
+		for _, l := range caches {
 			at, known := l.Revision()
 			if !known || at != revision {
 				continue
 			}
 			got := l.Since(0, false)
 			if len(got.Items) != len(store) {
-				t.Fatalf("ledger holds %v, store holds %v", got.Items, store)
+				t.Fatalf("cache holds %v, store holds %v", got.Items, store)
 			}
 			for _, r := range got.Items {
 				if store[r.Name].Revision != r.Revision {
-					t.Fatalf("ledger holds %v, store holds %v", r, store[r.Name])
+					t.Fatalf("cache holds %v, store holds %v", r, store[r.Name])
 				}
 			}
 		}
--- a/site/usage.go
+++ b/site/usage.go
@@ -19,9 +19,9 @@
 	From       contract.VMInstance   `cbor:"1,keyasint"`
 	DataCentre contract.DataCentreID `cbor:"2,keyasint"`
 	Parts      []usage.Part          `cbor:"3,keyasint,omitempty"`
-	// Work is the work that the sender and its leaves give to the upstreams of each
+	// Load is the load that the sender and its leaves put on the upstreams of each
 	// service.
-	Work map[contract.ServiceID]scaling.Load `cbor:"5,keyasint,omitempty"`
+	Load map[contract.ServiceID]scaling.Load `cbor:"5,keyasint,omitempty"`
 	// ShuttingDown means that the sender is about to end, so that the recipient need not
 	// wait for further reports.
 	ShuttingDown bool `cbor:"4,keyasint,omitempty"`
@@ -31,8 +31,8 @@
 // a VM or a whole data centre is lost, the usage that it had not reported is missing.
 const usageReportInterval = 500 * time.Millisecond
 
-// lifeOf returns the life of a VM from its member record.
-func lifeOf(m vm.Member) contract.VMInstance {
+// instanceOf returns the instance that a member record describes.
+func instanceOf(m vm.Member) contract.VMInstance {
 	return contract.VMInstance{VM: m.VM, Incarnation: m.Incarnation}
 }
 
@@ -79,13 +79,13 @@
 	p.mu.Lock()
 	self := p.table.Self()
 	p.mu.Unlock()
-	if address == "" || holder == lifeOf(self) {
+	if address == "" || holder == instanceOf(self) {
 		return
 	}
-	usageReport := UsageReport{From: lifeOf(self), DataCentre: self.DataCentre, ShuttingDown: p.shuttingDown.Load()}
+	usageReport := UsageReport{From: instanceOf(self), DataCentre: self.DataCentre, ShuttingDown: p.shuttingDown.Load()}
 	var sequence uint64
 	usageReport.Parts, sequence = p.usageFor(holder)
-	usageReport.Work = p.localAndLeafWork()
+	usageReport.Load = p.localAndLeafLoad()
 	ctx, cancel := context.WithTimeout(ctx, remoteTimeout)
 	defer cancel()
 	if _, err := link.Call[UsageReport, struct{}](ctx, p.endpoint, address, link.KindUsageReport, usageReport); err != nil {
@@ -95,9 +95,9 @@
 	p.acknowledgeUsage(holder, sequence)
 }
 
-// handleUsageReport records the usage and work that another hub has reported.
+// handleUsageReport records the usage and load that another hub has reported.
 func (p *Peers) handleUsageReport(_ context.Context, _ string, r UsageReport) (struct{}, error) {
-	p.recordWork(p.hubWork, r.From, r.Work)
+	p.recordLoad(p.hubLoad, r.From, r.Load)
 	if p.usage != nil {
 		p.usage.Merge(r.Parts)
 		p.usage.CollectorReported(r.From, r.DataCentre, r.ShuttingDown)
--- a/site/view.go
+++ b/site/view.go
@@ -23,13 +23,13 @@
 	// two VMs check whether they know the same VMs of their data centre.
 	localPeers []vm.Member
 	digest     uint64
-	// remote holds the representatives of each other data centre. Those that do not reply
+	// remote holds the delegates of each other data centre. Those that do not reply
 	// to this VM come last.
 	remote map[contract.DataCentreID][]vm.Member
 	// rank is the rank of this VM, and isHub reports whether it is a hub.
 	rank  Rank
 	isHub bool
-	group upstream.GossipScope
+	scope upstream.GossipScope
 }
 
 // Ages of views.
@@ -73,7 +73,7 @@
 	v.ranked = p.responsive(vm.WatcherOrder(local, p.dc), now)
 	v.hubs = vm.Hubs(v.ranked)
 	v.isHub = slices.ContainsFunc(v.hubs, func(m vm.Member) bool { return m.VM == self.VM })
-	for _, m := range p.table.RemoteDelegates(representatives+spareRepresentatives, now) {
+	for _, m := range p.table.RemoteDelegates(delegates+spareDelegates, now) {
 		v.remote[m.DataCentre] = append(v.remote[m.DataCentre], m)
 	}
 	for dc, members := range v.remote {
@@ -81,16 +81,16 @@
 	}
 	v.rank = p.rankIn(v)
 	v.total = max(p.totalVMs(len(local), now), v.live, len(p.listedAddresses)+1)
-	v.group = upstream.GossipScope{Region: v.total <= maxVMsForRegionalReports, VMs: len(local)}
-	if v.group.Region {
-		v.group.VMs = v.total
+	v.scope = upstream.GossipScope{Region: v.total <= maxVMsForRegionalReports, VMs: len(local)}
+	if v.scope.Region {
+		v.scope.VMs = v.total
 	}
 	return v
 }
 
 // ColdOwners returns the VMs among which the cold upstreams of this data centre are divided:
-// the live VMs and those that recently fell silent. The latter may only be cut off from
-// this VM and still send requests. A VM that has just started may not know all of them
+// the live VMs and those that recently fell silent. The latter may only be unreachable
+// from this VM and still send requests. A VM that has just started may not know all of them
 // yet. At first it owns no cold upstreams until a VM of its data centre has replied.
 func (p *Peers) ColdOwners() upstream.Owners {
 	v := p.currentView()
@@ -122,7 +122,7 @@
 // The caller holds mu.
 func (p *Peers) rankIn(v *view) Rank {
 	self := p.table.Self().VM
-	rank := Rank{Isolated: len(v.localPeers) == 0 && p.HasSeeds(), Local: slices.IndexFunc(v.ranked, func(m vm.Member) bool { return m.VM == self })}
+	rank := Rank{NoLocalPeers: len(v.localPeers) == 0 && p.HasSeeds(), Local: slices.IndexFunc(v.ranked, func(m vm.Member) bool { return m.VM == self })}
 	for dc := range v.remote {
 		if dc < p.dc && p.sameRegion(dc) {
 			rank.DataCentre++
@@ -141,7 +141,7 @@
 }
 
 // responsiveFirst moves the VMs that recently failed to reply to this one to the end. It
-// returns at most as many VMs as a data centre has representatives. The caller holds mu.
+// returns at most as many VMs as a data centre has delegates. The caller holds mu.
 func (p *Peers) responsiveFirst(members []vm.Member, now time.Time) []vm.Member {
 	var first, last []vm.Member
 	for _, m := range members {
@@ -151,5 +151,5 @@
 			first = append(first, m)
 		}
 	}
-	return append(first, last...)[:min(representatives, len(members))]
+	return append(first, last...)[:min(delegates, len(members))]
 }
--- a/vm/hubs.go
+++ b/vm/hubs.go
@@ -10,7 +10,7 @@
 	"woaddoor/contract"
 )
 
-// The hubs of a data centre are its first VMs in watcher order (see Ranked). Every
+// The hubs of a data centre are its first VMs in watcher order (see WatcherOrder). Every
 // other VM is a leaf and exchanges messages with one hub; hubs exchange messages
 // with each other. Information from one VM reaches all others in three hops, over
 // as many links as there are VMs.
@@ -26,8 +26,8 @@
 // HubCount returns how many hubs a data centre of n VMs has.
 func HubCount(n int) int { return max((n+leavesPerHub-1)/leavesPerHub, min(n, minHubs)) }
 
-// Hubs returns the hubs of a data centre. ranked holds all its live VMs in the
-// order of Ranked.
+// Hubs returns the hubs of a data centre. ranked holds all its live VMs in
+// watcher order.
 func Hubs(ranked []Member) []Member { return ranked[:HubCount(len(ranked))] }
 
 // WatcherOrder returns the VMs of a data centre in watcher order: the first ones watch
@@ -58,7 +58,7 @@
 }
 
 // MergeHubView merges what a hub knows about the VMs of this data centre. The ages from the
-// hub apply even where a call of Agreed has set a shorter one.
+// hub apply even where a call of RefreshLocal has set a shorter one.
 func (t *Table) MergeHubView(members []Member, now time.Time) {
 	for _, m := range members {
 		t.ApplyHeartbeat(m, now)
@@ -88,7 +88,7 @@
 // MembersDigest returns a digest of the VMs and their incarnations. Two VMs compare
 // digests to find out whether they know the same ones.
 func MembersDigest(members []Member) uint64 {
-	sum := uint64(len(members)) // one that tells of nothing differs from none
+	sum := uint64(len(members)) // start above 0, the value of an unset digest, unless there are no VMs
 	for _, m := range members {
 		h := xxhash.New()
 		_, _ = h.WriteString(string(m.VM)) // the hash never returns an error
--- a/vm/vm.go
+++ b/vm/vm.go
@@ -127,6 +127,7 @@
 	return live
 }
 
+// deadAfter returns how long a VM may be silent before it is considered dead.
 func (t *Table) deadAfter(m Member) time.Duration {
 	if m.DataCentre == t.self.DataCentre {
 		return DeadAfter
@@ -197,12 +198,12 @@
 	return xxhash.Sum64String(key + "\x00" + string(id))
 }
 
-// Rank returns the members of a data centre ordered by their hash for a key, with
-// stronger VMs first and leaving VMs last.
+// Rank returns the members of a data centre in order of preference: leaving VMs last,
+// VMs with more CapacityUnits first, and equal VMs by their rendezvous hash for the key.
 func Rank(members []Member, dc contract.DataCentreID, key string) []Member {
 	type candidate struct {
 		member *Member
-		rank   uint64
+		hash   uint64
 	}
 	var candidates []candidate
 	for i := range members {
@@ -217,11 +218,11 @@
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(b.member.CapacityUnits, a.member.CapacityUnits), cmp.Compare(a.rank, b.rank))
+		return cmp.Or(cmp.Compare(b.member.CapacityUnits, a.member.CapacityUnits), cmp.Compare(a.hash, b.hash))
 	})
 	ranked := make([]Member, 0, len(candidates))
-	for _, p := range candidates {
-		ranked = append(ranked, *p.member)
+	for _, c := range candidates {
+		ranked = append(ranked, *c.member)
 	}
 	return ranked
 }
