--- a/site/election.go
+++ b/site/election.go
@@ -213,8 +213,8 @@
 // Age returns the time since the last confirmation by the store.
 func (e *WatcherElection) Age(now time.Time) time.Duration { return now.Sub(e.confirmedAt) }
 
-// precedes defines an order of watchers that is the same on all VMs. A watcher with a
-// higher CapacityUnits comes first.
+// precedes defines an order of watchers that is the same on all VMs. A watcher with
+// more CapacityUnits comes first.
 func (w Watcher) precedes(o Watcher) bool {
 	if w.CapacityUnits != o.CapacityUnits {
 		return w.CapacityUnits > o.CapacityUnits
--- a/site/election_test.go
+++ b/site/election_test.go
@@ -208,8 +208,8 @@
 	is.True(f.calls <= 11) // one a second
 }
 
-// TestStrongerVMPrecedesWeaker checks that a VM with a higher CapacityUnits is preferred
-// as watcher.
+// TestStrongerVMPrecedesWeaker checks that a VM with more CapacityUnits is preferred as
+// watcher.
 func TestStrongerVMPrecedesWeaker(t *testing.T) {
 	is := is.New(t)
 	strong := Watcher{VM: "b", CapacityUnits: 8}
--- a/site/follow.go
+++ b/site/follow.go
@@ -41,8 +41,9 @@
 	// recovery.
 	minRetryPause = 150 * time.Millisecond
 	maxRetryPause = 800 * time.Millisecond
-	// maxRetryRanks limits how many times longer VMs of higher ranks pause than the first
-	// one. Their calls mostly fail for the same reason.
+	// maxRetryRanks is the highest local rank that lengthens the pause after a failed call:
+	// a VM of rank n pauses n+1 times as long as the first VM of its data centre, whose
+	// calls mostly fail for the same reason.
 	maxRetryRanks = 4
 )
 
--- a/site/gossip.go
+++ b/site/gossip.go
@@ -22,7 +22,8 @@
 // and the newest known change of each kind of objects. A lost or late message does no
 // harm, because the next one contains the same or more.
 type GossipMessage struct {
-	Self    vm.Member    `cbor:"1,keyasint"`
+	Self vm.Member `cbor:"1,keyasint"`
+	// Members are other live VMs. Which ones depends on the recipient, see gossipFor.
 	Members []vm.Member  `cbor:"2,keyasint,omitempty"`
 	Kinds   []KindStatus `cbor:"3,keyasint"`
 	// Evidence is the sender's evidence on the releases on trial.
--- a/site/limits_test.go
+++ b/site/limits_test.go
@@ -108,13 +108,13 @@
 // of one, and the bytes per second that a VM receives.
 func BenchmarkLimitReports(b *testing.B) {
 	const limited, localInterval = 200, 2.0 // seconds between reports, as in package upstream
-	k := upstream.LimitUpdate{Instance: contract.UpstreamInstance{Upstream: "i-4b849f82bb", Incarnation: 1796281150056}, Limit: upstream.RateLimit{Statement: upstream.LimitStated, PerSecond: 1.6}, Version: 12}
-	one, err := cbor.Marshal(k)
+	update := upstream.LimitUpdate{Instance: contract.UpstreamInstance{Upstream: "i-4b849f82bb", Incarnation: 1796281150056}, Limit: upstream.RateLimit{Statement: upstream.LimitStated, PerSecond: 1.6}, Version: 12}
+	one, err := cbor.Marshal(update)
 	if err != nil {
 		b.Fatal(err)
 	}
 	for b.Loop() {
-		if _, err := cbor.Marshal(k); err != nil {
+		if _, err := cbor.Marshal(update); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/site/load.go
+++ b/site/load.go
@@ -11,6 +11,7 @@
 // reported by each VM.
 type loadReports map[contract.VMInstance]loadReport
 
+// loadReport is the load on each service as one VM reported it, and the time of the report.
 type loadReport struct {
 	load map[contract.ServiceID]scaling.Load
 	at   time.Time
--- a/site/object_cache.go
+++ b/site/object_cache.go
@@ -35,6 +35,7 @@
 	removalFloor contract.Revision
 }
 
+// removal is the removal of an object and the store revision at which it happened.
 type removal struct {
 	name     string
 	revision contract.Revision
--- a/site/peers.go
+++ b/site/peers.go
@@ -64,8 +64,8 @@
 	// nothing.
 	joinInterval      = 400 * time.Millisecond
 	discoveryInterval = time.Second
-	// maxDiscoveryTargets is the number of these VMs, besides a seed, that are contacted
-	// at a time.
+	// maxDiscoveryTargets is the number of VMs, besides a seed, that a hub contacts per
+	// discoveryInterval because it receives nothing from them.
 	maxDiscoveryTargets = 2
 	// seedPeriod is how long after its start a VM keeps contacting the seeds. Before
 	// that, the seeds may know only a few other VMs.
--- a/site/reports_test.go
+++ b/site/reports_test.go
@@ -85,10 +85,10 @@
 		Endpoint: endpoint, Self: self, Log: zap.NewNop(), Now: time.Now,
 		Regions: map[contract.DataCentreID]string{"d": "r", "e": "r"},
 	})
-	h := newRecordingRelay()
-	p.attachRelay(h)
+	recorder := newRecordingRelay()
+	p.attachRelay(recorder)
 	go func() { _ = endpoint.Serve(t.Context()) }() // ends with the endpoint
-	return p, h, self
+	return p, recorder, self
 }
 
 // addMembers adds VMs to the table of a VM, which may already be receiving messages.
--- a/site/site.go
+++ b/site/site.go
@@ -60,7 +60,8 @@
 	opts  *Options
 	log   *zap.Logger
 	table atomic.Pointer[route.Table]
-	wake  chan struct{}
+	// wake triggers an immediate run of the periodic tasks in tick.
+	wake chan struct{}
 	// ready is closed once a configuration and a list of upstreams are known.
 	// requestWaiting is closed when a client request arrives before that.
 	ready, requestWaiting  chan struct{}
--- a/site/upstream_list.go
+++ b/site/upstream_list.go
@@ -11,7 +11,7 @@
 // not safe for concurrent use.
 //
 // An entry that is removed while the store is reachable belongs to an upstream that has
-// ended, and is dropped at once. An entry that is missing after an outage of the store
+// ended or is stopping without notice, and is dropped at once. An entry that is missing after an outage of the store
 // may only have lapsed: live upstreams register again within about two seconds, and keep
 // receiving requests until then.
 type UpstreamList struct {
@@ -26,6 +26,7 @@
 	changed map[contract.UpstreamID]bool
 }
 
+// listedEntry is an entry of the list and the store revision of its last change.
 type listedEntry struct {
 	upstream.Entry
 	revision contract.Revision
