--- a/site/election.go
+++ b/site/election.go
@@ -137,8 +137,10 @@
 	// the time at which the store last responded to it.
 	activeWatcher   Watcher
 	activeWatcherAt time.Time
-	watching        bool
-	failing         bool
+	// watching is set while this VM watches the store, and failing while the last of its
+	// own store calls failed.
+	watching bool
+	failing  bool
 }
 
 // NewWatcherElection returns the election state of a VM that has no state yet and lists
--- a/site/upstream_list_test.go
+++ b/site/upstream_list_test.go
@@ -104,11 +104,11 @@
 	is.True(f.syncOnce(t.Context()) != nil) // the store rejects the call
 	is.True(!f.compareWithPeer(KindStatus{Kind: "servers", LastChange: 1, Revision: 1, ActiveWatcher: Watcher{VM: "b"}}).Behind)
 	now = now.Add(lapseGracePeriod)
-	f.applyFromPeer(Delta{Kind: "servers", Revision: 9, Items: removalOf("a").raws()}, KindStatus{ActiveWatcher: Watcher{VM: "b"}}, "peer")
+	f.applyFromPeer(Delta{Kind: "servers", Revision: 9, Items: removalOf("a").rawObjects()}, KindStatus{ActiveWatcher: Watcher{VM: "b"}}, "peer")
 	is.Equal(len(l.Entries()), 0)
 }
 
-func (c Changes[T]) raws() []RawObject {
+func (c Changes[T]) rawObjects() []RawObject {
 	var out []RawObject
 	for _, i := range c.Items {
 		out = append(out, i.RawObject)
