--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -17,13 +17,13 @@
 // was lost. An upstream that has crashed is back after a few seconds.
 const probeTimeout = 1500 * time.Millisecond
 
-// contentPrint returns the hash of the request's content.
-func (j *job) contentPrint() quarantine.Fingerprint {
-	if j.cachedPrint == nil {
+// contentFingerprint returns the hash of the request's content.
+func (j *job) contentFingerprint() quarantine.Fingerprint {
+	if j.cachedFingerprint == nil {
 		p := quarantine.FingerprintOf(j.Workspace, j.Host, j.URI, j.Body)
-		j.cachedPrint = &p
+		j.cachedFingerprint = &p
 	}
-	return *j.cachedPrint
+	return *j.cachedFingerprint
 }
 
 // staleConnectionWindow is the time after a send within which a broken connection does not
@@ -41,16 +41,16 @@
 	if !j.upstreamSeen && now.Sub(j.sentAt) < staleConnectionWindow || !r.endIsUnplanned(e) {
 		return
 	}
-	life := e.Instance()
+	instance := e.Instance()
 	s := quarantine.SuspectRequest{
-		Fingerprint: j.contentPrint(), Request: j.ID, Service: j.service, Workspace: j.Workspace, Route: j.Route.Name, SentAt: j.sentAt, BrokenAt: now,
+		Fingerprint: j.contentFingerprint(), Request: j.ID, Service: j.service, Workspace: j.Workspace, Route: j.Route.Name, SentAt: j.sentAt, BrokenAt: now,
 	}
-	probe, ended := r.possibleCrashes.ConnectionBroke(life, e.Address, s)
+	probe, crashed := r.possibleCrashes.ConnectionBroke(instance, e.Address, s)
 	if probe {
-		go r.probeUpstream(life, e.Address)
+		go r.probeUpstream(instance, e.Address)
 	}
-	if ended {
-		r.recordCrash(life, "known", []quarantine.SuspectRequest{s})
+	if crashed {
+		r.recordCrash(instance, "known", []quarantine.SuspectRequest{s})
 	}
 }
 
@@ -109,6 +109,6 @@
 			zap.Int("beside", len(suspects)-1))
 	}
 	if len(suspects) > 0 {
-		r.Metrics.upstreamsEnded.Inc(1)
+		r.Metrics.upstreamsCrashed.Inc(1)
 	}
 }
--- a/relay/evacuation_test.go
+++ b/relay/evacuation_test.go
@@ -117,8 +117,8 @@
 	is.Equal(r.table.InFlightIn("d")+r.table.InFlightIn("e"), 0) // and not negative
 
 	parts := []prefill.Part{{Key: 1, Tokens: 3000}, {Key: 2, Tokens: 1000}}
-	cachedTokens := func(born int64) int {
-		r.MergeSent([]SentPrompt{{Upstream: "u", Model: "m", Tokens: 4000, Parts: parts, PrefillTime: time.Millisecond, Incarnation: born}})
+	cachedTokens := func(incarnation int64) int {
+		r.MergeSent([]SentPrompt{{Upstream: "u", Model: "m", Tokens: 4000, Parts: parts, PrefillTime: time.Millisecond, Incarnation: incarnation}})
 		q := upstream.Query{DataCentre: "d", Work: upstream.Work{Prompt: prefill.Prompt{Model: "m", Tokens: 4000, Parts: parts}, Objective: time.Second}}
 		q.Kind = r.upstreamQuery(j, candidatePools{}, now).Kind
 		got, ok := r.table.EstimateBest(q, now, r.random)
--- a/relay/gossip.go
+++ b/relay/gossip.go
@@ -34,13 +34,13 @@
 }
 
 // MergeConfidence records the confidence that models reported for answers to other VMs' requests.
-func (r *Relay) MergeConfidence(opinions []ConfidenceReport) {
+func (r *Relay) MergeConfidence(reports []ConfidenceReport) {
 	if !r.opts.Policy.Has(upstream.Gossip) {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, report := range opinions {
+	for _, report := range reports {
 		r.confidences.Observe(report.Model, report.Largest, report.Confidence)
 	}
 }
--- a/relay/limits.go
+++ b/relay/limits.go
@@ -10,12 +10,12 @@
 // recordLimit records the rate limit that the head of an answer announces for its upstream.
 // The caller holds mu.
 func (r *Relay) recordLimit(j *job, h *ResponseHead, e upstream.Entry) {
-	news := r.table.ApplyLimitAnswer(e.Instance(), h.Notices.Limit, j.sentAt, r.opts.Now())
-	if news.Changed {
-		r.logLimit(news.Update, news.Before, zap.String("request", string(j.ID)), zap.Int("status", h.Status))
+	change := r.table.ApplyLimitAnswer(e.Instance(), h.Notices.Limit, j.sentAt, r.opts.Now())
+	if change.Changed {
+		r.logLimit(change.Update, change.Before, zap.String("request", string(j.ID)), zap.Int("status", h.Status))
 	}
-	if news.Announce && r.opts.OnLimit != nil {
-		r.opts.OnLimit(news.Update, news.AnnounceRemote)
+	if change.Report && r.opts.OnLimit != nil {
+		r.opts.OnLimit(change.Update, change.ReportRemote)
 	}
 }
 
--- a/relay/limits_test.go
+++ b/relay/limits_test.go
@@ -20,7 +20,7 @@
 // newLimitedRelay returns a relay with one upstream that announced a rate limit a minute ago.
 func newLimitedRelay(t *testing.T, perSecond float64) (*Relay, *time.Time, upstream.Entry) {
 	t.Helper()
-	r, now, e, _ := newUpstreamRelay(t, upstream.Notices{}, 0)
+	r, now, e, _ := newSingleUpstreamRelay(t, upstream.Notices{}, 0)
 	r.opts.DataCentre = e.DataCentre
 	r.Refresh()
 	j := newSafeJob(*now)
@@ -71,11 +71,11 @@
 	is.True(refused == nil)
 }
 
-// TestLimitNamedWhileConnecting checks that a request waiting for a connection is sent only
+// TestLimitStatedWhileConnecting checks that a request waiting for a connection is sent only
 // within a rate limit that its upstream announces in the meantime.
-func TestLimitNamedWhileConnecting(t *testing.T) {
+func TestLimitStatedWhileConnecting(t *testing.T) {
 	is := is.New(t)
-	r, now, e, u := newUpstreamRelay(t, upstream.Notices{}, 0)
+	r, now, e, u := newSingleUpstreamRelay(t, upstream.Notices{}, 0)
 	r.opts.DataCentre = e.DataCentre
 	r.Refresh()
 	early := newSafeJob(*now)
@@ -98,7 +98,7 @@
 // different incarnation of an upstream is not applied to the listed one.
 func TestLimitOfOtherIncarnationIgnored(t *testing.T) {
 	is := is.New(t)
-	r, _, e, _ := newUpstreamRelay(t, upstream.Notices{}, 0)
+	r, _, e, _ := newSingleUpstreamRelay(t, upstream.Notices{}, 0)
 	known := upstream.LimitUpdate{Instance: contract.UpstreamInstance{Upstream: e.ID, Incarnation: e.Incarnation + 1}, Limit: upstream.RateLimit{Statement: upstream.LimitStated}, Version: 1}
 	r.MergeLimits([]upstream.LimitUpdate{known}, true, "vm2")
 	is.Equal(r.CountLimited(), 0)
--- a/relay/log.go
+++ b/relay/log.go
@@ -33,7 +33,7 @@
 		fields = append(fields, r.decisionContext(j)...)
 	}
 	if refusal != nil && refusal.Kind == contract.RefusedQuarantined {
-		fields = append(fields, zap.Stringer("print", j.contentPrint()))
+		fields = append(fields, zap.Stringer("print", j.contentFingerprint()))
 	}
 	if refusal != nil {
 		fields = append(fields, zap.String("reason", string(refusal.Kind)), zap.String("step", string(refusal.Step)), zap.String("detail", refusal.Detail))
@@ -58,8 +58,8 @@
 		fields = append(fields, zap.Int64("list_age_ms", r.opts.ListAge().Milliseconds()))
 	}
 	r.withLock(func() {
-		if resting, leaving := r.table.CountBackedOff(r.opts.Now()); resting+leaving > 0 {
-			fields = append(fields, zap.Int("upstreams_resting", resting), zap.Int("upstreams_say_leaving", leaving))
+		if backedOff, leaving := r.table.CountBackedOff(r.opts.Now()); backedOff+leaving > 0 {
+			fields = append(fields, zap.Int("upstreams_resting", backedOff), zap.Int("upstreams_say_leaving", leaving))
 		}
 		if limited := r.table.CountLimited(); limited > 0 {
 			fields = append(fields, zap.Int("upstreams_limited", limited))
--- a/relay/metrics.go
+++ b/relay/metrics.go
@@ -35,8 +35,8 @@
 	// behind it, in thousandths of the value of a mean request.
 	prefillPrice metrics.Histogram
 	wholeAnswer  metrics.Histogram
-	// upstreamsEnded counts the upstreams that crashed while they executed requests.
-	upstreamsEnded metrics.Counter
+	// upstreamsCrashed counts the upstreams that crashed while they executed requests.
+	upstreamsCrashed metrics.Counter
 	// leaveNotices counts the answers in which an upstream first announced its shutdown, and
 	// backoffNotices those that asked for a longer back-off. sendsToLeaving and
 	// sendsToBackedOff count the selections of such upstreams. sendsBlocked counts the
@@ -71,7 +71,7 @@
 		cachedTokens: metrics.NewRegisteredCounter("prompt_tokens_kept_total", r),
 		wholeAnswer:  histogram("whole_answer_milliseconds"),
 
-		upstreamsEnded:   metrics.NewRegisteredCounter("upstreams_ended_total", r),
+		upstreamsCrashed: metrics.NewRegisteredCounter("upstreams_ended_total", r),
 		leaveNotices:     metrics.NewRegisteredCounter("upstream_leaves_total", r),
 		backoffNotices:   metrics.NewRegisteredCounter("upstream_rests_total", r),
 		sendsToLeaving:   metrics.NewRegisteredCounter("sends_to_leaving_total", r),
--- a/relay/notices.go
+++ b/relay/notices.go
@@ -52,15 +52,15 @@
 }
 
 // MergeBackoffs records the back-offs that upstreams have requested from other VMs.
-func (r *Relay) MergeBackoffs(rests []Backoff) {
-	if len(rests) == 0 || !r.opts.Policy.Has(upstream.Gossip) {
+func (r *Relay) MergeBackoffs(backoffs []Backoff) {
+	if len(backoffs) == 0 || !r.opts.Policy.Has(upstream.Gossip) {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, rest := range rests {
-		if r.isCurrent(rest.Life.Upstream, rest.Life.Incarnation) {
-			r.table.RecordRemoteBackoff(rest.Life.Upstream, min(rest.Remaining, r.opts.MaxBackoff), r.opts.Now())
+	for _, backoff := range backoffs {
+		if r.isCurrent(backoff.Life.Upstream, backoff.Life.Incarnation) {
+			r.table.RecordRemoteBackoff(backoff.Life.Upstream, min(backoff.Remaining, r.opts.MaxBackoff), r.opts.Now())
 		}
 	}
 }
@@ -85,8 +85,8 @@
 // countUnwantedSend counts a selection of an upstream that has asked for none. The caller
 // holds mu.
 func (r *Relay) countUnwantedSend(id contract.UpstreamID, now time.Time) {
-	resting, leaving := r.table.NoticeState(id, now)
-	if resting {
+	backedOff, leaving := r.table.NoticeState(id, now)
+	if backedOff {
 		r.Metrics.sendsToBackedOff.Inc(1)
 	}
 	if leaving {
@@ -103,7 +103,7 @@
 
 // CountBackedOff returns how many of the listed upstreams have requested a back-off, and how many
 // have announced their shutdown.
-func (r *Relay) CountBackedOff() (resting, leaving int) {
+func (r *Relay) CountBackedOff() (backedOff, leaving int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.table.CountBackedOff(r.opts.Now())
--- a/relay/notices_test.go
+++ b/relay/notices_test.go
@@ -19,20 +19,20 @@
 	"woaddoor/upstream"
 )
 
-// plainDialect sends a fixed request and adds its notices to the head of every answer.
-type plainDialect struct{ notices upstream.Notices }
+// plainProtocol sends a fixed request and adds its notices to the head of every answer.
+type plainProtocol struct{ notices upstream.Notices }
 
-func (plainDialect) Encode(*Request, Send) *exchange.Request {
+func (plainProtocol) Encode(*Request, Send) *exchange.Request {
 	return &exchange.Request{Method: "GET", URI: "/", Host: "h", Header: http.Header{}}
 }
-func (plainDialect) Matches(*Request, http.Header) bool { return true }
-func (d plainDialect) Decode(status int, h http.Header) *ResponseHead {
+func (plainProtocol) Matches(*Request, http.Header) bool { return true }
+func (d plainProtocol) Decode(status int, h http.Header) *ResponseHead {
 	return &ResponseHead{Status: status, Header: h, Signed: true, Notices: d.notices}
 }
 
-// newUpstreamRelay returns a relay with a clock that the test controls, and one upstream that
+// newSingleUpstreamRelay returns a relay with a clock that the test controls, and one upstream that
 // answers after a delay.
-func newUpstreamRelay(t *testing.T, notices upstream.Notices, delay time.Duration) (*Relay, *time.Time, upstream.Entry, *replica.Replica) {
+func newSingleUpstreamRelay(t *testing.T, notices upstream.Notices, delay time.Duration) (*Relay, *time.Time, upstream.Entry, *replica.Replica) {
 	t.Helper()
 	replicaServer, err := replica.Start("u", func(c *replica.Conn, r *replica.Request) bool {
 		time.Sleep(delay)
@@ -43,7 +43,7 @@
 	t.Cleanup(replicaServer.Close)
 	now := time.Now()
 	r := New(&Options{
-		Protocol: plainDialect{notices}, Log: zap.NewNop(), Now: func() time.Time { return now }, VMs: func() int { return 1 }, Seed: 1,
+		Protocol: plainProtocol{notices}, Log: zap.NewNop(), Now: func() time.Time { return now }, VMs: func() int { return 1 }, Seed: 1,
 		Budget: retry.ResendWindowOptions{Ratio: 1, Slack: 5},
 	})
 	e := upstream.Entry{ID: "u", Service: "s", Address: replicaServer.Address(), DataCentre: "d", Release: "v1", Slots: 4, Incarnation: 1}
@@ -63,7 +63,7 @@
 // not executed, and may be retried elsewhere without using the retry budget.
 func TestLeavingAnnouncedWhileConnecting(t *testing.T) {
 	is := is.New(t)
-	r, now, e, u := newUpstreamRelay(t, upstream.Notices{}, 0)
+	r, now, e, u := newSingleUpstreamRelay(t, upstream.Notices{}, 0)
 	j := newSafeJob(*now)
 	chosen, refused := r.selectUpstream(j)
 	is.True(refused == nil)
@@ -84,7 +84,7 @@
 // answer applies even if the answer is discarded.
 func TestBackoffOfAbandonedAnswerApplies(t *testing.T) {
 	is := is.New(t)
-	r, now, e, _ := newUpstreamRelay(t, upstream.Notices{Backoff: time.Minute}, 100*time.Millisecond)
+	r, now, e, _ := newSingleUpstreamRelay(t, upstream.Notices{Backoff: time.Minute}, 100*time.Millisecond)
 	j := newSafeJob(*now)
 	r.recordNotices(j, &ResponseHead{Notices: upstream.Notices{Backoff: time.Second}}, e)
 	_, err := r.send(context.Background(), j, e, nil, time.Minute)
@@ -93,17 +93,17 @@
 	a, err := r.send(context.Background(), j, e, nil, time.Minute)
 	is.NoErr(err)
 	a.close()
-	resting, _ := r.CountBackedOff()
-	is.Equal(resting, 1)
+	backedOff, _ := r.CountBackedOff()
+	is.Equal(backedOff, 1)
 	*now = now.Add(59 * time.Second)
-	resting, _ = r.CountBackedOff()
-	is.Equal(resting, 1)
+	backedOff, _ = r.CountBackedOff()
+	is.Equal(backedOff, 1)
 }
 
-// TestLongestBackoff checks that a back-off of several days is capped at LongestRest.
-func TestLongestBackoff(t *testing.T) {
+// TestBackoffIsCapped checks that a back-off of several days is capped at LongestRest.
+func TestBackoffIsCapped(t *testing.T) {
 	is := is.New(t)
-	r, now, e, _ := newUpstreamRelay(t, upstream.Notices{}, 0)
+	r, now, e, _ := newSingleUpstreamRelay(t, upstream.Notices{}, 0)
 	r.opts.MaxBackoff = time.Minute
 	j := newSafeJob(*now)
 	r.recordNotices(j, &ResponseHead{Notices: upstream.Notices{Backoff: 1_000_000 * time.Second}}, e)
@@ -126,10 +126,10 @@
 		bucket   = 100 * time.Millisecond
 	)
 	is := is.New(t)
-	r, _, _, _ := newUpstreamRelay(t, upstream.Notices{}, 0)
+	r, _, _, _ := newSingleUpstreamRelay(t, upstream.Notices{}, 0)
 	retries := make(map[time.Duration]int)
 	for at := time.Duration(0); at < backoff; at += interval {
-		after := r.retryAfter("s", upstream.Outlook{Listed: 1, Resting: 1, NextBackoffEnd: backoff - at, NextBackoffLength: backoff}, retryAfterListUpdate, r.opts.Now())
+		after := r.retryAfter("s", upstream.Outlook{Listed: 1, BackedOff: 1, NextBackoffEnd: backoff - at, NextBackoffLength: backoff}, retryAfterListUpdate, r.opts.Now())
 		is.True(at+after >= backoff)
 		retries[(at+after)/bucket]++
 	}
@@ -142,7 +142,7 @@
 // not consume retry budget that other requests may need.
 func TestNoRetryBudgetUsedWithoutUpstream(t *testing.T) {
 	is := is.New(t)
-	r, now, e, _ := newUpstreamRelay(t, upstream.Notices{}, 0)
+	r, now, e, _ := newSingleUpstreamRelay(t, upstream.Notices{}, 0)
 	j := newSafeJob(*now)
 	j.lastUpstream = e
 	j.recordFailure(contract.OutcomeNotRun, true)
@@ -176,7 +176,7 @@
 // the upstream has restarted since.
 func TestLoadOfEarlierIncarnationIgnored(t *testing.T) {
 	is := is.New(t)
-	r, now, e, _ := newUpstreamRelay(t, upstream.Notices{}, 0)
+	r, now, e, _ := newSingleUpstreamRelay(t, upstream.Notices{}, 0)
 	restarted := e
 	restarted.Incarnation++
 	r.SetUpstreams([]upstream.Entry{restarted}, nil)
@@ -192,7 +192,7 @@
 // does not count as a crash caused by its requests.
 func TestPlannedEndIsNoCrash(t *testing.T) {
 	is := is.New(t)
-	r, now, e, _ := newUpstreamRelay(t, upstream.Notices{}, 0)
+	r, now, e, _ := newSingleUpstreamRelay(t, upstream.Notices{}, 0)
 	r.withLock(func() { is.True(r.endIsUnplanned(e)) })
 	r.recordNotices(newSafeJob(*now), &ResponseHead{Notices: upstream.Notices{Leaving: true}}, e)
 	r.withLock(func() { is.True(!r.endIsUnplanned(e)) })
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -9,13 +9,13 @@
 	"woaddoor/quarantine"
 )
 
-// preparePrint computes the hash of the request's content if any content is suspected. It runs
+// prepareFingerprint computes the hash of the request's content if any content is suspected. It runs
 // before mu is acquired, because the body may be long.
-func (r *Relay) preparePrint(j *job) {
+func (r *Relay) prepareFingerprint(j *job) {
 	suspecting := false
 	r.withLock(func() { suspecting = !r.quarantineCases.Empty() })
 	if suspecting {
-		j.contentPrint()
+		j.contentFingerprint()
 	}
 }
 
@@ -23,21 +23,21 @@
 // each attempt, whatever its purpose: a first attempt, a retry, an escalation, or the
 // resumption of a stream. The caller holds mu.
 func (r *Relay) checkQuarantine(j *job, now time.Time) *contract.Refusal {
-	if r.quarantineCases.Empty() || !r.quarantineCases.Blocks(j.contentPrint(), now) {
+	if r.quarantineCases.Empty() || !r.quarantineCases.Blocks(j.contentFingerprint(), now) {
 		return nil
 	}
-	return refuseQuarantined(j, r.quarantineCases.Record(j.contentPrint()))
+	return refuseQuarantined(j, r.quarantineCases.Record(j.contentFingerprint()))
 }
 
 // risksLastUpstream reports whether a request could crash the last available upstream of its
 // service, because its content has crashed others before. One fewer upstream degrades
 // the service for other requests, but no upstream at all ends it. The caller holds mu.
 func (r *Relay) risksLastUpstream(j *job, id contract.UpstreamID, c candidatePools, now time.Time) bool {
-	if r.quarantineCases.Empty() || r.quarantineCases.CrashCount(j.contentPrint()) < quarantine.CrashLimit-1 {
+	if r.quarantineCases.Empty() || r.quarantineCases.CrashCount(j.contentFingerprint()) < quarantine.CrashLimit-1 {
 		return false
 	}
 	excluded := []contract.UpstreamID{id}
-	for _, e := range r.quarantineCases.Record(j.contentPrint()).Crashes {
+	for _, e := range r.quarantineCases.Record(j.contentFingerprint()).Crashes {
 		if r.isCurrent(e.Upstream, e.Incarnation) { // still in the list although it has crashed
 			excluded = append(excluded, e.Upstream)
 		}
@@ -62,18 +62,18 @@
 // clearSuspect records that an upstream has executed the job's request successfully, which
 // clears its content of suspicion.
 func (r *Relay) clearSuspect(j *job) {
-	r.preparePrint(j)
+	r.prepareFingerprint(j)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.quarantineCases.Empty() {
 		return
 	}
-	c := r.quarantineCases.Record(j.contentPrint())
+	c := r.quarantineCases.Record(j.contentFingerprint())
 	urgent := c != nil && c.Urgent()
-	if !r.quarantineCases.RecordAnswer(j.contentPrint(), r.opts.Now()) {
+	if !r.quarantineCases.RecordAnswer(j.contentFingerprint(), r.opts.Now()) {
 		return
 	}
-	r.log.Info("suspect-cleared", zap.String("request", string(j.ID)), zap.Stringer("print", j.contentPrint()), zap.String("upstream", string(j.lastUpstream.ID)))
+	r.log.Info("suspect-cleared", zap.String("request", string(j.ID)), zap.Stringer("print", j.contentFingerprint()), zap.String("upstream", string(j.lastUpstream.ID)))
 	if urgent {
 		r.notifySuspected()
 	}
@@ -92,13 +92,13 @@
 	if c.Held {
 		event = "request-held"
 	}
-	var ended []contract.UpstreamID
+	var crashed []contract.UpstreamID
 	for _, e := range c.Crashes {
-		ended = append(ended, e.Upstream)
+		crashed = append(crashed, e.Upstream)
 	}
 	r.log.Warn(event, zap.Stringer("print", c.Fingerprint), zap.String("route", c.Route), zap.String("workspace", string(c.Workspace)),
 		zap.String("service", string(c.Service)), zap.String("by", reporter), zap.String("first_seen_by", string(c.ObservedBy)),
-		zap.Strings("ended", idStrings(ended)), zap.Uint32("epoch", c.Epoch))
+		zap.Strings("ended", idStrings(crashed)), zap.Uint32("epoch", c.Epoch))
 }
 
 // Suspects returns what this VM reports to others about content that crashes upstreams.
@@ -110,13 +110,13 @@
 
 // MergeSuspects merges another VM's reports about content that crashes upstreams, and reports
 // whether any of them must be forwarded at once.
-func (r *Relay) MergeSuspects(told []quarantine.Update, from contract.VMID) (urgent bool) {
-	if len(told) == 0 {
+func (r *Relay) MergeSuspects(updates []quarantine.Update, from contract.VMID) (urgent bool) {
+	if len(updates) == 0 {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, c := range r.quarantineCases.Merge(told, r.opts.Now()) {
+	for _, c := range r.quarantineCases.Merge(updates, r.opts.Now()) {
 		r.logCase(c, string(from))
 		urgent = urgent || c.Urgent()
 	}
--- a/relay/reachability.go
+++ b/relay/reachability.go
@@ -29,9 +29,9 @@
 func (r *Relay) ProbeDataCentres(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, probeInterval)
-		var away map[contract.DataCentreID]string
-		r.withLock(func() { away = r.table.ProbeTargets(r.opts.Now(), r.random) })
-		for dc, address := range away {
+		var targets map[contract.DataCentreID]string
+		r.withLock(func() { targets = r.table.ProbeTargets(r.opts.Now(), r.random) })
+		for dc, address := range targets {
 			go r.probeDataCentre(ctx, dc, address)
 		}
 		r.updateIsolation()
@@ -84,7 +84,7 @@
 // count: the operator's order applies even if no other upstream is left, and a VM that is not
 // ready directs callers to VMs that can serve them. The caller holds mu.
 func (r *Relay) isIsolated(s contract.ServiceID, now time.Time) bool {
-	return r.table.CutOff(r.opts.DataCentre, r.notEvacuated(poolsExcept(r.poolsByRelease[s], r.rolledBack[s]), 0, now), now)
+	return r.table.Isolated(r.opts.DataCentre, r.notEvacuated(poolsExcept(r.poolsByRelease[s], r.rolledBack[s]), 0, now), now)
 }
 
 // Isolated reports whether this VM has been isolated from all upstreams of a service for at
--- a/relay/refusals.go
+++ b/relay/refusals.go
@@ -75,7 +75,7 @@
 	f := &contract.Refusal{
 		Kind: contract.RefusedNoUpstream, Outcome: j.outcome, Step: contract.StepPick,
 		Detail: fmt.Sprintf("none of %d upstreams of the service can accept the request now: %d back off, %d are leaving, %d are at their rate limit (%.1f requests/s)",
-			o.Listed, o.Resting, o.Leaving, o.AtLimit, o.PerSecond),
+			o.Listed, o.BackedOff, o.Leaving, o.AtLimit, o.PerSecond),
 	}
 	switch {
 	case o.NoneAccepting() && o.AtLimit > 0:
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -78,7 +78,7 @@
 	// OnLimit is called with each change of an upstream's rate limit that other VMs must learn.
 	// If far is set, the VMs of other data centres must learn it too. It must not block. May
 	// be nil.
-	OnLimit func(known upstream.LimitUpdate, far bool)
+	OnLimit func(known upstream.LimitUpdate, remote bool)
 	// OnConfidence is called with the confidence that a model reports for each of its answers. It
 	// must not block. May be nil.
 	OnConfidence func(ConfidenceReport)
@@ -124,8 +124,8 @@
 	// confidences relates the confidence that models report for their answers to the quality
 	// of those answers.
 	confidences *cascade.ConfidenceEstimator
-	// gossipGroup is the group of upstreams to which other VMs report their sends.
-	gossipGroup upstream.GossipScope
+	// gossipScope is the group of upstreams to which other VMs report their sends.
+	gossipScope upstream.GossipScope
 	// isolatedSince is when this VM could no longer reach any upstream of some service; zero
 	// while it is not isolated.
 	isolatedSince time.Time
@@ -272,8 +272,8 @@
 // centres for the engines of one data centre made the price five times too high. The caller
 // holds mu.
 func (r *Relay) sendingVMs() int {
-	if r.gossipGroup.VMs > 0 {
-		return r.gossipGroup.VMs
+	if r.gossipScope.VMs > 0 {
+		return r.gossipScope.VMs
 	}
 	return r.opts.VMs()
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -154,9 +154,9 @@
 	}
 }
 
-// TestSendingVMsFollowGossipGroup checks that sendingVMs returns the number of VMs in the
+// TestSendingVMsFollowGossipScope checks that sendingVMs returns the number of VMs in the
 // gossip group, which send to the same engines, rather than the number of all VMs.
-func TestSendingVMsFollowGossipGroup(t *testing.T) {
+func TestSendingVMsFollowGossipScope(t *testing.T) {
 	is := is.New(t)
 	r := newTestRelay()
 	r.opts.VMs = func() int { return 295 }
--- a/relay/rollouts.go
+++ b/relay/rollouts.go
@@ -138,9 +138,9 @@
 // once a second.
 func (r *Relay) Refresh() {
 	// Group and Owners acquire their own locks, so they are called before mu is acquired.
-	var group upstream.GossipScope
+	var scope upstream.GossipScope
 	if r.opts.GossipScope != nil {
-		group = r.opts.GossipScope()
+		scope = r.opts.GossipScope()
 	}
 	owners := upstream.Owners{Self: r.opts.Self.VM, VMs: []contract.VMID{r.opts.Self.VM}}
 	if r.opts.ColdOwners != nil {
@@ -148,8 +148,8 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.gossipGroup = group
-	r.table.SetGossipScope(group)
+	r.gossipScope = scope
+	r.table.SetGossipScope(scope)
 	r.table.SetOwners(r.opts.DataCentre, owners)
 	r.table.CompareUpstreams(r.opts.DataCentre, r.opts.Now())
 	r.logEndedBackoffs(r.opts.Now())
--- a/relay/selection.go
+++ b/relay/selection.go
@@ -21,7 +21,7 @@
 // selectUpstream chooses the upstream of the next attempt and counts the request at that
 // upstream.
 func (r *Relay) selectUpstream(j *job) (upstream.Entry, *contract.Refusal) {
-	r.preparePrint(j)
+	r.prepareFingerprint(j)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.opts.Now()
@@ -216,8 +216,8 @@
 func (r *Relay) checkRetry(j *job, repeatable bool) retry.Reason {
 	now := r.opts.Now()
 	attempt := retry.Attempt{Number: j.sends, Outcome: j.outcome, Repeatable: repeatable, Deadline: j.Deadline, ExpectedDuration: minAttemptTime}
-	if barred := attempt.RetryBlocked(max(j.Route.MaxAttempts, 1), now); barred != "" {
-		return barred
+	if reason := attempt.RetryBlocked(max(j.Route.MaxAttempts, 1), now); reason != "" {
+		return reason
 	}
 	if j.failures >= maxUnreachable+j.Route.MaxAttempts {
 		return retry.AttemptsExhausted
--- a/relay/send.go
+++ b/relay/send.go
@@ -62,11 +62,11 @@
 	// pending is the prompt of the current attempt while its answer has not begun.
 	pending pendingPrompt
 	// sentAt is when the current attempt was sent. upstreamSeen is set once its upstream has
-	// responded since. cachedPrint is the hash of the request's content, computed on first
+	// responded since. cachedFingerprint is the hash of the request's content, computed on first
 	// use.
-	sentAt       time.Time
-	upstreamSeen bool
-	cachedPrint  *quarantine.Fingerprint
+	sentAt            time.Time
+	upstreamSeen      bool
+	cachedFingerprint *quarantine.Fingerprint
 	// executionReported is set once an upstream's start of execution has been reported.
 	executionReported bool
 	// limitClaimed is set if the current attempt has taken from this VM's share of its
--- a/relay/upstream_list_test.go
+++ b/relay/upstream_list_test.go
@@ -90,7 +90,7 @@
 		DataCentre: rapid.SampledFrom([]contract.DataCentreID{"d0", "d1"}).Draw(t, "data centre"),
 		Release:    rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "release"), Slots: rapid.IntRange(1, 3).Draw(t, "slots"),
 		Leaving: rapid.IntRange(0, 3).Draw(t, "leaving") == 0, Cold: time.Duration(rapid.IntRange(0, 1).Draw(t, "cold")) * time.Second,
-		Incarnation: rapid.Int64Range(1, 2).Draw(t, "born"), Revision: contract.Revision(rapid.IntRange(1, 50).Draw(t, "revision")),
+		Incarnation: rapid.Int64Range(1, 2).Draw(t, "incarnation"), Revision: contract.Revision(rapid.IntRange(1, 50).Draw(t, "revision")),
 	}
 }
 
--- a/upstream/cold_test.go
+++ b/upstream/cold_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-func coldEntry(id string, born int64) Entry {
-	return Entry{ID: contract.UpstreamID(id), Service: "s", Address: id, DataCentre: "d", Release: "v1", Slots: 8, Incarnation: born, Revision: 1}
+func coldEntry(id string, incarnation int64) Entry {
+	return Entry{ID: contract.UpstreamID(id), Service: "s", Address: id, DataCentre: "d", Release: "v1", Slots: 8, Incarnation: incarnation, Revision: 1}
 }
 
 // soleOwner describes the owners in a data centre with a single VM.
@@ -243,9 +243,9 @@
 	is.Equal(sent, 10)
 }
 
-// TestUnsureOwnerSendsOnePerSecond checks that a VM which has just started and may not know the
+// TestOwnerWithIncompleteViewSendsOnePerSecond checks that a VM which has just started and may not know the
 // other VMs sends one request per second, and that a VM which knows no owners sends none.
-func TestUnsureOwnerSendsOnePerSecond(t *testing.T) {
+func TestOwnerWithIncompleteViewSendsOnePerSecond(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tb := NewTable(Options{Listed: true})
@@ -266,7 +266,7 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tb := NewTable(Options{Listed: true})
-	list := func(born int64) { tb.ApplyList(coldList([]Entry{coldEntry("a", born)}, now)) }
+	list := func(incarnation int64) { tb.ApplyList(coldList([]Entry{coldEntry("a", incarnation)}, now)) }
 	list(1)
 	prompt := prefill.Prompt{Model: "m", Tokens: 900, Parts: []prefill.Part{{Key: 1, Tokens: 600}, {Key: 2, Tokens: 300}}}
 	w := Work{Prompt: prompt, Objective: time.Second}
--- a/upstream/cost.go
+++ b/upstream/cost.go
@@ -75,11 +75,11 @@
 // estimate returns the expected timing of a request at an upstream.
 func (t *Table) estimate(s *state, w Work, dc contract.DataCentreID, now time.Time) Estimate {
 	slowness := s.health.slownessVsEstimate()
-	kept := 0
+	cached := 0
 	if t.opts.Policy.Has(PrefixCaching) {
-		kept = s.prefixCache.CachedTokens(w.Prompt)
+		cached = s.prefixCache.CachedTokens(w.Prompt)
 	}
-	e := Estimate{Wait: t.queueWait(s, dc, now), Prefill: t.prefillRates.PrefillTime(w.Prompt.Model, w.Prompt.Tokens-kept), CachedTokens: kept}
+	e := Estimate{Wait: t.queueWait(s, dc, now), Prefill: t.prefillRates.PrefillTime(w.Prompt.Model, w.Prompt.Tokens-cached), CachedTokens: cached}
 	e.Wait = time.Duration(slowness * float64(e.Wait+t.slotWait(s)))
 	e.Prefill = time.Duration(slowness * float64(e.Prefill))
 	return e
@@ -160,8 +160,8 @@
 	if t.inUnreachableCentre(s, q, now) {
 		cost += failureCost
 	}
-	if now.Before(s.othersRestUntil) {
-		cost += othersRestCost
+	if now.Before(s.othersBackoffUntil) {
+		cost += othersBackoffCost
 	}
 	cost += t.limitCost(s, now)
 	loadCost := (ownRequestWeight*float64(s.inFlight) + s.othersInFlight) / ownRequestWeight / float64(s.pool.Slots) * fullLoadCost
--- a/upstream/gossip_scope.go
+++ b/upstream/gossip_scope.go
@@ -18,14 +18,14 @@
 
 // Assumptions about engines whose requests from other VMs this VM does not learn of.
 const (
-	// unheardWaitFactor is the fraction of the mean queue wait at the covered engines that
+	// outOfScopeWaitFactor is the fraction of the mean queue wait at the covered engines that
 	// is assumed as the wait at the other engines. At 1, a data centre with more work than
 	// the others would keep all of it.
-	unheardWaitFactor = 0.7
+	outOfScopeWaitFactor = 0.7
 )
 
-// hearsOthers reports whether this VM learns what other VMs send to an upstream.
-func (t *Table) hearsOthers(s *state, dc contract.DataCentreID) bool {
+// inGossipScope reports whether this VM learns what other VMs send to an upstream.
+func (t *Table) inGossipScope(s *state, dc contract.DataCentreID) bool {
 	return t.gossipScope.Region || s.pool.DataCentre == dc
 }
 
@@ -36,7 +36,7 @@
 func (t *Table) updateMeanWait(dc contract.DataCentreID, now time.Time) {
 	total, n := time.Duration(0), 0
 	for _, s := range t.states {
-		if s.receivesPrompts(now) && t.hearsOthers(s, dc) {
+		if s.receivesPrompts(now) && t.inGossipScope(s, dc) {
 			total += s.queue.Wait(now)
 			n++
 		}
@@ -54,8 +54,8 @@
 // queueWait returns how long a prompt is expected to wait in the queue of an upstream.
 func (t *Table) queueWait(s *state, dc contract.DataCentreID, now time.Time) time.Duration {
 	known := s.queue.Wait(now)
-	if t.hearsOthers(s, dc) {
+	if t.inGossipScope(s, dc) {
 		return known
 	}
-	return max(known, time.Duration(unheardWaitFactor*float64(t.meanWait)))
+	return max(known, time.Duration(outOfScopeWaitFactor*float64(t.meanWait)))
 }
--- a/upstream/limit.go
+++ b/upstream/limit.go
@@ -54,19 +54,19 @@
 	// confirmedAt is when an answer last stated the limit, to this VM or to a VM that
 	// announced it, or when this VM last sent a request that should return it.
 	confirmedAt time.Time
-	// toldAt and toldRemoteAt are when the limit was last announced, by any VM, within this
+	// reportedAt and reportedRemoteAt are when the limit was last announced, by any VM, within this
 	// data centre and to all data centres.
-	toldAt, toldRemoteAt time.Time
-	limiter              limiter
+	reportedAt, reportedRemoteAt time.Time
+	limiter                      limiter
 }
 
 // Intervals between announcements to other VMs.
 const (
-	// retellInterval is how often an unchanged limit is announced within the data centre.
-	retellInterval = 2 * time.Second
-	// remoteRetellInterval is how often an unchanged limit is announced to other data
+	// localReportInterval is how often an unchanged limit is announced within the data centre.
+	localReportInterval = 2 * time.Second
+	// remoteReportInterval is how often an unchanged limit is announced to other data
 	// centres, which probe the upstream only if no VM of this data centre does.
-	remoteRetellInterval = 10 * time.Second
+	remoteReportInterval = 10 * time.Second
 	// minChangeInterval is the minimum time between two changes of the rate that are
 	// announced immediately: an upstream may state a different rate in each answer.
 	minChangeInterval = 250 * time.Millisecond
@@ -78,7 +78,7 @@
 	Before RateLimit
 	// Changed means that a different limit applies. Tell means that other VMs should be
 	// told, and Far that VMs of other data centres should be told too.
-	Changed, Announce, AnnounceRemote bool
+	Changed, Report, ReportRemote bool
 }
 
 // applyAnswer applies what the answer to a request that was sent at sentAt states.
@@ -88,18 +88,18 @@
 	}
 	change.Before = l.RateLimit
 	if answered != l.RateLimit {
-		wordChanged := answered.Statement != l.Statement
+		statementChanged := answered.Statement != l.Statement
 		l.set(answered, l.version+1, now)
 		change.Changed = true
-		change.AnnounceRemote = wordChanged || now.Sub(l.toldAt) >= minChangeInterval
-		change.Announce = change.AnnounceRemote
+		change.ReportRemote = statementChanged || now.Sub(l.reportedAt) >= minChangeInterval
+		change.Report = change.ReportRemote
 	}
 	if answered.Statement == LimitStated {
 		l.confirmedAt = now
-		change.AnnounceRemote = change.AnnounceRemote || now.Sub(l.toldRemoteAt) >= remoteRetellInterval
-		change.Announce = change.Announce || change.AnnounceRemote || now.Sub(l.toldAt) >= retellInterval
+		change.ReportRemote = change.ReportRemote || now.Sub(l.reportedRemoteAt) >= remoteReportInterval
+		change.Report = change.Report || change.ReportRemote || now.Sub(l.reportedAt) >= localReportInterval
 	}
-	l.recordTold(change.Announce, change.AnnounceRemote, now)
+	l.recordReported(change.Report, change.ReportRemote, now)
 	return change
 }
 
@@ -117,7 +117,7 @@
 		return false
 	}
 	l.confirmedAt = now
-	l.recordTold(true, false, now)
+	l.recordReported(true, false, now)
 	return changed
 }
 
@@ -130,11 +130,11 @@
 	l.RateLimit, l.version, l.learnedAt = next, version, now
 }
 
-func (l *limitState) recordTold(local, remote bool, now time.Time) {
+func (l *limitState) recordReported(local, remote bool, now time.Time) {
 	if local {
-		l.toldAt = now
+		l.reportedAt = now
 	}
 	if remote {
-		l.toldRemoteAt = now
+		l.reportedRemoteAt = now
 	}
 }
--- a/upstream/limit_replay_test.go
+++ b/upstream/limit_replay_test.go
@@ -31,11 +31,11 @@
 	now     time.Time
 	random  *rand.Rand
 	events  replayEvents
-	// announcedLimit is what the limited upstreams state. arrivals holds when requests
+	// upstreamLimit is what the limited upstreams state. arrivals holds when requests
 	// arrived at each of them.
-	announcedLimit RateLimit
-	arrivals       map[contract.UpstreamID][]time.Time
-	sent, refused  int
+	upstreamLimit RateLimit
+	arrivals      map[contract.UpstreamID][]time.Time
+	sent, refused int
 }
 
 // limitLoad is the size and load of a limitFleet.
@@ -58,7 +58,7 @@
 
 func newLimitFleet(l limitLoad, seed uint64) *limitFleet {
 	f := &limitFleet{
-		limitLoad: l, now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, 7)), announcedLimit: noLimit, arrivals: make(map[contract.UpstreamID][]time.Time),
+		limitLoad: l, now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, 7)), upstreamLimit: noLimit, arrivals: make(map[contract.UpstreamID][]time.Time),
 	}
 	for n := range l.upstreams {
 		e := listEntry(fmt.Sprintf("u%03d", n), fmt.Sprint("d", n%l.centres), 1)
@@ -121,7 +121,7 @@
 // gossip announces to other VMs what a VM has learned.
 func (f *limitFleet) gossip(from *limitVM, n LimitChange) {
 	for _, other := range f.vms {
-		if other == from || !n.AnnounceRemote && other.dc != from.dc || f.random.Float64() < f.lossRate {
+		if other == from || !n.ReportRemote && other.dc != from.dc || f.random.Float64() < f.lossRate {
 			continue
 		}
 		times := 1
@@ -152,11 +152,11 @@
 	f.arrivals[id] = append(f.arrivals[id], f.now)
 	stated := noLimit
 	if slices.ContainsFunc(f.limitedEntries(), func(e Entry) bool { return e.ID == id }) {
-		stated = f.announcedLimit
+		stated = f.upstreamLimit
 	}
 	f.schedule(limitServiceTime, func() {
 		tb.RecordDone(id, Succeeded, limitServiceTime, f.now)
-		if n := tb.ApplyLimitAnswer(tb.Instance(id), stated, sent, f.now); n.Announce && v.table == tb {
+		if n := tb.ApplyLimitAnswer(tb.Instance(id), stated, sent, f.now); n.Report && v.table == tb {
 			f.gossip(v, n)
 		}
 	})
@@ -235,12 +235,12 @@
 				start := f.now
 				f.play(3 * time.Second)
 				usualRate := float64(f.countBetween(start, f.now)) / 3
-				f.announcedLimit = namedLimit(perSecond)
+				f.upstreamLimit = statedLimit(perSecond)
 				limitedAt := f.now
 				f.play(14 * time.Second)
 				peak, allowed := f.maxInWindow(limitedAt.Add(limitPropagation)), toleranceFactor*perSecond*toleranceWindow.Seconds()+toleranceExtra
 				liftedAt := f.now
-				f.announcedLimit = noLimit
+				f.upstreamLimit = noLimit
 				f.play(2500 * time.Millisecond)
 				rateAfterLift := float64(f.countBetween(liftedAt.Add(1500*time.Millisecond), f.now))
 				t.Logf("at most %d in 4 s, %.1f allowed; %.1f per second before, %.1f after; %d of %d refused", peak, allowed, usualRate, rateAfterLift, f.refused, f.sent)
@@ -264,7 +264,7 @@
 			t.Parallel()
 			is := is.New(t)
 			f := newLimitFleet(l, 1)
-			f.announcedLimit = namedLimit(l.perSecond)
+			f.upstreamLimit = statedLimit(l.perSecond)
 			limitedAt := f.now
 			f.play(13 * time.Second)
 			from := limitedAt.Add(limitPropagation)
@@ -283,13 +283,13 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			f := newLimitFleet(limitLoad{vms: 6, centres: 3, upstreams: 3, limited: 1, rate: 50, perSecond: 1}, 1)
-			f.announcedLimit = namedLimit(1)
-			life := f.entries[0].Instance()
+			f.upstreamLimit = statedLimit(1)
+			instance := f.entries[0].Instance()
 			all := f.vms
 			for _, v := range all {
-				v.table.ApplyLimitAnswer(life, f.announcedLimit, f.now, f.now)
+				v.table.ApplyLimitAnswer(instance, f.upstreamLimit, f.now, f.now)
 			}
-			f.announcedLimit = noLimit
+			f.upstreamLimit = noLimit
 			var activeVMs []*limitVM
 			for _, v := range all {
 				if v.dc == callers && (callers == "d1" || v.table.ownerRank(v.table.states["u000"]) > 0) {
@@ -303,7 +303,7 @@
 				}
 				f.send(activeVMs[f.random.IntN(len(activeVMs))])
 			}
-			is.True(!activeVMs[0].table.HasLimit(life))
+			is.True(!activeVMs[0].table.HasLimit(instance))
 		})
 	}
 }
@@ -330,7 +330,7 @@
 	}
 	b.Run("pick, none limited", choose)
 	for _, e := range entries[:200] {
-		tb.ApplyLimitAnswer(e.Instance(), namedLimit(8), now, now)
+		tb.ApplyLimitAnswer(e.Instance(), statedLimit(8), now, now)
 	}
 	b.Run("pick", choose)
 	b.Run("digest", func(b *testing.B) {
@@ -339,7 +339,7 @@
 		}
 	})
 	b.Run("merge", func(b *testing.B) {
-		k := LimitUpdate{entries[0].Instance(), namedLimit(8), 1}
+		k := LimitUpdate{entries[0].Instance(), statedLimit(8), 1}
 		for b.Loop() {
 			tb.MergeLimit(k, true, now)
 		}
--- a/upstream/limit_table.go
+++ b/upstream/limit_table.go
@@ -14,11 +14,11 @@
 // ApplyLimitAnswer applies what an answer of an instance states about its rate limit. The request of
 // that answer was sent at sentAt.
 func (t *Table) ApplyLimitAnswer(l contract.UpstreamInstance, answered RateLimit, sentAt, now time.Time) LimitChange {
-	a := t.announcements[l]
+	a := t.notices[l]
 	if answered.Statement != LimitStated && (a == nil || a.limit.version == 0) {
 		return LimitChange{}
 	}
-	a = t.ensureAnnouncement(l, now)
+	a = t.ensureNotices(l, now)
 	change := a.limit.applyAnswer(answered, sentAt, now)
 	change.Update = a.limit.known(l)
 	if change.Changed {
@@ -31,7 +31,7 @@
 // that the other VM has just received it in an answer. It returns the limit that applied
 // before, and whether it changed.
 func (t *Table) MergeLimit(update LimitUpdate, fresh bool, now time.Time) (before RateLimit, changed bool) {
-	a := t.ensureAnnouncement(update.Instance, now)
+	a := t.ensureNotices(update.Instance, now)
 	before = a.limit.RateLimit
 	if changed = a.limit.merge(update, fresh, now); changed {
 		t.refreshLimited()
@@ -39,26 +39,26 @@
 	return before, changed
 }
 
-func (l *limitState) known(life contract.UpstreamInstance) LimitUpdate {
-	return LimitUpdate{life, l.RateLimit, l.version}
+func (l *limitState) known(instance contract.UpstreamInstance) LimitUpdate {
+	return LimitUpdate{instance, l.RateLimit, l.version}
 }
 
 // hasLimit reports whether the instance stated a rate limit that is in force. A nil receiver
 // has stated nothing.
-func (a *announcement) hasLimit() bool { return a != nil && a.limit.Statement == LimitStated }
+func (a *instanceNotices) hasLimit() bool { return a != nil && a.limit.Statement == LimitStated }
 
 // refreshLimited rebuilds the list of listed upstreams with a rate limit in force.
 func (t *Table) refreshLimited() {
 	t.limited = t.limited[:0]
 	for _, s := range t.sortedStates {
-		if s.announced.hasLimit() {
+		if s.notices.hasLimit() {
 			t.limited = append(t.limited, s)
 		}
 	}
 }
 
 // HasLimit reports whether an instance has a rate limit in force.
-func (t *Table) HasLimit(l contract.UpstreamInstance) bool { return t.announcements[l].hasLimit() }
+func (t *Table) HasLimit(l contract.UpstreamInstance) bool { return t.notices[l].hasLimit() }
 
 // CountLimited returns how many of the listed upstreams have a rate limit in force.
 func (t *Table) CountLimited() int { return len(t.limited) }
@@ -70,10 +70,10 @@
 	var limited, lifted []LimitUpdate
 	for _, s := range t.sortedStates {
 		switch {
-		case s.announced.hasLimit():
-			limited = append(limited, s.announced.limit.known(t.Instance(s.upstream.ID)))
-		case s.announced != nil && s.announced.limit.version > 0:
-			lifted = append(lifted, s.announced.limit.known(t.Instance(s.upstream.ID)))
+		case s.notices.hasLimit():
+			limited = append(limited, s.notices.limit.known(t.Instance(s.upstream.ID)))
+		case s.notices != nil && s.notices.limit.version > 0:
+			lifted = append(lifted, s.notices.limit.known(t.Instance(s.upstream.ID)))
 		}
 	}
 	limited = append(limited, lifted...)
@@ -86,9 +86,9 @@
 	sum := uint64(0)
 	for _, s := range t.limited {
 		b := []byte(s.upstream.ID)
-		b = binary.BigEndian.AppendUint64(b, uint64(s.born))
-		b = binary.BigEndian.AppendUint64(b, s.announced.limit.version)
-		b = binary.BigEndian.AppendUint64(b, math.Float64bits(s.announced.limit.PerSecond))
+		b = binary.BigEndian.AppendUint64(b, uint64(s.incarnation))
+		b = binary.BigEndian.AppendUint64(b, s.notices.limit.version)
+		b = binary.BigEndian.AppendUint64(b, math.Float64bits(s.notices.limit.PerSecond))
 		sum += xxhash.Sum64(b)
 	}
 	return sum
@@ -110,7 +110,7 @@
 // vmShare returns this VM's share of an upstream's rate limit, and the time until the VM
 // may use it.
 func (t *Table) vmShare(s *state, now time.Time) (limitShare, time.Duration) {
-	l := &s.announced.limit
+	l := &s.notices.limit
 	owners, share := divideLimit(l.PerSecond, len(t.owners.VMs))
 	isLocal := s.pool.DataCentre == t.owners.dc
 	rank := t.ownerRank(s)
@@ -142,14 +142,14 @@
 // withinLimit reports whether this VM may send one more request to an upstream now according
 // to the upstream's rate limit.
 func (t *Table) withinLimit(s *state, now time.Time) bool {
-	if !s.announced.hasLimit() {
+	if !s.notices.hasLimit() {
 		return true
 	}
 	if len(t.owners.VMs) == 0 {
 		return false // it is not known which VMs divide the limit
 	}
 	share, probeDelay := t.vmShare(s, now)
-	return probeDelay == 0 && s.announced.limit.limiter.wait(share, now) == 0
+	return probeDelay == 0 && s.notices.limit.limiter.wait(share, now) == 0
 }
 
 // overLimitCost is the cost of a request to an upstream beyond its rate limit but within its
@@ -158,10 +158,10 @@
 
 // limitCost returns the cost that an upstream's rate limit adds to one more request of this VM.
 func (t *Table) limitCost(s *state, now time.Time) float64 {
-	if !s.announced.hasLimit() {
+	if !s.notices.hasLimit() {
 		return 0
 	}
-	if share, _ := t.vmShare(s, now); s.announced.limit.limiter.overLimit(share, now) {
+	if share, _ := t.vmShare(s, now); s.notices.limit.limiter.overLimit(share, now) {
 		return overLimitCost
 	}
 	return 0
@@ -169,19 +169,19 @@
 
 // claimShare uses one request of this VM's share of a rate limit.
 func (t *Table) claimShare(s *state, now time.Time) {
-	if !s.announced.hasLimit() {
+	if !s.notices.hasLimit() {
 		return
 	}
 	share, _ := t.vmShare(s, now)
-	s.announced.limit.limiter.record(share, now)
-	s.announced.limit.confirmedAt = now
+	s.notices.limit.limiter.record(share, now)
+	s.notices.limit.confirmedAt = now
 }
 
 // ClaimShare uses one request of this VM's share of a rate limit that was announced after the
 // request was assigned to the upstream. It reports whether the share allowed that.
 func (t *Table) ClaimShare(l contract.UpstreamInstance, now time.Time) bool {
 	s := t.states[l.Upstream]
-	if s == nil || s.born != l.Incarnation || !t.withinLimit(s, now) {
+	if s == nil || s.incarnation != l.Incarnation || !t.withinLimit(s, now) {
 		return false
 	}
 	t.claimShare(s, now)
@@ -190,9 +190,9 @@
 
 // ReleaseShare reverts a claim whose request was not sent.
 func (t *Table) ReleaseShare(l contract.UpstreamInstance, now time.Time) {
-	if s := t.states[l.Upstream]; s != nil && s.born == l.Incarnation && s.announced.hasLimit() {
+	if s := t.states[l.Upstream]; s != nil && s.incarnation == l.Incarnation && s.notices.hasLimit() {
 		share, _ := t.vmShare(s, now)
-		s.announced.limit.limiter.giveBack(share)
+		s.notices.limit.limiter.giveBack(share)
 	}
 }
 
@@ -201,7 +201,7 @@
 // an answer reveals that the limit was lifted, and until then almost all requests go elsewhere.
 func (t *Table) dueForProbe(q Query, now time.Time) *state {
 	i := slices.IndexFunc(t.limited, func(s *state) bool {
-		return now.Sub(s.announced.limit.confirmedAt) >= probeInterval && t.usable(s, q.Version, now) && q.allows(s)
+		return now.Sub(s.notices.limit.confirmedAt) >= probeInterval && t.usable(s, q.Version, now) && q.allows(s)
 	})
 	if i < 0 {
 		return nil
--- a/upstream/limit_test.go
+++ b/upstream/limit_test.go
@@ -10,7 +10,7 @@
 	"woaddoor/contract"
 )
 
-func namedLimit(perSecond float64) RateLimit { return RateLimit{LimitStated, perSecond} }
+func statedLimit(perSecond float64) RateLimit { return RateLimit{LimitStated, perSecond} }
 
 var noLimit = RateLimit{Statement: LimitNone}
 
@@ -19,21 +19,21 @@
 // answers can overtake each other.
 func TestLimitFromReorderedAnswers(t *testing.T) {
 	type answer struct {
-		said               RateLimit
+		stated             RateLimit
 		sentAt, receivedAt int // seconds since the start
 	}
 	for name, c := range map[string]struct {
 		answers []answer
 		want    RateLimit
 	}{
-		"stated":                              {[]answer{{namedLimit(2), 0, 1}}, namedLimit(2)},
-		"lifted":                              {[]answer{{namedLimit(2), 0, 1}, {noLimit, 1, 2}}, noLimit},
-		"answer without a limit, sent before": {[]answer{{namedLimit(2), 1, 2}, {noLimit, 1, 3}}, namedLimit(2)},
-		"rate changed":                        {[]answer{{namedLimit(2), 0, 1}, {namedLimit(8), 1, 2}}, namedLimit(8)},
-		"rate changed, sent before":           {[]answer{{namedLimit(2), 0, 1}, {namedLimit(8), 0, 2}}, namedLimit(2)},
-		"lifted, then a late answer that states it": {[]answer{{namedLimit(2), 0, 1}, {noLimit, 2, 3}, {namedLimit(2), 1, 4}}, noLimit},
-		"lifted, then stated again":                 {[]answer{{namedLimit(2), 0, 1}, {noLimit, 2, 3}, {namedLimit(4), 3, 4}}, namedLimit(4)},
-		"no statement":                              {[]answer{{namedLimit(2), 0, 1}, {RateLimit{}, 2, 3}}, namedLimit(2)},
+		"stated":                              {[]answer{{statedLimit(2), 0, 1}}, statedLimit(2)},
+		"lifted":                              {[]answer{{statedLimit(2), 0, 1}, {noLimit, 1, 2}}, noLimit},
+		"answer without a limit, sent before": {[]answer{{statedLimit(2), 1, 2}, {noLimit, 1, 3}}, statedLimit(2)},
+		"rate changed":                        {[]answer{{statedLimit(2), 0, 1}, {statedLimit(8), 1, 2}}, statedLimit(8)},
+		"rate changed, sent before":           {[]answer{{statedLimit(2), 0, 1}, {statedLimit(8), 0, 2}}, statedLimit(2)},
+		"lifted, then a late answer that states it": {[]answer{{statedLimit(2), 0, 1}, {noLimit, 2, 3}, {statedLimit(2), 1, 4}}, noLimit},
+		"lifted, then stated again":                 {[]answer{{statedLimit(2), 0, 1}, {noLimit, 2, 3}, {statedLimit(4), 3, 4}}, statedLimit(4)},
+		"no statement":                              {[]answer{{statedLimit(2), 0, 1}, {RateLimit{}, 2, 3}}, statedLimit(2)},
 		"never stated":                              {[]answer{{noLimit, 0, 1}}, RateLimit{}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -41,12 +41,12 @@
 			start := time.Unix(1000, 0)
 			tb := newTwoCentreTable(1, start)
 			at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
-			life := contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}
+			instance := contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}
 			for _, a := range c.answers {
-				tb.ApplyLimitAnswer(life, a.said, at(a.sentAt), at(a.receivedAt))
+				tb.ApplyLimitAnswer(instance, a.stated, at(a.sentAt), at(a.receivedAt))
 			}
-			is.Equal(tb.HasLimit(life), c.want.Statement == LimitStated)
-			if got := tb.announcements[life]; got != nil {
+			is.Equal(tb.HasLimit(instance), c.want.Statement == LimitStated)
+			if got := tb.notices[instance]; got != nil {
 				is.Equal(got.limit.RateLimit, c.want)
 			} else {
 				is.Equal(c.want, RateLimit{})
@@ -61,7 +61,7 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tb := newTwoCentreTable(1, now)
-	tb.ApplyLimitAnswer(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, namedLimit(0.1), now, now)
+	tb.ApplyLimitAnswer(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, statedLimit(0.1), now, now)
 	is.Equal(tb.CountLimited(), 1)
 	applyList(tb, now)
 	is.Equal(tb.CountLimited(), 0)
@@ -78,7 +78,7 @@
 		updates := rapid.SliceOfN(rapid.Custom(func(r *rapid.T) LimitUpdate {
 			limit := noLimit
 			if rapid.Bool().Draw(r, "stated") {
-				limit = namedLimit(float64(rapid.IntRange(0, 3).Draw(r, "per second")))
+				limit = statedLimit(float64(rapid.IntRange(0, 3).Draw(r, "per second")))
 			}
 			return LimitUpdate{contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, limit, uint64(rapid.IntRange(1, 4).Draw(r, "version"))}
 		}), 1, 8).Draw(r, "updates")
@@ -153,7 +153,7 @@
 	now := time.Unix(1000, 0)
 	tb := newTwoCentreTable(1, now) // u1 in this data centre, u2 in another
 	tb.SetOwners("d", Owners{Self: "vm", VMs: []contract.VMID{"vm"}})
-	tb.ApplyLimitAnswer(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, namedLimit(2), now, now)
+	tb.ApplyLimitAnswer(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, statedLimit(2), now, now)
 	send := func(busy bool) (arrivals int) {
 		for range int(limitWindow / (100 * time.Millisecond)) {
 			now = now.Add(100 * time.Millisecond)
@@ -194,8 +194,8 @@
 	now := time.Unix(1000, 0)
 	tb := newTwoCentreTable(1, now)
 	tb.SetOwners("d", Owners{Self: "vm", VMs: []contract.VMID{"vm"}})
-	life := contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}
-	tb.ApplyLimitAnswer(life, namedLimit(0), now, now)
+	instance := contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}
+	tb.ApplyLimitAnswer(instance, statedLimit(0), now, now)
 	known := tb.Limits(1)[0]
 	now = now.Add(probeInterval)
 	tb.MergeLimit(known, true, now)
--- a/upstream/limiter.go
+++ b/upstream/limiter.go
@@ -35,11 +35,11 @@
 	// because requests may arrive closer together than they were sent, if one waited for a
 	// connection. Requests sent under a higher limit count until they leave the window.
 	limitWindow = toleranceWindow + 400*time.Millisecond
-	// plannedPart is the fraction of the tolerance that owners plan to use, less
+	// plannedFraction is the fraction of the tolerance that owners plan to use, less
 	// reservedProbes requests. The rest is reserved for changes of owners and for probes
 	// from VMs that learn of no recent answer.
-	plannedPart    = 0.9
-	reservedProbes = 1
+	plannedFraction = 0.9
+	reservedProbes  = 1
 )
 
 // divideLimit returns how many of vms VMs own a rate limit, and the share of each owner. There
@@ -51,7 +51,7 @@
 	if perSecond < rate {
 		s.burst = 1 // probes only: the upstream wants no more than that
 	}
-	tolerated := plannedPart*(toleranceFactor*perSecond*toleranceWindow.Seconds()+toleranceExtra) - reservedProbes
+	tolerated := plannedFraction*(toleranceFactor*perSecond*toleranceWindow.Seconds()+toleranceExtra) - reservedProbes
 	s.maxPerWindow = max(int(tolerated/float64(owners)), probeShare().maxPerWindow)
 	s.minInterval = limitWindow / time.Duration(s.maxPerWindow)
 	return owners, s
--- a/upstream/list_change.go
+++ b/upstream/list_change.go
@@ -31,12 +31,12 @@
 // applyChange applies one changed list entry.
 func (t *Table) applyChange(e Entry, l List) {
 	s := t.states[e.ID]
-	isNew := s == nil || s.born != e.Incarnation || s.upstream.URL != e.Address
+	isNew := s == nil || s.incarnation != e.Incarnation || s.upstream.URL != e.Address
 	if s != nil && (isNew || s.pool.ID != e.PoolID()) {
 		t.removeFromPool(s)
 	}
 	if isNew {
-		s = &state{hashSeed: xxhash.Sum64String(string(e.ID)), prefixCache: prefill.NewPrefixCache(0)}
+		s = &state{idHash: xxhash.Sum64String(string(e.ID)), prefixCache: prefill.NewPrefixCache(0)}
 		t.states[e.ID] = s
 	}
 	if isNew || s.pool.ID != e.PoolID() {
--- a/upstream/list_change_test.go
+++ b/upstream/list_change_test.go
@@ -18,17 +18,17 @@
 	var b strings.Builder
 	for _, s := range t.sortedStates {
 		fmt.Fprintf(&b, "%s at %s in %s of %d slots, %d connections: leaving %d, born %d, in flight %d, cold until %v, index in its pool %d, in its data centre %d\n",
-			s.upstream.ID, s.upstream.URL, s.pool.ID, s.pool.Slots, s.pool.MaxConnections, s.leavingIncarnation, s.born, s.inFlight, s.cold.until,
+			s.upstream.ID, s.upstream.URL, s.pool.ID, s.pool.Slots, s.pool.MaxConnections, s.leavingIncarnation, s.incarnation, s.inFlight, s.cold.until,
 			slices.Index(t.pools[s.pool.ID], s), slices.Index(t.byDataCentre[s.pool.DataCentre], s))
 	}
 	fmt.Fprintf(&b, "%d states, %d pools, %d data centres, %d limited\n", len(t.states), len(t.pools), len(t.byDataCentre), len(t.limited))
 	return b.String()
 }
 
-// TestChangeListEqualsConfigureList generates lists whose upstreams are added, change in every field,
+// TestListChangesEqualFullList generates lists whose upstreams are added, change in every field,
 // restart and are removed. A table that applies only the changes must equal one that applies the
 // whole list each time, including the order.
-func TestChangeListEqualsConfigureList(t *testing.T) {
+func TestListChangesEqualFullList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		whole, changes := NewTable(Options{Listed: true}), NewTable(Options{Listed: true})
 		now := time.Unix(1000, 0)
@@ -57,7 +57,7 @@
 					DataCentre: rapid.SampledFrom([]contract.DataCentreID{"d0", "d1"}).Draw(t, "centre"),
 					Release:    rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "release"), Slots: rapid.IntRange(1, 3).Draw(t, "slots"),
 					Leaving: rapid.Bool().Draw(t, "leaving"), Cold: time.Duration(rapid.IntRange(0, 1).Draw(t, "cold")) * time.Second,
-					Incarnation: rapid.Int64Range(1, 2).Draw(t, "born"), Revision: contract.Revision(rapid.IntRange(1, 50).Draw(t, "revision")),
+					Incarnation: rapid.Int64Range(1, 2).Draw(t, "incarnation"), Revision: contract.Revision(rapid.IntRange(1, 50).Draw(t, "revision")),
 				}
 				changed = append(changed, list[id])
 			}
--- a/upstream/listed.go
+++ b/upstream/listed.go
@@ -65,7 +65,7 @@
 func (t *Table) ApplyList(l List) {
 	pools := make(map[contract.PoolID]*config.Pool)
 	for _, e := range l.Entries {
-		if s := t.states[e.ID]; s != nil && s.born != e.Incarnation {
+		if s := t.states[e.ID]; s != nil && s.incarnation != e.Incarnation {
 			delete(t.states, e.ID)
 		}
 		id := e.PoolID()
@@ -97,8 +97,8 @@
 // know the upstream before.
 func (t *Table) applyEntry(s *state, e Entry, l List, isNew bool) {
 	s.prefixCache.SetCapacity(e.CacheTokens)
-	s.born, s.slots = e.Incarnation, e.Slots
-	s.announced = t.announcements[e.Instance()]
+	s.incarnation, s.slots = e.Incarnation, e.Slots
+	s.notices = t.notices[e.Instance()]
 	s.leavingIncarnation = 0
 	if e.Leaving {
 		s.leavingIncarnation = 1
@@ -123,7 +123,7 @@
 // requests away.
 func (t *Table) RecordAccepted(id contract.UpstreamID) {
 	if s, ok := t.states[id]; ok {
-		s.health.turnedAwaySkip = 0
+		s.health.rejectedSkip = 0
 	}
 }
 
@@ -198,9 +198,9 @@
 	failureRate float64
 	backoff     time.Duration
 	skipUntil   time.Time // no new work until then, apart from the last resort
-	// turnedAwaySkip is how long the upstream was skipped after it last turned a request
+	// rejectedSkip is how long the upstream was skipped after it last turned a request
 	// away; zero once it has begun to answer a request since.
-	turnedAwaySkip time.Duration
+	rejectedSkip time.Duration
 	// connectFailed is set if no connection could be established at the last attempt.
 	connectFailed         bool
 	firstAnswerTime       time.Duration
@@ -223,11 +223,11 @@
 	// fullSkip is how long a full upstream is skipped: about the time until one of its slots
 	// becomes free.
 	fullSkip = 60 * time.Millisecond
-	// maxTurnedAwaySkip limits how long an upstream that turns away consecutive requests is
+	// maxRejectedSkip limits how long an upstream that turns away consecutive requests is
 	// skipped; the time doubles with each of them. Compared with a constant fullSkip, the
 	// worth of the answers was 0.011 higher (mean of 12 paired days) when half of the
 	// upstreams turned away 0.4 of their requests, and a third 0.9 in a burst.
-	maxTurnedAwaySkip = 960 * time.Millisecond
+	maxRejectedSkip = 960 * time.Millisecond
 	// firstAnswerWeight is the weight of the newest sample of the time until an answer begins.
 	firstAnswerWeight = 0.1
 	// slowThreshold is the factor over the mean of the other upstreams, or over the
@@ -289,8 +289,8 @@
 	case NoConnection:
 		h.skipFor(fullSkip, now)
 	case Rejected:
-		h.turnedAwaySkip = min(max(2*h.turnedAwaySkip, fullSkip), maxTurnedAwaySkip)
-		h.skipFor(h.turnedAwaySkip, now)
+		h.rejectedSkip = min(max(2*h.rejectedSkip, fullSkip), maxRejectedSkip)
+		h.skipFor(h.rejectedSkip, now)
 	case Abandoned:
 	}
 }
@@ -300,7 +300,7 @@
 func (t *Table) CompareUpstreams(dc contract.DataCentreID, now time.Time) {
 	t.countActiveEngines(now)
 	t.updateMeanWait(dc, now)
-	t.dropStaleAnnouncements(now)
+	t.dropStaleNotices(now)
 	for _, states := range t.pools {
 		total, n := time.Duration(0), 0
 		for _, s := range states {
--- a/upstream/listed_test.go
+++ b/upstream/listed_test.go
@@ -155,9 +155,9 @@
 	})
 }
 
-// TestUnheardEnginesAreNotIdle checks that an engine whose requests from other VMs are unknown is not
+// TestEnginesOutsideGossipScopeAreNotIdle checks that an engine whose requests from other VMs are unknown is not
 // assumed to be idle: otherwise all callers of a busy data centre would be sent there.
-func TestUnheardEnginesAreNotIdle(t *testing.T) {
+func TestEnginesOutsideGossipScopeAreNotIdle(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	p := prefill.Prompt{Model: "m", Tokens: 9000}
--- a/upstream/notices_test.go
+++ b/upstream/notices_test.go
@@ -15,14 +15,14 @@
 )
 
 // newTwoCentreTable returns a table with two upstreams, u1 in data centre d and u2 in e.
-func newTwoCentreTable(born int64, now time.Time) *Table {
+func newTwoCentreTable(incarnation int64, now time.Time) *Table {
 	t := NewTable(Options{Listed: true})
-	applyList(t, now, listEntry("u1", "d", born), listEntry("u2", "e", 1))
+	applyList(t, now, listEntry("u1", "d", incarnation), listEntry("u2", "e", 1))
 	return t
 }
 
-func listEntry(id, dc string, born int64) Entry {
-	return Entry{ID: contract.UpstreamID(id), Service: "s", Address: id, DataCentre: contract.DataCentreID(dc), Release: "v1", Slots: 4, Incarnation: born}
+func listEntry(id, dc string, incarnation int64) Entry {
+	return Entry{ID: contract.UpstreamID(id), Service: "s", Address: id, DataCentre: contract.DataCentreID(dc), Release: "v1", Slots: 4, Incarnation: incarnation}
 }
 
 func applyList(t *Table, now time.Time, entries ...Entry) {
@@ -40,13 +40,13 @@
 	return id
 }
 
-// TestAnnouncementPersists lets an upstream announce that it is leaving or needs a rest, followed
+// TestNoticesPersist lets an upstream announce that it is leaving or needs a rest, followed
 // by an event that might clear this too early. Each announcement must hold until the upstream
 // restarts or the longest rest has passed.
-func TestAnnouncementPersists(t *testing.T) {
-	const rest = 3 * time.Second
+func TestNoticesPersist(t *testing.T) {
+	const backoff = 3 * time.Second
 	for name, c := range map[string]struct {
-		said   Notices
+		stated Notices
 		then   func(tb *Table, now time.Time)
 		after  time.Duration
 		usable bool // whether u1 can be selected afterwards
@@ -62,30 +62,30 @@
 		"leaving, stated by another instance": {Notices{}, func(tb *Table, now time.Time) {
 			tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u1", Incarnation: 7}, Notices{Leaving: true}, now)
 		}, time.Second, true},
-		"rest":                             {Notices{Backoff: rest}, nil, rest - 1, false},
-		"rest ended":                       {Notices{Backoff: rest}, nil, rest, true},
-		"rest, then a good answer":         {Notices{Backoff: rest}, func(tb *Table, now time.Time) { tb.RecordDone("u1", Succeeded, 0, now) }, rest - 1, false},
-		"rest, then a request turned away": {Notices{Backoff: rest}, func(tb *Table, now time.Time) { tb.RecordDone("u1", Rejected, 0, now) }, rest - 1, false},
-		"rest, then a shorter one": {Notices{Backoff: rest}, func(tb *Table, now time.Time) {
+		"rest":                             {Notices{Backoff: backoff}, nil, backoff - 1, false},
+		"rest ended":                       {Notices{Backoff: backoff}, nil, backoff, true},
+		"rest, then a good answer":         {Notices{Backoff: backoff}, func(tb *Table, now time.Time) { tb.RecordDone("u1", Succeeded, 0, now) }, backoff - 1, false},
+		"rest, then a request turned away": {Notices{Backoff: backoff}, func(tb *Table, now time.Time) { tb.RecordDone("u1", Rejected, 0, now) }, backoff - 1, false},
+		"rest, then a shorter one": {Notices{Backoff: backoff}, func(tb *Table, now time.Time) {
 			tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, Notices{Backoff: time.Second}, now)
-		}, rest - 1, false},
-		"rest, then a longer one": {Notices{Backoff: rest}, func(tb *Table, now time.Time) {
-			tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, Notices{Backoff: 2 * rest}, now)
-		}, rest, false},
-		"rest, then listed again":           {Notices{Backoff: rest}, func(tb *Table, now time.Time) { applyList(tb, now, listEntry("u1", "d", 1)) }, rest - 1, false},
-		"rest, then not listed for a while": {Notices{Backoff: rest}, func(tb *Table, now time.Time) { applyList(tb, now); applyList(tb, now, listEntry("u1", "d", 1)) }, rest - 1, false},
-		"rest, then a new instance":         {Notices{Backoff: rest}, func(tb *Table, now time.Time) { applyList(tb, now, listEntry("u1", "d", 2)) }, 0, true},
-		"rest, then RestsEnded is called":   {Notices{Backoff: rest}, func(tb *Table, now time.Time) { tb.TakeEndedBackoffs(now) }, rest - 1, false},
+		}, backoff - 1, false},
+		"rest, then a longer one": {Notices{Backoff: backoff}, func(tb *Table, now time.Time) {
+			tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, Notices{Backoff: 2 * backoff}, now)
+		}, backoff, false},
+		"rest, then listed again":           {Notices{Backoff: backoff}, func(tb *Table, now time.Time) { applyList(tb, now, listEntry("u1", "d", 1)) }, backoff - 1, false},
+		"rest, then not listed for a while": {Notices{Backoff: backoff}, func(tb *Table, now time.Time) { applyList(tb, now); applyList(tb, now, listEntry("u1", "d", 1)) }, backoff - 1, false},
+		"rest, then a new instance":         {Notices{Backoff: backoff}, func(tb *Table, now time.Time) { applyList(tb, now, listEntry("u1", "d", 2)) }, 0, true},
+		"rest, then RestsEnded is called":   {Notices{Backoff: backoff}, func(tb *Table, now time.Time) { tb.TakeEndedBackoffs(now) }, backoff - 1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			now := time.Unix(1000, 0)
 			tb := newTwoCentreTable(1, now)
-			tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, c.said, now)
+			tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, c.stated, now)
 			if c.then != nil {
 				c.then(tb, now)
 			}
-			tb.dropStaleAnnouncements(now)
+			tb.dropStaleNotices(now)
 			now = now.Add(c.after)
 			onlyU1 := Query{Kind: config.EnginePool, DataCentre: "d", Exclude: []contract.UpstreamID{"u2"}}
 			_, err := tb.Pick(onlyU1, now, rand.New(rand.NewPCG(1, 1)))
@@ -98,9 +98,9 @@
 	}
 }
 
-// TestNoPickWhenAllRestOrLeave checks that nothing is selected if all upstreams rest or leave,
+// TestNoPickWhenAllBackOffOrLeave checks that nothing is selected if all upstreams rest or leave,
 // however unhealthy the others are, and that Outlook reports the first rest that ends.
-func TestNoPickWhenAllRestOrLeave(t *testing.T) {
+func TestNoPickWhenAllBackOffOrLeave(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tb := newTwoCentreTable(1, now)
@@ -114,38 +114,38 @@
 	tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u2", Incarnation: 1}, Notices{Leaving: true}, now)
 	is.Equal(pickID(tb, now), contract.UpstreamID(""))
 	o := tb.Outlook(engineQuery, now)
-	is.Equal(o, Outlook{Listed: 2, Resting: 1, Leaving: 1, NextBackoffEnd: 2 * time.Second, NextBackoffLength: 2 * time.Second})
+	is.Equal(o, Outlook{Listed: 2, BackedOff: 1, Leaving: 1, NextBackoffEnd: 2 * time.Second, NextBackoffLength: 2 * time.Second})
 	is.True(o.NoneAccepting())
 	tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, Notices{Leaving: true}, now)
 	is.True(!tb.Outlook(engineQuery, now).NoneAccepting()) // no upstream will take requests later
 }
 
-// TestAnnouncementsAffectReachability checks other effects of announcements: a VM that reaches no
+// TestNoticesAffectReachability checks other effects of announcements: a VM that reaches no
 // other data centre and whose own upstreams leave counts as cut off, a leaving upstream is not
 // a probe target for its data centre, and a resting engine does not count as receiving prompts.
-func TestAnnouncementsAffectReachability(t *testing.T) {
+func TestNoticesAffectReachability(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tb := newTwoCentreTable(1, now)
 	tb.RecordDataCentreProbe("e", false, now)
 	pools := []contract.PoolID{PoolID("s", "v1", "d"), PoolID("s", "v1", "e")}
-	is.True(!tb.CutOff("d", pools, now))
+	is.True(!tb.Isolated("d", pools, now))
 	tb.states["u1"].promptSentAt = now
 	is.True(tb.states["u1"].receivesPrompts(now))
 	tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, Notices{Backoff: time.Second}, now)
 	is.True(!tb.states["u1"].receivesPrompts(now))
-	is.True(!tb.CutOff("d", pools, now)) // a resting upstream will be back soon
+	is.True(!tb.Isolated("d", pools, now)) // a resting upstream will be back soon
 	tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, Notices{Leaving: true}, now)
-	is.True(tb.CutOff("d", pools, now))
+	is.True(tb.Isolated("d", pools, now))
 	random := rand.New(rand.NewPCG(1, 1))
 	is.Equal(len(tb.ProbeTargets(now, random)), 1)
 	tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u2", Incarnation: 1}, Notices{Leaving: true}, now)
 	is.Equal(len(tb.ProbeTargets(now, random)), 0)
 }
 
-// TestAnnouncementsExpire checks that announcements are kept only for instances that are listed or
-// were listed within announcementTTL.
-func TestAnnouncementsExpire(t *testing.T) {
+// TestNoticesExpire checks that announcements are kept only for instances that are listed or
+// were listed within noticesTTL.
+func TestNoticesExpire(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tb := NewTable(Options{Listed: true})
@@ -155,23 +155,25 @@
 		now = now.Add(time.Second)
 		tb.CompareUpstreams("d", now)
 	}
-	is.True(len(tb.announcements) <= int(announcementTTL/time.Second)+1)
-	for range 2 * int(announcementTTL/time.Second) {
+	is.True(len(tb.notices) <= int(noticesTTL/time.Second)+1)
+	for range 2 * int(noticesTTL/time.Second) {
 		now = now.Add(time.Second)
 		tb.CompareUpstreams("d", now)
 	}
-	is.Equal(len(tb.announcements), 1) // still listed and still leaving
+	is.Equal(len(tb.notices), 1) // still listed and still leaving
 	is.Equal(pickID(tb, now), contract.UpstreamID(""))
 }
 
-// TestRestOfReportingUpstream checks that a rest requested by an upstream that sends load reports
+// TestBackoffOfReportingUpstream checks that a rest requested by an upstream that sends load reports
 // is not ended by further reports or a good answer, but is ended by a restart.
-func TestRestOfReportingUpstream(t *testing.T) {
+func TestBackoffOfReportingUpstream(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tb := NewTable(Options{})
 	tb.Configure(map[contract.PoolID]*config.Pool{"p": {ID: "p", Kind: config.EnginePool, Slots: 4, Upstreams: []config.Upstream{{ID: "u1", URL: "u1"}}}})
-	report := func(life contract.Incarnation) { tb.ApplyReport("u1", contract.LoadReport{Incarnation: life}, now) }
+	report := func(instance contract.Incarnation) {
+		tb.ApplyReport("u1", contract.LoadReport{Incarnation: instance}, now)
+	}
 	report(5)
 	is.Equal(pickID(tb, now), contract.UpstreamID("u1"))
 	tb.ApplyNotices(tb.Instance("u1"), Notices{Backoff: 2 * time.Second}, now)
@@ -186,10 +188,10 @@
 	is.Equal(pickID(tb, now), contract.UpstreamID("u1"))
 }
 
-// TestRepeatedlyTurnedAway sends 40 requests per second to two upstreams, one of which turns
+// TestRepeatedlyRejected sends 40 requests per second to two upstreams, one of which turns
 // requests away for 5 s without requesting a rest. It must get only a few of them and be back soon
 // after it has answered one. A lack of free connections must not extend the time that it is skipped.
-func TestRepeatedlyTurnedAway(t *testing.T) {
+func TestRepeatedlyRejected(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tb := newTwoCentreTable(1, now)
@@ -223,32 +225,32 @@
 	is.Equal(pickID(tb, now.Add(fullSkip)), contract.UpstreamID("u1"))
 }
 
-// TestRandomAnnouncementsHold generates announcements, lists, request results and passing time, and
+// TestRandomNoticesPersist generates announcements, lists, request results and passing time, and
 // compares the selected upstreams with an oracle that never forgets an announcement.
-func TestRandomAnnouncementsHold(t *testing.T) {
+func TestRandomNoticesPersist(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		type oracleEntry struct {
-			life  contract.UpstreamInstance
-			leave bool
-			until time.Time
+			instance contract.UpstreamInstance
+			leave    bool
+			until    time.Time
 		}
 		var oracle []oracleEntry
 		now := time.Unix(1000, 0)
-		born := map[contract.UpstreamID]int64{"u1": 1, "u2": 1}
+		incarnations := map[contract.UpstreamID]int64{"u1": 1, "u2": 1}
 		tb := newTwoCentreTable(1, now)
 		for range rapid.IntRange(1, 40).Draw(r, "steps") {
 			id := contract.UpstreamID(fmt.Sprint("u", rapid.IntRange(1, 2).Draw(r, "upstream")))
 			switch rapid.IntRange(0, 4).Draw(r, "step") {
 			case 0:
-				said := Notices{Leaving: rapid.IntRange(0, 9).Draw(r, "leaving") == 0, Backoff: time.Duration(rapid.IntRange(0, 3000).Draw(r, "rest")) * time.Millisecond}
-				l := contract.UpstreamInstance{Upstream: id, Incarnation: born[id]}
-				tb.ApplyNotices(l, said, now)
-				oracle = append(oracle, oracleEntry{l, said.Leaving, now.Add(said.Backoff)})
+				stated := Notices{Leaving: rapid.IntRange(0, 9).Draw(r, "leaving") == 0, Backoff: time.Duration(rapid.IntRange(0, 3000).Draw(r, "rest")) * time.Millisecond}
+				l := contract.UpstreamInstance{Upstream: id, Incarnation: incarnations[id]}
+				tb.ApplyNotices(l, stated, now)
+				oracle = append(oracle, oracleEntry{l, stated.Leaving, now.Add(stated.Backoff)})
 			case 1:
 				tb.RecordDone(id, Result(rapid.IntRange(0, int(Broken)).Draw(r, "result")), 0, now)
 			case 2:
-				born[id] += int64(rapid.IntRange(0, 1).Draw(r, "restarts"))
-				applyList(tb, now, listEntry("u1", "d", born["u1"]), listEntry("u2", "e", born["u2"]))
+				incarnations[id] += int64(rapid.IntRange(0, 1).Draw(r, "restarts"))
+				applyList(tb, now, listEntry("u1", "d", incarnations["u1"]), listEntry("u2", "e", incarnations["u2"]))
 			case 3:
 				now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(r, "advance")) * time.Millisecond)
 			case 4:
@@ -257,7 +259,7 @@
 			}
 			got := pickID(tb, now)
 			for _, e := range oracle {
-				if got == e.life.Upstream && born[got] == e.life.Incarnation && (e.leave || now.Before(e.until)) {
+				if got == e.instance.Upstream && incarnations[got] == e.instance.Incarnation && (e.leave || now.Before(e.until)) {
 					r.Fatalf("%s is selected at %v despite the announcement %+v", got, now, e)
 				}
 			}
--- a/upstream/outlook.go
+++ b/upstream/outlook.go
@@ -6,7 +6,7 @@
 type Outlook struct {
 	// Listed is the number of these upstreams. Resting, Leaving and AtLimit count those
 	// that requested a rest, that are leaving, and that have used up their rate limit.
-	Listed, Resting, Leaving, AtLimit int
+	Listed, BackedOff, Leaving, AtLimit int
 	// PerSecond is the total request rate that the upstreams in AtLimit take from all VMs.
 	PerSecond float64
 	// NextBackoffEnd is the time until the first rest ends, and Rest the whole length of that rest:
@@ -16,7 +16,7 @@
 
 // NoneAccepting reports whether no upstream takes requests now but at least one will later.
 func (o Outlook) NoneAccepting() bool {
-	return o.Resting+o.AtLimit > 0 && o.Resting+o.AtLimit+o.Leaving == o.Listed
+	return o.BackedOff+o.AtLimit > 0 && o.BackedOff+o.AtLimit+o.Leaving == o.Listed
 }
 
 // Outlook returns the outlook for a query. It includes the upstreams that have already failed
@@ -32,14 +32,14 @@
 		switch {
 		case s.isLeaving():
 			o.Leaving++
-		case s.announced.isResting(now):
-			o.Resting++
-			if in := s.announced.restUntil.Sub(now); o.Resting == 1 || in < o.NextBackoffEnd {
-				o.NextBackoffEnd, o.NextBackoffLength = in, s.announced.rest
+		case s.notices.inBackoff(now):
+			o.BackedOff++
+			if in := s.notices.backoffUntil.Sub(now); o.BackedOff == 1 || in < o.NextBackoffEnd {
+				o.NextBackoffEnd, o.NextBackoffLength = in, s.notices.backoff
 			}
 		case !t.withinLimit(s, now):
 			o.AtLimit++
-			o.PerSecond += maxSendRate(s.announced.limit.PerSecond)
+			o.PerSecond += maxSendRate(s.notices.limit.PerSecond)
 		}
 	}
 	return o
--- a/upstream/pick.go
+++ b/upstream/pick.go
@@ -127,7 +127,7 @@
 // rendezvousHash ranks upstreams for a prefix (or VMs for an upstream). The key and the state's
 // hash are hashes already; the steps mix their bits (the finalizer of splitmix64).
 func (s *state) rendezvousHash(key uint64) uint64 {
-	x := s.hashSeed ^ key
+	x := s.idHash ^ key
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
--- a/upstream/prefill_price.go
+++ b/upstream/prefill_price.go
@@ -29,8 +29,8 @@
 	updatedAt  time.Time
 	// meanObjective is the mean latency objective of the prompts, in seconds.
 	meanObjective float64
-	// meanWorth is the mean worth of the prompts.
-	meanWorth float64
+	// meanValue is the mean worth of the prompts.
+	meanValue float64
 }
 
 // Parameters of demand.
@@ -50,24 +50,24 @@
 }
 
 // recordPrompt counts a prompt of this VM, scaled up by the number of VMs.
-func (d *demand) recordPrompt(objective time.Duration, worth float64, vms int, now time.Time) {
+func (d *demand) recordPrompt(objective time.Duration, value float64, vms int, now time.Time) {
 	d.decay(now)
 	d.promptRate += float64(vms) / demandWindow.Seconds()
 	if d.meanObjective == 0 {
-		d.meanObjective, d.meanWorth = objective.Seconds(), worth
+		d.meanObjective, d.meanValue = objective.Seconds(), value
 	}
 	d.meanObjective += demandMeanWeight * (objective.Seconds() - d.meanObjective)
-	d.meanWorth += demandMeanWeight * (worth - d.meanWorth)
+	d.meanValue += demandMeanWeight * (value - d.meanValue)
 }
 
 // RecordPrompt records a prompt that arrived at this VM, which is one of vms VMs. It returns the worth
 // of the prompt relative to the mean.
-func (t *Table) RecordPrompt(objective time.Duration, worth float64, vms int, now time.Time) float64 {
-	t.demand.recordPrompt(objective, worth, max(vms, 1), now)
-	if t.demand.meanWorth <= 0 {
+func (t *Table) RecordPrompt(objective time.Duration, value float64, vms int, now time.Time) float64 {
+	t.demand.recordPrompt(objective, value, max(vms, 1), now)
+	if t.demand.meanValue <= 0 {
 		return 1
 	}
-	return worth / t.demand.meanWorth
+	return value / t.demand.meanValue
 }
 
 // countActiveEngines updates the number of engines that currently receive prompts.
--- a/upstream/reachability.go
+++ b/upstream/reachability.go
@@ -37,7 +37,7 @@
 // ProbeTargets returns the address of one random upstream, as a probe target, for each data centre that
 // appears or is suspected to be cut off.
 func (t *Table) ProbeTargets(now time.Time, random *rand.Rand) map[contract.DataCentreID]string {
-	drawn := make(map[contract.DataCentreID]string)
+	targets := make(map[contract.DataCentreID]string)
 	seen := make(map[contract.DataCentreID]int)
 	for _, s := range t.sortedStates {
 		dc := s.pool.DataCentre
@@ -46,10 +46,10 @@
 		}
 		seen[dc]++
 		if random.IntN(seen[dc]) == 0 { // reservoir sampling: each upstream is equally likely
-			drawn[dc] = s.upstream.URL
+			targets[dc] = s.upstream.URL
 		}
 	}
-	return drawn
+	return targets
 }
 
 // RecordDataCentreProbe records whether a data centre that appeared to be cut off could be reached.
@@ -62,9 +62,9 @@
 	t.unreachableUntil[dc] = now.Add(unreachableFor)
 }
 
-// CutOff reports whether a VM of data centre dc is cut off from all other data centres and none
+// Isolated reports whether a VM of data centre dc is cut off from all other data centres and none
 // of the given pools has a working upstream in its own: no request for them can be served.
-func (t *Table) CutOff(dc contract.DataCentreID, pools []contract.PoolID, now time.Time) bool {
+func (t *Table) Isolated(dc contract.DataCentreID, pools []contract.PoolID, now time.Time) bool {
 	others := false
 	for _, s := range t.sortedStates {
 		if s.pool.DataCentre != dc {
--- a/upstream/reachability_test.go
+++ b/upstream/reachability_test.go
@@ -9,8 +9,8 @@
 	"woaddoor/contract"
 )
 
-// TestVMCutOff checks when a VM counts as cut off from the upstreams of its pools.
-func TestVMCutOff(t *testing.T) {
+// TestVMIsolated checks when a VM counts as cut off from the upstreams of its pools.
+func TestVMIsolated(t *testing.T) {
 	now := time.Unix(100, 0)
 	pools := func(entries []Entry) (ids []contract.PoolID) {
 		for _, e := range entries {
@@ -25,8 +25,8 @@
 		}
 	}
 	for name, c := range map[string]struct {
-		change func(tb *Table)
-		cutOff bool
+		change   func(tb *Table)
+		isolated bool
 	}{
 		"all upstreams reachable":       {func(*Table) {}, false},
 		"other data centre unreachable": {func(tb *Table) { finishRequests(tb, Unreachable, "e0") }, false},
@@ -48,8 +48,8 @@
 			is := is.New(t)
 			tb, entries := newListedTable(2)
 			c.change(tb)
-			is.Equal(tb.CutOff("d", pools(entries), now), c.cutOff)
-			is.True(!tb.CutOff("d", pools(entries), now.Add(unreachableFor))) // no attempt since then
+			is.Equal(tb.Isolated("d", pools(entries), now), c.isolated)
+			is.True(!tb.Isolated("d", pools(entries), now.Add(unreachableFor))) // no attempt since then
 		})
 	}
 }
--- a/upstream/replay_test.go
+++ b/upstream/replay_test.go
@@ -77,12 +77,12 @@
 		t: t, policy: policy, engines: make(map[contract.UpstreamID]*replayEngine), random: rand.New(rand.NewPCG(7, 7)),
 		now: time.Unix(100, 0), late: make(map[string]int), total: make(map[string]int),
 	}
-	const memory = 460000
+	const cacheTokens = 460000
 	var entries []Entry
 	for i := range engines {
 		id := contract.UpstreamID(fmt.Sprintf("e%02d", i))
-		entries = append(entries, Entry{ID: id, Service: "s", Address: string(id), DataCentre: "d", Release: "v1", Slots: 64, CacheTokens: memory})
-		r.engines[id] = &replayEngine{prefixCache: prefill.NewPrefixCache(memory)}
+		entries = append(entries, Entry{ID: id, Service: "s", Address: string(id), DataCentre: "d", Release: "v1", Slots: 64, CacheTokens: cacheTokens})
+		r.engines[id] = &replayEngine{prefixCache: prefill.NewPrefixCache(cacheTokens)}
 	}
 	for range vms {
 		tb := NewTable(Options{Listed: true, Policy: policy})
--- a/upstream/table.go
+++ b/upstream/table.go
@@ -92,18 +92,18 @@
 	coldTransitions []ColdTransition
 	// announcements holds what each instance stated about itself in its answers. limited holds
 	// the listed upstreams whose announced rate limit is in force, sorted by ID.
-	announcements map[contract.UpstreamInstance]*announcement
-	limited       []*state
+	notices map[contract.UpstreamInstance]*instanceNotices
+	limited []*state
 }
 
 // state holds what is known about one upstream.
 type state struct {
 	upstream config.Upstream
 	pool     *config.Pool
-	hashSeed uint64 // hash of the upstream ID, for rendezvous hashing
+	idHash   uint64 // hash of the upstream ID, for rendezvous hashing
 
-	incarnation contract.Incarnation
-	load        contract.LoadReport
+	reportedIncarnation contract.Incarnation
+	load                contract.LoadReport
 	// reportedAt is when the last load report was requested; zero means never.
 	reportedAt time.Time
 	// leavingIncarnation is the incarnation that is known to be leaving. A later
@@ -129,14 +129,14 @@
 	// cachedRankVersion of the owners.
 	cachedRank, cachedRankVersion int
 	// born and slots are copied from the list entry; cold is the estimated cold state.
-	born  int64
-	slots int
-	cold  coldState
+	incarnation int64
+	slots       int
+	cold        coldState
 	// announced is what the current instance stated about itself in answers; nil if
-	// nothing. othersRestUntil is when the last rest ends that the upstream requested from
+	// nothing. othersBackoffUntil is when the last rest ends that the upstream requested from
 	// other VMs; a rest is a pause in which the upstream gets no new requests.
-	announced       *announcement
-	othersRestUntil time.Time
+	notices            *instanceNotices
+	othersBackoffUntil time.Time
 }
 
 // NewTable returns an empty table.
@@ -144,7 +144,7 @@
 	o := opts.withDefaults()
 	return &Table{
 		opts: o, unreachableUntil: make(map[contract.DataCentreID]time.Time), suspectedCentres: make(map[contract.DataCentreID]bool), states: make(map[contract.UpstreamID]*state), pools: make(map[contract.PoolID][]*state), byDataCentre: make(map[contract.DataCentreID][]*state),
-		prefillRates: prefill.NewRates(nil), announcements: make(map[contract.UpstreamInstance]*announcement),
+		prefillRates: prefill.NewRates(nil), notices: make(map[contract.UpstreamInstance]*instanceNotices),
 	}
 }
 
@@ -157,7 +157,7 @@
 		for _, u := range p.Upstreams {
 			s, had := t.states[u.ID]
 			if !had || s.upstream.URL != u.URL {
-				s = &state{hashSeed: xxhash.Sum64String(string(u.ID)), prefixCache: prefill.NewPrefixCache(0)}
+				s = &state{idHash: xxhash.Sum64String(string(u.ID)), prefixCache: prefill.NewPrefixCache(0)}
 			}
 			s.upstream, s.pool = u, p
 			states[u.ID] = s
@@ -177,15 +177,15 @@
 // older than the last one or that comes from an earlier incarnation.
 func (t *Table) ApplyReport(id contract.UpstreamID, l contract.LoadReport, askedAt time.Time) {
 	s, ok := t.states[id]
-	if !ok || askedAt.Before(s.reportedAt) || l.Incarnation < s.incarnation {
+	if !ok || askedAt.Before(s.reportedAt) || l.Incarnation < s.reportedIncarnation {
 		return
 	}
-	if l.Incarnation > s.incarnation {
+	if l.Incarnation > s.reportedIncarnation {
 		// A new incarnation at the same address: reset the state of the previous
 		// incarnation, except for the count of requests still in flight.
-		s.incarnation, s.failures, s.breakerOpenUntil, s.serviceTime, s.othersInFlight = l.Incarnation, 0, time.Time{}, 0, 0
-		s.born = int64(l.Incarnation)
-		s.announced = t.announcements[contract.UpstreamInstance{Upstream: id, Incarnation: s.born}]
+		s.reportedIncarnation, s.failures, s.breakerOpenUntil, s.serviceTime, s.othersInFlight = l.Incarnation, 0, time.Time{}, 0, 0
+		s.incarnation = int64(l.Incarnation)
+		s.notices = t.notices[contract.UpstreamInstance{Upstream: id, Incarnation: s.incarnation}]
 	}
 	if l.Draining {
 		s.leavingIncarnation = l.Incarnation
@@ -200,7 +200,7 @@
 func (t *Table) MarkLeaving(leaving map[contract.UpstreamID]bool) {
 	for id, s := range t.states {
 		if leaving[id] {
-			s.leavingIncarnation = max(s.leavingIncarnation, s.incarnation)
+			s.leavingIncarnation = max(s.leavingIncarnation, s.reportedIncarnation)
 		}
 	}
 }
@@ -298,11 +298,11 @@
 
 // All returns the configuration of all upstreams, in no particular order.
 func (t *Table) All() []config.Upstream {
-	every := make([]config.Upstream, 0, len(t.states))
+	upstreams := make([]config.Upstream, 0, len(t.states))
 	for _, s := range t.states {
-		every = append(every, s.upstream)
+		upstreams = append(upstreams, s.upstream)
 	}
-	return every
+	return upstreams
 }
 
 // UsableSlots returns the total number of slots (concurrent requests) of the usable upstreams of a
