--- a/relay/buffered.go
+++ b/relay/buffered.go
@@ -16,8 +16,8 @@
 // errAnswerTooLong means that an answer exceeds maxBufferedAnswer.
 var errAnswerTooLong = errors.New("answer is longer than 8 MiB")
 
-// serveBuffered answers a request with one complete answer. The answer is buffered to its end,
-// so that a broken one can be retried or reported as an error.
+// serveBuffered answers a request with one complete answer. The answer is buffered to its end, so
+// that a broken answer can be retried or reported as an error.
 func (r *Relay) serveBuffered(ctx context.Context, j *job, c Caller) (RequestEnd, *contract.Refusal) {
 	var failure *ResponseHead // most recent answer with an error status
 	var failureBody []byte
@@ -54,6 +54,7 @@
 	return !h.NotRun && (h.Status < http.StatusInternalServerError || !j.Route.Repeatable())
 }
 
+// deliver sends a complete answer to the caller.
 func (r *Relay) deliver(j *job, c Caller, h *ResponseHead, body []byte) (RequestEnd, *contract.Refusal) {
 	j.outcome, j.status = contract.OutcomeRan, h.Status
 	if err := c.SendResponse(h, body); err != nil {
@@ -62,8 +63,8 @@
 	return Delivered, nil
 }
 
-// contextEnd returns how a request ends whose context was canceled, by the caller's
-// disconnection or by the deadline.
+// contextEnd returns how a request ends after its context was canceled by the disconnection of
+// the caller or by the deadline.
 func (r *Relay) contextEnd(ctx context.Context, j *job) (RequestEnd, *contract.Refusal) {
 	if errors.Is(context.Cause(ctx), errDeadline) {
 		return Refused, refuseDeadline(j)
@@ -93,7 +94,7 @@
 	return a.head, body, r.recordAnswer(j, a, err)
 }
 
-// recordAnswer records how an attempt at a complete answer ended.
+// recordAnswer records how an attempt ended whose answer is not an event stream.
 func (r *Relay) recordAnswer(j *job, a *attempt, err error) error {
 	took := r.opts.Now().Sub(a.startedAt)
 	h := a.head
--- a/relay/cold.go
+++ b/relay/cold.go
@@ -17,7 +17,7 @@
 	Overshoot, Slack float64
 }
 
-// boundFor returns the limit of a cold upstream of a service.
+// boundFor returns the bound on the requests to a cold upstream of a service.
 func (b ColdBounds) boundFor(s *route.Service) upstream.ColdBound {
 	if s == nil || s.Cold.PerSecond <= 0 {
 		return upstream.ColdBound{}
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -17,7 +17,7 @@
 // was lost. An upstream that has crashed is back after a few seconds.
 const probeTimeout = 1500 * time.Millisecond
 
-// contentFingerprint returns the hash of the request's content.
+// contentFingerprint returns the fingerprint (hash) of the request's content.
 func (j *job) contentFingerprint() quarantine.Fingerprint {
 	if j.cachedFingerprint == nil {
 		p := quarantine.FingerprintOf(j.Workspace, j.Host, j.URI, j.Body)
@@ -33,8 +33,8 @@
 // of one upstream after another, and each attempt broke off within 2 ms.
 const staleConnectionWindow = 25 * time.Millisecond
 
-// recordBrokenConnection records that the connection of a request to an upstream broke off.
-// One connection attempt to its address determines whether the upstream has crashed. The
+// recordBrokenConnection records that the connection to an upstream broke off while a request
+// used it. One connection attempt to its address determines whether the upstream has crashed. The
 // caller holds mu.
 func (r *Relay) recordBrokenConnection(j *job, e upstream.Entry) {
 	now := r.opts.Now()
@@ -55,8 +55,8 @@
 }
 
 // endIsUnplanned reports whether the end of an upstream would be a crash. Upstreams that are
-// leaving, and those of a release that another one has replaced, end as planned. The caller
-// holds mu.
+// leaving, and upstreams of a release that another release has replaced, end as planned. The
+// caller holds mu.
 func (r *Relay) endIsUnplanned(e upstream.Entry) bool {
 	listed, ok := r.entries[e.ID]
 	if !ok || listed.Incarnation != e.Incarnation || r.table.IsLeaving(e.ID) || r.rolledBack[e.Service][e.Release] {
@@ -79,8 +79,8 @@
 	r.withLock(func() { r.recordCrash(l, "nothing listens", r.possibleCrashes.Confirm(l)) })
 }
 
-// detectReplaced detects crashes from the upstream list: a new incarnation at the address of
-// an upstream shows that the earlier one has ended. The caller holds mu.
+// detectReplaced detects crashes from the upstream list: a new instance at the address of an
+// upstream shows that the earlier instance has ended. The caller holds mu.
 func (r *Relay) detectReplaced() {
 	if !r.possibleCrashes.Any() {
 		return
--- a/relay/evacuation.go
+++ b/relay/evacuation.go
@@ -11,7 +11,8 @@
 	"woaddoor/contract"
 )
 
-// evacuation is the state of a data centre whose upstreams must receive no more requests.
+// evacuation is the state of an evacuated data centre: its upstreams must receive no more
+// requests.
 type evacuation struct {
 	startedAt time.Time // when this VM learned of it
 }
@@ -85,11 +86,11 @@
 	return out
 }
 
-// filterPools removes the pools that are in evacuated data centres or outside the request's
-// regions, and then the candidates without pools: in a query, an empty pool list would match
-// all pools of all services. While the load moves, the request id determines whether a request
-// has already moved, so that all decisions on a request use the same pools. The caller holds
-// mu.
+// filterPools removes the pools that are in evacuated data centres or outside the regions of the
+// request, and then the candidates that have no pools left: in a query, an empty pool list would
+// match all pools of all services. While the load moves, the request id determines whether a
+// request has already moved, so that all decisions on a request use the same pools. The caller
+// holds mu.
 func (r *Relay) filterPools(j *job, order []candidatePools, now time.Time) []candidatePools {
 	for i := range order {
 		order[i].pools = r.allowedPools(j.Request, order[i].pools)
--- a/relay/gossip.go
+++ b/relay/gossip.go
@@ -8,8 +8,9 @@
 	"woaddoor/upstream"
 )
 
-// SentPrompt describes a prompt that a VM has sent to an upstream, as reported to other VMs. It
-// tells them how much prefill precedes their own prompts, and what the upstream will cache.
+// SentPrompt describes a prompt that a VM has sent to an upstream, as reported to other VMs. The
+// report shows them how much prefill precedes their own prompts, and what the upstream will
+// cache.
 type SentPrompt struct {
 	Upstream contract.UpstreamID `cbor:"1,keyasint"`
 	Model    contract.ModelID    `cbor:"2,keyasint"`
@@ -20,12 +21,12 @@
 	// TokenTime is the model's prefill time per token as measured by the sending VM; zero if
 	// it has too few samples.
 	TokenTime time.Duration `cbor:"6,keyasint,omitempty"`
-	// Incarnation identifies the incarnation of the upstream that received the prompt.
+	// Incarnation identifies the instance of the upstream that received the prompt.
 	Incarnation int64 `cbor:"7,keyasint,omitempty"`
 }
 
-// ConfidenceReport is the confidence that a model reported for one of its answers, as exchanged between
-// VMs.
+// ConfidenceReport is the confidence that a model reported for one of its answers, as exchanged
+// between VMs.
 type ConfidenceReport struct {
 	Model contract.ModelID `cbor:"1,keyasint"`
 	// Largest is the model whose answers define good quality.
@@ -71,7 +72,7 @@
 	now := r.opts.Now()
 	for _, prompt := range sent {
 		if !r.isCurrent(prompt.Upstream, prompt.Incarnation) {
-			continue // of an earlier incarnation, or not in this VM's list
+			continue // sent to an earlier instance, or to an upstream that is not in this VM's list
 		}
 		r.table.RecordRemotePrompt(prompt.Upstream, prefill.Prompt{Model: prompt.Model, Tokens: prompt.Tokens, Parts: prompt.Parts}, prompt.PrefillTime, prompt.TokenTime, now)
 	}
--- a/relay/latency.go
+++ b/relay/latency.go
@@ -33,7 +33,7 @@
 )
 
 // latencyOf returns the latency estimate for the job's route and model. All jobs with a prompt
-// share one estimate, of the delay beyond the expected time to the first answer. The caller
+// share one estimate: that of the delay beyond the expected time to the first token. The caller
 // holds mu.
 func (r *Relay) latencyOf(j *job) *latencyStats {
 	key := j.Route.Name + "|" + string(j.model)
@@ -51,7 +51,8 @@
 // allPromptsKey is the key of the latency estimate that all prompts share.
 const allPromptsKey = ""
 
-// timeout returns how long an upstream may take to begin its answer.
+// timeout returns how long an upstream may take to begin its answer, for a route with the given
+// objective.
 func (s *latencyStats) timeout(objective time.Duration) time.Duration {
 	seconds := initialTimeoutPart * objective.Seconds()
 	if s.samples >= minLatencySamples {
@@ -61,6 +62,7 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
+// observe adds a sample to the estimate.
 func (s *latencyStats) observe(latency time.Duration) {
 	s.samples++
 	if s.samples == 1 {
@@ -96,14 +98,14 @@
 	}
 }
 
-// Kinds of times that are compared between releases.
+// Kinds of times that are compared between a canary release and the other releases.
 const (
 	timeToFirstAnswer = "|first"
 	timePerEvent      = "|event"
 )
 
-// addTime adds a measured time of the answer to the comparison between a canary release and
-// the others.
+// addTime adds a measured time of an attempt to the comparison between a canary release and the
+// others.
 func (a *attempt) addTime(j *job, kind string, d time.Duration) {
 	a.times = append(a.times, rollout.Latency{Kind: j.Route.Name + "|" + string(j.model) + kind, Seconds: d.Seconds()})
 }
--- a/relay/limits.go
+++ b/relay/limits.go
@@ -7,8 +7,8 @@
 	"woaddoor/upstream"
 )
 
-// recordLimit records the rate limit that the head of an answer announces for its upstream.
-// The caller holds mu.
+// recordLimit records the rate limit that the head of an answer states for its upstream. The
+// caller holds mu.
 func (r *Relay) recordLimit(j *job, h *ResponseHead, e upstream.Entry) {
 	change := r.table.ApplyLimitAnswer(e.Instance(), h.Notices.Limit, j.sentAt, r.opts.Now())
 	if change.Changed {
@@ -19,8 +19,8 @@
 	}
 }
 
-// MergeLimits merges the upstreams' rate limits known to another VM. fresh is set if they come
-// from answers that were just received.
+// MergeLimits merges the upstreams' rate limits known to another VM. fresh is set if the other VM
+// has just received them in answers.
 func (r *Relay) MergeLimits(known []upstream.LimitUpdate, fresh bool, from contract.VMID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,8 +62,8 @@
 	}, source...)...)
 }
 
-// recordLimitClaim records whether selecting the upstream took from this VM's share of its
-// rate limit. The caller holds mu.
+// recordLimitClaim records whether the selection of an upstream has used one request of this VM's
+// share of the upstream's rate limit. The caller holds mu.
 func (r *Relay) recordLimitClaim(j *job, l contract.UpstreamInstance) {
 	j.limitClaimed = r.table.HasLimit(l)
 	if j.limitClaimed {
@@ -71,8 +71,8 @@
 	}
 }
 
-// claimLimit reports whether the upstream's rate limit allows the request: either it took from
-// this VM's share when the upstream was selected, or it does so now. The caller holds mu.
+// claimLimit reports whether the upstream's rate limit allows the request: either the request has
+// used this VM's share when the upstream was selected, or it does so now. The caller holds mu.
 func (r *Relay) claimLimit(j *job, e upstream.Entry) bool {
 	if j.limitClaimed || !r.table.HasLimit(e.Instance()) {
 		return true
@@ -81,7 +81,8 @@
 	return j.limitClaimed
 }
 
-// releaseLimitClaim returns the share that was claimed for a request that was not sent.
+// releaseLimitClaim returns what a request that was not sent has claimed of this VM's share of a
+// rate limit.
 func (r *Relay) releaseLimitClaim(j *job) {
 	if !j.limitClaimed {
 		return
--- a/relay/limits_test.go
+++ b/relay/limits_test.go
@@ -17,7 +17,7 @@
 	return &ResponseHead{Status: http.StatusOK, Notices: upstream.Notices{Limit: upstream.RateLimit{Statement: upstream.LimitStated, PerSecond: perSecond}}}
 }
 
-// newLimitedRelay returns a relay with one upstream that announced a rate limit a minute ago.
+// newLimitedRelay returns a relay with one upstream that stated a rate limit a minute ago.
 func newLimitedRelay(t *testing.T, perSecond float64) (*Relay, *time.Time, upstream.Entry) {
 	t.Helper()
 	r, now, e, _ := newSingleUpstreamRelay(t, upstream.Notices{}, 0)
@@ -72,7 +72,7 @@
 }
 
 // TestLimitStatedWhileConnecting checks that a request waiting for a connection is sent only
-// within a rate limit that its upstream announces in the meantime.
+// within a rate limit that its upstream states in the meantime.
 func TestLimitStatedWhileConnecting(t *testing.T) {
 	is := is.New(t)
 	r, now, e, u := newSingleUpstreamRelay(t, upstream.Notices{}, 0)
@@ -94,8 +94,8 @@
 	is.Equal(len(u.Requests()), 1)
 }
 
-// TestLimitOfOtherIncarnationIgnored checks that a rate limit that another VM reports for a
-// different incarnation of an upstream is not applied to the listed one.
+// TestLimitOfOtherInstanceIgnored checks that a rate limit that another VM reports for a
+// different instance of an upstream is not applied to the listed instance.
 func TestLimitOfOtherIncarnationIgnored(t *testing.T) {
 	is := is.New(t)
 	r, _, e, _ := newSingleUpstreamRelay(t, upstream.Notices{}, 0)
--- a/relay/log.go
+++ b/relay/log.go
@@ -79,8 +79,8 @@
 
 func roundToHundredths(x float64) float64 { return math.Round(x*100) / 100 }
 
-// logFirstToken logs the estimates for an attempt at a prompt beside the measured time to the
-// first answer. The caller holds mu.
+// logFirstToken logs the estimated times of an attempt with a prompt, and the measured time until
+// its answer began. The caller holds mu.
 func (r *Relay) logFirstToken(j *job, h *ResponseHead) {
 	pending := j.pending
 	r.log.Info("attempt", zap.String("request", string(j.ID)), zap.String("upstream", string(pending.upstream)), zap.String("model", string(j.model)), zap.String("why", j.modelReason),
--- a/relay/metrics.go
+++ b/relay/metrics.go
@@ -37,10 +37,11 @@
 	wholeAnswer  metrics.Histogram
 	// upstreamsCrashed counts the upstreams that crashed while they executed requests.
 	upstreamsCrashed metrics.Counter
-	// leaveNotices counts the answers in which an upstream first announced its shutdown, and
-	// backoffNotices those that asked for a longer back-off. sendsToLeaving and
-	// sendsToBackedOff count the selections of such upstreams. sendsBlocked counts the
-	// requests that were not sent because a notice arrived after their upstream was selected.
+	// leaveNotices counts the answers in which an upstream first stated that it is leaving,
+	// and backoffNotices the answers that requested a longer back-off than before.
+	// sendsToLeaving and sendsToBackedOff count the selections of leaving upstreams and of
+	// those in back-off. sendsBlocked counts the requests that were not sent because a notice
+	// arrived after their upstream was selected.
 	leaveNotices, backoffNotices, sendsToLeaving, sendsToBackedOff, sendsBlocked metrics.Counter
 	// limitChanges counts the changes of upstreams' rate limits, and sendsToLimited the
 	// selections of upstreams with a rate limit.
--- a/relay/models.go
+++ b/relay/models.go
@@ -97,9 +97,9 @@
 	return model, reason
 }
 
-// resendPrice returns the price of one more send to the job's service, which later requests
-// then cannot use. While callers that were refused at the upstreams' rate limits wait to
-// retry, the send displaces one of theirs. The caller holds mu.
+// resendPrice returns the price of one more send to the job's service: a later request may then
+// be unable to make such a send. While callers that were refused because of the upstreams' rate
+// limits wait to retry, the send displaces one of their requests. The caller holds mu.
 func (r *Relay) resendPrice(j *job, now time.Time) float64 {
 	if r.table.CountLimited() > 0 && r.retrySchedule(j.service).Pending(now) {
 		return 1 / j.relativeValue
@@ -107,7 +107,7 @@
 	return cascade.EscalationPrice(r.retryBudget(j.service).UsedShare(retry.ForEscalation, r.opts.VMs(), now), r.opts.MaxEscalationPrice)
 }
 
-// mayDiscardAnswer reports whether an answer to the request may be discarded for another.
+// mayDiscardAnswer reports whether an answer to the request may be discarded in favor of another.
 func (j *job) mayDiscardAnswer() bool { return j.Route.Repeatable() && j.Route.MaxAttempts > 1 }
 
 // deadlineUnreachable reports whether no engine could begin to prefill the request's prompt
@@ -224,8 +224,8 @@
 	return larger, true
 }
 
-// onTrial reports whether the job runs on a canary release. Its answers are used only to judge
-// the release. The caller holds mu.
+// onTrial reports whether the job runs on a canary release. The answers of a canary release are
+// used only to judge the release. The caller holds mu.
 func (r *Relay) onTrial(j *job) bool {
 	c := r.canaries[j.service]
 	return c != nil && c.Order().Release == j.release
--- a/relay/notices.go
+++ b/relay/notices.go
@@ -43,8 +43,9 @@
 	}
 }
 
-// Backoff is a back-off that an upstream requested from one VM, as reported to other VMs. It
-// binds only that VM, but shows the others that the upstream may reject their requests too.
+// Backoff is a back-off that an upstream requested from one VM, as reported to other VMs. A
+// back-off binds only the VM from which it is requested, but shows the others that the upstream
+// may reject their requests too.
 type Backoff struct {
 	Life contract.UpstreamInstance `cbor:"1,keyasint"`
 	// Remaining is the remaining time of the back-off.
@@ -65,8 +66,8 @@
 	}
 }
 
-// errUnavailableMeanwhile means that an upstream announced that it accepts no more requests
-// while a request waited for a connection to it.
+// errUnavailableMeanwhile means that, while a request waited for a connection to an upstream, the
+// upstream stated that it accepts no more requests.
 var errUnavailableMeanwhile = errors.New("upstream stopped accepting requests while a connection to it was awaited")
 
 // checkStillAvailable returns an error if the selected upstream no longer accepts the request.
@@ -82,8 +83,8 @@
 	return errUnavailableMeanwhile
 }
 
-// countUnwantedSend counts a selection of an upstream that has asked for none. The caller
-// holds mu.
+// countUnwantedSend counts a selection of an upstream whose notices ask for no more requests. The
+// caller holds mu.
 func (r *Relay) countUnwantedSend(id contract.UpstreamID, now time.Time) {
 	backedOff, leaving := r.table.NoticeState(id, now)
 	if backedOff {
@@ -94,15 +95,15 @@
 	}
 }
 
-// logEndedBackoffs logs the back-offs that have ended. The caller holds mu.
+// logEndedBackoffs logs the back-offs that have ended since the last call. The caller holds mu.
 func (r *Relay) logEndedBackoffs(now time.Time) {
 	for _, l := range r.table.TakeEndedBackoffs(now) {
 		r.log.Info("upstream-rest-ends", zap.String("upstream", string(l.Upstream)), zap.Int64("born", l.Incarnation))
 	}
 }
 
-// CountBackedOff returns how many of the listed upstreams have requested a back-off, and how many
-// have announced their shutdown.
+// CountBackedOff returns how many of the listed upstreams have requested a back-off that is in
+// force, and how many have stated that they are leaving.
 func (r *Relay) CountBackedOff() (backedOff, leaving int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/relay/notices_test.go
+++ b/relay/notices_test.go
@@ -19,7 +19,8 @@
 	"woaddoor/upstream"
 )
 
-// plainProtocol sends a fixed request and adds its notices to the head of every answer.
+// plainProtocol is an UpstreamProtocol that sends a fixed request and adds its notices to the
+// head of every answer.
 type plainProtocol struct{ notices upstream.Notices }
 
 func (plainProtocol) Encode(*Request, Send) *exchange.Request {
@@ -100,7 +101,7 @@
 	is.Equal(backedOff, 1)
 }
 
-// TestBackoffIsCapped checks that a back-off of several days is capped at LongestRest.
+// TestBackoffIsCapped checks that a back-off of several days is capped at MaxBackoff.
 func TestBackoffIsCapped(t *testing.T) {
 	is := is.New(t)
 	r, now, e, _ := newSingleUpstreamRelay(t, upstream.Notices{}, 0)
@@ -116,9 +117,10 @@
 	is.True(refused == nil)
 }
 
-// TestRetriesSpreadAfterBackoff refuses 100 callers a second during a back-off of 3 s. If all
-// of them retried at its end, 300 requests would arrive at once. The test checks that they
-// retry at about the rate at which new requests arrive, and not before the back-off ends.
+// TestRetriesSpreadAfterBackoff refuses 100 callers a second during a back-off of 3 s. If all of
+// them retried at the end of the back-off, 300 requests would arrive at once. The test checks
+// that they retry at about the rate at which new requests arrive, and not before the back-off
+// ends.
 func TestRetriesSpreadAfterBackoff(t *testing.T) {
 	const (
 		backoff  = 3 * time.Second
@@ -172,8 +174,8 @@
 	is.True(!escalated)
 }
 
-// TestLoadOfEarlierIncarnationIgnored checks that the load reported in an answer is ignored if
-// the upstream has restarted since.
+// TestLoadOfEarlierInstanceIgnored checks that the load reported in an answer is ignored if the
+// upstream has restarted since it sent the answer.
 func TestLoadOfEarlierIncarnationIgnored(t *testing.T) {
 	is := is.New(t)
 	r, now, e, _ := newSingleUpstreamRelay(t, upstream.Notices{}, 0)
--- a/relay/prompt_load.go
+++ b/relay/prompt_load.go
@@ -7,7 +7,7 @@
 	"woaddoor/scaling"
 )
 
-// promptLoadSpan is the time over which the prefill work is averaged.
+// promptLoadSpan is the shortest time over which the prefill work of a service is averaged.
 const promptLoadSpan = 2 * time.Second
 
 // promptLoad is the prefill work that this VM sends to the engines of a service.
@@ -20,7 +20,7 @@
 	rate scaling.Load
 }
 
-// rotate ends the current span if its time is over.
+// rotate ends the current span if it has lasted promptLoadSpan.
 func (l *promptLoad) rotate(now time.Time) {
 	passed := now.Sub(l.spanStart)
 	if passed < promptLoadSpan {
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -9,8 +9,8 @@
 	"woaddoor/quarantine"
 )
 
-// prepareFingerprint computes the hash of the request's content if any content is suspected. It runs
-// before mu is acquired, because the body may be long.
+// prepareFingerprint computes the fingerprint of the request's content if any content is
+// suspected of crashing upstreams. It runs before mu is acquired, because the body may be long.
 func (r *Relay) prepareFingerprint(j *job) {
 	suspecting := false
 	r.withLock(func() { suspecting = !r.quarantineCases.Empty() })
@@ -79,14 +79,15 @@
 	}
 }
 
-// notifySuspected requests that the other VMs be notified at once. The caller holds mu.
+// notifySuspected requests that the other VMs be notified at once of suspected content. The
+// caller holds mu.
 func (r *Relay) notifySuspected() {
 	if r.opts.OnSuspect != nil {
 		r.opts.OnSuspect()
 	}
 }
 
-// logCase logs the state of suspected content. The caller holds mu.
+// logCase logs the state of content that is suspected of crashing upstreams. The caller holds mu.
 func (r *Relay) logCase(c *quarantine.Record, reporter string) {
 	event := "suspect"
 	if c.Held {
@@ -109,7 +110,7 @@
 }
 
 // MergeSuspects merges another VM's reports about content that crashes upstreams, and reports
-// whether any of them must be forwarded at once.
+// whether any of these reports must be forwarded at once.
 func (r *Relay) MergeSuspects(updates []quarantine.Update, from contract.VMID) (urgent bool) {
 	if len(updates) == 0 {
 		return false
@@ -130,7 +131,7 @@
 	r.quarantineCases.SetStored(h, r.opts.Now())
 }
 
-// RemoveQuarantined records that content is no longer marked as quarantined in the store since a
+// RemoveQuarantined records that content is no longer marked as quarantined in the store as of a
 // revision.
 func (r *Relay) RemoveQuarantined(p quarantine.Fingerprint, at contract.Revision) {
 	r.mu.Lock()
@@ -148,9 +149,9 @@
 	return r.quarantineCases.StoredExcept(stored)
 }
 
-// QuarantineUpdates are the changes to be written to the store's records of quarantined
-// content. Store holds the content to add, Erase the content to remove, and Try the content
-// for which to request a trial.
+// QuarantineUpdates are the changes to be written to the store's records of quarantined content.
+// Add holds the content to add, Remove the content to remove, and Trials the content for which to
+// request a trial.
 type QuarantineUpdates struct {
 	Add, Remove, Trials []quarantine.QuarantinedContent
 }
@@ -174,7 +175,7 @@
 	r.log.Info("held-trial", zap.Stringer("print", p), zap.Bool("granted", ok))
 }
 
-// CountQuarantined returns how many contents are quarantined.
+// CountQuarantined returns how many request contents are quarantined.
 func (r *Relay) CountQuarantined() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/relay/reachability.go
+++ b/relay/reachability.go
@@ -19,13 +19,13 @@
 	// data centre that is back is detected within one interval. Each probe opens a connection
 	// to an upstream, which has a cost.
 	probeInterval = 250 * time.Millisecond
-	// isolationDelay is how long a VM must be isolated before it reports that. A single lost
-	// packet does not count as isolation.
+	// isolationDelay is how long a VM must be isolated before it reports its isolation. A
+	// single lost packet does not count as isolation.
 	isolationDelay = 500 * time.Millisecond
 )
 
-// ProbeDataCentres probes data centres that appear unreachable until ctx ends, so that no request has to
-// discover their state.
+// ProbeDataCentres probes data centres that appear unreachable until ctx ends, so that no request
+// is needed to find out that they are reachable again.
 func (r *Relay) ProbeDataCentres(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, probeInterval)
@@ -87,8 +87,8 @@
 	return r.table.Isolated(r.opts.DataCentre, r.notEvacuated(poolsExcept(r.poolsByRelease[s], r.rolledBack[s]), 0, now), now)
 }
 
-// Isolated reports whether this VM has been isolated from all upstreams of a service for at
-// least isolationDelay. Callers are better served by a VM that can reach some.
+// Isolated reports whether this VM has been isolated from all upstreams of a service for at least
+// isolationDelay. Callers are better served by a VM that can reach some of them.
 func (r *Relay) Isolated() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/relay/refusals.go
+++ b/relay/refusals.go
@@ -10,7 +10,7 @@
 	"woaddoor/upstream"
 )
 
-// Delays after which a caller can usefully retry.
+// Delays after which a refused caller can usefully retry.
 const (
 	// retryAfterBusy is the approximate time until a slot at an upstream becomes free.
 	retryAfterBusy = 250 * time.Millisecond
@@ -88,9 +88,9 @@
 }
 
 // retryAfter returns the delay before a retry. It is defaultDelay unless all upstreams of the
-// service reject requests. If all of them back off, retries start when the first back-off
-// period ends, spread over a period as long as the back-off itself, up to maxRetrySpread.
-// Retries then arrive no faster than new requests. The caller holds mu.
+// service reject requests. If all of them back off, retries start when the first back-off period
+// ends, spread over a period as long as the back-off itself, up to maxRetrySpread. The retries
+// then arrive no faster than new requests. The caller holds mu.
 func (r *Relay) retryAfter(s contract.ServiceID, o upstream.Outlook, defaultDelay time.Duration, now time.Time) time.Duration {
 	if !o.NoneAccepting() {
 		return defaultDelay
@@ -102,8 +102,8 @@
 }
 
 // retryAfterAtLimit returns the delay before a retry at upstreams that have reached their rate
-// limits. Each VM schedules the retries of its callers at its share of these limits. The
-// caller holds mu.
+// limits. Each VM schedules the retries of its callers at the rate of its share of these limits.
+// The caller holds mu.
 func (r *Relay) retryAfterAtLimit(s contract.ServiceID, o upstream.Outlook, now time.Time) time.Duration {
 	return r.retrySchedule(s).NextDelay(o.PerSecond/float64(max(r.opts.VMs(), 1)), maxRetrySpread, r.random.Float64(), now)
 }
--- a/relay/regions.go
+++ b/relay/regions.go
@@ -6,9 +6,9 @@
 	"woaddoor/contract"
 )
 
-// AllowedIn reports whether a request may be executed, and its content stored, in a region.
-// Both its route and its workspace must allow the region. If neither restricts regions, all
-// are allowed. An unknown region is allowed only in that case.
+// AllowedIn reports whether a request may be executed, and its content stored, in a region. Both
+// its route and its workspace must allow the region. If neither restricts regions, all are
+// allowed. An unknown region is allowed only if neither restricts regions.
 func (q *Request) AllowedIn(region string) bool {
 	return allows(q.Route.Regions, region) && allows(q.Regions, region)
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -25,8 +25,7 @@
 	DataCentre contract.DataCentreID
 	// Regions maps each data centre to its region.
 	Regions map[contract.DataCentreID]string
-	// Self identifies this incarnation of the VM process in the rollout evidence that it
-	// counts.
+	// Self identifies this instance of the VM in the rollout evidence that the VM counts.
 	Self rollout.Observer
 	Log  *zap.Logger
 	Now  func() time.Time
@@ -51,33 +50,34 @@
 	// OnSent is called with each prompt that is sent to an upstream and whose prefill is long
 	// enough to report to other VMs. It must not block. May be nil.
 	OnSent func(SentPrompt)
-	// GossipScope returns the group of upstreams to which other VMs report their sends. Nil means
-	// that none are reported.
+	// GossipScope returns the upstreams of which other VMs report the prompts that they send
+	// to them. Nil means the zero upstream.GossipScope.
 	GossipScope func() upstream.GossipScope
 	// EvacuationBound is the time after which the upstreams of an evacuated data centre must
 	// receive no more requests; zero means that there is no bound.
 	EvacuationBound time.Duration
-	// ValueCostRatio is the value of a request of the highest priority as a multiple of what the
-	// most expensive model's answer to it costs. Zero means cascade.DefaultWorthOfCost.
+	// ValueCostRatio is the value of a request of the highest priority as a multiple of what
+	// the most expensive model's answer to it costs. Zero means
+	// cascade.DefaultValueCostRatio.
 	ValueCostRatio float64
-	// MaxBackoff caps the back-off period that an upstream can request. Zero means
-	// upstream.DefaultLongestRest.
+	// MaxBackoff caps the back-off that an upstream can request. Zero means
+	// upstream.DefaultMaxBackoff.
 	MaxBackoff time.Duration
-	// MaxEscalationPrice is the price of a repeated send when the retry budget is used up, as a
+	// MaxEscalationPrice is the price of an escalation when the retry budget is used up, as a
 	// fraction of the request's value.
 	MaxEscalationPrice float64
 	// ColdBounds limits the requests to cold upstreams, in addition to the limits of the
 	// configuration.
 	ColdBounds ColdBounds
-	// ColdOwners returns the VMs that share the cold upstreams of this data centre. Nil means that
-	// this VM is the only one.
+	// ColdOwners returns the VMs that divide the bounds of the cold and the rate-limited
+	// upstreams of this data centre among themselves. Nil means that this VM is the only one.
 	ColdOwners func() upstream.Owners
 	// OnBackoff is called with each back-off that an upstream requests. It must not block. May be
 	// nil.
 	OnBackoff func(Backoff)
-	// OnLimit is called with each change of an upstream's rate limit that other VMs must learn.
-	// If far is set, the VMs of other data centres must learn it too. It must not block. May
-	// be nil.
+	// OnLimit is called with each rate limit of an upstream that must be reported to other
+	// VMs. If remote is set, it must be reported to the VMs of other data centres too. It
+	// must not block. May be nil.
 	OnLimit func(known upstream.LimitUpdate, remote bool)
 	// OnConfidence is called with the confidence that a model reports for each of its answers. It
 	// must not block. May be nil.
@@ -115,7 +115,7 @@
 	retrySchedules map[contract.ServiceID]*retry.RetryScheduler
 	canaries       map[contract.ServiceID]*rollout.Canary
 	// rolledBack holds the releases found to be bad, by service. Their upstreams drain, and a
-	// later rollout order for another release does not bring them back.
+	// later rollout order for another release does not return them to service.
 	rolledBack map[contract.ServiceID]map[string]bool
 	// completedReleases holds the release of the last completed rollout, by service. Sessions
 	// stay on it during a later rollout, whatever other releases still run.
@@ -124,7 +124,8 @@
 	// confidences relates the confidence that models report for their answers to the quality
 	// of those answers.
 	confidences *cascade.ConfidenceEstimator
-	// gossipScope is the group of upstreams to which other VMs report their sends.
+	// gossipScope defines the upstreams of which other VMs report the prompts that they send
+	// to them.
 	gossipScope upstream.GossipScope
 	// isolatedSince is when this VM could no longer reach any upstream of some service; zero
 	// while it is not isolated.
@@ -132,8 +133,8 @@
 	// evacuations holds the data centres whose upstreams must receive no more requests.
 	evacuations map[contract.DataCentreID]evacuation
 	// possibleCrashes holds the upstreams whose connections broke off and that may have
-	// crashed. quarantineCases holds the content of the requests under which upstreams did
-	// crash.
+	// crashed. quarantineCases holds the content of the requests that upstreams executed when
+	// they crashed.
 	possibleCrashes *quarantine.CrashTracker
 	quarantineCases *quarantine.Table
 	// promptLoads holds, by service, the prefill work that this VM sends to the engines.
@@ -178,12 +179,12 @@
 	f()
 }
 
-// connectionShare is the part of an upstream's connections that all VMs together plan to use.
-// The rest is reserved for VMs that are not yet known.
+// connectionShare is the part of an upstream's connections that all VMs together plan to use. The
+// remainder is reserved for VMs that are not yet known.
 const connectionShare = 0.85
 
-// isCurrent reports whether an upstream still runs the given incarnation. Reports about an
-// earlier incarnation do not apply to the current one. The caller holds mu.
+// isCurrent reports whether the listed instance of an upstream has the given incarnation. Reports
+// about an earlier instance do not apply to the listed one. The caller holds mu.
 func (r *Relay) isCurrent(id contract.UpstreamID, incarnation int64) bool {
 	e, ok := r.entries[id]
 	return ok && e.Incarnation == incarnation
@@ -232,11 +233,11 @@
 	return len(r.entries)
 }
 
-// errSilent is the error of an attempt whose upstream sent nothing within its timeout.
+// errSilent is the error of an attempt whose upstream sent nothing within the timeout.
 var errSilent = errors.New("upstream is silent")
 
 // Serve answers a request through an upstream and returns how the request ended. A refusal is
-// always returned with Refused, and may be returned with Cut.
+// always returned with Refused, and may be returned with StreamCut.
 func (r *Relay) Serve(ctx context.Context, req *Request, c Caller) (RequestEnd, *contract.Refusal) {
 	ctx, cancel := context.WithDeadlineCause(ctx, req.Deadline, errDeadline)
 	defer cancel()
@@ -267,10 +268,10 @@
 	return end, refused
 }
 
-// sendingVMs returns how many VMs send requests to the engines in this VM's gossip group. The
+// sendingVMs returns how many VMs send requests to the engines in this VM's gossip scope. The
 // price of engine time depends on the demand from these VMs. Counting all VMs of five data
-// centres for the engines of one data centre made the price five times too high. The caller
-// holds mu.
+// centres for the engines of one data centre made the price five times too high. The caller holds
+// mu.
 func (r *Relay) sendingVMs() int {
 	if r.gossipScope.VMs > 0 {
 		return r.gossipScope.VMs
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -154,13 +154,13 @@
 	}
 }
 
-// TestSendingVMsFollowGossipScope checks that sendingVMs returns the number of VMs in the
-// gossip group, which send to the same engines, rather than the number of all VMs.
+// TestSendingVMsFollowGossipScope checks that sendingVMs returns the number of VMs in the gossip
+// scope, which send requests to the same engines, rather than the number of all VMs.
 func TestSendingVMsFollowGossipScope(t *testing.T) {
 	is := is.New(t)
 	r := newTestRelay()
 	r.opts.VMs = func() int { return 295 }
-	is.Equal(r.sendingVMs(), 295) // the gossip group is not yet known
+	is.Equal(r.sendingVMs(), 295) // the gossip scope is not yet known
 	r.opts.GossipScope = func() upstream.GossipScope { return upstream.GossipScope{VMs: 57} }
 	r.Refresh()
 	is.Equal(r.sendingVMs(), 57)
--- a/relay/request.go
+++ b/relay/request.go
@@ -1,11 +1,11 @@
-// Package relay carries a request through a VM. It admits the request, chooses the model and
-// the upstream, sends the request and checks the answer. It then delivers or resumes the
-// answer, retries, escalates to a larger model, or ends the request. The package is
-// independent of the wire protocols: a front end decodes callers' requests into Request and
-// encodes the answers, and a Dialect does the same for upstreams.
+// Package relay carries a request through a VM. It admits the request, chooses the model and the
+// upstream, sends the request and checks the answer. It then delivers or resumes the answer,
+// retries, escalates to a larger model, or ends the request. The package is independent of the
+// wire protocols: a front end decodes callers' requests into Request and encodes the answers, and
+// an UpstreamProtocol does the same for upstreams.
 //
 // The packages upstream, retry, stream, cascade and rollout make the decisions and do no I/O.
-// This package passes them the events that they need.
+// Package relay passes them the events that they need.
 package relay
 
 import (
@@ -25,7 +25,7 @@
 	// Regions are the regions to which the workspace restricts its requests; empty means any
 	// region.
 	Regions []string
-	// Priority is the rank of the request; 0 is the most urgent.
+	// Priority of the request; 0 is the most urgent.
 	Priority int
 	Route    *route.Route
 	// Revision is the revision of the configuration that contains Route.
@@ -48,10 +48,11 @@
 	// PromptTokens is the size of the prompt, and OutputTokens the largest size of the answer;
 	// zero means unknown.
 	PromptTokens, OutputTokens int
-	// PromptParts are the parts of the prompt in order. The last part belongs to this request alone.
+	// PromptParts are the parts of the prompt in order. The last part belongs to this request
+	// alone.
 	PromptParts []prefill.Part
-	// SharedPromptKey is a key of the part of the prompt that is shared with other requests; zero if
-	// there is none.
+	// SharedPromptKey is a key of the part of the prompt that is shared with other requests;
+	// zero if there is none.
 	SharedPromptKey uint64
 	// Session is a key shared by all requests of one session; zero if there is none.
 	Session uint64
@@ -67,7 +68,8 @@
 	Signed bool
 	// NotRun is set if the upstream states that it did not execute the request.
 	NotRun bool
-	// AddressReused is set if another upstream now has the address.
+	// AddressReused is set if another upstream now uses the address to which the request was
+	// sent.
 	AddressReused bool
 	// Confidence is the confidence that the model reports for its answer, from 0 to 1;
 	// negative if it reports none.
@@ -77,9 +79,9 @@
 	WeightsVersion string
 	// Load is the load that the upstream reports; nil if it reports none.
 	Load *Load
-	// Notices holds the notices with which the upstream asks senders to back off, to observe a
-	// rate limit or to expect its shutdown. Unread is the error of a notice that could not be
-	// parsed.
+	// Notices holds the notices with which the upstream asks senders to back off, to observe
+	// a rate limit or to expect its shutdown. NoticeError is the error of a notice that could
+	// not be parsed.
 	Notices     upstream.Notices
 	NoticeError error
 }
@@ -92,8 +94,8 @@
 type Caller interface {
 	// SendResponse delivers a complete answer.
 	SendResponse(h *ResponseHead, body []byte) error
-	// BeginStream delivers the head of a stream, Pass delivers complete events, and End ends the
-	// stream.
+	// BeginStream delivers the head of a stream, SendEvents delivers complete events, and
+	// EndStream ends the stream.
 	BeginStream(h *ResponseHead) error
 	SendEvents(events []byte) error
 	EndStream() error
--- a/relay/rollouts.go
+++ b/relay/rollouts.go
@@ -8,13 +8,13 @@
 	"woaddoor/upstream"
 )
 
-// SetOrder records a rollout order or a newer state of it.
+// SetOrder records a rollout order, or a newer state of a known one.
 func (r *Relay) SetOrder(o rollout.ReleaseOrder) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	canary := r.canaries[o.Service]
 	if canary != nil && canary.Order().Revision > o.Revision {
-		return // late update of an earlier order
+		return // late update of an earlier rollout order
 	}
 	r.recordOrderState(o)
 	if canary != nil && canary.Order().Release == o.Release {
@@ -24,8 +24,8 @@
 	r.canaries[o.Service] = rollout.NewCanary(o, r.opts.CanaryShare, r.opts.Now())
 }
 
-// recordOrderState records whether the release of an order is rolled back, completed, or still
-// being rolled out. The caller holds mu.
+// recordOrderState records whether the release of a rollout order is rolled back, completed, or
+// still being rolled out. The caller holds mu.
 func (r *Relay) recordOrderState(o rollout.ReleaseOrder) {
 	if r.rolledBack[o.Service] == nil {
 		r.rolledBack[o.Service] = make(map[string]bool)
@@ -41,7 +41,7 @@
 	}
 }
 
-// Verdict is the state in which a rollout order is to end.
+// Verdict is a rollout order that should end, and the state in which it should end.
 type Verdict struct {
 	Order rollout.ReleaseOrder
 	State rollout.OrderState
@@ -108,8 +108,8 @@
 	}
 }
 
-// MergeEvidence merges the evidence of other VMs and reports whether it raises the number of known bad
-// answers.
+// MergeEvidence merges the evidence of other VMs and reports whether that raises the number of
+// known bad answers of canary releases.
 func (r *Relay) MergeEvidence(e rollout.Evidence) (worse bool) {
 	if len(e) == 0 {
 		return false
@@ -127,7 +127,7 @@
 	return worse
 }
 
-// wakeVerdicts triggers an evaluation of the verdicts. The caller holds mu.
+// wakeVerdicts triggers an evaluation of the verdicts on rollout orders. The caller holds mu.
 func (r *Relay) wakeVerdicts() {
 	if r.opts.OnBadRelease != nil {
 		r.opts.OnBadRelease()
@@ -137,7 +137,8 @@
 // Refresh updates the comparison between upstreams and expires old state. It is called about
 // once a second.
 func (r *Relay) Refresh() {
-	// Group and Owners acquire their own locks, so they are called before mu is acquired.
+	// GossipScope and ColdOwners acquire their own locks, so they are called before mu is
+	// acquired.
 	var scope upstream.GossipScope
 	if r.opts.GossipScope != nil {
 		scope = r.opts.GossipScope()
--- a/relay/selection.go
+++ b/relay/selection.go
@@ -86,8 +86,8 @@
 	})
 }
 
-// candidatePools are pools to choose from. release is empty if the pools may belong to any
-// release.
+// candidatePools are pools to choose from. release is empty if the pools may belong to several
+// releases.
 type candidatePools struct {
 	release string
 	pools   []contract.PoolID
@@ -135,7 +135,7 @@
 	return ids
 }
 
-// recordAttemptEnd records how an attempt ended. timeToFirst is the time to its first answer.
+// recordAttemptEnd records how an attempt ended. timeToFirst is the time until its answer began.
 func (r *Relay) recordAttemptEnd(j *job, e upstream.Entry, result upstream.Result, timeToFirst time.Duration) {
 	r.withLock(func() {
 		r.recordPromptDropped(j)
@@ -179,7 +179,7 @@
 		return // a request to a plain service has no prompt
 	}
 	j.pending = pendingPrompt{upstream: id, incarnation: r.entries[id].Incarnation, work: r.promptWork(j, now), sentAt: now}
-	j.pending.estimate, j.pending.ticket = r.table.RecordExpected(id, j.pending.work, r.opts.DataCentre, now)
+	j.pending.estimate, j.pending.queueID = r.table.RecordExpected(id, j.pending.work, r.opts.DataCentre, now)
 	r.Metrics.countPrompt(j.pending.work, j.pending.estimate, r.table.PrefillPrice(j.pending.estimate))
 	r.recordPromptLoad(j.service, j.pending.estimate.Prefill, now)
 	if e := j.pending.estimate; e.Prefill >= minReportedPrefill && r.opts.OnSent != nil {
@@ -197,7 +197,7 @@
 	j.pending.upstream = ""
 	if pending.upstream != "" && r.isCurrent(pending.upstream, pending.incarnation) {
 		now := r.opts.Now()
-		r.table.RecordAnswerBegin(pending.upstream, pending.ticket, pending.work, pending.estimate, now.Sub(pending.sentAt), now)
+		r.table.RecordAnswerBegin(pending.upstream, pending.queueID, pending.work, pending.estimate, now.Sub(pending.sentAt), now)
 	}
 }
 
@@ -207,12 +207,12 @@
 	pending := j.pending
 	j.pending.upstream = ""
 	if pending.upstream != "" && r.isCurrent(pending.upstream, pending.incarnation) {
-		r.table.RecordDropped(pending.upstream, pending.ticket, r.opts.Now())
+		r.table.RecordDropped(pending.upstream, pending.queueID, r.opts.Now())
 	}
 }
 
 // checkRetry decides whether to make another attempt and takes it from the retry budget. It
-// returns the reason against another attempt, or "".
+// returns the reason why there is no other attempt, or "".
 func (r *Relay) checkRetry(j *job, repeatable bool) retry.Reason {
 	now := r.opts.Now()
 	attempt := retry.Attempt{Number: j.sends, Outcome: j.outcome, Repeatable: repeatable, Deadline: j.Deadline, ExpectedDuration: minAttemptTime}
@@ -260,7 +260,7 @@
 	result := upstream.Failed
 	switch {
 	case errors.Is(err, context.Canceled), errors.Is(err, errDeadline):
-		result = upstream.Abandoned // canceled by the caller or by its deadline
+		result = upstream.Abandoned // canceled by the caller or because the deadline passed
 	case errors.Is(err, errUnavailableMeanwhile):
 		result = upstream.Abandoned // the attempt shows nothing about the upstream
 	case errors.Is(err, exchange.ErrPoolExhausted):
--- a/relay/send.go
+++ b/relay/send.go
@@ -13,7 +13,7 @@
 	"woaddoor/upstream"
 )
 
-// Send describes one attempt to be encoded by a Dialect.
+// Send describes one attempt to be encoded by an UpstreamProtocol.
 type Send struct {
 	Upstream upstream.Entry
 	// Model is the requested model if the router chooses it.
@@ -61,27 +61,27 @@
 	discardedConfidence float64   // reported for a smaller model's discarded answer
 	// pending is the prompt of the current attempt while its answer has not begun.
 	pending pendingPrompt
-	// sentAt is when the current attempt was sent. upstreamSeen is set once its upstream has
-	// responded since. cachedFingerprint is the hash of the request's content, computed on first
-	// use.
+	// sentAt is when the current attempt was sent. upstreamSeen is set once the upstream of
+	// the current attempt has responded. cachedFingerprint is the fingerprint of the
+	// request's content, computed on first use.
 	sentAt            time.Time
 	upstreamSeen      bool
 	cachedFingerprint *quarantine.Fingerprint
-	// executionReported is set once an upstream's start of execution has been reported.
+	// executionReported is set once OnExecution has been called for the request.
 	executionReported bool
-	// limitClaimed is set if the current attempt has taken from this VM's share of its
-	// upstream's rate limit.
+	// limitClaimed is set if the current attempt has used one request of this VM's share of
+	// its upstream's rate limit.
 	limitClaimed bool
 }
 
 // pendingPrompt is a prompt that was sent and whose answer has not begun. The zero value means
-// that there is none.
+// that there is no such prompt.
 type pendingPrompt struct {
 	upstream    contract.UpstreamID // empty once the answer has begun or the attempt has ended
-	incarnation int64               // identifies the upstream's incarnation
+	incarnation int64               // identifies the upstream's instance
 	work        upstream.Work
 	estimate    upstream.Estimate
-	ticket      prefill.QueueID
+	queueID     prefill.QueueID
 	sentAt      time.Time
 }
 
@@ -100,12 +100,12 @@
 const maxUnreachable = 4
 
 // maxIdleUnrepeatable is the longest idle time of a connection that may carry a request which
-// must not be executed twice. Upstreams close idle connections without notice, and a request
-// that was sent on such a connection may have been executed.
+// must not be executed twice. Upstreams close idle connections at any time, and a request that
+// was sent on such a connection may have been executed.
 const maxIdleUnrepeatable = time.Second
 
-// send sends the request to an upstream and waits for the head of the answer. Once timeout has
-// passed, it waits further only while no other upstream could accept the request.
+// send sends the request to an upstream and waits for the head of the answer. After timeout, it
+// continues to wait only while no other upstream could accept the request.
 func (r *Relay) send(ctx context.Context, j *job, e upstream.Entry, lastEvent *int64, timeout time.Duration) (*attempt, error) {
 	now := r.opts.Now()
 	pool := r.connectionPool(e)
@@ -142,7 +142,7 @@
 
 // recordHead records the head of an answer. The caller holds mu.
 func (r *Relay) recordHead(j *job, h *ResponseHead, e upstream.Entry) {
-	current := r.isCurrent(e.ID, e.Incarnation) // otherwise the head describes an earlier incarnation
+	current := r.isCurrent(e.ID, e.Incarnation) // otherwise the head describes an earlier instance
 	if current && !h.NotRun {
 		r.table.RecordAccepted(e.ID)
 	}
@@ -156,8 +156,8 @@
 }
 
 // reportExecution reports, once for each request of a workspace, that an upstream has begun to
-// execute it. The reported time is that of the first token of a stream and that of the send
-// otherwise.
+// execute the request. The reported time is that of the first token of a stream and that of the
+// send otherwise.
 func (r *Relay) reportExecution(j *job, h *ResponseHead) {
 	if h.NotRun || j.executionReported || j.Workspace == "" || r.opts.OnExecution == nil {
 		return
--- a/relay/streaming.go
+++ b/relay/streaming.go
@@ -36,7 +36,7 @@
 	job    *job
 	caller Caller
 	events stream.EventSplitter
-	// nonStreamHead and nonStreamBody are the newest answer that was not an event stream.
+	// nonStreamHead and nonStreamBody are the latest answer that was not an event stream.
 	nonStreamHead   *ResponseHead
 	nonStreamBody   []byte
 	eventsForwarded int // events sent to the caller
@@ -98,6 +98,7 @@
 	return Refused, f
 }
 
+// sendHead sends the head of the stream to the caller, unless the caller has received one.
 func (s *streamTransfer) sendHead(h *ResponseHead) error {
 	if s.job.headSent {
 		return nil
@@ -215,6 +216,8 @@
 	defaultMaxPause = 5 * time.Second
 )
 
+// maxPause returns the longest tolerated pause between two events, given the target gap of the
+// route.
 func (r *Relay) maxPause(gap time.Duration) time.Duration {
 	if gap == 0 {
 		return defaultMaxPause
@@ -225,23 +228,23 @@
 // readBufferSize is the size of the buffer for reading a stream, in bytes.
 const readBufferSize = 4 << 10
 
-// forward sends events to the caller as they arrive.
+// forward sends the events of a stream to the caller as they arrive.
 func (s *streamTransfer) forward(a *attempt) error {
 	r, j := s.relay, s.job
 	longest := r.maxPause(j.Route.TargetGap)
-	pace := stream.NewStallDetector(stream.StallOptions{
+	detector := stream.NewStallDetector(stream.StallOptions{
 		MaxGap: longest, MinGap: time.Duration(minPauseFactor / maxPauseFactor * float64(longest)),
 		FirstChunk: max(a.startedAt.Add(s.eventTimeout()).Sub(r.opts.Now()), longest),
 	}, r.opts.Now())
-	watchdog := r.watchSilence(j, pace.Deadline(), a.answer.Abort)
+	watchdog := r.watchSilence(j, detector.Deadline(), a.answer.Abort)
 	defer watchdog.stop()
 	buf := make([]byte, readBufferSize)
 	for {
 		n, err := a.answer.Read(buf)
-		if forwardErr := s.forwardEvents(a, pace, buf[:n]); forwardErr != nil {
+		if forwardErr := s.forwardEvents(a, detector, buf[:n]); forwardErr != nil {
 			return forwardErr
 		}
-		watchdog.extend(pace.Deadline())
+		watchdog.extend(detector.Deadline())
 		switch {
 		case errors.Is(err, io.EOF) && s.events.HasPartial():
 			return errTruncated
@@ -258,23 +261,23 @@
 }
 
 // forwardEvents sends the complete events among the received bytes to the caller.
-func (s *streamTransfer) forwardEvents(a *attempt, pace *stream.StallDetector, p []byte) error {
+func (s *streamTransfer) forwardEvents(a *attempt, detector *stream.StallDetector, p []byte) error {
 	if len(p) == 0 {
 		return nil
 	}
-	whole, n, err := s.events.Feed(p)
+	events, n, err := s.events.Feed(p)
 	if err != nil || n == 0 {
 		return err
 	}
 	now := s.relay.opts.Now()
-	pace.RecordChunk(now)
+	detector.RecordChunk(now)
 	if s.eventsForwarded == 0 {
 		s.job.firstAnswerAt = now
 		s.relay.observeLatency(s.job, now.Sub(a.startedAt))
 		a.addTime(s.job, timeToFirstAnswer, now.Sub(a.startedAt))
 	}
 	s.eventsForwarded += n
-	if s.sendHead(a.head) != nil || s.caller.SendEvents(whole) != nil {
+	if s.sendHead(a.head) != nil || s.caller.SendEvents(events) != nil {
 		return errCallerGone
 	}
 	return nil
--- a/relay/upstream_list.go
+++ b/relay/upstream_list.go
@@ -68,10 +68,10 @@
 	return limits
 }
 
-// connectionsPerVM returns how many connections each of several VMs may have to an upstream.
-// This is an equal part of connectionShare, at least 1, and at least 2 if the upstream accepts
-// that many from every VM, so that a connection being closed does not block requests. If
-// maxConnections is zero, no limit is known.
+// connectionsPerVM returns how many connections each of several VMs may have to an upstream. Each
+// VM gets an equal part of connectionShare of the accepted connections, at least 1, and at least
+// 2 if the upstream accepts that many from every VM, so that requests are not blocked while one
+// connection is being closed. If maxConnections is zero, no limit is known.
 func connectionsPerVM(maxConnections, vms int) int {
 	if maxConnections == 0 {
 		return minConnections
@@ -154,7 +154,8 @@
 	}
 }
 
-// removePool removes the pool of an upstream that was its last member. The caller holds mu.
+// removePool removes the pool of a removed upstream if no other upstream is left in it. The
+// caller holds mu.
 func (r *Relay) removePool(e upstream.Entry) {
 	id := e.PoolID()
 	byRelease := r.poolsByRelease[e.Service]
--- a/relay/watchdog.go
+++ b/relay/watchdog.go
@@ -5,15 +5,14 @@
 	"time"
 )
 
-// recheckInterval is the interval at which a silent attempt that has exceeded its deadline
-// checks again for an upstream that could answer instead. Upstreams that are skipped after
-// failures become available again within a few hundred milliseconds.
+// recheckInterval is the interval between checks for an upstream that could answer instead of one
+// whose attempt is silent beyond its deadline. Upstreams that are skipped after failures become
+// available again within a few hundred milliseconds.
 const recheckInterval = 200 * time.Millisecond
 
-// hungFactor is the multiple of its timeout after which a silent attempt counts as hung
-// instead of slow, so that even an upstream suspected of being faulty is a better choice. When
-// all upstreams are slow, moving a request from one queue to the end of another only adds
-// work.
+// hungFactor is the multiple of its timeout after which a silent attempt counts as hung instead
+// of slow. Even an upstream suspected of being faulty is then a better choice. When all upstreams
+// are slow, moving a request from one queue to the end of another only adds work.
 const hungFactor = 3
 
 // silenceWatchdog aborts an attempt that has been silent beyond its deadline as soon as
@@ -25,12 +24,12 @@
 	abort func()
 
 	// mu guards the fields below. It is acquired before the relay's mutex, never after it.
-	mu        sync.Mutex
-	lastHeard time.Time // when the attempt last received data
-	deadline  time.Time
-	timer     *time.Timer // nil if the request may not be sent again
-	done      bool
-	fired     bool
+	mu           sync.Mutex
+	lastReceived time.Time // when the attempt last received data
+	deadline     time.Time
+	timer        *time.Timer // nil if the request may not be sent again
+	done         bool
+	fired        bool
 }
 
 // mayResend reports whether a request may be sent again although the current attempt may have
@@ -40,7 +39,7 @@
 // watchSilence calls abort once an attempt has been silent beyond the deadline and another
 // upstream could answer.
 func (r *Relay) watchSilence(j *job, deadline time.Time, abort func()) *silenceWatchdog {
-	w := &silenceWatchdog{relay: r, job: *j, abort: abort, lastHeard: r.opts.Now(), deadline: deadline}
+	w := &silenceWatchdog{relay: r, job: *j, abort: abort, lastReceived: r.opts.Now(), deadline: deadline}
 	if j.mayResend() {
 		w.mu.Lock()
 		w.timer = time.AfterFunc(deadline.Sub(r.opts.Now()), w.check)
@@ -53,9 +52,9 @@
 func (w *silenceWatchdog) extend(deadline time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.lastHeard, w.deadline = w.relay.opts.Now(), deadline
+	w.lastReceived, w.deadline = w.relay.opts.Now(), deadline
 	if w.timer != nil && !w.done {
-		w.timer.Reset(deadline.Sub(w.lastHeard))
+		w.timer.Reset(deadline.Sub(w.lastReceived))
 	}
 }
 
@@ -71,7 +70,7 @@
 		w.timer.Reset(w.deadline.Sub(now))
 		return
 	}
-	hung := now.Sub(w.lastHeard) >= hungFactor*w.deadline.Sub(w.lastHeard)
+	hung := now.Sub(w.lastReceived) >= hungFactor*w.deadline.Sub(w.lastReceived)
 	if !w.relay.hasAlternative(&w.job, hung) {
 		w.timer.Reset(recheckInterval)
 		return
--- a/route/route.go
+++ b/route/route.go
@@ -1,6 +1,6 @@
-// Package route holds the configuration of a deployment in the form that the request path
-// reads: which route handles a request, which workspace owns a key, and which limits apply. A
-// Table is immutable.
+// Package route holds the configuration of a deployment in the form that the request path reads:
+// which route handles a request, which workspace owns an API key, and which limits apply. A Table
+// is immutable.
 package route
 
 import (
@@ -40,12 +40,13 @@
 	Timeout time.Duration
 	// Objective is the target for the time to the answer, or to its first event.
 	Objective time.Duration
-	// TargetGap is the target for the longest pause between two events; zero if the route sets none.
+	// TargetGap is the target for the longest pause between two events; zero if the route
+	// sets none.
 	TargetGap time.Duration
 	// MaxAttempts is the largest number of upstreams to which one attempt of the caller may be
 	// sent.
 	MaxAttempts int
-	// Priority is the rank of the route's requests; 0 is the most urgent.
+	// Priority of the route's requests; 0 is the most urgent.
 	Priority int
 	Shares   []Share
 	// Models are the models from which the router may choose, smallest first; empty if the
@@ -74,12 +75,12 @@
 	// together.
 	MaxConnections int
 	// Costs are the costs of the models for 1,000 output tokens. A prompt token costs a
-	// quarter of an output token. Empty for a service without models.
+	// quarter of an output token. The map is empty for a service without models.
 	Costs map[contract.ModelID]float64
 	// CacheTokens is the number of tokens that one engine of the service can cache; zero for a
 	// service without models.
 	CacheTokens int
-	// Cold is the load that the service's upstreams can handle after a start.
+	// Cold is the load that an upstream of the service can handle while it is cold.
 	Cold ColdCapacity
 	// Scaling limits the upstreams that may be ordered for the service; nil if none may be
 	// ordered.
@@ -89,7 +90,8 @@
 // ColdCapacity is the load that a cold upstream can handle. The zero value describes an upstream that
 // can handle its full load from the start.
 type ColdCapacity struct {
-	// Duration is how long an upstream stays cold after a start while its service receives traffic.
+	// Duration is how long an upstream stays cold after a start while its service receives
+	// traffic.
 	Duration time.Duration
 	// PerSecond is the number of requests per second that a cold upstream can handle from all
 	// VMs together; zero means no limit.
@@ -113,7 +115,7 @@
 	HeaderTimeout, IdleTimeout time.Duration
 }
 
-// Table is one revision of the configuration.
+// Table is one revision of the configuration, as the request path uses it.
 type Table struct {
 	// Revision orders configurations. A VM never returns to a lower revision.
 	Revision contract.Revision
@@ -121,14 +123,14 @@
 	Version  int64
 	Services map[contract.ServiceID]*Service
 	Limits   Limits
-	// KeyRequired is set if requests need a key.
+	// KeyRequired is set if requests need an API key.
 	KeyRequired bool
 
 	byHost map[string][]*Route
 	byKey  map[string]*Workspace
 }
 
-// NewTable returns a table with the given routes, and with workspaces by key. A nil map means
+// NewTable returns a table with the given routes, and with workspaces by API key. A nil map means
 // that requests need no key.
 func NewTable(routes []*Route, keys map[string]*Workspace) *Table {
 	t := &Table{byHost: make(map[string][]*Route), byKey: keys, KeyRequired: keys != nil}
@@ -167,15 +169,15 @@
 	return strings.ToLower(host)
 }
 
-// WorkspaceByKey returns the workspace that owns a key.
+// WorkspaceByKey returns the workspace that owns an API key.
 func (t *Table) WorkspaceByKey(key string) (*Workspace, bool) {
 	w, ok := t.byKey[key]
 	return w, ok
 }
 
-// PickService returns the service of a route at a point in [0, 1), in proportion to the
-// weights of the shares. A share with weight zero is picked only if all weights are zero; the
-// first share is then picked.
+// PickService returns the service for a request, in proportion to the weights of the shares of
+// the route. The point in [0, 1) determines the choice and is usually random. A share with weight
+// zero is picked only if all weights are zero; the first share is then picked.
 func (r *Route) PickService(point float64) contract.ServiceID {
 	total := 0
 	for _, s := range r.Shares {
@@ -194,8 +196,8 @@
 	return r.Shares[0].Service
 }
 
-// ShortestObjective returns the shortest objective of all routes to a service, or zero if none sets an
-// objective.
+// ShortestObjective returns the shortest objective of all routes to a service, or zero if none
+// sets an objective.
 func (t *Table) ShortestObjective(s contract.ServiceID) time.Duration {
 	shortest := time.Duration(0)
 	for _, routes := range t.byHost {
--- a/upstream/backoff_replay_test.go
+++ b/upstream/backoff_replay_test.go
@@ -13,20 +13,21 @@
 	"woaddoor/contract"
 )
 
-// backoffFleet simulates requests to plain upstreams, some of which turn away all requests for a while
-// and request a rest from each VM whose request they turn away.
+// backoffFleet simulates requests to plain upstreams, some of which reject all requests for a
+// while and request a back-off from each VM whose request they reject.
 type backoffFleet struct {
 	vms    []*Table
 	now    time.Time
 	random *rand.Rand
 	events replayEvents
-	// rejectedRequests counts the requests that were turned away. arrivalsAfterReturn holds when
-	// requests arrived at each formerly refusing upstream once it accepted them again.
+	// rejectedRequests counts the requests that upstreams rejected. arrivalsAfterReturn holds
+	// when requests arrived at each formerly rejecting upstream once it accepted them again.
 	rejectedRequests    int
 	arrivalsAfterReturn map[contract.UpstreamID][]time.Time
 }
 
-// maxWithin returns the maximum number of requests at one returning upstream within a time span.
+// maxWithin returns the maximum number of requests within a time span at one upstream that
+// accepts requests again.
 func (f *backoffFleet) maxWithin(span time.Duration) int {
 	most := 0
 	for _, times := range f.arrivalsAfterReturn {
@@ -38,7 +39,7 @@
 	return most
 }
 
-// Load of a backoffFleet: 40 upstreams with 8 slots each, 8 of which turn requests away.
+// Load of a backoffFleet: 40 upstreams with 8 slots each, 8 of which reject requests.
 const (
 	backoffUpstreams     = 40
 	backoffRejecting     = 8
@@ -47,7 +48,7 @@
 	backoffRequested     = 3 * time.Second
 	backoffRate          = 600 // requests per second of all VMs
 	backoffServiceTime   = 50 * time.Millisecond
-	// backoffReportDelay is how long an announcement takes to reach another VM.
+	// backoffReportDelay is how long the report of a back-off takes to reach another VM.
 	backoffReportDelay = 30 * time.Millisecond
 )
 
@@ -79,7 +80,7 @@
 	}
 }
 
-// play simulates ten seconds of requests; gossip lets VMs announce rests to each other.
+// play simulates ten seconds of requests; gossip lets VMs report back-offs to each other.
 func (f *backoffFleet) play(gossip bool) {
 	start := f.now
 	for f.now.Sub(start) < 10*time.Second {
@@ -89,7 +90,7 @@
 	}
 }
 
-// send sends a request, and sends it again elsewhere each time it is turned away.
+// send sends a request, and sends it again to another upstream each time it is rejected.
 func (f *backoffFleet) send(tb *Table, start time.Time, exclude []contract.UpstreamID, gossip bool) {
 	q := engineQuery
 	q.Exclude = exclude
@@ -123,10 +124,11 @@
 	f.schedule(backoffServiceTime, func() { tb.RecordDone(id, Succeeded, backoffServiceTime, f.now) })
 }
 
-// TestBackoffReportsReduceRejections simulates 600 requests per second to 40 upstreams, 8 of which turn away everything for
-// 5 s. If 60 VMs each find out by themselves, 451 requests are turned away; with gossip from the first
-// VM, 24 are. An announced rest does not bind other VMs: the eight upstreams get requests again, but
-// no more at a time than they have slots.
+// TestBackoffReportsReduceRejections simulates 600 requests per second to 40 upstreams, 8 of
+// which reject all requests for 5 s. If 60 VMs each find out by themselves, 451 requests are
+// rejected; with a report from the first VM that is rejected, 24 are. A reported back-off does
+// not bind other VMs: the eight upstreams get requests again, but no more at a time than they
+// have slots.
 func TestBackoffReportsReduceRejections(t *testing.T) {
 	for _, vms := range []int{6, 60} {
 		t.Run(fmt.Sprint(vms), func(t *testing.T) {
@@ -134,7 +136,7 @@
 			withoutGossip, withGossip := newBackoffFleet(vms), newBackoffFleet(vms)
 			withoutGossip.play(false)
 			withGossip.play(true)
-			t.Logf("%d VMs: %d turned away without gossip, %d with; requests returned to %d and %d of %d upstreams, at most %d and %d at one within %v", vms,
+			t.Logf("%d VMs: %d rejected without gossip, %d with; requests returned to %d and %d of %d upstreams, at most %d and %d at one within %v", vms,
 				withoutGossip.rejectedRequests, withGossip.rejectedRequests, len(withoutGossip.arrivalsAfterReturn), len(withGossip.arrivalsAfterReturn), backoffRejecting, withoutGossip.maxWithin(backoffServiceTime), withGossip.maxWithin(backoffServiceTime), backoffServiceTime)
 			is.True(3*withGossip.rejectedRequests <= withoutGossip.rejectedRequests || vms < 10)
 			is.True(withGossip.rejectedRequests <= withoutGossip.rejectedRequests)
--- a/upstream/cold.go
+++ b/upstream/cold.go
@@ -7,30 +7,32 @@
 	"woaddoor/contract"
 )
 
-// An upstream is cold (still warming up) for a while after its start, and fails if it gets much more load than
-// it can handle in that time. The bound applies to the requests of all VMs together, but no
-// VM knows what the others send at the same moment. Each cold upstream therefore has a few
-// owners among the VMs of its data centre. All VMs compute the same owners without
-// communication (rendezvous hashing). Each owner may send a whole number of requests per
-// second; the other VMs send nothing until the upstream is warm.
+// A cold upstream is one that has recently started: it can handle only little load for a while,
+// and fails if it gets much more. The bound on the requests that it can handle applies to all VMs
+// together, but no VM knows what the others send at the same moment. Each cold upstream therefore
+// has a few owners among the VMs of its data centre. All VMs compute the same owners without
+// communication (rendezvous hashing). Each owner may send a cold upstream a whole number of
+// requests per second; the other VMs send it nothing until it is warm.
 //
-// Owners together send at most half of the bound, so that two groups of VMs with different
-// views of the membership, and thus without a common owner, together stay within it. Equal
-// shares for all VMs would be less than one request per second each when there are many VMs:
-// 61 VMs that each send one request at the same moment exceed a bound of 20 three times over.
+// The owners of a cold upstream together send at most half of its bound, so that two groups of
+// VMs with different views of the membership, and thus without a common owner, together stay
+// within it. Equal shares for all VMs would be less than one request per second each when there
+// are many VMs: 61 VMs that each send one request at the same moment exceed a bound of 20 three
+// times over.
 
 // ColdBound limits the requests to an upstream of a service while the upstream is cold. The
 // zero value means that it is never cold.
 type ColdBound struct {
 	// Duration is how long an upstream stays cold after its start.
 	Duration time.Duration
-	// PerSecond is the request rate per second that a cold upstream sustains. Most is the
-	// maximum number of requests from all VMs together in any one second.
+	// PerSecond is the request rate per second that a cold upstream sustains. MaxPerSecond is
+	// the maximum number of requests from all VMs together in any one second.
 	PerSecond, MaxPerSecond float64
 }
 
-// disjointViews is how many membership views without a common owner together stay within
-// the bound, as on the two sides of a network partition or while VMs start.
+// disjointViews is how many groups of VMs, whose views of the membership have no owner in common,
+// together stay within the bound of a cold upstream, as on the two sides of a network partition
+// or while VMs start.
 const disjointViews = 2
 
 // ownerShares returns how many of vms VMs own a cold upstream, and how many requests each
@@ -80,7 +82,8 @@
 	// returned cold after 2 s, one upstream got 23 requests in a second where 20 were
 	// allowed.
 	centreFailureDivisor = 3
-	// minCentreFailures is the minimum number of upstreams with failed connections for that.
+	// minCentreFailures is the minimum number of upstreams with failed connections before all
+	// upstreams of their data centre are assumed to be cold.
 	minCentreFailures = 2
 )
 
@@ -108,7 +111,7 @@
 	return out
 }
 
-// markCold assumes an upstream to be cold for at least the duration d.
+// markCold records that an upstream is assumed to be cold for at least the duration d.
 func (t *Table) markCold(s *state, d time.Duration, why string, now time.Time) {
 	wasCold := now.Before(s.cold.until)
 	if until := now.Add(d); until.After(s.cold.until) {
@@ -141,8 +144,8 @@
 	s.cold.entryRevision = e.Revision
 }
 
-// detectCold updates the cold state from the outcome of a request: an upstream whose
-// connections failed may have restarted, and would return cold.
+// detectCold updates the cold state from the outcome of a request: an upstream whose connections
+// failed may have restarted, and would then be cold.
 func (t *Table) detectCold(s *state, r Result, now time.Time) {
 	c := &s.cold
 	if c.bound.MaxPerSecond == 0 {
--- a/upstream/cold_test.go
+++ b/upstream/cold_test.go
@@ -28,7 +28,7 @@
 	return Entry{ID: contract.UpstreamID(id), Service: "s", Address: id, DataCentre: "d", Release: "v1", Slots: 8, Incarnation: incarnation, Revision: 1}
 }
 
-// soleOwner describes the owners in a data centre with a single VM.
+// soleOwner is the Owners of a data centre with a single VM.
 var soleOwner = Owners{Self: "v", VMs: []contract.VMID{"v"}}
 
 // TestColdOwnerShares checks how a bound is divided among the VMs of a data centre.
@@ -63,7 +63,8 @@
 	arrivals []time.Time // when requests arrive at the upstream
 }
 
-// newColdFleet returns a fleet of n VMs. If halves is set, each VM sees only its own half of them.
+// newColdFleet returns a fleet of n VMs and a cold upstream. If halves is set, each VM knows only
+// the VMs of its own half.
 func newColdFleet(n int, halves bool, random *rand.Rand) *coldFleet {
 	f := &coldFleet{random: random, now: time.Unix(1000, 0)}
 	var all []contract.VMID
@@ -86,7 +87,8 @@
 	return f
 }
 
-// maxPerSecond returns the maximum number of arrivals within any second.
+// maxPerSecond returns the maximum number of requests that arrive at the cold upstream within any
+// second.
 func (f *coldFleet) maxPerSecond() int {
 	slices.SortFunc(f.arrivals, time.Time.Compare)
 	most := 0
@@ -99,8 +101,8 @@
 	return most
 }
 
-// overload sends far more requests to all VMs than a cold upstream can handle. Each request goes to
-// the upstream if send allows the VM to send it.
+// overload sends far more requests to all VMs than a cold upstream can handle. A request goes to
+// the upstream if the function send allows its VM to send it.
 func (f *coldFleet) overload(rate float64, send func(tb *Table, now time.Time) bool) {
 	for end := f.now.Add(testColdBound.Duration); ; {
 		f.now = f.now.Add(time.Duration(f.random.ExpFloat64() / rate * float64(time.Second)))
@@ -114,7 +116,8 @@
 	}
 }
 
-// sendAsOwner applies the rule of the production code.
+// sendAsOwner sends a request to the cold upstream if its cold bound and its rate limit allow
+// that, as in production.
 func sendAsOwner(tb *Table, now time.Time) bool {
 	s := tb.states["cold"]
 	if !tb.withinBounds(s, now) {
@@ -124,10 +127,11 @@
 	return true
 }
 
-// TestColdOwnersStayWithinBound simulates a burst of thousands of requests per second at an upstream
-// that has just started, with few and many VMs, and with two halves of them that do not know each
-// other. The upstream must never get more than the bound in a second, but most of what it can
-// handle. With an equal share and one saved-up request per VM, many VMs would exceed the bound.
+// TestColdOwnersStayWithinBound simulates a burst of thousands of requests per second at an
+// upstream that has just started, with few and many VMs, and with two halves of them that do not
+// know each other. In any second, the upstream must get no more requests than its bound, but over
+// the whole time most of the requests that it can handle. With an equal share and one saved-up
+// request per VM, many VMs would exceed the bound.
 func TestColdOwnersStayWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{2, 6, 21, 59}).Draw(t, "vms")
@@ -243,8 +247,9 @@
 	is.Equal(sent, 10)
 }
 
-// TestOwnerWithIncompleteViewSendsOnePerSecond checks that a VM which has just started and may not know the
-// other VMs sends one request per second, and that a VM which knows no owners sends none.
+// TestOwnerWithIncompleteViewSendsOnePerSecond checks that a VM which has just started and may
+// not know the other VMs sends one request per second, and that a VM which knows no owners sends
+// none.
 func TestOwnerWithIncompleteViewSendsOnePerSecond(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
--- a/upstream/cost.go
+++ b/upstream/cost.go
@@ -10,8 +10,8 @@
 	"woaddoor/prefill"
 )
 
-// Work is the work that a request causes at an upstream. The zero value is a call to a plain
-// service.
+// Work is the work that a request causes at an upstream. The zero value is a request to a plain
+// service, which runs no models.
 type Work struct {
 	Prompt prefill.Prompt
 	// Objective is the time from the arrival of the request within which its answer should
@@ -22,13 +22,13 @@
 // hasPrompt reports whether the request requires a model engine to prefill a prompt.
 func (w Work) hasPrompt() bool { return w.Prompt.Tokens > 0 }
 
-// Costs in the selection. The unit is the worth of one request that is answered in time, so that
-// delay, failure and traffic can be compared.
+// Costs by which the selection compares upstreams. The unit is the value of one request that is
+// answered in time, so that delay, failure and traffic can be compared.
 const (
 	// remotePromptCost is the cost of sending a prompt to another data centre: traffic
-	// between data centres costs 0.03 to 0.09 of a request's worth.
+	// between data centres costs 0.03 to 0.09 of a request's value.
 	remotePromptCost = 0.06
-	// remotePlainCost is the cost of sending a call to a plain service to another data
+	// remotePlainCost is the cost of sending a request for a plain service to another data
 	// centre: its answer takes about as long as the round trip there.
 	remotePlainCost = 0.13
 	// fullLoadCost is the cost of an upstream whose slots are all in use.
@@ -38,13 +38,14 @@
 	// waitCost is the cost of waiting for the whole objective, in addition to the risk of
 	// being late; it decides between upstreams that would all answer in time.
 	waitCost = 0.1
-	// firstHomeBonus and secondHomeBonus reduce the cost of the homes of a prefix, so that
-	// VMs agree without communication while the prefix is not known to be cached anywhere.
+	// firstHomeBonus and secondHomeBonus reduce the cost of the two home upstreams of a
+	// prompt prefix, so that VMs agree without communication while the prefix is not known to
+	// be cached anywhere.
 	firstHomeBonus, secondHomeBonus = 0.05, 0.03
 )
 
-// lateRiskSpread is the uncertainty of the answer time as a fraction of the objective. It comes
-// from requests that other VMs send meanwhile and from chunks of other prompts.
+// lateRiskSpread is the uncertainty of the answer time as a fraction of the objective. The
+// uncertainty comes from requests that other VMs send meanwhile and from chunks of other prompts.
 const lateRiskSpread = 0.12
 
 // ObjectiveFraction returns the time d since the arrival of a request as a fraction of its objective.
@@ -54,11 +55,11 @@
 
 // LateRisk returns the probability that an answer is late if it is expected to begin after the
 // given fraction of its objective; 1 is the objective itself.
-func LateRisk(part float64) float64 { return 1 / (1 + math.Exp((1-part)/lateRiskSpread)) }
+func LateRisk(fraction float64) float64 { return 1 / (1 + math.Exp((1-fraction)/lateRiskSpread)) }
 
 // Estimate is the expected timing of a request at an upstream.
 type Estimate struct {
-	// Wait is the time until prefill of the prompt starts, Reading the duration of prefill.
+	// Wait is the time until the prefill of the prompt starts, and Prefill its duration.
 	Wait, Prefill time.Duration
 	// CachedTokens is the number of prompt tokens that are cached and need no prefill.
 	CachedTokens int
@@ -97,15 +98,16 @@
 
 // cheapest returns the usable upstream with the lowest cost, or nil if there is none. The cost
 // covers the request itself, by the time at which it is answered, and later requests, by the
-// prefill time. If atHome is set, the homes of the prefix are preferred. Other data centres are
-// considered only if the local cost exceeds that of going there: while the local data centre
-// has room, this saves evaluating four of five engines.
-func (t *Table) cheapest(q Query, now time.Time, atHome bool, random *rand.Rand) *state {
-	best, cost := t.cheapestOf(t.usableUpstreams(q, true, now), q, now, atHome, random)
+// prefill time. If preferHomes is set, the home upstreams of the prompt prefix are preferred.
+// Other data centres are considered only if the lowest local cost exceeds the minimum cost of a
+// request to another data centre: while the local data centre has free capacity, this saves
+// evaluating four of five engines.
+func (t *Table) cheapest(q Query, now time.Time, preferHomes bool, random *rand.Rand) *state {
+	best, cost := t.cheapestOf(t.usableUpstreams(q, true, now), q, now, preferHomes, random)
 	if best != nil && cost <= q.remoteCost() {
 		return best
 	}
-	other, otherCost := t.cheapestOf(t.usableUpstreams(q, false, now), q, now, atHome && best == nil, random)
+	other, otherCost := t.cheapestOf(t.usableUpstreams(q, false, now), q, now, preferHomes && best == nil, random)
 	if best == nil || other != nil && otherCost < cost {
 		return other
 	}
@@ -129,9 +131,9 @@
 }
 
 // cheapestOf returns the upstream with the lowest cost for the request, and that cost.
-func (t *Table) cheapestOf(usable []*state, q Query, now time.Time, atHome bool, random *rand.Rand) (*state, float64) {
+func (t *Table) cheapestOf(usable []*state, q Query, now time.Time, preferHomes bool, random *rand.Rand) (*state, float64) {
 	var first, second *state
-	if atHome {
+	if preferHomes {
 		first, second = prefixHomes(usable, q.Prefix)
 	}
 	return lowestCost(usable, func(s *state) float64 {
@@ -146,7 +148,7 @@
 	}, random)
 }
 
-// remoteCost returns the minimum cost of a request in another data centre.
+// remoteCost returns the minimum cost of sending a request to another data centre.
 func (q Query) remoteCost() float64 {
 	if q.Work.hasPrompt() {
 		return remotePromptCost
@@ -168,8 +170,8 @@
 	if q.Work.hasPrompt() {
 		loadCost = s.expectedLoad() / float64(s.pool.Slots) * fullLoadCost / ownRequestWeight
 		e := t.estimate(s, q.Work, q.DataCentre, now)
-		objectivePart := ObjectiveFraction(q.Work.Elapsed+e.TimeToFirstToken(), q.Work.Objective)
-		cost += cascade.LatePenalty*LateRisk(objectivePart) + waitCost*objectivePart + t.PrefillPrice(e)
+		objectiveFraction := ObjectiveFraction(q.Work.Elapsed+e.TimeToFirstToken(), q.Work.Objective)
+		cost += cascade.LatePenalty*LateRisk(objectiveFraction) + waitCost*objectiveFraction + t.PrefillPrice(e)
 	} else {
 		loadCost *= s.health.slownessVsPool()
 	}
@@ -179,11 +181,12 @@
 	return cost + loadCost
 }
 
-// minObjectiveSeconds replaces the objective of a route that has none.
+// minObjectiveSeconds is the shortest objective with which costs are computed. It replaces the
+// objective of a route that has none.
 const minObjectiveSeconds = 0.1
 
-// prefixHomes returns the first and the second home of a prefix among upstreams, the same at every VM
-// (rendezvous hashing); nil without a prefix.
+// prefixHomes returns the first and the second home upstream of a prompt prefix. All VMs compute
+// the same homes (rendezvous hashing). Both are nil without a prefix.
 func prefixHomes(usable []*state, prefix uint64) (first, second *state) {
 	if prefix == 0 {
 		return nil, nil
--- a/upstream/gossip_scope.go
+++ b/upstream/gossip_scope.go
@@ -6,25 +6,26 @@
 	"woaddoor/contract"
 )
 
-// GossipScope defines for which upstreams this VM learns which requests other VMs send to them.
+// GossipScope defines the upstreams of which this VM learns what requests other VMs send to them.
 // The zero value covers the upstreams of this VM's own data centre.
 type GossipScope struct {
-	// Region means that VMs of other data centres also announce their requests.
+	// Region means that VMs of other data centres also report their requests.
 	Region bool
 	// VMs is how many VMs send requests to the covered upstreams: the VMs of the region or
 	// of the data centre. Zero means unknown.
 	VMs int
 }
 
-// Assumptions about engines whose requests from other VMs this VM does not learn of.
+// Assumptions about engines outside the gossip scope: this VM does not learn what requests other
+// VMs send to them.
 const (
-	// outOfScopeWaitFactor is the fraction of the mean queue wait at the covered engines that
-	// is assumed as the wait at the other engines. At 1, a data centre with more work than
-	// the others would keep all of it.
+	// outOfScopeWaitFactor is the fraction of the mean queue wait at the engines in the
+	// gossip scope that is assumed as the queue wait at the engines outside it. At 1, a data
+	// centre with more work than the others would keep all of it.
 	outOfScopeWaitFactor = 0.7
 )
 
-// inGossipScope reports whether this VM learns what other VMs send to an upstream.
+// inGossipScope reports whether this VM learns what requests other VMs send to an upstream.
 func (t *Table) inGossipScope(s *state, dc contract.DataCentreID) bool {
 	return t.gossipScope.Region || s.pool.DataCentre == dc
 }
@@ -32,7 +33,8 @@
 // SetGossipScope sets for which upstreams this VM learns of other VMs' requests.
 func (t *Table) SetGossipScope(g GossipScope) { t.gossipScope = g }
 
-// updateMeanWait computes the mean queue wait at the covered engines that receive prompts.
+// updateMeanWait computes the mean queue wait at the engines in the gossip scope that receive
+// prompts.
 func (t *Table) updateMeanWait(dc contract.DataCentreID, now time.Time) {
 	total, n := time.Duration(0), 0
 	for _, s := range t.states {
@@ -44,9 +46,9 @@
 	t.meanWait = total / time.Duration(max(n, 1))
 }
 
-// receivesPrompts reports whether an engine currently gets prompts. An engine that gets
-// none, such as one with a release on trial or one that requested a rest, takes no load off
-// the others.
+// receivesPrompts reports whether an engine currently gets prompts. An engine that gets none,
+// such as one with a release on trial or one that requested a back-off, takes no load off the
+// others.
 func (s *state) receivesPrompts(now time.Time) bool {
 	return !s.promptSentAt.IsZero() && now.Sub(s.promptSentAt) < demandWindow && s.acceptsWork(now)
 }
--- a/upstream/limit.go
+++ b/upstream/limit.go
@@ -9,7 +9,7 @@
 // RateLimit is the rate limit that an upstream states in an answer.
 type RateLimit struct {
 	Statement LimitStatement `cbor:"1,keyasint"`
-	// PerSecond is how many requests per second the upstream takes from all VMs together.
+	// PerSecond is how many requests per second the upstream accepts from all VMs together.
 	PerSecond float64 `cbor:"2,keyasint,omitempty"`
 }
 
@@ -18,7 +18,7 @@
 
 const (
 	// LimitUnknown means that the answer reveals nothing: it is a refusal, a failure, or its
-	// header is not understood.
+	// header cannot be parsed.
 	LimitUnknown LimitStatement = iota
 	// LimitNone means that the upstream has no limit: it served a request and stated none.
 	LimitNone
@@ -39,8 +39,8 @@
 type LimitUpdate struct {
 	Instance contract.UpstreamInstance `cbor:"1,keyasint"`
 	Limit    RateLimit                 `cbor:"2,keyasint"`
-	// Version orders the knowledge about an instance, no matter how it arrives: a VM that
-	// learns something new from an answer assigns the next version.
+	// Version orders the limits of an instance, regardless of the order in which messages
+	// arrive: a VM that learns a new limit from an answer assigns the next version.
 	Version uint64 `cbor:"3,keyasint"`
 }
 
@@ -48,27 +48,27 @@
 type limitState struct {
 	RateLimit
 	version uint64
-	// learnedAt is when this VM learned the limit. Answers to requests that were sent before
-	// that contain nothing newer.
+	// learnedAt is when this VM learned the limit. An answer to a request that was sent
+	// earlier contains nothing newer.
 	learnedAt time.Time
 	// confirmedAt is when an answer last stated the limit, to this VM or to a VM that
-	// announced it, or when this VM last sent a request that should return it.
+	// reported it, or when this VM last sent a request that should return it.
 	confirmedAt time.Time
-	// reportedAt and reportedRemoteAt are when the limit was last announced, by any VM, within this
-	// data centre and to all data centres.
+	// reportedAt and reportedRemoteAt are when any VM last reported the limit within this
+	// data centre, and to all data centres.
 	reportedAt, reportedRemoteAt time.Time
 	limiter                      limiter
 }
 
-// Intervals between announcements to other VMs.
+// Intervals between reports of a rate limit to other VMs.
 const (
-	// localReportInterval is how often an unchanged limit is announced within the data centre.
+	// localReportInterval is how often an unchanged limit is reported within the data centre.
 	localReportInterval = 2 * time.Second
-	// remoteReportInterval is how often an unchanged limit is announced to other data
-	// centres, which probe the upstream only if no VM of this data centre does.
+	// remoteReportInterval is how often an unchanged limit is reported to other data centres,
+	// which probe the upstream only if no VM of this data centre does.
 	remoteReportInterval = 10 * time.Second
-	// minChangeInterval is the minimum time between two changes of the rate that are
-	// announced immediately: an upstream may state a different rate in each answer.
+	// minChangeInterval is the minimum time between two changes of the rate limit that are
+	// reported immediately: an upstream may state a different rate in each answer.
 	minChangeInterval = 250 * time.Millisecond
 )
 
@@ -76,12 +76,13 @@
 type LimitChange struct {
 	Update LimitUpdate
 	Before RateLimit
-	// Changed means that a different limit applies. Tell means that other VMs should be
-	// told, and Far that VMs of other data centres should be told too.
+	// Changed means that a different limit applies. Report means that the change should be
+	// reported to other VMs, and ReportRemote that it should be reported to VMs of other data
+	// centres too.
 	Changed, Report, ReportRemote bool
 }
 
-// applyAnswer applies what the answer to a request that was sent at sentAt states.
+// applyAnswer applies the statement about the limit in an answer; its request was sent at sentAt.
 func (l *limitState) applyAnswer(answered RateLimit, sentAt, now time.Time) (change LimitChange) {
 	if answered.Statement == LimitUnknown || sentAt.Before(l.learnedAt) {
 		return LimitChange{}
@@ -103,9 +104,9 @@
 	return change
 }
 
-// merge applies what another VM knows and reports whether it changed the limit. The newer
-// version wins and, within a version, the stricter limit, regardless of the order and number
-// of messages. fresh means that the other VM has just received it in an answer.
+// merge applies the limit that another VM knows, and reports whether that changed the limit. The
+// newer version wins and, within a version, the stricter limit, regardless of the order and
+// number of messages. fresh means that the other VM has just received the limit in an answer.
 func (l *limitState) merge(update LimitUpdate, fresh bool, now time.Time) (changed bool) {
 	switch {
 	case update.Version < l.version:
--- a/upstream/limit_replay_test.go
+++ b/upstream/limit_replay_test.go
@@ -21,9 +21,10 @@
 	started time.Time
 }
 
-// limitFleet simulates requests to plain upstreams, some of which state a rate limit for a while. VMs
-// exchange limits as in production: announcements are immediate, but some are lost, late or
-// duplicated, and each half second a VM compares its limits with those of another VM.
+// limitFleet simulates requests to plain upstreams, some of which state a rate limit for a while.
+// VMs exchange limits as in production: changes are reported immediately, but some reports are
+// lost, late or duplicated, and every half second a VM compares its limits with those of another
+// VM.
 type limitFleet struct {
 	limitLoad
 	vms     []*limitVM
@@ -31,8 +32,8 @@
 	now     time.Time
 	random  *rand.Rand
 	events  replayEvents
-	// upstreamLimit is what the limited upstreams state. arrivals holds when requests
-	// arrived at each of them.
+	// upstreamLimit is the rate limit that the limited upstreams state. arrivals holds when
+	// requests arrived at each of them.
 	upstreamLimit RateLimit
 	arrivals      map[contract.UpstreamID][]time.Time
 	sent, refused int
@@ -43,7 +44,7 @@
 	vms, centres, upstreams, limited int
 	perSecond                        float64
 	// rate is the requests per second of all VMs; lossRate and duplicateRate are the
-	// fractions of announcements that are lost and duplicated.
+	// fractions of the reports between VMs that are lost and duplicated.
 	rate, lossRate, duplicateRate float64
 	// restartInterval is the time between two restarts of a VM; zero means no restarts.
 	restartInterval time.Duration
@@ -75,7 +76,7 @@
 	return f
 }
 
-// start starts or restarts a VM, which then knows only the upstream list.
+// start starts or restarts a VM, which knows only the upstream list afterwards.
 func (f *limitFleet) start(v *limitVM, at time.Time) {
 	v.started = at
 	v.table = NewTable(Options{Listed: true})
@@ -118,8 +119,8 @@
 	f.schedule(limitSyncInterval, func() { f.sync(v) })
 }
 
-// gossip announces to other VMs what a VM has learned.
-func (f *limitFleet) gossip(from *limitVM, n LimitChange) {
+// report sends a change of a limit that a VM has learned to other VMs.
+func (f *limitFleet) report(from *limitVM, n LimitChange) {
 	for _, other := range f.vms {
 		if other == from || !n.ReportRemote && other.dc != from.dc || f.random.Float64() < f.lossRate {
 			continue
@@ -134,10 +135,10 @@
 	}
 }
 
-// limitedEntries returns the upstreams that state the limit.
+// limitedEntries returns the upstreams that state a rate limit.
 func (f *limitFleet) limitedEntries() []Entry { return f.entries[:f.limited] }
 
-// send lets a VM send a request, or refuse it if no upstream takes it.
+// send lets a VM send a request, or refuse it if no upstream accepts it.
 func (f *limitFleet) send(v *limitVM) {
 	f.sent++
 	q := engineQuery
@@ -157,7 +158,7 @@
 	f.schedule(limitServiceTime, func() {
 		tb.RecordDone(id, Succeeded, limitServiceTime, f.now)
 		if n := tb.ApplyLimitAnswer(tb.Instance(id), stated, sent, f.now); n.Report && v.table == tb {
-			f.gossip(v, n)
+			f.report(v, n)
 		}
 	})
 }
@@ -207,14 +208,16 @@
 	return n
 }
 
-// limitPropagation is how long after the first answer with a limit the bound must hold.
+// limitPropagation is the time after the first answer with a limit from which the limit must hold
+// at all VMs.
 const limitPropagation = 3 * time.Second
 
-// TestLimitHoldsAcrossVMs simulates VMs and upstreams of which a few state a rate limit. The requests
-// of all VMs to a limited upstream, whether or not a VM knows the limit, must stay within one and a
-// half times the limit plus five in any 4 s. All requests must be served, and one second after the
-// limit is lifted, the upstreams must have at least half of their usual share again. Announcements
-// are lost, delayed and duplicated at random, and random VMs restart.
+// TestLimitHoldsAcrossVMs simulates VMs and upstreams of which a few state a rate limit. The
+// requests of all VMs to a limited upstream, whether or not a VM knows the limit, must stay
+// within one and a half times the limit plus five in any 4 s. All requests must be served, and
+// one second after the limit is lifted, the upstreams must have at least half of their usual
+// share again. Reports between VMs are lost, delayed and duplicated at random, and random VMs
+// restart.
 func TestLimitHoldsAcrossVMs(t *testing.T) {
 	for _, size := range []limitLoad{
 		{vms: 6, centres: 3, upstreams: 9, limited: 3, rate: 160},
@@ -252,8 +255,8 @@
 	}
 }
 
-// TestLimitedCapacityIsUsed offers twice the load that all upstreams together take: at least nine
-// tenths of their limits must be used, and never more than the tolerance.
+// TestLimitedCapacityIsUsed offers twice the load that all upstreams together accept: at least
+// nine tenths of their limits must be used, and never more than the tolerance.
 func TestLimitedCapacityIsUsed(t *testing.T) {
 	for _, l := range []limitLoad{
 		{vms: 6, centres: 3, upstreams: 9, limited: 9, rate: 144, perSecond: 8},
@@ -276,8 +279,9 @@
 	}
 }
 
-// TestNonOwnersProbeLimitedUpstream lets only VMs that do not own a limited upstream have callers.
-// They must probe it from time to time, so that they learn when its limit is lifted.
+// TestNonOwnersProbeLimitedUpstream lets only VMs that do not own a limited upstream have
+// callers. These VMs must send it probe requests from time to time, so that they learn when its
+// limit is lifted.
 func TestNonOwnersProbeLimitedUpstream(t *testing.T) {
 	for name, callers := range map[string]contract.DataCentreID{"another VM of the data centre": "d0", "a VM of another data centre": "d1"} {
 		t.Run(name, func(t *testing.T) {
@@ -308,8 +312,9 @@
 	}
 }
 
-// BenchmarkLimits measures the cost of 200 limited upstreams out of 3,000 for a VM: the digest sent
-// with each status message, merging one limit, and a pick among 100 local upstreams of which 7 are limited.
+// BenchmarkLimits measures the cost of 200 limited upstreams out of 3,000 for a VM: the digest
+// sent with each status message, merging one limit, and a pick among 100 local upstreams of which
+// 7 are limited.
 func BenchmarkLimits(b *testing.B) {
 	now := time.Unix(1000, 0)
 	tb := NewTable(Options{Listed: true})
--- a/upstream/limit_table.go
+++ b/upstream/limit_table.go
@@ -11,8 +11,8 @@
 	"woaddoor/contract"
 )
 
-// ApplyLimitAnswer applies what an answer of an instance states about its rate limit. The request of
-// that answer was sent at sentAt.
+// ApplyLimitAnswer applies what an answer of an instance states about its rate limit. The request
+// for that answer was sent at sentAt.
 func (t *Table) ApplyLimitAnswer(l contract.UpstreamInstance, answered RateLimit, sentAt, now time.Time) LimitChange {
 	a := t.notices[l]
 	if answered.Statement != LimitStated && (a == nil || a.limit.version == 0) {
@@ -20,16 +20,16 @@
 	}
 	a = t.ensureNotices(l, now)
 	change := a.limit.applyAnswer(answered, sentAt, now)
-	change.Update = a.limit.known(l)
+	change.Update = a.limit.toUpdate(l)
 	if change.Changed {
 		t.refreshLimited()
 	}
 	return change
 }
 
-// MergeLimit applies what another VM knows about the rate limit of an instance; fresh means
-// that the other VM has just received it in an answer. It returns the limit that applied
-// before, and whether it changed.
+// MergeLimit applies what another VM knows about the rate limit of an instance; fresh means that
+// the other VM has just received the limit in an answer. MergeLimit returns the limit that
+// applied before, and whether it changed.
 func (t *Table) MergeLimit(update LimitUpdate, fresh bool, now time.Time) (before RateLimit, changed bool) {
 	a := t.ensureNotices(update.Instance, now)
 	before = a.limit.RateLimit
@@ -39,7 +39,8 @@
 	return before, changed
 }
 
-func (l *limitState) known(instance contract.UpstreamInstance) LimitUpdate {
+// toUpdate returns the limit of an instance in the form in which VMs exchange it.
+func (l *limitState) toUpdate(instance contract.UpstreamInstance) LimitUpdate {
 	return LimitUpdate{instance, l.RateLimit, l.version}
 }
 
@@ -64,16 +65,16 @@
 func (t *Table) CountLimited() int { return len(t.limited) }
 
 // Limits returns what is known about the rate limits of listed upstreams, at most maxCount of
-// them. Limits in force come first, then those that were lifted, for VMs that have not
-// learned that yet.
+// them. Limits in force come first, then those that were lifted, for VMs that do not know yet
+// that they were lifted.
 func (t *Table) Limits(maxCount int) []LimitUpdate {
 	var limited, lifted []LimitUpdate
 	for _, s := range t.sortedStates {
 		switch {
 		case s.notices.hasLimit():
-			limited = append(limited, s.notices.limit.known(t.Instance(s.upstream.ID)))
+			limited = append(limited, s.notices.limit.toUpdate(t.Instance(s.upstream.ID)))
 		case s.notices != nil && s.notices.limit.version > 0:
-			lifted = append(lifted, s.notices.limit.known(t.Instance(s.upstream.ID)))
+			lifted = append(lifted, s.notices.limit.toUpdate(t.Instance(s.upstream.ID)))
 		}
 	}
 	limited = append(limited, lifted...)
@@ -94,16 +95,17 @@
 	return sum
 }
 
-// When VMs that do not own a rate-limited upstream send it a probe request.
+// Delays after which VMs that do not own a rate-limited upstream send it a probe request.
 const (
-	// localProbeDelay is how long no answer may have stated the limit before another VM of
-	// the data centre sends a probe: the owners may have no callers. Each next VM waits
-	// probeStagger longer.
+	// localProbeDelay is how long no answer has stated the rate limit when a VM of the same
+	// data centre that is not an owner sends a probe request: the owners may have no callers.
+	// Each next VM waits probeStagger longer.
 	localProbeDelay = 5 * time.Second
-	// remoteProbeDelay is the corresponding delay for VMs of other data centres: the
-	// upstream's own data centre may have no VM left.
+	// remoteProbeDelay is the delay before VMs of other data centres send a probe request:
+	// the upstream's own data centre may have no VM left.
 	remoteProbeDelay = 25 * time.Second
-	// probeStagger is the additional delay for each next VM or data centre.
+	// probeStagger is the additional delay of a probe request for each next VM or data
+	// centre.
 	probeStagger = 2 * time.Second
 )
 
@@ -153,7 +155,7 @@
 }
 
 // overLimitCost is the cost of a request to an upstream beyond its rate limit but within its
-// tolerance: the upstream is overloaded, yet better than one that would answer late.
+// tolerance: the upstream is overloaded, yet better than an upstream that would answer late.
 const overLimitCost = 0.2
 
 // limitCost returns the cost that an upstream's rate limit adds to one more request of this VM.
@@ -177,8 +179,8 @@
 	s.notices.limit.confirmedAt = now
 }
 
-// ClaimShare uses one request of this VM's share of a rate limit that was announced after the
-// request was assigned to the upstream. It reports whether the share allowed that.
+// ClaimShare uses one request of this VM's share of a rate limit that the upstream stated only
+// after it was selected for the request. It reports whether the share allowed the request.
 func (t *Table) ClaimShare(l contract.UpstreamInstance, now time.Time) bool {
 	s := t.states[l.Upstream]
 	if s == nil || s.incarnation != l.Incarnation || !t.withinLimit(s, now) {
@@ -188,7 +190,8 @@
 	return true
 }
 
-// ReleaseShare reverts a claim whose request was not sent.
+// ReleaseShare returns one request to this VM's share of a rate limit, for a request that was not
+// sent.
 func (t *Table) ReleaseShare(l contract.UpstreamInstance, now time.Time) {
 	if s := t.states[l.Upstream]; s != nil && s.incarnation == l.Incarnation && s.notices.hasLimit() {
 		share, _ := t.vmShare(s, now)
@@ -196,9 +199,10 @@
 	}
 }
 
-// dueForProbe returns an upstream whose rate limit was not confirmed for probeInterval and to
-// which this VM may send a request, or nil. It takes precedence over cheaper upstreams: only
-// an answer reveals that the limit was lifted, and until then almost all requests go elsewhere.
+// dueForProbe returns an upstream to which this VM may send a request and whose rate limit no
+// answer has confirmed for probeInterval, or nil. Such an upstream takes precedence over cheaper
+// ones: only an answer reveals that the limit was lifted, and until then almost all requests go
+// elsewhere.
 func (t *Table) dueForProbe(q Query, now time.Time) *state {
 	i := slices.IndexFunc(t.limited, func(s *state) bool {
 		return now.Sub(s.notices.limit.confirmedAt) >= probeInterval && t.usable(s, q.Version, now) && q.allows(s)
--- a/upstream/limit_test.go
+++ b/upstream/limit_test.go
@@ -14,9 +14,9 @@
 
 var noLimit = RateLimit{Statement: LimitNone}
 
-// TestLimitFromReorderedAnswers applies statements from answers in the order of their arrival. An
-// answer to a request that was sent before the limit was learned contains nothing newer, since
-// answers can overtake each other.
+// TestLimitFromReorderedAnswers applies the rate limits that answers state in the order in which
+// the answers arrive. An answer to a request that was sent before the limit was learned contains
+// nothing newer, since answers can overtake each other.
 func TestLimitFromReorderedAnswers(t *testing.T) {
 	type answer struct {
 		stated             RateLimit
@@ -71,8 +71,8 @@
 	is.Equal(tb.CountLimited(), 0)
 }
 
-// TestLimitMergeConverges gives three VMs the same updates, each in a different order and one of them
-// twice: all must end with the same limit.
+// TestLimitMergeConverges gives three VMs the same limit updates, each VM in a different order
+// and one update twice: all must end with the same limit.
 func TestLimitMergeConverges(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		updates := rapid.SliceOfN(rapid.Custom(func(r *rapid.T) LimitUpdate {
@@ -88,7 +88,7 @@
 			for _, k := range append(rapid.Permutation(updates).Draw(r, "order"), updates[0]) {
 				l.merge(k, rapid.Bool().Draw(r, "fresh"), time.Unix(1000, 0))
 			}
-			known = append(known, l.known(contract.UpstreamInstance{}))
+			known = append(known, l.toUpdate(contract.UpstreamInstance{}))
 		}
 		if known[0] != known[1] || known[1] != known[2] {
 			r.Fatalf("three VMs disagree: %v", known)
@@ -113,9 +113,10 @@
 	}
 }
 
-// TestLimiter sends whenever a share allows it. The requests in any window must fit, a pause must
-// save up no more than the burst, a lower limit must count what was sent under the higher one, a
-// request that was not sent must be given back, and sends over the limit must be detected.
+// TestLimiter sends whenever a share of a rate limit allows it. The requests in any window must
+// stay within the share, a pause must save up no more than the burst, a lower limit must count
+// what was sent under the higher one, a request that was not sent must be given back, and sends
+// over the limit must be detected.
 func TestLimiter(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -146,8 +147,8 @@
 	is.Equal(l.wait(low, now), time.Duration(0))
 }
 
-// TestOverLimitOnlyWhenOthersAreBusy checks that an upstream with a limit gets more than that only if
-// the others are busy, and never more than it tolerates.
+// TestOverLimitOnlyWhenOthersAreBusy checks that an upstream with a limit gets more than that
+// only if the others are busy, and never more than its tolerance.
 func TestOverLimitOnlyWhenOthersAreBusy(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -187,8 +188,8 @@
 	is.True(busy <= s.maxPerWindow)
 }
 
-// TestStaleLimitUpdateDoesNotDelayProbe lets another VM repeat what both VMs know, although neither
-// has received an answer: an owner must still probe the upstream.
+// TestStaleLimitUpdateDoesNotDelayProbe lets another VM report a limit that both VMs already
+// know, although neither has received a new answer: an owner must still probe the upstream.
 func TestStaleLimitUpdateDoesNotDelayProbe(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
--- a/upstream/limiter.go
+++ b/upstream/limiter.go
@@ -8,9 +8,9 @@
 	// requests may be sent together after a pause.
 	interval time.Duration
 	burst    int
-	// maxPerWindow is the maximum number of requests in any limitWindow, and minInterval
-	// the corresponding time between two requests. They exceed the limit but stay within
-	// the upstream's tolerance.
+	// maxPerWindow is the maximum number of requests in any limitWindow, and minInterval the
+	// corresponding time between two requests. Both exceed the rate limit but stay within the
+	// tolerance of the upstream.
 	maxPerWindow int
 	minInterval  time.Duration
 }
@@ -29,15 +29,15 @@
 	// probeInterval is how often an upstream gets at least one request even if its limit
 	// allows less or nothing: only an answer reveals that the limit was lifted.
 	probeInterval = time.Second
-	// ownerBurst is how many requests an owner may send together.
+	// ownerBurst is how many requests an owner may send together after a pause.
 	ownerBurst = 2
 	// limitWindow is the window in which requests are counted. It exceeds toleranceWindow
 	// because requests may arrive closer together than they were sent, if one waited for a
 	// connection. Requests sent under a higher limit count until they leave the window.
 	limitWindow = toleranceWindow + 400*time.Millisecond
 	// plannedFraction is the fraction of the tolerance that owners plan to use, less
-	// reservedProbes requests. The rest is reserved for changes of owners and for probes
-	// from VMs that learn of no recent answer.
+	// reservedProbes requests. The remainder is reserved for changes of owners and for probe
+	// requests from VMs that learn of no recent answer.
 	plannedFraction = 0.9
 	reservedProbes  = 1
 )
@@ -63,8 +63,8 @@
 	return float64(s.maxPerWindow) / limitWindow.Seconds()
 }
 
-// probeShare returns the share of a VM that probes an upstream which it does not own, or that
-// does not know the other owners yet.
+// probeShare returns the share of a rate limit for a VM that probes an upstream which it does not
+// own, or that does not know the other owners yet.
 func probeShare() limitShare {
 	return limitShare{interval: probeInterval, burst: 1, maxPerWindow: int(limitWindow / probeInterval), minInterval: probeInterval}
 }
@@ -85,7 +85,8 @@
 	sentAt []time.Time
 }
 
-// wait returns the time until one more request fits the share's maximum; zero means now.
+// wait returns the time until one more request stays within the maximum of the share; zero means
+// now.
 func (l *limiter) wait(s limitShare, now time.Time) time.Duration {
 	l.dropExpired(now)
 	wait := max(earliest(l.maxTAT, s.minInterval, s.burst).Sub(now), l.startedAt.Add(s.minInterval).Sub(now), 0)
@@ -101,12 +102,13 @@
 	return earliest(l.limitTAT, s.interval, s.burst).After(now)
 }
 
-// earliest returns when one more request fits, if burst requests may be sent together.
+// earliest returns the earliest time for one more request, if burst requests may be sent
+// together.
 func earliest(next time.Time, interval time.Duration, burst int) time.Time {
 	return next.Add(-time.Duration(burst-1) * interval)
 }
 
-// dropExpired removes requests that have left the window.
+// dropExpired removes requests that were sent longer than limitWindow ago.
 func (l *limiter) dropExpired(now time.Time) {
 	for len(l.sentAt) > 0 && now.Sub(l.sentAt[0]) >= limitWindow {
 		l.sentAt = l.sentAt[1:]
--- a/upstream/list_change.go
+++ b/upstream/list_change.go
@@ -12,8 +12,8 @@
 )
 
 // ApplyListChanges applies the entries that changed since the list was last applied, and removes
-// the upstreams that are gone from it. The result equals ConfigureList with the whole list,
-// but the cost depends only on the size of the change.
+// the upstreams that are gone from it. The result equals ApplyList with the whole list, but the
+// cost depends only on the size of the change.
 func (t *Table) ApplyListChanges(changed List, gone []contract.UpstreamID) {
 	for _, id := range gone {
 		if s := t.states[id]; s != nil {
--- a/upstream/list_change_test.go
+++ b/upstream/list_change_test.go
@@ -17,7 +17,7 @@
 func (t *Table) dump() string {
 	var b strings.Builder
 	for _, s := range t.sortedStates {
-		fmt.Fprintf(&b, "%s at %s in %s of %d slots, %d connections: leaving %d, born %d, in flight %d, cold until %v, index in its pool %d, in its data centre %d\n",
+		fmt.Fprintf(&b, "%s at %s in %s of %d slots, %d connections: leaving %d, incarnation %d, in flight %d, cold until %v, index in its pool %d, in its data centre %d\n",
 			s.upstream.ID, s.upstream.URL, s.pool.ID, s.pool.Slots, s.pool.MaxConnections, s.leavingIncarnation, s.incarnation, s.inFlight, s.cold.until,
 			slices.Index(t.pools[s.pool.ID], s), slices.Index(t.byDataCentre[s.pool.DataCentre], s))
 	}
--- a/upstream/listed.go
+++ b/upstream/listed.go
@@ -24,11 +24,13 @@
 	Leaving bool
 	// Preemptible upstreams cost less, but the platform may remove them at any moment.
 	Preemptible bool
-	// Cold is how long the upstream stays cold (still warming up), counted from when it wrote the entry.
+	// Cold is how long the upstream stays cold (still warming up), counted from when the
+	// upstream wrote the entry.
 	Cold time.Duration
 	// Incarnation distinguishes two instances with the same ID. It is the start time by the
 	// upstream's own clock, in milliseconds since 1970, or zero if the upstream does not
-	// provide it. Since that clock may jump, Born does not order instances.
+	// provide it. Since that clock may jump, a higher Incarnation is not necessarily the
+	// later instance.
 	Incarnation int64
 	// Revision is the revision of the entry in the store.
 	Revision contract.Revision
@@ -42,7 +44,7 @@
 	Connections func(contract.ServiceID) int
 	Cold        func(contract.ServiceID) ColdBound
 	Now         time.Time
-	// Incomplete means that the list is incomplete: there are more upstreams than are known yet.
+	// Incomplete means that further upstreams exist that the list does not contain yet.
 	Incomplete bool
 }
 
@@ -119,14 +121,15 @@
 	s.reportedAt = now
 }
 
-// RecordAccepted records that an upstream has begun to answer a request, so it is not turning
-// requests away.
+// RecordAccepted records that an upstream has begun to answer a request, so it no longer rejects
+// requests.
 func (t *Table) RecordAccepted(id contract.UpstreamID) {
 	if s, ok := t.states[id]; ok {
 		s.health.rejectedSkip = 0
 	}
 }
 
+// hasFreeConnection reports whether this VM may have one more request in flight at an upstream.
 func (s *state) hasFreeConnection() bool {
 	return s.pool.MaxConnections == 0 || s.inFlight < s.pool.MaxConnections
 }
@@ -192,14 +195,14 @@
 	return false
 }
 
-// health is what this VM's own requests reveal about a listed upstream.
+// health is what the results of this VM's own requests show about a listed upstream.
 type health struct {
 	// failureRate is the exponentially weighted fraction of recent requests that failed.
 	failureRate float64
 	backoff     time.Duration
 	skipUntil   time.Time // no new work until then, apart from the last resort
-	// rejectedSkip is how long the upstream was skipped after it last turned a request
-	// away; zero once it has begun to answer a request since.
+	// rejectedSkip is how long the upstream was skipped after it last rejected a request;
+	// zero once it has begun to answer a request since.
 	rejectedSkip time.Duration
 	// connectFailed is set if no connection could be established at the last attempt.
 	connectFailed         bool
@@ -223,10 +226,10 @@
 	// fullSkip is how long a full upstream is skipped: about the time until one of its slots
 	// becomes free.
 	fullSkip = 60 * time.Millisecond
-	// maxRejectedSkip limits how long an upstream that turns away consecutive requests is
+	// maxRejectedSkip limits how long an upstream that rejects consecutive requests is
 	// skipped; the time doubles with each of them. Compared with a constant fullSkip, the
-	// worth of the answers was 0.011 higher (mean of 12 paired days) when half of the
-	// upstreams turned away 0.4 of their requests, and a third 0.9 in a burst.
+	// value of the answers was 0.011 higher (mean of 12 paired days) when half of the
+	// upstreams rejected 0.4 of their requests, and a third rejected 0.9 in a burst.
 	maxRejectedSkip = 960 * time.Millisecond
 	// firstAnswerWeight is the weight of the newest sample of the time until an answer begins.
 	firstAnswerWeight = 0.1
@@ -237,7 +240,7 @@
 	maxFirstAnswerRatio = 10
 )
 
-// available reports whether the upstream's health allows new work.
+// available reports whether the upstream may get new work as far as its health is concerned.
 func (h *health) available(now time.Time) bool { return !now.Before(h.skipUntil) }
 
 // recordPick records that a request goes to the upstream. A suspected upstream gets one request
@@ -295,8 +298,8 @@
 	}
 }
 
-// CompareUpstreams compares the upstreams of each pool with each other, so that slow ones are detected.
-// The caller invokes it periodically.
+// CompareUpstreams compares the upstreams of each pool with each other, so that slow ones are
+// detected. The caller invokes it periodically.
 func (t *Table) CompareUpstreams(dc contract.DataCentreID, now time.Time) {
 	t.countActiveEngines(now)
 	t.updateMeanWait(dc, now)
--- a/upstream/listed_test.go
+++ b/upstream/listed_test.go
@@ -65,7 +65,7 @@
 		seen = picks(tb, q, now.Add(unreachableFor+probeBackoffMax))
 		is.True(seen["e1"] > 0)
 	})
-	t.Run("turned away", func(t *testing.T) {
+	t.Run("rejected", func(t *testing.T) {
 		is := is.New(t)
 		tb, _ := newListedTable(2)
 		tb.RecordSent("d0")
@@ -89,12 +89,12 @@
 		is := is.New(t)
 		tb, _ := newListedTable(2)
 		w := Work{Prompt: prefill.Prompt{Model: "m", Tokens: 50000}, Objective: time.Second}
-		e, ticket := tb.RecordExpected("d0", w, "d", now)
+		e, queueID := tb.RecordExpected("d0", w, "d", now)
 		q := listedQuery
 		q.Work = Work{Prompt: prefill.Prompt{Model: "m", Tokens: 100}, Objective: time.Second}
 		is.Equal(picks(tb, q, now)["d0"], 0)
 		now = now.Add(e.Prefill)
-		tb.RecordAnswerBegin("d0", ticket, w, e, e.TimeToFirstToken(), now)
+		tb.RecordAnswerBegin("d0", queueID, w, e, e.TimeToFirstToken(), now)
 		is.True(picks(tb, q, now)["d0"] > 0)
 	})
 	t.Run("home of a prefix", func(t *testing.T) {
@@ -109,7 +109,7 @@
 		tb, _ := newListedTable(3)
 		q := listedQuery
 		q.Work = Work{Prompt: prefill.Prompt{Model: "m", Tokens: 9000, Parts: []prefill.Part{{Key: 7, Tokens: 8000}, {Key: 8, Tokens: 1000}}}, Objective: time.Second}
-		tb.RecordRemotePrompt("d2", q.Work.Prompt, 0, 0, now) // another VM has sent it there
+		tb.RecordRemotePrompt("d2", q.Work.Prompt, 0, 0, now) // another VM has sent this prompt to d2
 		is.Equal(picks(tb, q, now)["d2"], 40)
 	})
 }
@@ -155,8 +155,9 @@
 	})
 }
 
-// TestEnginesOutsideGossipScopeAreNotIdle checks that an engine whose requests from other VMs are unknown is not
-// assumed to be idle: otherwise all callers of a busy data centre would be sent there.
+// TestEnginesOutsideGossipScopeAreNotIdle checks that an engine outside the gossip scope, whose
+// requests from other VMs are unknown, is not assumed to be idle: otherwise all callers of a busy
+// data centre would be sent there.
 func TestEnginesOutsideGossipScopeAreNotIdle(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
@@ -200,12 +201,12 @@
 		ms := func(label string) time.Duration {
 			return time.Duration(rapid.IntRange(1, 5000).Draw(t, label)) * time.Millisecond
 		}
-		e := Estimate{Wait: ms("wait"), Prefill: ms("reading")}
+		e := Estimate{Wait: ms("wait"), Prefill: ms("prefill")}
 		n := rapid.IntRange(1, 50).Draw(t, "requests")
 		if price(0, e) != 0 {
 			t.Fatal("prefill has a price although no requests arrive")
 		}
-		longer := Estimate{Wait: e.Wait + ms("more wait"), Prefill: e.Prefill + ms("more reading")}
+		longer := Estimate{Wait: e.Wait + ms("more wait"), Prefill: e.Prefill + ms("more prefill")}
 		if p := price(n, e); p <= 0 || price(n, longer) <= p || price(n+1, e) <= p {
 			t.Fatalf("price %v does not rise", p)
 		}
--- a/upstream/notices.go
+++ b/upstream/notices.go
@@ -6,41 +6,43 @@
 	"woaddoor/contract"
 )
 
-// Notices is what an upstream states about itself in an answer. The zero value means nothing.
+// Notices is what an upstream states about itself in an answer. The zero value means that the
+// answer contains no notices.
 type Notices struct {
 	// Leaving means that the upstream is about to stop.
 	Leaving bool
 	// Backoff is a requested pause: how long this VM should send the upstream no requests.
 	Backoff time.Duration
-	// Limit is how many requests the upstream takes from all VMs together.
+	// Limit is the rate limit that the upstream states for the requests of all VMs together.
 	Limit RateLimit
 }
 
-// DefaultMaxBackoff limits how long the rest requested by an upstream is obeyed. An upstream
-// that requests weeks by mistake gets requests again without manual action, and one that means
-// it can request another rest.
+// DefaultMaxBackoff limits how long the back-off requested by an upstream is obeyed. An upstream
+// that requests weeks by mistake gets requests again without manual action, and one that needs a
+// longer pause can request another back-off.
 const DefaultMaxBackoff = 10 * time.Minute
 
-// announcement is what an instance has stated about itself in answers. It stays in force until
-// the upstream restarts. No upstream list clears it: the store may be unavailable or lag, and
-// a list entry may be missing for a while.
+// instanceNotices holds the notices from all answers of an instance. They stay in force until the
+// upstream restarts. No upstream list clears them: the store may be unavailable or lag, and a
+// list entry may be missing for a while.
 type instanceNotices struct {
 	leaving bool
-	// backoffUntil is when the longest of the requested rests ends, and rest the duration of
-	// that rest. Nothing shortens a rest, because an earlier answer may arrive later.
+	// backoffUntil is when the longest of the requested back-offs ends, and backoff the
+	// length of that one. Nothing shortens a back-off, because an earlier answer may arrive
+	// later.
 	backoffUntil time.Time
 	backoff      time.Duration
 	limit        limitState
-	// lastSeenAt is when the instance was last listed or last stated something.
+	// lastSeenAt is when the instance was last listed or last sent a notice.
 	lastSeenAt time.Time
 }
 
-// noticesTTL is how long the announcement of an instance that is not listed is kept: an
-// entry that expired is back within seconds of the store's recovery.
+// noticesTTL is how long the notices of an instance that is not listed are kept: an entry that
+// expired is back within seconds of the store's recovery.
 const noticesTTL = 10 * time.Minute
 
-// ApplyNotices applies what an instance of an upstream stated in an answer. It returns the new
-// part: that the upstream is leaving, or a rest that ends later than the previous ones.
+// ApplyNotices applies the notices in an answer of an instance. It returns those that are new:
+// that the upstream is leaving, or a back-off that ends later than the previous ones.
 func (t *Table) ApplyNotices(l contract.UpstreamInstance, stated Notices, now time.Time) (added Notices) {
 	if !stated.Leaving && stated.Backoff == 0 {
 		return Notices{}
@@ -55,7 +57,7 @@
 	return added
 }
 
-// ensureNotices returns the announcement of an instance and creates it if necessary.
+// ensureNotices returns the notices of an instance, which it creates if there are none.
 func (t *Table) ensureNotices(l contract.UpstreamInstance, now time.Time) *instanceNotices {
 	a := t.notices[l]
 	if a == nil {
@@ -70,13 +72,14 @@
 	return a
 }
 
-// othersBackoffCost is the additional cost of an upstream that requested a rest from another VM.
-// It equals that of an upstream for which half of the recent requests failed: the upstream
-// gets fewer requests, but still gets some if no other is better, since a rest requested from
-// one VM does not bind the others.
+// othersBackoffCost is the additional cost of an upstream that requested a back-off from another
+// VM. It equals the cost of an upstream for which half of the recent requests failed: the
+// upstream gets fewer requests, but still gets some if no other is better, since a back-off
+// requested from one VM does not bind the others.
 const othersBackoffCost = failureCost / 2
 
-// RecordRemoteBackoff records that an upstream requested a rest from another VM, with the time left of it.
+// RecordRemoteBackoff records that an upstream requested a back-off from another VM, with the
+// remaining time of that back-off.
 func (t *Table) RecordRemoteBackoff(id contract.UpstreamID, remaining time.Duration, now time.Time) {
 	s, ok := t.states[id]
 	if !ok {
@@ -87,8 +90,7 @@
 	}
 }
 
-// dropStaleNotices removes the announcements of instances that have not been listed for
-// noticesTTL.
+// dropStaleNotices removes the notices of instances that have not been listed for noticesTTL.
 func (t *Table) dropStaleNotices(now time.Time) {
 	for l, a := range t.notices {
 		if s := t.states[l.Upstream]; s != nil && s.notices == a {
@@ -108,7 +110,7 @@
 	return l
 }
 
-// TakeEndedBackoffs returns the instances whose rests have ended since the last call.
+// TakeEndedBackoffs returns the instances whose back-offs have ended since the last call.
 func (t *Table) TakeEndedBackoffs(now time.Time) []contract.UpstreamInstance {
 	var out []contract.UpstreamInstance
 	for l, a := range t.notices {
@@ -120,7 +122,8 @@
 	return out
 }
 
-// NoticeState reports whether an upstream is resting and whether it stated that it is leaving.
+// NoticeState reports whether a back-off that an upstream requested from this VM is in force, and
+// whether the upstream stated that it is leaving.
 func (t *Table) NoticeState(id contract.UpstreamID, now time.Time) (backedOff, leaving bool) {
 	s, ok := t.states[id]
 	return ok && s.notices.inBackoff(now), ok && s.notices.isLeaving()
@@ -151,18 +154,18 @@
 	return ok && s.isLeaving()
 }
 
-// isLeaving reports whether an instance stated that it is about to stop. A nil receiver has
-// stated nothing.
+// isLeaving reports whether an instance stated that it is about to stop. A nil receiver contains
+// no notices.
 func (a *instanceNotices) isLeaving() bool { return a != nil && a.leaving }
 
-// inBackoff reports whether a rest that an instance requested from this VM is still in force.
-// A nil receiver has requested none.
+// inBackoff reports whether a back-off that an instance requested from this VM is still in force.
+// A nil receiver contains no notices.
 func (a *instanceNotices) inBackoff(now time.Time) bool {
 	return a != nil && now.Before(a.backoffUntil)
 }
 
-// CountBackedOff returns how many of the listed upstreams are resting and how many have stated that
-// they are leaving.
+// CountBackedOff returns how many of the listed upstreams have a back-off in force, and how many
+// have stated that they are leaving.
 func (t *Table) CountBackedOff(now time.Time) (backedOff, leaving int) {
 	for _, s := range t.sortedStates {
 		if s.notices.inBackoff(now) {
--- a/upstream/notices_test.go
+++ b/upstream/notices_test.go
@@ -40,9 +40,9 @@
 	return id
 }
 
-// TestNoticesPersist lets an upstream announce that it is leaving or needs a rest, followed
-// by an event that might clear this too early. Each announcement must hold until the upstream
-// restarts or the longest rest has passed.
+// TestNoticesPersist lets an upstream state that it is leaving or request a back-off, followed by
+// an event that might clear this notice too early. Each notice must hold until the upstream
+// restarts or the longest back-off has ended.
 func TestNoticesPersist(t *testing.T) {
 	const backoff = 3 * time.Second
 	for name, c := range map[string]struct {
@@ -62,20 +62,20 @@
 		"leaving, stated by another instance": {Notices{}, func(tb *Table, now time.Time) {
 			tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u1", Incarnation: 7}, Notices{Leaving: true}, now)
 		}, time.Second, true},
-		"rest":                             {Notices{Backoff: backoff}, nil, backoff - 1, false},
-		"rest ended":                       {Notices{Backoff: backoff}, nil, backoff, true},
-		"rest, then a good answer":         {Notices{Backoff: backoff}, func(tb *Table, now time.Time) { tb.RecordDone("u1", Succeeded, 0, now) }, backoff - 1, false},
-		"rest, then a request turned away": {Notices{Backoff: backoff}, func(tb *Table, now time.Time) { tb.RecordDone("u1", Rejected, 0, now) }, backoff - 1, false},
-		"rest, then a shorter one": {Notices{Backoff: backoff}, func(tb *Table, now time.Time) {
+		"back-off":                          {Notices{Backoff: backoff}, nil, backoff - 1, false},
+		"back-off ended":                    {Notices{Backoff: backoff}, nil, backoff, true},
+		"back-off, then a good answer":      {Notices{Backoff: backoff}, func(tb *Table, now time.Time) { tb.RecordDone("u1", Succeeded, 0, now) }, backoff - 1, false},
+		"back-off, then a rejected request": {Notices{Backoff: backoff}, func(tb *Table, now time.Time) { tb.RecordDone("u1", Rejected, 0, now) }, backoff - 1, false},
+		"back-off, then a shorter one": {Notices{Backoff: backoff}, func(tb *Table, now time.Time) {
 			tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, Notices{Backoff: time.Second}, now)
 		}, backoff - 1, false},
-		"rest, then a longer one": {Notices{Backoff: backoff}, func(tb *Table, now time.Time) {
+		"back-off, then a longer one": {Notices{Backoff: backoff}, func(tb *Table, now time.Time) {
 			tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, Notices{Backoff: 2 * backoff}, now)
 		}, backoff, false},
-		"rest, then listed again":           {Notices{Backoff: backoff}, func(tb *Table, now time.Time) { applyList(tb, now, listEntry("u1", "d", 1)) }, backoff - 1, false},
-		"rest, then not listed for a while": {Notices{Backoff: backoff}, func(tb *Table, now time.Time) { applyList(tb, now); applyList(tb, now, listEntry("u1", "d", 1)) }, backoff - 1, false},
-		"rest, then a new instance":         {Notices{Backoff: backoff}, func(tb *Table, now time.Time) { applyList(tb, now, listEntry("u1", "d", 2)) }, 0, true},
-		"rest, then RestsEnded is called":   {Notices{Backoff: backoff}, func(tb *Table, now time.Time) { tb.TakeEndedBackoffs(now) }, backoff - 1, false},
+		"back-off, then listed again":                {Notices{Backoff: backoff}, func(tb *Table, now time.Time) { applyList(tb, now, listEntry("u1", "d", 1)) }, backoff - 1, false},
+		"back-off, then not listed for a while":      {Notices{Backoff: backoff}, func(tb *Table, now time.Time) { applyList(tb, now); applyList(tb, now, listEntry("u1", "d", 1)) }, backoff - 1, false},
+		"back-off, then a new instance":              {Notices{Backoff: backoff}, func(tb *Table, now time.Time) { applyList(tb, now, listEntry("u1", "d", 2)) }, 0, true},
+		"back-off, then TakeEndedBackoffs is called": {Notices{Backoff: backoff}, func(tb *Table, now time.Time) { tb.TakeEndedBackoffs(now) }, backoff - 1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -98,8 +98,9 @@
 	}
 }
 
-// TestNoPickWhenAllBackOffOrLeave checks that nothing is selected if all upstreams rest or leave,
-// however unhealthy the others are, and that Outlook reports the first rest that ends.
+// TestNoPickWhenAllBackOffOrLeave checks that no upstream is selected if each has requested a
+// back-off or is leaving, even as a last resort, and that Outlook reports the back-off that ends
+// first.
 func TestNoPickWhenAllBackOffOrLeave(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -117,12 +118,13 @@
 	is.Equal(o, Outlook{Listed: 2, BackedOff: 1, Leaving: 1, NextBackoffEnd: 2 * time.Second, NextBackoffLength: 2 * time.Second})
 	is.True(o.NoneAccepting())
 	tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, Notices{Leaving: true}, now)
-	is.True(!tb.Outlook(engineQuery, now).NoneAccepting()) // no upstream will take requests later
+	is.True(!tb.Outlook(engineQuery, now).NoneAccepting()) // no upstream will accept requests later
 }
 
-// TestNoticesAffectReachability checks other effects of announcements: a VM that reaches no
-// other data centre and whose own upstreams leave counts as cut off, a leaving upstream is not
-// a probe target for its data centre, and a resting engine does not count as receiving prompts.
+// TestNoticesAffectReachability checks other effects of notices: a VM that reaches no other data
+// centre and whose own upstreams are leaving counts as isolated, a leaving upstream is not a
+// probe target for its data centre, and an engine that requested a back-off does not count as
+// receiving prompts.
 func TestNoticesAffectReachability(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -134,7 +136,7 @@
 	is.True(tb.states["u1"].receivesPrompts(now))
 	tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, Notices{Backoff: time.Second}, now)
 	is.True(!tb.states["u1"].receivesPrompts(now))
-	is.True(!tb.Isolated("d", pools, now)) // a resting upstream will be back soon
+	is.True(!tb.Isolated("d", pools, now)) // an upstream that requested a back-off accepts requests again soon
 	tb.ApplyNotices(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, Notices{Leaving: true}, now)
 	is.True(tb.Isolated("d", pools, now))
 	random := rand.New(rand.NewPCG(1, 1))
@@ -143,8 +145,8 @@
 	is.Equal(len(tb.ProbeTargets(now, random)), 0)
 }
 
-// TestNoticesExpire checks that announcements are kept only for instances that are listed or
-// were listed within noticesTTL.
+// TestNoticesExpire checks that notices are kept only for instances that are listed or were
+// listed within noticesTTL.
 func TestNoticesExpire(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -164,8 +166,8 @@
 	is.Equal(pickID(tb, now), contract.UpstreamID(""))
 }
 
-// TestBackoffOfReportingUpstream checks that a rest requested by an upstream that sends load reports
-// is not ended by further reports or a good answer, but is ended by a restart.
+// TestBackoffOfReportingUpstream checks that a back-off requested by an upstream that sends load
+// reports does not end with further reports or a good answer, but ends with a restart.
 func TestBackoffOfReportingUpstream(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -188,9 +190,10 @@
 	is.Equal(pickID(tb, now), contract.UpstreamID("u1"))
 }
 
-// TestRepeatedlyRejected sends 40 requests per second to two upstreams, one of which turns
-// requests away for 5 s without requesting a rest. It must get only a few of them and be back soon
-// after it has answered one. A lack of free connections must not extend the time that it is skipped.
+// TestRepeatedlyRejected sends 40 requests per second to two upstreams, one of which rejects
+// requests for 5 s without requesting a back-off. It must get only a few requests in that time,
+// and its usual share soon after it has answered one. A lack of free connections must not extend
+// the time that it is skipped.
 func TestRepeatedlyRejected(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -225,8 +228,8 @@
 	is.Equal(pickID(tb, now.Add(fullSkip)), contract.UpstreamID("u1"))
 }
 
-// TestRandomNoticesPersist generates announcements, lists, request results and passing time, and
-// compares the selected upstreams with an oracle that never forgets an announcement.
+// TestRandomNoticesPersist generates notices, lists, request results and passing time, and
+// compares the selected upstreams with an oracle that never forgets a notice.
 func TestRandomNoticesPersist(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		type oracleEntry struct {
@@ -242,7 +245,7 @@
 			id := contract.UpstreamID(fmt.Sprint("u", rapid.IntRange(1, 2).Draw(r, "upstream")))
 			switch rapid.IntRange(0, 4).Draw(r, "step") {
 			case 0:
-				stated := Notices{Leaving: rapid.IntRange(0, 9).Draw(r, "leaving") == 0, Backoff: time.Duration(rapid.IntRange(0, 3000).Draw(r, "rest")) * time.Millisecond}
+				stated := Notices{Leaving: rapid.IntRange(0, 9).Draw(r, "leaving") == 0, Backoff: time.Duration(rapid.IntRange(0, 3000).Draw(r, "back-off")) * time.Millisecond}
 				l := contract.UpstreamInstance{Upstream: id, Incarnation: incarnations[id]}
 				tb.ApplyNotices(l, stated, now)
 				oracle = append(oracle, oracleEntry{l, stated.Leaving, now.Add(stated.Backoff)})
@@ -260,7 +263,7 @@
 			got := pickID(tb, now)
 			for _, e := range oracle {
 				if got == e.instance.Upstream && incarnations[got] == e.instance.Incarnation && (e.leave || now.Before(e.until)) {
-					r.Fatalf("%s is selected at %v despite the announcement %+v", got, now, e)
+					r.Fatalf("%s is selected at %v despite the notice %+v", got, now, e)
 				}
 			}
 		}
--- a/upstream/outlook.go
+++ b/upstream/outlook.go
@@ -2,25 +2,27 @@
 
 import "time"
 
-// Outlook summarizes when the upstreams that could serve a request will take requests again.
+// Outlook summarizes when the upstreams that could serve a request will accept requests again.
 type Outlook struct {
-	// Listed is the number of these upstreams. Resting, Leaving and AtLimit count those
-	// that requested a rest, that are leaving, and that have used up their rate limit.
+	// Listed is the number of upstreams that could serve the request. BackedOff, Leaving and
+	// AtLimit count those that requested a back-off, that are leaving, and that have used up
+	// their rate limit.
 	Listed, BackedOff, Leaving, AtLimit int
-	// PerSecond is the total request rate that the upstreams in AtLimit take from all VMs.
+	// PerSecond is the total request rate that the upstreams counted in AtLimit accept from
+	// all VMs.
 	PerSecond float64
-	// NextBackoffEnd is the time until the first rest ends, and Rest the whole length of that rest:
-	// callers have been turned away for about that long.
+	// NextBackoffEnd is the time until the first back-off ends, and NextBackoffLength the
+	// whole length of that back-off: callers have been refused for about that long.
 	NextBackoffEnd, NextBackoffLength time.Duration
 }
 
-// NoneAccepting reports whether no upstream takes requests now but at least one will later.
+// NoneAccepting reports whether no upstream accepts requests now but at least one will later.
 func (o Outlook) NoneAccepting() bool {
 	return o.BackedOff+o.AtLimit > 0 && o.BackedOff+o.AtLimit+o.Leaving == o.Listed
 }
 
-// Outlook returns the outlook for a query. It includes the upstreams that have already failed
-// the request.
+// Outlook returns when the upstreams that a query allows will accept requests again. It includes
+// the upstreams that have already failed the request.
 func (t *Table) Outlook(q Query, now time.Time) Outlook {
 	q.Exclude = nil
 	var o Outlook
--- a/upstream/owners.go
+++ b/upstream/owners.go
@@ -8,10 +8,10 @@
 	"woaddoor/contract"
 )
 
-// Some bounds apply to the requests of all VMs together, but no VM knows what the others send
-// at the same moment. Each upstream therefore ranks the VMs of its data centre. All VMs
-// compute the same ranking without communication (rendezvous hashing), and the
-// highest-ranked VMs own the bound and divide it among themselves.
+// Cold bounds and rate limits apply to the requests of all VMs together, but no VM knows what the
+// others send at the same moment. The VMs of a data centre are therefore ranked for each of its
+// upstreams. All VMs compute the same ranking without communication (rendezvous hashing), and the
+// highest-ranked VMs are the owners of the upstream: they divide its bound among themselves.
 
 // Owners are the VMs of this data centre that divide the bounds of cold and rate-limited
 // upstreams. The zero value means that this VM does not know them yet; it then sends nothing
@@ -45,8 +45,8 @@
 type ownership struct {
 	Owners
 	dc contract.DataCentreID
-	// version increases with each change of the owners; otherHashes are the other VMs'
-	// hashes.
+	// version increases with each change of the owners; selfHash and otherHashes are the
+	// hashes of the IDs of this VM and of the other VMs.
 	version     int
 	selfHash    uint64
 	otherHashes []uint64
--- a/upstream/pick.go
+++ b/upstream/pick.go
@@ -30,7 +30,7 @@
 
 // Pick returns the upstream for a request, or ErrNone.
 //
-// Each prompt prefix has two home upstreams, which all VMs compute without communication
+// Each prompt prefix has two upstreams as its homes, which all VMs compute without communication
 // (rendezvous hashing), so that the prefix is cached there and not everywhere. Without the
 // platform's list, a home is selected if it has room, else the upstream with the least expected
 // wait. With the list, the upstream with the lowest cost is selected, and homes cost less.
@@ -93,7 +93,7 @@
 	return slices.ContainsFunc(states, func(s *state) bool { return s.expectedLoad()+1 <= float64(s.pool.Slots) })
 }
 
-// homeWithRoom returns a home of a prefix that has room, or nil.
+// homeWithRoom returns a home upstream of a prompt prefix that is not too loaded, or nil.
 func (t *Table) homeWithRoom(usable []*state, prefix uint64, now time.Time) *state {
 	if prefix == 0 {
 		return nil
@@ -112,8 +112,9 @@
 	return nil
 }
 
-// maxHomeLoadRatio is how much more than the mean load a home may have when every upstream is
-// full: sending a prompt elsewhere would then only add the work of prefilling its prefix again.
+// maxHomeLoadRatio is the load that a home upstream of a prompt prefix may have, relative to the
+// mean load, when every upstream is full: sending a prompt to another upstream would then only
+// add the work of prefilling its prefix again.
 const maxHomeLoadRatio = 1.25
 
 func meanLoad(usable []*state) float64 {
@@ -160,7 +161,7 @@
 }
 
 // serviceTimeTTL is how long the last service time of an idle upstream stays valid. Only answers
-// update it, and an upstream that counts as slow gets no requests that could.
+// update it, and an upstream that counts as slow gets no requests whose answers could update it.
 const serviceTimeTTL = 2 * time.Second
 
 // recentServiceTime returns the service time of an upstream, or zero if it is not known.
@@ -215,8 +216,8 @@
 func (s *state) expectedLoad() float64 { return float64(s.inFlight) + s.othersInFlight }
 
 // ownRequestWeight is how much more this VM's own requests count than the expected requests of
-// other VMs. Those are known late and equally to all VMs; relying on them makes all VMs move to
-// the same upstream. See docs/MEASURES.md.
+// other VMs. The latter are known late and equally to all VMs; relying on them makes all VMs move
+// to the same upstream. See docs/MEASURES.md.
 const ownRequestWeight = 4.0
 
 // waitScore returns the expected wait, in seconds times a constant, at the given service time.
--- a/upstream/policy.go
+++ b/upstream/policy.go
@@ -16,7 +16,8 @@
 	PrefillPrice Mechanism = "price"
 	// PrefixCaching is the estimate of which prompt prefixes engines have cached.
 	PrefixCaching Mechanism = "kept"
-	// Gossip is the announcement of requests, rests and answer ratings to other VMs.
+	// Gossip is the reporting of requests, back-offs and the confidence of answers to other
+	// VMs.
 	Gossip Mechanism = "telling"
 	// HomeUpstreams lets VMs agree without communication where to prefill a prefix.
 	HomeUpstreams Mechanism = "homes"
--- a/upstream/prefill.go
+++ b/upstream/prefill.go
@@ -8,7 +8,7 @@
 )
 
 // RecordExpected records that a prompt is sent to an upstream. It returns the estimate for the
-// request and its ticket in the upstream's prefill queue.
+// request and the ID of the prompt in the prefill queue of the upstream.
 func (t *Table) RecordExpected(id contract.UpstreamID, w Work, dc contract.DataCentreID, now time.Time) (Estimate, prefill.QueueID) {
 	s, ok := t.states[id]
 	if !ok || !w.hasPrompt() {
@@ -16,19 +16,19 @@
 	}
 	e := t.estimate(s, w, dc, now)
 	s.promptSentAt = now
-	ticket := s.queue.Add(e.Prefill, true, now)
+	queueID := s.queue.Add(e.Prefill, true, now)
 	s.prefixCache.Insert(w.Prompt)
-	return e, ticket
+	return e, queueID
 }
 
-// RecordAnswerBegin records that the answer to a prompt began, after the duration took since the request
-// was sent, and updates the estimates of prefill time.
-func (t *Table) RecordAnswerBegin(id contract.UpstreamID, ticket prefill.QueueID, w Work, e Estimate, took time.Duration, now time.Time) {
+// RecordAnswerBegin records that the answer to a prompt began, after the duration took since the
+// request was sent, and updates the estimates of prefill time.
+func (t *Table) RecordAnswerBegin(id contract.UpstreamID, queueID prefill.QueueID, w Work, e Estimate, took time.Duration, now time.Time) {
 	s, ok := t.states[id]
 	if !ok {
 		return
 	}
-	span := s.queue.AnswerBegan(ticket, now)
+	span := s.queue.AnswerBegan(queueID, now)
 	s.health.recordFirstAnswer(took, e.TimeToFirstToken())
 	if s.health.slownessVsEstimate() == 1 && t.opts.Policy.Has(PrefillRates) {
 		if span.Newest >= minPrefillSpan && span.Newest > span.Expected/2 {
@@ -40,14 +40,14 @@
 	}
 }
 
-// minPrefillSpan is the shortest prefill from which the prefill rate of a busy engine is
-// learned. In a shorter one, the engine's steps for other requests take as long.
+// minPrefillSpan is the shortest prefill from which the prefill rate of a busy engine is learned.
+// In a shorter prefill, the engine's steps for other requests take as long as the prefill.
 const minPrefillSpan = 40 * time.Millisecond
 
 // RecordDropped records that a prompt's request ended before its answer began.
-func (t *Table) RecordDropped(id contract.UpstreamID, ticket prefill.QueueID, now time.Time) {
+func (t *Table) RecordDropped(id contract.UpstreamID, queueID prefill.QueueID, now time.Time) {
 	if s, ok := t.states[id]; ok {
-		s.queue.Drop(ticket, now)
+		s.queue.Drop(queueID, now)
 	}
 }
 
@@ -58,11 +58,11 @@
 	return tokenTime
 }
 
-// maxReportedPrefill limits the prefill time that another VM can announce for a prompt.
+// maxReportedPrefill limits the prefill time that another VM can report for a prompt.
 const maxReportedPrefill = 30 * time.Second
 
-// RecordRemotePrompt records a prompt that another VM has sent to an upstream, with its expected prefill
-// time and the prefill time per token that the other VM measured, which is zero if it has
+// RecordRemotePrompt records a prompt that another VM has sent to an upstream, with its expected
+// prefill time and the prefill time per token that the other VM measured, which is zero if it has
 // too few measurements.
 func (t *Table) RecordRemotePrompt(id contract.UpstreamID, p prefill.Prompt, prefillTime, tokenTime time.Duration, now time.Time) {
 	t.prefillRates.SetRemoteRate(p.Model, tokenTime)
--- a/upstream/prefill_price.go
+++ b/upstream/prefill_price.go
@@ -7,12 +7,12 @@
 	"woaddoor/cascade"
 )
 
-// PrefillPrice returns the cost that the prefill of a prompt imposes on later requests, relative to
-// the worth of a mean request. Requests that arrive while the engine has a queue wait longer by
-// the duration of this prefill; the queue that the prefill itself creates counts half. Each
-// second of waiting brings a request closer to being late, which costs cascade.LateLoss. The
-// price applies even while all requests are in time, because the capacity saved then is
-// available for the next burst.
+// PrefillPrice returns the cost that the prefill of a prompt imposes on later requests, relative
+// to the value of a mean request. Requests that arrive while the engine has a queue wait longer
+// by the duration of this prefill; the queue that the prefill itself creates counts half. Each
+// second of waiting brings a request closer to being late, which costs cascade.LatePenalty. The
+// price applies even while all requests are in time, because the capacity saved then is available
+// for the next burst.
 func (t *Table) PrefillPrice(e Estimate) float64 {
 	if !t.opts.Policy.Has(PrefillPrice) {
 		return 0
@@ -29,7 +29,7 @@
 	updatedAt  time.Time
 	// meanObjective is the mean latency objective of the prompts, in seconds.
 	meanObjective float64
-	// meanValue is the mean worth of the prompts.
+	// meanValue is the mean value of the prompts.
 	meanValue float64
 }
 
@@ -60,8 +60,8 @@
 	d.meanValue += demandMeanWeight * (value - d.meanValue)
 }
 
-// RecordPrompt records a prompt that arrived at this VM, which is one of vms VMs. It returns the worth
-// of the prompt relative to the mean.
+// RecordPrompt records a prompt that arrived at this VM, which is one of vms VMs. It returns the
+// value of the prompt relative to the mean.
 func (t *Table) RecordPrompt(objective time.Duration, value float64, vms int, now time.Time) float64 {
 	t.demand.recordPrompt(objective, value, max(vms, 1), now)
 	if t.demand.meanValue <= 0 {
--- a/upstream/reachability.go
+++ b/upstream/reachability.go
@@ -7,13 +7,13 @@
 	"woaddoor/contract"
 )
 
-// unreachableFor is how long a data centre counts as cut off after a connection to one of its
+// unreachableFor is how long a data centre counts as unreachable after a connection to one of its
 // upstreams could not be established. Its other upstreams are avoided in the meantime, unless
 // there is no alternative.
 const unreachableFor = 1500 * time.Millisecond
 
-// recordReachability updates from the outcome of a request whether a data centre is reachable.
-// A refused connection (Down) proves that a machine there is reachable.
+// recordReachability updates from the outcome of a request whether a data centre is reachable. A
+// refused connection (ConnectionRefused) proves that a machine there is reachable.
 func (t *Table) recordReachability(s *state, r Result, now time.Time) {
 	switch r {
 	case Unreachable:
@@ -24,18 +24,19 @@
 	}
 }
 
-// inUnreachableCentre reports whether an upstream is in a data centre that appears to be cut
-// off. This VM's own data centre never counts as such: a VM that is isolated in it has no
-// alternative.
+// inUnreachableCentre reports whether an upstream is in a data centre that appears to be
+// unreachable. This VM's own data centre never counts as unreachable: a VM that cannot reach the
+// others has no alternative to it.
 func (t *Table) inUnreachableCentre(s *state, q Query, now time.Time) bool {
 	return s.pool.DataCentre != q.DataCentre && now.Before(t.unreachableUntil[s.pool.DataCentre])
 }
 
-// SuspectDataCentre records that an upstream stopped responding: its data centre may be cut off.
+// SuspectDataCentre records that an upstream stopped responding: its data centre may be
+// unreachable.
 func (t *Table) SuspectDataCentre(dc contract.DataCentreID) { t.suspectedCentres[dc] = true }
 
-// ProbeTargets returns the address of one random upstream, as a probe target, for each data centre that
-// appears or is suspected to be cut off.
+// ProbeTargets returns the address of one random upstream, as a probe target, for each data
+// centre that appears or is suspected to be unreachable.
 func (t *Table) ProbeTargets(now time.Time, random *rand.Rand) map[contract.DataCentreID]string {
 	targets := make(map[contract.DataCentreID]string)
 	seen := make(map[contract.DataCentreID]int)
@@ -52,7 +53,8 @@
 	return targets
 }
 
-// RecordDataCentreProbe records whether a data centre that appeared to be cut off could be reached.
+// RecordDataCentreProbe records whether a data centre that appeared to be unreachable could be
+// reached.
 func (t *Table) RecordDataCentreProbe(dc contract.DataCentreID, ok bool, now time.Time) {
 	delete(t.suspectedCentres, dc)
 	if ok {
@@ -62,8 +64,9 @@
 	t.unreachableUntil[dc] = now.Add(unreachableFor)
 }
 
-// Isolated reports whether a VM of data centre dc is cut off from all other data centres and none
-// of the given pools has a working upstream in its own: no request for them can be served.
+// Isolated reports whether a VM of data centre dc can reach no other data centre, and none of the
+// given pools has a working upstream in its own data centre. No request for these pools can then
+// be served.
 func (t *Table) Isolated(dc contract.DataCentreID, pools []contract.PoolID, now time.Time) bool {
 	others := false
 	for _, s := range t.sortedStates {
--- a/upstream/reachability_test.go
+++ b/upstream/reachability_test.go
@@ -9,7 +9,7 @@
 	"woaddoor/contract"
 )
 
-// TestVMIsolated checks when a VM counts as cut off from the upstreams of its pools.
+// TestVMIsolated checks when a VM counts as isolated from the upstreams of its pools.
 func TestVMIsolated(t *testing.T) {
 	now := time.Unix(100, 0)
 	pools := func(entries []Entry) (ids []contract.PoolID) {
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestUnreachableCentreIsProbed checks that a data centre which appears to be cut off is probed through
-// any of its upstreams, since a single one may have failed by itself.
+// TestUnreachableCentreIsProbed checks that a data centre which appears to be unreachable is
+// probed through any of its upstreams, since a single one may have failed by itself.
 func TestUnreachableCentreIsProbed(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
--- a/upstream/replay_test.go
+++ b/upstream/replay_test.go
@@ -31,7 +31,8 @@
 	random  *rand.Rand
 	now     time.Time
 	events  replayEvents
-	// late and total count requests by kind; prefilledTokens counts the tokens without a cache hit.
+	// late and total count requests by kind; prefilledTokens counts the tokens without a
+	// cache hit.
 	late, total     map[string]int
 	prefilledTokens int
 }
@@ -119,7 +120,7 @@
 	}
 }
 
-// replayGossipDelay is how long an announcement takes from one VM to another.
+// replayGossipDelay is how long the report of a prompt takes from one VM to another.
 const replayGossipDelay = 20 * time.Millisecond
 
 func (r *replay) send(q replayRequest) {
@@ -132,7 +133,7 @@
 		r.t.Fatal(err)
 	}
 	tb.RecordSent(id)
-	expected, ticket := tb.RecordExpected(id, w, "d", r.now)
+	expected, queueID := tb.RecordExpected(id, w, "d", r.now)
 	for i, other := range r.vms {
 		if i != sender && r.policy.Has(Gossip) {
 			token := tb.PrefillTokenTime(q.prompt.Model)
@@ -142,7 +143,7 @@
 	sent := r.now
 	r.schedule(r.engines[id].prefill(r, q.prompt), func() {
 		took := r.now.Sub(sent)
-		tb.RecordAnswerBegin(id, ticket, w, expected, took, r.now)
+		tb.RecordAnswerBegin(id, queueID, w, expected, took, r.now)
 		tb.RecordDone(id, Succeeded, took, r.now)
 		r.total[q.kind]++
 		if took > q.objective {
@@ -172,7 +173,7 @@
 	return float64(r.late[kind]) / float64(max(r.total[kind], 1))
 }
 
-// request returns a request whose prompt has a shared prefix and a unique rest.
+// request returns a request whose prompt has a shared prefix and a unique remainder.
 func (r *replay) request(kind string, at time.Duration, m contract.ModelID, prefix uint64, shared, unique int, objective time.Duration) replayRequest {
 	parts := []prefill.Part{{Key: prefix, Tokens: shared}, {Key: r.random.Uint64(), Tokens: unique}}
 	return replayRequest{kind: kind, arrival: at, objective: objective, prompt: prefill.Prompt{Model: m, Tokens: shared + unique, Parts: parts}}
@@ -188,9 +189,10 @@
 	return out
 }
 
-// TestReplayBurstOfLongPrompts simulates a burst of long prompts for the largest model among short
-// prompts for the smallest. Engines prefill one prompt after another, so a short prompt behind a
-// long one is late. VMs that know only their own requests put every fourth short prompt there.
+// TestReplayBurstOfLongPrompts simulates a burst of long prompts for the largest model among
+// short prompts for the smallest. Engines prefill one prompt after another, so a short prompt
+// behind a long one is late. VMs that know only their own requests send every fourth short prompt
+// to an engine that still has a long one to prefill.
 func TestReplayBurstOfLongPrompts(t *testing.T) {
 	is := is.New(t)
 	play := func(disabled ...string) *replay {
@@ -208,8 +210,8 @@
 	is.True(withGossip.lateFraction("menu") <= withoutGossip.lateFraction("menu")+0.02)
 }
 
-// TestReplayHotPrefix simulates one prefix with a third of all requests. It must be prefilled where it
-// is cached, on as few engines as its load requires.
+// TestReplayHotPrefix simulates one prefix with a third of all requests. Its prompts must go to
+// engines that have cached it, as few engines as its load requires.
 func TestReplayHotPrefix(t *testing.T) {
 	is := is.New(t)
 	play := func(disabled ...string) *replay {
@@ -226,9 +228,9 @@
 	is.True(withCache.lateFraction("hot!") < 0.05)
 }
 
-// TestReplayAllVMsRestart simulates VMs that all lose their state while engines are busy. Each VM then
-// knows its own requests, and gossip must restore the rest, including the measured prefill times,
-// within seconds.
+// TestReplayAllVMsRestart simulates VMs that all lose their state while engines are busy. Each VM
+// then knows its own requests, and gossip must restore what it knew about the requests of other
+// VMs, including the measured prefill times, within seconds.
 func TestReplayAllVMsRestart(t *testing.T) {
 	is := is.New(t)
 	play := func(disabled ...string) *replay {
--- a/upstream/slow_upstream_test.go
+++ b/upstream/slow_upstream_test.go
@@ -9,11 +9,11 @@
 	"woaddoor/contract"
 )
 
-// TestSlowUpstreamIsRetried guards against an upstream that gets no requests for good after a slow
-// start: one of two engines got 3 requests and then none for ten seconds, while the other got 978.
-// Its first answers were slow on a busy machine, so it counted as slow: it was no longer the home of
-// any prompt, and the other engine always had the shorter expected wait. Only answers update the
-// service time, and it got no requests that could.
+// TestSlowUpstreamIsRetried guards against an upstream that permanently gets no requests after a
+// few slow answers: one of two engines got 3 requests and then none for ten seconds, while the
+// other got 978. Its first answers were slow on a busy machine, so it counted as slow: it was no
+// longer the home of any prompt, and the other engine always had the shorter expected wait. Only
+// answers update the service time, and it got no requests that could.
 //
 // In this test two engines answer equally fast except for the first three requests at one of them.
 // Requests arrive one at a time, each with a different prompt. Each slow answer may keep that engine
--- a/upstream/table.go
+++ b/upstream/table.go
@@ -6,8 +6,8 @@
 // selection therefore weighs this VM's own requests most, and averages reported load over
 // time, with less weight for older reports.
 //
-// An instance of an upstream is one run of its process (contract.Life). An upstream that
-// restarts under the same ID is a new instance.
+// An instance of an upstream is one run of its process (contract.UpstreamInstance). An upstream
+// that restarts under the same ID is a new instance.
 package upstream
 
 import (
@@ -29,8 +29,8 @@
 	// ReportTimeout is how long an upstream may go without a load report before it gets
 	// no new work. Zero means 3 s.
 	ReportTimeout time.Duration
-	// HomeLoadLimit is the fraction of an upstream's slots up to which the upstream takes
-	// requests for whose prompt prefix it is a home. Zero means 0.9.
+	// HomeLoadLimit is the fraction of an upstream's slots up to which the upstream gets
+	// requests because it is a home of their prompt prefix. Zero means 0.9.
 	HomeLoadLimit float64
 	// Listed means that upstreams come from the platform's list: an upstream needs no load
 	// report before it gets work, and its load is read from its answers. False means that
@@ -60,7 +60,7 @@
 type Table struct {
 	opts   Options
 	states map[contract.UpstreamID]*state
-	// unreachableUntil holds, for each data centre that appears to be cut off, the time
+	// unreachableUntil holds, for each data centre that appears to be unreachable, the time
 	// until which it counts as unreachable.
 	unreachableUntil map[contract.DataCentreID]time.Time
 	// suspectedCentres holds the data centres with an upstream that stopped responding.
@@ -86,12 +86,12 @@
 	meanDecodeTime time.Duration
 	// listReceived is set once an upstream list has been applied. owners are the VMs that
 	// share the bounds of cold and rate-limited upstreams. coldTransitions holds the
-	// transitions to cold that the owner of the table has not fetched yet.
+	// transitions to cold that TakeColdTransitions has not returned yet.
 	listReceived    bool
 	owners          ownership
 	coldTransitions []ColdTransition
-	// announcements holds what each instance stated about itself in its answers. limited holds
-	// the listed upstreams whose announced rate limit is in force, sorted by ID.
+	// notices holds what each instance stated about itself in its answers. limited holds the
+	// listed upstreams whose stated rate limit is in force, sorted by ID.
 	notices map[contract.UpstreamInstance]*instanceNotices
 	limited []*state
 }
@@ -102,12 +102,13 @@
 	pool     *config.Pool
 	idHash   uint64 // hash of the upstream ID, for rendezvous hashing
 
+	// reportedIncarnation and load come from the last load report; zero without one.
 	reportedIncarnation contract.Incarnation
 	load                contract.LoadReport
 	// reportedAt is when the last load report was requested; zero means never.
 	reportedAt time.Time
-	// leavingIncarnation is the incarnation that is known to be leaving. A later
-	// incarnation at the same address is a new instance.
+	// leavingIncarnation is the incarnation that is known to be leaving. A later incarnation
+	// is a new instance, which is not leaving.
 	leavingIncarnation contract.Incarnation
 	inFlight           int
 	sentSinceReport    int     // requests sent since the last report was requested
@@ -128,13 +129,14 @@
 	// cachedRank is this VM's rank among the owners of this upstream, computed for version
 	// cachedRankVersion of the owners.
 	cachedRank, cachedRankVersion int
-	// born and slots are copied from the list entry; cold is the estimated cold state.
+	// incarnation and slots are copied from the list entry, or incarnation from a load report
+	// of an upstream that sends them. cold is the estimated cold state.
 	incarnation int64
 	slots       int
 	cold        coldState
-	// announced is what the current instance stated about itself in answers; nil if
-	// nothing. othersBackoffUntil is when the last rest ends that the upstream requested from
-	// other VMs; a rest is a pause in which the upstream gets no new requests.
+	// notices is what the current instance stated about itself in answers; nil if nothing.
+	// othersBackoffUntil is when the last of the back-offs ends that the upstream requested
+	// from other VMs.
 	notices            *instanceNotices
 	othersBackoffUntil time.Time
 }
@@ -174,15 +176,15 @@
 }
 
 // ApplyReport applies a load report that was requested at askedAt. It ignores a report that is
-// older than the last one or that comes from an earlier incarnation.
+// older than the last one or that comes from an earlier instance.
 func (t *Table) ApplyReport(id contract.UpstreamID, l contract.LoadReport, askedAt time.Time) {
 	s, ok := t.states[id]
 	if !ok || askedAt.Before(s.reportedAt) || l.Incarnation < s.reportedIncarnation {
 		return
 	}
 	if l.Incarnation > s.reportedIncarnation {
-		// A new incarnation at the same address: reset the state of the previous
-		// incarnation, except for the count of requests still in flight.
+		// A new instance at the same address: reset the state of the previous instance,
+		// except for the count of requests still in flight.
 		s.reportedIncarnation, s.failures, s.breakerOpenUntil, s.serviceTime, s.othersInFlight = l.Incarnation, 0, time.Time{}, 0, 0
 		s.incarnation = int64(l.Incarnation)
 		s.notices = t.notices[contract.UpstreamInstance{Upstream: id, Incarnation: s.incarnation}]
@@ -195,8 +197,8 @@
 	s.sentSinceReport, s.doneSinceReport = 0, 0
 }
 
-// MarkLeaving applies the set of upstreams that the platform lists as leaving, or that its
-// list, which lags, no longer contains as live.
+// MarkLeaving marks upstreams as leaving: those that the platform's list reports as leaving or no
+// longer contains as live. The list may lag.
 func (t *Table) MarkLeaving(leaving map[contract.UpstreamID]bool) {
 	for id, s := range t.states {
 		if leaving[id] {
@@ -231,12 +233,12 @@
 	Succeeded Result = iota
 	// Failed means that the upstream failed; it counts towards the circuit breaker.
 	Failed
-	// Abandoned means that the caller cancelled; it reveals nothing about the upstream.
+	// Abandoned means that the caller cancelled; the result shows nothing about the upstream.
 	Abandoned
 	// Unreachable means that no connection could be established: nothing was sent.
 	Unreachable
-	// ConnectionRefused means that the connection was refused because no process listens on the port:
-	// nothing was sent, and the upstream's machine is reachable.
+	// ConnectionRefused means that the connection was refused because no process listens on
+	// the port: nothing was sent, and the upstream's machine is reachable.
 	ConnectionRefused
 	// NoConnection means that no connection to the upstream is free: nothing was sent.
 	NoConnection
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -33,7 +33,7 @@
 func seededRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
 // TestLeavingUpstreamGetsNoWork checks that a leaving upstream gets no new work even if the
-// platform's list lags or is unavailable, and that a new instance of it does.
+// platform's list lags or is unavailable, and that a new instance of the upstream gets work.
 func TestLeavingUpstreamGetsNoWork(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
@@ -54,11 +54,11 @@
 	draining.Draining = true
 	tb.ApplyReport("a", draining, now.Add(time.Second))
 	tb.MarkLeaving(map[contract.UpstreamID]bool{})
-	tb.ApplyReport("a", loadReport(1), now.Add(2*time.Second)) // a stale report of the same incarnation
+	tb.ApplyReport("a", loadReport(1), now.Add(2*time.Second)) // a stale report of the same instance
 	_, err = tb.Pick(reportingQuery, now.Add(2*time.Second), seededRandom())
 	is.Equal(err, ErrNone)
 
-	// A new incarnation at the same address, followed by a late report of the previous one.
+	// A new instance at the same address, followed by a late report of the previous one.
 	tb.ApplyReport("a", loadReport(2), now.Add(3*time.Second))
 	tb.ApplyReport("a", draining, now.Add(4*time.Second))
 	_, err = tb.Pick(reportingQuery, now.Add(4*time.Second), seededRandom())
@@ -69,8 +69,9 @@
 	is.Equal(err, ErrNone)
 }
 
-// TestPickRequiresLoadedVersion checks that requests go only to engines that report the requested
-// version: if a late order unloaded it, the next report shows that.
+// TestPickRequiresLoadedVersion checks that requests go only to engines whose load reports
+// contain the requested model version: if an engine unloaded it after a late order, its next
+// report shows that.
 func TestPickRequiresLoadedVersion(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
@@ -104,14 +105,14 @@
 	is.NoErr(err) // the probe
 	tb.RecordSent("a")
 	_, err = tb.Pick(reportingQuery, now, seededRandom())
-	is.Equal(err, ErrNone) // no second probe while one is in flight
+	is.Equal(err, ErrNone) // no second probe request while one is in flight
 	tb.RecordDone("a", Succeeded, time.Millisecond, now)
 	_, err = tb.Pick(reportingQuery, now, seededRandom())
 	is.NoErr(err)
 }
 
-// TestPickReturnsOnlyUsableUpstreams checks with random events that a selected upstream always has the
-// version, a recent report, is not leaving and is not excluded.
+// TestPickReturnsOnlyUsableUpstreams checks with random events that a selected upstream always
+// has the requested model version and a recent load report, is not leaving and is not excluded.
 func TestPickReturnsOnlyUsableUpstreams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tb := newReportingTable("a", "b", "c")
