--- a/relay/gossip.go
+++ b/relay/gossip.go
@@ -74,6 +74,6 @@
 		if !r.isCurrent(prompt.Upstream, prompt.Incarnation) {
 			continue // sent to an earlier instance, or to an upstream that is not in this VM's list
 		}
-		r.table.RecordRemotePrompt(prompt.Upstream, prefill.Prompt{Model: prompt.Model, Tokens: prompt.Tokens, Parts: prompt.Parts}, prompt.PrefillTime, prompt.TokenTime, now)
+		r.table.RecordPeerPrompt(prompt.Upstream, prefill.Prompt{Model: prompt.Model, Tokens: prompt.Tokens, Parts: prompt.Parts}, prompt.PrefillTime, prompt.TokenTime, now)
 	}
 }
--- a/relay/notices.go
+++ b/relay/notices.go
@@ -61,14 +61,14 @@
 	defer r.mu.Unlock()
 	for _, backoff := range backoffs {
 		if r.isCurrent(backoff.Life.Upstream, backoff.Life.Incarnation) {
-			r.table.RecordRemoteBackoff(backoff.Life.Upstream, min(backoff.Remaining, r.opts.MaxBackoff), r.opts.Now())
+			r.table.RecordPeerBackoff(backoff.Life.Upstream, min(backoff.Remaining, r.opts.MaxBackoff), r.opts.Now())
 		}
 	}
 }
 
 // errUnavailableMeanwhile means that, while a request waited for a connection to an upstream, the
 // upstream stated that it accepts no more requests.
-var errUnavailableMeanwhile = errors.New("upstream stopped accepting requests while a connection to it was awaited")
+var errUnavailableMeanwhile = errors.New("the upstream has said meanwhile that it wants no more")
 
 // checkStillAvailable returns an error if the selected upstream no longer accepts the request.
 // Opening a connection may take 250 ms, and notices in the answers to other requests may
--- a/upstream/backoff_replay_test.go
+++ b/upstream/backoff_replay_test.go
@@ -109,7 +109,7 @@
 			f.schedule(backoffReportDelay, func() {
 				for _, other := range f.vms {
 					if other != tb {
-						other.RecordRemoteBackoff(id, backoffRequested-backoffReportDelay, f.now)
+						other.RecordPeerBackoff(id, backoffRequested-backoffReportDelay, f.now)
 					}
 				}
 			})
--- a/upstream/cost.go
+++ b/upstream/cost.go
@@ -114,7 +114,7 @@
 	return best
 }
 
-// usableUpstreams returns the upstreams that could take the request, either in its own data
+// usableUpstreams returns the upstreams that could accept the request, either in its own data
 // centre or in the others.
 func (t *Table) usableUpstreams(q Query, local bool, now time.Time) []*state {
 	states := t.sortedStates
--- a/upstream/listed.go
+++ b/upstream/listed.go
@@ -184,7 +184,7 @@
 	return len(t.candidates(q, now)) > 0
 }
 
-// HasAlternative reports whether any upstream could take the request. Upstreams that are suspected of
+// HasAlternative reports whether any upstream could accept the request. Upstreams that are suspected of
 // failing count only if suspected is set.
 func (t *Table) HasAlternative(q Query, suspected bool, now time.Time) bool {
 	for _, s := range t.states {
--- a/upstream/listed_test.go
+++ b/upstream/listed_test.go
@@ -109,7 +109,7 @@
 		tb, _ := newListedTable(3)
 		q := listedQuery
 		q.Work = Work{Prompt: prefill.Prompt{Model: "m", Tokens: 9000, Parts: []prefill.Part{{Key: 7, Tokens: 8000}, {Key: 8, Tokens: 1000}}}, Objective: time.Second}
-		tb.RecordRemotePrompt("d2", q.Work.Prompt, 0, 0, now) // another VM has sent this prompt to d2
+		tb.RecordPeerPrompt("d2", q.Work.Prompt, 0, 0, now) // another VM has sent this prompt to d2
 		is.Equal(picks(tb, q, now)["d2"], 40)
 	})
 }
@@ -166,7 +166,7 @@
 	newLoadedTable := func(g GossipScope) (*Table, Query) {
 		tb, _ := newListedTable(3)
 		for _, id := range []contract.UpstreamID{"d0", "d1", "d2"} {
-			tb.RecordRemotePrompt(id, p, 1500*time.Millisecond, 0, now)
+			tb.RecordPeerPrompt(id, p, 1500*time.Millisecond, 0, now)
 		}
 		tb.SetGossipScope(g)
 		tb.CompareUpstreams("d", now)
@@ -191,7 +191,7 @@
 		now := time.Unix(100, 0)
 		price := func(requests int, e Estimate) float64 {
 			tb, _ := newListedTable(2)
-			tb.RecordRemotePrompt("d0", prefill.Prompt{Model: "m", Tokens: 2000}, time.Millisecond, 0, now)
+			tb.RecordPeerPrompt("d0", prefill.Prompt{Model: "m", Tokens: 2000}, time.Millisecond, 0, now)
 			tb.CompareUpstreams("d", now)
 			for range requests {
 				tb.RecordPrompt(2*time.Second, 1, 1, now)
@@ -229,7 +229,7 @@
 		return prefill.Prompt{Model: "m", Tokens: 9000, Parts: []prefill.Part{{Key: uint64(i % 2000), Tokens: 8000}, {Key: uint64(100000 + i), Tokens: 1000}}}
 	}
 	for i := range 4000 {
-		tb.RecordRemotePrompt(entries[r.IntN(140)].ID, prompt(i), 100*time.Millisecond, 0, now)
+		tb.RecordPeerPrompt(entries[r.IntN(140)].ID, prompt(i), 100*time.Millisecond, 0, now)
 	}
 	tb.SetGossipScope(GossipScope{Region: true})
 	tb.CompareUpstreams("0", now)
--- a/upstream/notices.go
+++ b/upstream/notices.go
@@ -78,9 +78,9 @@
 // requested from one VM does not bind the others.
 const othersBackoffCost = failureCost / 2
 
-// RecordRemoteBackoff records that an upstream requested a back-off from another VM, with the
+// RecordPeerBackoff records that an upstream requested a back-off from another VM, with the
 // remaining time of that back-off.
-func (t *Table) RecordRemoteBackoff(id contract.UpstreamID, remaining time.Duration, now time.Time) {
+func (t *Table) RecordPeerBackoff(id contract.UpstreamID, remaining time.Duration, now time.Time) {
 	s, ok := t.states[id]
 	if !ok {
 		return
--- a/upstream/pick.go
+++ b/upstream/pick.go
@@ -32,7 +32,7 @@
 //
 // Each prompt prefix has two upstreams as its homes, which all VMs compute without communication
 // (rendezvous hashing), so that the prefix is cached there and not everywhere. Without the
-// platform's list, a home is selected if it has room, else the upstream with the least expected
+// platform's list, a home is selected if its load is low enough, else the upstream with the least expected
 // wait. With the list, the upstream with the lowest cost is selected, and homes cost less.
 func (t *Table) Pick(q Query, now time.Time, random *rand.Rand) (contract.UpstreamID, error) {
 	if t.opts.Listed {
@@ -51,7 +51,7 @@
 	if len(usable) == 0 {
 		return "", ErrNone
 	}
-	best := t.homeWithRoom(usable, q.Prefix, now)
+	best := t.availableHome(usable, q.Prefix, now)
 	if best == nil {
 		best = shortestWait(usable, random, now)
 	}
@@ -93,8 +93,8 @@
 	return slices.ContainsFunc(states, func(s *state) bool { return s.expectedLoad()+1 <= float64(s.pool.Slots) })
 }
 
-// homeWithRoom returns a home upstream of a prompt prefix that is not too loaded, or nil.
-func (t *Table) homeWithRoom(usable []*state, prefix uint64, now time.Time) *state {
+// availableHome returns a home upstream of a prompt prefix that is not too loaded, or nil.
+func (t *Table) availableHome(usable []*state, prefix uint64, now time.Time) *state {
 	if prefix == 0 {
 		return nil
 	}
@@ -104,8 +104,8 @@
 		if s == nil || s.failures > 0 || isSlow(s, usable, now) {
 			continue
 		}
-		room := max(t.opts.HomeLoadLimit*float64(s.pool.Slots), maxHomeLoadRatio*mean)
-		if s.expectedLoad()+1 <= room {
+		loadLimit := max(t.opts.HomeLoadLimit*float64(s.pool.Slots), maxHomeLoadRatio*mean)
+		if s.expectedLoad()+1 <= loadLimit {
 			return s
 		}
 	}
--- a/upstream/prefill.go
+++ b/upstream/prefill.go
@@ -61,10 +61,10 @@
 // maxReportedPrefill limits the prefill time that another VM can report for a prompt.
 const maxReportedPrefill = 30 * time.Second
 
-// RecordRemotePrompt records a prompt that another VM has sent to an upstream, with its expected
+// RecordPeerPrompt records a prompt that another VM has sent to an upstream, with its expected
 // prefill time and the prefill time per token that the other VM measured, which is zero if it has
 // too few measurements.
-func (t *Table) RecordRemotePrompt(id contract.UpstreamID, p prefill.Prompt, prefillTime, tokenTime time.Duration, now time.Time) {
+func (t *Table) RecordPeerPrompt(id contract.UpstreamID, p prefill.Prompt, prefillTime, tokenTime time.Duration, now time.Time) {
 	t.prefillRates.SetRemoteRate(p.Model, tokenTime)
 	prefillTime = min(max(prefillTime, 0), maxReportedPrefill)
 	s, ok := t.states[id]
--- a/upstream/replay_test.go
+++ b/upstream/replay_test.go
@@ -137,7 +137,7 @@
 	for i, other := range r.vms {
 		if i != sender && r.policy.Has(Gossip) {
 			token := tb.PrefillTokenTime(q.prompt.Model)
-			r.schedule(replayGossipDelay, func() { other.RecordRemotePrompt(id, q.prompt, expected.Prefill, token, r.now) })
+			r.schedule(replayGossipDelay, func() { other.RecordPeerPrompt(id, q.prompt, expected.Prefill, token, r.now) })
 		}
 	}
 	sent := r.now
--- a/upstream/table.go
+++ b/upstream/table.go
@@ -242,7 +242,7 @@
 	ConnectionRefused
 	// NoConnection means that no connection to the upstream is free: nothing was sent.
 	NoConnection
-	// Rejected means that the upstream refused the request without executing it.
+	// Rejected means that the upstream rejected the request without executing it.
 	Rejected
 	// Broken means that the connection closed or stalled before the answer was complete.
 	// The upstream process may have ended.
