--- a/relay/cold.go
+++ b/relay/cold.go
@@ -38,6 +38,7 @@
 // maxLoggedIDs limits how many upstreams are named in one log line.
 const maxLoggedIDs = 64
 
+// idStrings returns at most maxLoggedIDs upstream IDs as strings.
 func idStrings(ids []contract.UpstreamID) []string {
 	out := make([]string, 0, min(len(ids), maxLoggedIDs))
 	for _, id := range ids[:min(len(ids), maxLoggedIDs)] {
--- a/relay/evacuation_test.go
+++ b/relay/evacuation_test.go
@@ -99,7 +99,7 @@
 // TestReportsOfEarlierInstanceIgnored checks that late results of own requests and late reports
 // of other VMs about an earlier instance of an upstream do not change the state of the instance
 // that has replaced it.
-func TestReportsOfEarlierIncarnationIgnored(t *testing.T) {
+func TestReportsOfEarlierInstanceIgnored(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	r := newClockedRelay(&now)
--- a/relay/limits_test.go
+++ b/relay/limits_test.go
@@ -96,7 +96,7 @@
 
 // TestLimitOfOtherInstanceIgnored checks that a rate limit that another VM reports for a
 // different instance of an upstream is not applied to the listed instance.
-func TestLimitOfOtherIncarnationIgnored(t *testing.T) {
+func TestLimitOfOtherInstanceIgnored(t *testing.T) {
 	is := is.New(t)
 	r, _, e, _ := newSingleUpstreamRelay(t, upstream.Notices{}, 0)
 	known := upstream.LimitUpdate{Instance: contract.UpstreamInstance{Upstream: e.ID, Incarnation: e.Incarnation + 1}, Limit: upstream.RateLimit{Statement: upstream.LimitStated}, Version: 1}
--- a/relay/notices_test.go
+++ b/relay/notices_test.go
@@ -176,7 +176,7 @@
 
 // TestLoadOfEarlierInstanceIgnored checks that the load reported in an answer is ignored if the
 // upstream has restarted since it sent the answer.
-func TestLoadOfEarlierIncarnationIgnored(t *testing.T) {
+func TestLoadOfEarlierInstanceIgnored(t *testing.T) {
 	is := is.New(t)
 	r, now, e, _ := newSingleUpstreamRelay(t, upstream.Notices{}, 0)
 	restarted := e
--- a/relay/selection.go
+++ b/relay/selection.go
@@ -16,6 +16,7 @@
 	"woaddoor/upstream"
 )
 
+// isStream reports whether a request is answered with a stream of events.
 func isStream(r *Request) bool { return r.Route.Kind == route.Stream }
 
 // selectUpstream chooses the upstream of the next attempt and counts the request at that
--- a/relay/upstream_list.go
+++ b/relay/upstream_list.go
@@ -21,6 +21,7 @@
 	r.setUpstreams(entries, services, true)
 }
 
+// setUpstreams replaces the list of upstreams. partial means that further upstreams exist.
 func (r *Relay) setUpstreams(entries []upstream.Entry, services map[contract.ServiceID]*route.Service, partial bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/upstream/pick.go
+++ b/upstream/pick.go
@@ -117,6 +117,7 @@
 // add the work of prefilling its prefix again.
 const maxHomeLoadRatio = 1.25
 
+// meanLoad returns the mean of the expected load of upstreams.
 func meanLoad(usable []*state) float64 {
 	total := 0.0
 	for _, s := range usable {
