--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -68,15 +68,15 @@
 
 // probeUpstream connects to the address of an upstream whose connections broke off, to
 // determine whether it has crashed.
-func (r *Relay) probeUpstream(l contract.UpstreamInstance, address string) {
+func (r *Relay) probeUpstream(instance contract.UpstreamInstance, address string) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	err := exchange.Probe(ctx, address)
 	if !exchange.IsConnectionRefused(err) {
-		r.log.Debug("upstream-reached", zap.String("upstream", string(l.Upstream)), zap.Error(err))
+		r.log.Debug("upstream-reached", zap.String("upstream", string(instance.Upstream)), zap.Error(err))
 		return
 	}
-	r.withLock(func() { r.recordCrash(l, "nothing listens", r.possibleCrashes.Confirm(l)) })
+	r.withLock(func() { r.recordCrash(instance, "nothing listens", r.possibleCrashes.Confirm(instance)) })
 }
 
 // detectReplaced detects crashes from the upstream list: a new instance at the address of an
@@ -90,20 +90,20 @@
 		incarnations[e.Address] = e.Instance()
 	}
 	incarnationAt := func(address string) (contract.UpstreamInstance, bool) {
-		l, ok := incarnations[address]
-		return l, ok
+		instance, ok := incarnations[address]
+		return instance, ok
 	}
-	for _, l := range r.possibleCrashes.ReplacedLives(incarnationAt) {
-		r.recordCrash(l, "another incarnation is listed", r.possibleCrashes.Confirm(l))
+	for _, instance := range r.possibleCrashes.ReplacedLives(incarnationAt) {
+		r.recordCrash(instance, "another incarnation is listed", r.possibleCrashes.Confirm(instance))
 	}
 }
 
 // recordCrash records that an upstream crashed while it executed requests. The caller holds
 // mu.
-func (r *Relay) recordCrash(l contract.UpstreamInstance, evidence string, suspects []quarantine.SuspectRequest) {
+func (r *Relay) recordCrash(instance contract.UpstreamInstance, evidence string, suspects []quarantine.SuspectRequest) {
 	for _, s := range suspects {
-		r.recordSuspect(l, s, s.BrokenAt)
-		r.log.Warn("upstream-ended", zap.String("upstream", string(l.Upstream)), zap.Int64("born", l.Incarnation), zap.String("by", evidence),
+		r.recordSuspect(instance, s, s.BrokenAt)
+		r.log.Warn("upstream-ended", zap.String("upstream", string(instance.Upstream)), zap.Int64("born", instance.Incarnation), zap.String("by", evidence),
 			zap.String("request", string(s.Request)), zap.Stringer("print", s.Fingerprint), zap.String("route", s.Route),
 			zap.String("workspace", string(s.Workspace)), zap.Int64("ran_ms", s.BrokenAt.Sub(s.SentAt).Milliseconds()),
 			zap.Int("beside", len(suspects)-1))
--- a/relay/evacuation_test.go
+++ b/relay/evacuation_test.go
@@ -96,9 +96,9 @@
 	is.True(r.Isolated())
 }
 
-// TestReportsOfEarlierInstanceIgnored checks that late results of own requests and late reports
-// of other VMs about an earlier instance of an upstream do not change the state of the instance
-// that has replaced it.
+// TestReportsOfEarlierInstanceIgnored checks that late results of this VM's requests and late
+// reports of other VMs about an earlier instance of an upstream do not change the state of the
+// instance that has replaced it.
 func TestReportsOfEarlierInstanceIgnored(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
--- a/relay/limits.go
+++ b/relay/limits.go
@@ -64,8 +64,8 @@
 
 // recordLimitClaim records whether the selection of an upstream has used one request of this VM's
 // share of the upstream's rate limit. The caller holds mu.
-func (r *Relay) recordLimitClaim(j *job, l contract.UpstreamInstance) {
-	j.limitClaimed = r.table.HasLimit(l)
+func (r *Relay) recordLimitClaim(j *job, instance contract.UpstreamInstance) {
+	j.limitClaimed = r.table.HasLimit(instance)
 	if j.limitClaimed {
 		r.Metrics.sendsToLimited.Inc(1)
 	}
--- a/relay/limits_test.go
+++ b/relay/limits_test.go
@@ -53,7 +53,7 @@
 }
 
 // TestUnsentRequestReleasesLimitClaim checks that a request that was selected for an upstream
-// with a rate limit but not sent leaves room for another request.
+// with a rate limit but not sent leaves its part of the rate limit to another request.
 func TestUnsentRequestReleasesLimitClaim(t *testing.T) {
 	is := is.New(t)
 	r, now, e := newLimitedRelay(t, 0)
--- a/relay/notices.go
+++ b/relay/notices.go
@@ -97,8 +97,8 @@
 
 // logEndedBackoffs logs the back-offs that have ended since the last call. The caller holds mu.
 func (r *Relay) logEndedBackoffs(now time.Time) {
-	for _, l := range r.table.TakeEndedBackoffs(now) {
-		r.log.Info("upstream-rest-ends", zap.String("upstream", string(l.Upstream)), zap.Int64("born", l.Incarnation))
+	for _, instance := range r.table.TakeEndedBackoffs(now) {
+		r.log.Info("upstream-rest-ends", zap.String("upstream", string(instance.Upstream)), zap.Int64("born", instance.Incarnation))
 	}
 }
 
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -47,9 +47,9 @@
 
 // recordSuspect records that an upstream crashed while it executed a request, and notifies the
 // other VMs if that is urgent. The caller holds mu.
-func (r *Relay) recordSuspect(l contract.UpstreamInstance, suspect quarantine.SuspectRequest, now time.Time) {
-	about := quarantine.Source{Service: suspect.Service, Workspace: suspect.Workspace, Route: suspect.Route, ObservedBy: r.opts.Self.VM}
-	if !r.quarantineCases.RecordCrash(suspect.Fingerprint, about, quarantine.Crash{UpstreamInstance: l, SentAt: suspect.SentAt, BrokenAt: suspect.BrokenAt}, now) {
+func (r *Relay) recordSuspect(instance contract.UpstreamInstance, suspect quarantine.SuspectRequest, now time.Time) {
+	source := quarantine.Source{Service: suspect.Service, Workspace: suspect.Workspace, Route: suspect.Route, ObservedBy: r.opts.Self.VM}
+	if !r.quarantineCases.RecordCrash(suspect.Fingerprint, source, quarantine.Crash{UpstreamInstance: instance, SentAt: suspect.SentAt, BrokenAt: suspect.BrokenAt}, now) {
 		return
 	}
 	c := r.quarantineCases.Record(suspect.Fingerprint)
--- a/relay/refusals.go
+++ b/relay/refusals.go
@@ -109,7 +109,7 @@
 }
 
 // maxRetrySpread limits the period over which retries after a back-off are spread. A longer
-// period would exceed the time that most callers have.
+// period would exceed the time for which most callers wait.
 const maxRetrySpread = 5 * time.Second
 
 // retrySchedule returns the schedule of retries by refused callers of a service. The caller
--- a/upstream/cold.go
+++ b/upstream/cold.go
@@ -73,8 +73,7 @@
 	// the variation in network delay, which can bring two requests closer together.
 	coldWindow = 1100 * time.Millisecond
 	// recoveryMargin extends the cold period of an upstream whose connections failed: the
-	// upstream may return at any moment, and the next probe of it may be as late as
-	// probeBackoffMax.
+	// upstream may return at any moment, and this VM may probe it only after probeBackoffMax.
 	recoveryMargin = probeBackoffMax
 	// centreFailureDivisor sets which fraction (1/3) of a data centre's upstreams must have
 	// failed connections before all of them are assumed to be cold: they may return
@@ -188,8 +187,8 @@
 	}
 }
 
-// EvacuationCancelled records that the evacuation of a data centre was cancelled: its upstreams may
-// have become cold shortly before.
+// EvacuationCancelled records that the evacuation of a data centre was cancelled: its upstreams
+// may have restarted shortly before and still be cold.
 func (t *Table) EvacuationCancelled(dc contract.DataCentreID, now time.Time) {
 	for _, s := range t.byDataCentre[dc] {
 		if s.cold.bound.MaxPerSecond > 0 {
--- a/upstream/gossip_scope.go
+++ b/upstream/gossip_scope.go
@@ -20,8 +20,8 @@
 // VMs send to them.
 const (
 	// outOfScopeWaitFactor is the fraction of the mean queue wait at the engines in the
-	// gossip scope that is assumed as the queue wait at the engines outside it. At 1, a data
-	// centre with more work than the others would keep all of it.
+	// gossip scope that is assumed as the queue wait at the engines outside it. With a factor
+	// of 1, a data centre with more work than the others would keep all of it.
 	outOfScopeWaitFactor = 0.7
 )
 
--- a/upstream/limit_table.go
+++ b/upstream/limit_table.go
@@ -13,14 +13,14 @@
 
 // ApplyLimitAnswer applies what an answer of an instance states about its rate limit. The request
 // for that answer was sent at sentAt.
-func (t *Table) ApplyLimitAnswer(l contract.UpstreamInstance, answered RateLimit, sentAt, now time.Time) LimitChange {
-	a := t.notices[l]
+func (t *Table) ApplyLimitAnswer(instance contract.UpstreamInstance, answered RateLimit, sentAt, now time.Time) LimitChange {
+	a := t.notices[instance]
 	if answered.Statement != LimitStated && (a == nil || a.limit.version == 0) {
 		return LimitChange{}
 	}
-	a = t.ensureNotices(l, now)
+	a = t.ensureNotices(instance, now)
 	change := a.limit.applyAnswer(answered, sentAt, now)
-	change.Update = a.limit.toUpdate(l)
+	change.Update = a.limit.toUpdate(instance)
 	if change.Changed {
 		t.refreshLimited()
 	}
@@ -59,7 +59,7 @@
 }
 
 // HasLimit reports whether an instance has a rate limit in force.
-func (t *Table) HasLimit(l contract.UpstreamInstance) bool { return t.notices[l].hasLimit() }
+func (t *Table) HasLimit(instance contract.UpstreamInstance) bool { return t.notices[instance].hasLimit() }
 
 // CountLimited returns how many of the listed upstreams have a rate limit in force.
 func (t *Table) CountLimited() int { return len(t.limited) }
@@ -181,9 +181,9 @@
 
 // ClaimShare uses one request of this VM's share of a rate limit that the upstream stated only
 // after it was selected for the request. It reports whether the share allowed the request.
-func (t *Table) ClaimShare(l contract.UpstreamInstance, now time.Time) bool {
-	s := t.states[l.Upstream]
-	if s == nil || s.incarnation != l.Incarnation || !t.withinLimit(s, now) {
+func (t *Table) ClaimShare(instance contract.UpstreamInstance, now time.Time) bool {
+	s := t.states[instance.Upstream]
+	if s == nil || s.incarnation != instance.Incarnation || !t.withinLimit(s, now) {
 		return false
 	}
 	t.claimShare(s, now)
@@ -192,8 +192,8 @@
 
 // ReleaseShare returns one request to this VM's share of a rate limit, for a request that was not
 // sent.
-func (t *Table) ReleaseShare(l contract.UpstreamInstance, now time.Time) {
-	if s := t.states[l.Upstream]; s != nil && s.incarnation == l.Incarnation && s.notices.hasLimit() {
+func (t *Table) ReleaseShare(instance contract.UpstreamInstance, now time.Time) {
+	if s := t.states[instance.Upstream]; s != nil && s.incarnation == instance.Incarnation && s.notices.hasLimit() {
 		share, _ := t.vmShare(s, now)
 		s.notices.limit.limiter.giveBack(share)
 	}
--- a/upstream/notices.go
+++ b/upstream/notices.go
@@ -43,11 +43,11 @@
 
 // ApplyNotices applies the notices in an answer of an instance. It returns those that are new:
 // that the upstream is leaving, or a back-off that ends later than the previous ones.
-func (t *Table) ApplyNotices(l contract.UpstreamInstance, stated Notices, now time.Time) (added Notices) {
+func (t *Table) ApplyNotices(instance contract.UpstreamInstance, stated Notices, now time.Time) (added Notices) {
 	if !stated.Leaving && stated.Backoff == 0 {
 		return Notices{}
 	}
-	a := t.ensureNotices(l, now)
+	a := t.ensureNotices(instance, now)
 	if stated.Leaving && !a.leaving {
 		a.leaving, added.Leaving = true, true
 	}
@@ -58,13 +58,13 @@
 }
 
 // ensureNotices returns the notices of an instance, which it creates if there are none.
-func (t *Table) ensureNotices(l contract.UpstreamInstance, now time.Time) *instanceNotices {
-	a := t.notices[l]
+func (t *Table) ensureNotices(instance contract.UpstreamInstance, now time.Time) *instanceNotices {
+	a := t.notices[instance]
 	if a == nil {
 		t.dropStaleNotices(now)
 		a = &instanceNotices{}
-		t.notices[l] = a
-		if st := t.states[l.Upstream]; st != nil && st.incarnation == l.Incarnation {
+		t.notices[instance] = a
+		if st := t.states[instance.Upstream]; st != nil && st.incarnation == instance.Incarnation {
 			st.notices = a
 		}
 	}
@@ -92,31 +92,31 @@
 
 // dropStaleNotices removes the notices of instances that have not been listed for noticesTTL.
 func (t *Table) dropStaleNotices(now time.Time) {
-	for l, a := range t.notices {
-		if s := t.states[l.Upstream]; s != nil && s.notices == a {
+	for instance, a := range t.notices {
+		if s := t.states[instance.Upstream]; s != nil && s.notices == a {
 			a.lastSeenAt = now
 		} else if now.Sub(a.lastSeenAt) >= noticesTTL {
-			delete(t.notices, l)
+			delete(t.notices, instance)
 		}
 	}
 }
 
 // Instance returns the current instance of an upstream.
 func (t *Table) Instance(id contract.UpstreamID) contract.UpstreamInstance {
-	l := contract.UpstreamInstance{Upstream: id}
+	instance := contract.UpstreamInstance{Upstream: id}
 	if s, ok := t.states[id]; ok {
-		l.Incarnation = s.incarnation
+		instance.Incarnation = s.incarnation
 	}
-	return l
+	return instance
 }
 
 // TakeEndedBackoffs returns the instances whose back-offs have ended since the last call.
 func (t *Table) TakeEndedBackoffs(now time.Time) []contract.UpstreamInstance {
 	var out []contract.UpstreamInstance
-	for l, a := range t.notices {
+	for instance, a := range t.notices {
 		if !a.backoffUntil.IsZero() && !now.Before(a.backoffUntil) {
 			a.backoffUntil = time.Time{}
-			out = append(out, l)
+			out = append(out, instance)
 		}
 	}
 	return out
@@ -140,11 +140,11 @@
 }
 
 // AcceptsWork reports whether an instance that was selected earlier still accepts new work.
-func (t *Table) AcceptsWork(l contract.UpstreamInstance, now time.Time) bool {
-	if s := t.states[l.Upstream]; s != nil && s.incarnation == l.Incarnation {
+func (t *Table) AcceptsWork(instance contract.UpstreamInstance, now time.Time) bool {
+	if s := t.states[instance.Upstream]; s != nil && s.incarnation == instance.Incarnation {
 		return s.acceptsWork(now)
 	}
-	a := t.notices[l] // no longer listed, but may have been selected before
+	a := t.notices[instance] // no longer listed, but may have been selected before
 	return !a.isLeaving() && !a.inBackoff(now)
 }
 
--- a/upstream/pick.go
+++ b/upstream/pick.go
@@ -32,8 +32,9 @@
 //
 // Each prompt prefix has two upstreams as its homes, which all VMs compute without communication
 // (rendezvous hashing), so that the prefix is cached there and not everywhere. Without the
-// platform's list, a home is selected if its load is low enough, else the upstream with the least expected
-// wait. With the list, the upstream with the lowest cost is selected, and homes cost less.
+// platform's list, a home is selected if its load is low enough, else the upstream with the least
+// expected wait. With the list, the upstream with the lowest cost is selected, and homes cost
+// less.
 func (t *Table) Pick(q Query, now time.Time, random *rand.Rand) (contract.UpstreamID, error) {
 	if t.opts.Listed {
 		best := t.dueForProbe(q, now)
@@ -139,7 +140,7 @@
 // before it counts as slow.
 const slowFactor = 2
 
-// isSlow reports whether an upstream takes much longer than the others.
+// isSlow reports whether the requests of an upstream take much longer than those of the others.
 func isSlow(s *state, usable []*state, now time.Time) bool {
 	others := meanServiceTime(usable, s, now)
 	return others > 0 && s.recentServiceTime(now) > slowFactor*others
@@ -221,7 +222,8 @@
 // to the same upstream. See docs/MEASURES.md.
 const ownRequestWeight = 4.0
 
-// waitScore returns the expected wait, in seconds times a constant, at the given service time.
+// waitScore returns a score that is proportional to the expected wait (seconds times a constant),
+// at the given service time.
 func (s *state) waitScore(serviceTime time.Duration) float64 {
 	return (ownRequestWeight*float64(s.inFlight) + s.othersInFlight + 1) / float64(s.pool.Slots) * serviceTime.Seconds()
 }
--- a/upstream/table.go
+++ b/upstream/table.go
@@ -6,8 +6,8 @@
 // selection therefore weighs this VM's own requests most, and averages reported load over
 // time, with less weight for older reports.
 //
-// An instance of an upstream is one run of its process (contract.UpstreamInstance). An upstream
-// that restarts under the same ID is a new instance.
+// An instance of an upstream is one run of its process (contract.UpstreamInstance). After a
+// restart under the same ID, an upstream is a new instance.
 package upstream
 
 import (
