--- a/upstream/limit_table.go
+++ b/upstream/limit_table.go
@@ -59,7 +59,9 @@
 }
 
 // HasLimit reports whether an instance has a rate limit in force.
-func (t *Table) HasLimit(instance contract.UpstreamInstance) bool { return t.notices[instance].hasLimit() }
+func (t *Table) HasLimit(instance contract.UpstreamInstance) bool {
+	return t.notices[instance].hasLimit()
+}
 
 // CountLimited returns how many of the listed upstreams have a rate limit in force.
 func (t *Table) CountLimited() int { return len(t.limited) }
