--- a/relay/cold.go
+++ b/relay/cold.go
@@ -17,7 +17,7 @@
 	Overshoot, Slack float64
 }
 
-// boundFor returns the limit of a cold upstream of a service.
+// boundFor returns the bound on the requests to a cold upstream of a service.
 func (b ColdBounds) boundFor(s *route.Service) upstream.ColdBound {
 	if s == nil || s.Cold.PerSecond <= 0 {
 		return upstream.ColdBound{}
@@ -38,6 +38,7 @@
 // maxLoggedIDs limits how many upstreams are named in one log line.
 const maxLoggedIDs = 64
 
+// idStrings returns at most maxLoggedIDs upstream IDs as strings.
 func idStrings(ids []contract.UpstreamID) []string {
 	out := make([]string, 0, min(len(ids), maxLoggedIDs))
 	for _, id := range ids[:min(len(ids), maxLoggedIDs)] {
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -17,13 +17,13 @@
 // was lost. An upstream that has crashed is back after a few seconds.
 const probeTimeout = 1500 * time.Millisecond
 
-// contentPrint returns the hash of the request's content.
-func (j *job) contentPrint() quarantine.Fingerprint {
-	if j.cachedPrint == nil {
+// contentFingerprint returns the fingerprint (hash) of the request's content.
+func (j *job) contentFingerprint() quarantine.Fingerprint {
+	if j.cachedFingerprint == nil {
 		p := quarantine.FingerprintOf(j.Workspace, j.Host, j.URI, j.Body)
-		j.cachedPrint = &p
+		j.cachedFingerprint = &p
 	}
-	return *j.cachedPrint
+	return *j.cachedFingerprint
 }
 
 // staleConnectionWindow is the time after a send within which a broken connection does not
@@ -33,30 +33,30 @@
 // of one upstream after another, and each attempt broke off within 2 ms.
 const staleConnectionWindow = 25 * time.Millisecond
 
-// recordBrokenConnection records that the connection of a request to an upstream broke off.
-// One connection attempt to its address determines whether the upstream has crashed. The
+// recordBrokenConnection records that the connection to an upstream broke off while a request
+// used it. One connection attempt to its address determines whether the upstream has crashed. The
 // caller holds mu.
 func (r *Relay) recordBrokenConnection(j *job, e upstream.Entry) {
 	now := r.opts.Now()
 	if !j.upstreamSeen && now.Sub(j.sentAt) < staleConnectionWindow || !r.endIsUnplanned(e) {
 		return
 	}
-	life := e.Instance()
+	instance := e.Instance()
 	s := quarantine.SuspectRequest{
-		Fingerprint: j.contentPrint(), Request: j.ID, Service: j.service, Workspace: j.Workspace, Route: j.Route.Name, SentAt: j.sentAt, BrokenAt: now,
+		Fingerprint: j.contentFingerprint(), Request: j.ID, Service: j.service, Workspace: j.Workspace, Route: j.Route.Name, SentAt: j.sentAt, BrokenAt: now,
 	}
-	probe, ended := r.possibleCrashes.ConnectionBroke(life, e.Address, s)
+	probe, crashed := r.possibleCrashes.ConnectionBroke(instance, e.Address, s)
 	if probe {
-		go r.probeUpstream(life, e.Address)
+		go r.probeUpstream(instance, e.Address)
 	}
-	if ended {
-		r.recordCrash(life, "known", []quarantine.SuspectRequest{s})
+	if crashed {
+		r.recordCrash(instance, "known", []quarantine.SuspectRequest{s})
 	}
 }
 
 // endIsUnplanned reports whether the end of an upstream would be a crash. Upstreams that are
-// leaving, and those of a release that another one has replaced, end as planned. The caller
-// holds mu.
+// leaving, and upstreams of a release that another release has replaced, end as planned. The
+// caller holds mu.
 func (r *Relay) endIsUnplanned(e upstream.Entry) bool {
 	listed, ok := r.entries[e.ID]
 	if !ok || listed.Incarnation != e.Incarnation || r.table.IsLeaving(e.ID) || r.rolledBack[e.Service][e.Release] {
@@ -68,19 +68,19 @@
 
 // probeUpstream connects to the address of an upstream whose connections broke off, to
 // determine whether it has crashed.
-func (r *Relay) probeUpstream(l contract.UpstreamInstance, address string) {
+func (r *Relay) probeUpstream(instance contract.UpstreamInstance, address string) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	err := exchange.Probe(ctx, address)
 	if !exchange.IsConnectionRefused(err) {
-		r.log.Debug("upstream-reached", zap.String("upstream", string(l.Upstream)), zap.Error(err))
+		r.log.Debug("upstream-reached", zap.String("upstream", string(instance.Upstream)), zap.Error(err))
 		return
 	}
-	r.withLock(func() { r.recordCrash(l, "nothing listens", r.possibleCrashes.Confirm(l)) })
+	r.withLock(func() { r.recordCrash(instance, "nothing listens", r.possibleCrashes.Confirm(instance)) })
 }
 
-// detectReplaced detects crashes from the upstream list: a new incarnation at the address of
-// an upstream shows that the earlier one has ended. The caller holds mu.
+// detectReplaced detects crashes from the upstream list: a new instance at the address of an
+// upstream shows that the earlier instance has ended. The caller holds mu.
 func (r *Relay) detectReplaced() {
 	if !r.possibleCrashes.Any() {
 		return
@@ -90,25 +90,25 @@
 		incarnations[e.Address] = e.Instance()
 	}
 	incarnationAt := func(address string) (contract.UpstreamInstance, bool) {
-		l, ok := incarnations[address]
-		return l, ok
+		instance, ok := incarnations[address]
+		return instance, ok
 	}
-	for _, l := range r.possibleCrashes.ReplacedLives(incarnationAt) {
-		r.recordCrash(l, "another incarnation is listed", r.possibleCrashes.Confirm(l))
+	for _, instance := range r.possibleCrashes.ReplacedLives(incarnationAt) {
+		r.recordCrash(instance, "another incarnation is listed", r.possibleCrashes.Confirm(instance))
 	}
 }
 
 // recordCrash records that an upstream crashed while it executed requests. The caller holds
 // mu.
-func (r *Relay) recordCrash(l contract.UpstreamInstance, evidence string, suspects []quarantine.SuspectRequest) {
+func (r *Relay) recordCrash(instance contract.UpstreamInstance, evidence string, suspects []quarantine.SuspectRequest) {
 	for _, s := range suspects {
-		r.recordSuspect(l, s, s.BrokenAt)
-		r.log.Warn("upstream-ended", zap.String("upstream", string(l.Upstream)), zap.Int64("born", l.Incarnation), zap.String("by", evidence),
+		r.recordSuspect(instance, s, s.BrokenAt)
+		r.log.Warn("upstream-ended", zap.String("upstream", string(instance.Upstream)), zap.Int64("born", instance.Incarnation), zap.String("by", evidence),
 			zap.String("request", string(s.Request)), zap.Stringer("print", s.Fingerprint), zap.String("route", s.Route),
 			zap.String("workspace", string(s.Workspace)), zap.Int64("ran_ms", s.BrokenAt.Sub(s.SentAt).Milliseconds()),
 			zap.Int("beside", len(suspects)-1))
 	}
 	if len(suspects) > 0 {
-		r.Metrics.upstreamsEnded.Inc(1)
+		r.Metrics.upstreamsCrashed.Inc(1)
 	}
 }
--- a/relay/limits_test.go
+++ b/relay/limits_test.go
@@ -17,10 +17,10 @@
 	return &ResponseHead{Status: http.StatusOK, Notices: upstream.Notices{Limit: upstream.RateLimit{Statement: upstream.LimitStated, PerSecond: perSecond}}}
 }
 
-// newLimitedRelay returns a relay with one upstream that announced a rate limit a minute ago.
+// newLimitedRelay returns a relay with one upstream that stated a rate limit a minute ago.
 func newLimitedRelay(t *testing.T, perSecond float64) (*Relay, *time.Time, upstream.Entry) {
 	t.Helper()
-	r, now, e, _ := newUpstreamRelay(t, upstream.Notices{}, 0)
+	r, now, e, _ := newSingleUpstreamRelay(t, upstream.Notices{}, 0)
 	r.opts.DataCentre = e.DataCentre
 	r.Refresh()
 	j := newSafeJob(*now)
@@ -53,7 +53,7 @@
 }
 
 // TestUnsentRequestReleasesLimitClaim checks that a request that was selected for an upstream
-// with a rate limit but not sent leaves room for another request.
+// with a rate limit but not sent leaves its part of the rate limit to another request.
 func TestUnsentRequestReleasesLimitClaim(t *testing.T) {
 	is := is.New(t)
 	r, now, e := newLimitedRelay(t, 0)
@@ -71,11 +71,11 @@
 	is.True(refused == nil)
 }
 
-// TestLimitNamedWhileConnecting checks that a request waiting for a connection is sent only
-// within a rate limit that its upstream announces in the meantime.
-func TestLimitNamedWhileConnecting(t *testing.T) {
+// TestLimitStatedWhileConnecting checks that a request waiting for a connection is sent only
+// within a rate limit that its upstream states in the meantime.
+func TestLimitStatedWhileConnecting(t *testing.T) {
 	is := is.New(t)
-	r, now, e, u := newUpstreamRelay(t, upstream.Notices{}, 0)
+	r, now, e, u := newSingleUpstreamRelay(t, upstream.Notices{}, 0)
 	r.opts.DataCentre = e.DataCentre
 	r.Refresh()
 	early := newSafeJob(*now)
@@ -94,11 +94,11 @@
 	is.Equal(len(u.Requests()), 1)
 }
 
-// TestLimitOfOtherIncarnationIgnored checks that a rate limit that another VM reports for a
-// different incarnation of an upstream is not applied to the listed one.
-func TestLimitOfOtherIncarnationIgnored(t *testing.T) {
+// TestLimitOfOtherInstanceIgnored checks that a rate limit that another VM reports for a
+// different instance of an upstream is not applied to the listed instance.
+func TestLimitOfOtherInstanceIgnored(t *testing.T) {
 	is := is.New(t)
-	r, _, e, _ := newUpstreamRelay(t, upstream.Notices{}, 0)
+	r, _, e, _ := newSingleUpstreamRelay(t, upstream.Notices{}, 0)
 	known := upstream.LimitUpdate{Instance: contract.UpstreamInstance{Upstream: e.ID, Incarnation: e.Incarnation + 1}, Limit: upstream.RateLimit{Statement: upstream.LimitStated}, Version: 1}
 	r.MergeLimits([]upstream.LimitUpdate{known}, true, "vm2")
 	is.Equal(r.CountLimited(), 0)
--- a/relay/log.go
+++ b/relay/log.go
@@ -33,7 +33,7 @@
 		fields = append(fields, r.decisionContext(j)...)
 	}
 	if refusal != nil && refusal.Kind == contract.RefusedQuarantined {
-		fields = append(fields, zap.Stringer("print", j.contentPrint()))
+		fields = append(fields, zap.Stringer("print", j.contentFingerprint()))
 	}
 	if refusal != nil {
 		fields = append(fields, zap.String("reason", string(refusal.Kind)), zap.String("step", string(refusal.Step)), zap.String("detail", refusal.Detail))
@@ -58,8 +58,8 @@
 		fields = append(fields, zap.Int64("list_age_ms", r.opts.ListAge().Milliseconds()))
 	}
 	r.withLock(func() {
-		if resting, leaving := r.table.CountBackedOff(r.opts.Now()); resting+leaving > 0 {
-			fields = append(fields, zap.Int("upstreams_resting", resting), zap.Int("upstreams_say_leaving", leaving))
+		if backedOff, leaving := r.table.CountBackedOff(r.opts.Now()); backedOff+leaving > 0 {
+			fields = append(fields, zap.Int("upstreams_resting", backedOff), zap.Int("upstreams_say_leaving", leaving))
 		}
 		if limited := r.table.CountLimited(); limited > 0 {
 			fields = append(fields, zap.Int("upstreams_limited", limited))
@@ -79,8 +79,8 @@
 
 func roundToHundredths(x float64) float64 { return math.Round(x*100) / 100 }
 
-// logFirstToken logs the estimates for an attempt at a prompt beside the measured time to the
-// first answer. The caller holds mu.
+// logFirstToken logs the estimated times of an attempt with a prompt, and the measured time until
+// its answer began. The caller holds mu.
 func (r *Relay) logFirstToken(j *job, h *ResponseHead) {
 	pending := j.pending
 	r.log.Info("attempt", zap.String("request", string(j.ID)), zap.String("upstream", string(pending.upstream)), zap.String("model", string(j.model)), zap.String("why", j.modelReason),
--- a/relay/metrics.go
+++ b/relay/metrics.go
@@ -35,12 +35,13 @@
 	// behind it, in thousandths of the value of a mean request.
 	prefillPrice metrics.Histogram
 	wholeAnswer  metrics.Histogram
-	// upstreamsEnded counts the upstreams that crashed while they executed requests.
-	upstreamsEnded metrics.Counter
-	// leaveNotices counts the answers in which an upstream first announced its shutdown, and
-	// backoffNotices those that asked for a longer back-off. sendsToLeaving and
-	// sendsToBackedOff count the selections of such upstreams. sendsBlocked counts the
-	// requests that were not sent because a notice arrived after their upstream was selected.
+	// upstreamsCrashed counts the upstreams that crashed while they executed requests.
+	upstreamsCrashed metrics.Counter
+	// leaveNotices counts the answers in which an upstream first stated that it is leaving,
+	// and backoffNotices the answers that requested a longer back-off than before.
+	// sendsToLeaving and sendsToBackedOff count the selections of leaving upstreams and of
+	// those in back-off. sendsBlocked counts the requests that were not sent because a notice
+	// arrived after their upstream was selected.
 	leaveNotices, backoffNotices, sendsToLeaving, sendsToBackedOff, sendsBlocked metrics.Counter
 	// limitChanges counts the changes of upstreams' rate limits, and sendsToLimited the
 	// selections of upstreams with a rate limit.
@@ -71,7 +72,7 @@
 		cachedTokens: metrics.NewRegisteredCounter("prompt_tokens_kept_total", r),
 		wholeAnswer:  histogram("whole_answer_milliseconds"),
 
-		upstreamsEnded:   metrics.NewRegisteredCounter("upstreams_ended_total", r),
+		upstreamsCrashed: metrics.NewRegisteredCounter("upstreams_ended_total", r),
 		leaveNotices:     metrics.NewRegisteredCounter("upstream_leaves_total", r),
 		backoffNotices:   metrics.NewRegisteredCounter("upstream_rests_total", r),
 		sendsToLeaving:   metrics.NewRegisteredCounter("sends_to_leaving_total", r),
--- a/relay/notices.go
+++ b/relay/notices.go
@@ -43,8 +43,9 @@
 	}
 }
 
-// Backoff is a back-off that an upstream requested from one VM, as reported to other VMs. It
-// binds only that VM, but shows the others that the upstream may reject their requests too.
+// Backoff is a back-off that an upstream requested from one VM, as reported to other VMs. A
+// back-off binds only the VM from which it is requested, but shows the others that the upstream
+// may reject their requests too.
 type Backoff struct {
 	Life contract.UpstreamInstance `cbor:"1,keyasint"`
 	// Remaining is the remaining time of the back-off.
@@ -52,22 +53,22 @@
 }
 
 // MergeBackoffs records the back-offs that upstreams have requested from other VMs.
-func (r *Relay) MergeBackoffs(rests []Backoff) {
-	if len(rests) == 0 || !r.opts.Policy.Has(upstream.Gossip) {
+func (r *Relay) MergeBackoffs(backoffs []Backoff) {
+	if len(backoffs) == 0 || !r.opts.Policy.Has(upstream.Gossip) {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, rest := range rests {
-		if r.isCurrent(rest.Life.Upstream, rest.Life.Incarnation) {
-			r.table.RecordRemoteBackoff(rest.Life.Upstream, min(rest.Remaining, r.opts.MaxBackoff), r.opts.Now())
+	for _, backoff := range backoffs {
+		if r.isCurrent(backoff.Life.Upstream, backoff.Life.Incarnation) {
+			r.table.RecordPeerBackoff(backoff.Life.Upstream, min(backoff.Remaining, r.opts.MaxBackoff), r.opts.Now())
 		}
 	}
 }
 
-// errUnavailableMeanwhile means that an upstream announced that it accepts no more requests
-// while a request waited for a connection to it.
-var errUnavailableMeanwhile = errors.New("upstream stopped accepting requests while a connection to it was awaited")
+// errUnavailableMeanwhile means that, while a request waited for a connection to an upstream, the
+// upstream stated that it accepts no more requests.
+var errUnavailableMeanwhile = errors.New("the upstream has said meanwhile that it wants no more")
 
 // checkStillAvailable returns an error if the selected upstream no longer accepts the request.
 // Opening a connection may take 250 ms, and notices in the answers to other requests may
@@ -82,11 +83,11 @@
 	return errUnavailableMeanwhile
 }
 
-// countUnwantedSend counts a selection of an upstream that has asked for none. The caller
-// holds mu.
+// countUnwantedSend counts a selection of an upstream whose notices ask for no more requests. The
+// caller holds mu.
 func (r *Relay) countUnwantedSend(id contract.UpstreamID, now time.Time) {
-	resting, leaving := r.table.NoticeState(id, now)
-	if resting {
+	backedOff, leaving := r.table.NoticeState(id, now)
+	if backedOff {
 		r.Metrics.sendsToBackedOff.Inc(1)
 	}
 	if leaving {
@@ -94,16 +95,16 @@
 	}
 }
 
-// logEndedBackoffs logs the back-offs that have ended. The caller holds mu.
+// logEndedBackoffs logs the back-offs that have ended since the last call. The caller holds mu.
 func (r *Relay) logEndedBackoffs(now time.Time) {
-	for _, l := range r.table.TakeEndedBackoffs(now) {
-		r.log.Info("upstream-rest-ends", zap.String("upstream", string(l.Upstream)), zap.Int64("born", l.Incarnation))
+	for _, instance := range r.table.TakeEndedBackoffs(now) {
+		r.log.Info("upstream-rest-ends", zap.String("upstream", string(instance.Upstream)), zap.Int64("born", instance.Incarnation))
 	}
 }
 
-// CountBackedOff returns how many of the listed upstreams have requested a back-off, and how many
-// have announced their shutdown.
-func (r *Relay) CountBackedOff() (resting, leaving int) {
+// CountBackedOff returns how many of the listed upstreams have requested a back-off that is in
+// force, and how many have stated that they are leaving.
+func (r *Relay) CountBackedOff() (backedOff, leaving int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.table.CountBackedOff(r.opts.Now())
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -9,13 +9,13 @@
 	"woaddoor/quarantine"
 )
 
-// preparePrint computes the hash of the request's content if any content is suspected. It runs
-// before mu is acquired, because the body may be long.
-func (r *Relay) preparePrint(j *job) {
+// prepareFingerprint computes the fingerprint of the request's content if any content is
+// suspected of crashing upstreams. It runs before mu is acquired, because the body may be long.
+func (r *Relay) prepareFingerprint(j *job) {
 	suspecting := false
 	r.withLock(func() { suspecting = !r.quarantineCases.Empty() })
 	if suspecting {
-		j.contentPrint()
+		j.contentFingerprint()
 	}
 }
 
@@ -23,21 +23,21 @@
 // each attempt, whatever its purpose: a first attempt, a retry, an escalation, or the
 // resumption of a stream. The caller holds mu.
 func (r *Relay) checkQuarantine(j *job, now time.Time) *contract.Refusal {
-	if r.quarantineCases.Empty() || !r.quarantineCases.Blocks(j.contentPrint(), now) {
+	if r.quarantineCases.Empty() || !r.quarantineCases.Blocks(j.contentFingerprint(), now) {
 		return nil
 	}
-	return refuseQuarantined(j, r.quarantineCases.Record(j.contentPrint()))
+	return refuseQuarantined(j, r.quarantineCases.Record(j.contentFingerprint()))
 }
 
 // risksLastUpstream reports whether a request could crash the last available upstream of its
 // service, because its content has crashed others before. One fewer upstream degrades
 // the service for other requests, but no upstream at all ends it. The caller holds mu.
 func (r *Relay) risksLastUpstream(j *job, id contract.UpstreamID, c candidatePools, now time.Time) bool {
-	if r.quarantineCases.Empty() || r.quarantineCases.CrashCount(j.contentPrint()) < quarantine.CrashLimit-1 {
+	if r.quarantineCases.Empty() || r.quarantineCases.CrashCount(j.contentFingerprint()) < quarantine.CrashLimit-1 {
 		return false
 	}
 	excluded := []contract.UpstreamID{id}
-	for _, e := range r.quarantineCases.Record(j.contentPrint()).Crashes {
+	for _, e := range r.quarantineCases.Record(j.contentFingerprint()).Crashes {
 		if r.isCurrent(e.Upstream, e.Incarnation) { // still in the list although it has crashed
 			excluded = append(excluded, e.Upstream)
 		}
@@ -47,9 +47,9 @@
 
 // recordSuspect records that an upstream crashed while it executed a request, and notifies the
 // other VMs if that is urgent. The caller holds mu.
-func (r *Relay) recordSuspect(l contract.UpstreamInstance, suspect quarantine.SuspectRequest, now time.Time) {
-	about := quarantine.Source{Service: suspect.Service, Workspace: suspect.Workspace, Route: suspect.Route, ObservedBy: r.opts.Self.VM}
-	if !r.quarantineCases.RecordCrash(suspect.Fingerprint, about, quarantine.Crash{UpstreamInstance: l, SentAt: suspect.SentAt, BrokenAt: suspect.BrokenAt}, now) {
+func (r *Relay) recordSuspect(instance contract.UpstreamInstance, suspect quarantine.SuspectRequest, now time.Time) {
+	source := quarantine.Source{Service: suspect.Service, Workspace: suspect.Workspace, Route: suspect.Route, ObservedBy: r.opts.Self.VM}
+	if !r.quarantineCases.RecordCrash(suspect.Fingerprint, source, quarantine.Crash{UpstreamInstance: instance, SentAt: suspect.SentAt, BrokenAt: suspect.BrokenAt}, now) {
 		return
 	}
 	c := r.quarantineCases.Record(suspect.Fingerprint)
@@ -62,43 +62,44 @@
 // clearSuspect records that an upstream has executed the job's request successfully, which
 // clears its content of suspicion.
 func (r *Relay) clearSuspect(j *job) {
-	r.preparePrint(j)
+	r.prepareFingerprint(j)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.quarantineCases.Empty() {
 		return
 	}
-	c := r.quarantineCases.Record(j.contentPrint())
+	c := r.quarantineCases.Record(j.contentFingerprint())
 	urgent := c != nil && c.Urgent()
-	if !r.quarantineCases.RecordAnswer(j.contentPrint(), r.opts.Now()) {
+	if !r.quarantineCases.RecordAnswer(j.contentFingerprint(), r.opts.Now()) {
 		return
 	}
-	r.log.Info("suspect-cleared", zap.String("request", string(j.ID)), zap.Stringer("print", j.contentPrint()), zap.String("upstream", string(j.lastUpstream.ID)))
+	r.log.Info("suspect-cleared", zap.String("request", string(j.ID)), zap.Stringer("print", j.contentFingerprint()), zap.String("upstream", string(j.lastUpstream.ID)))
 	if urgent {
 		r.notifySuspected()
 	}
 }
 
-// notifySuspected requests that the other VMs be notified at once. The caller holds mu.
+// notifySuspected requests that the other VMs be notified at once of suspected content. The
+// caller holds mu.
 func (r *Relay) notifySuspected() {
 	if r.opts.OnSuspect != nil {
 		r.opts.OnSuspect()
 	}
 }
 
-// logCase logs the state of suspected content. The caller holds mu.
+// logCase logs the state of content that is suspected of crashing upstreams. The caller holds mu.
 func (r *Relay) logCase(c *quarantine.Record, reporter string) {
 	event := "suspect"
 	if c.Held {
 		event = "request-held"
 	}
-	var ended []contract.UpstreamID
+	var crashed []contract.UpstreamID
 	for _, e := range c.Crashes {
-		ended = append(ended, e.Upstream)
+		crashed = append(crashed, e.Upstream)
 	}
 	r.log.Warn(event, zap.Stringer("print", c.Fingerprint), zap.String("route", c.Route), zap.String("workspace", string(c.Workspace)),
 		zap.String("service", string(c.Service)), zap.String("by", reporter), zap.String("first_seen_by", string(c.ObservedBy)),
-		zap.Strings("ended", idStrings(ended)), zap.Uint32("epoch", c.Epoch))
+		zap.Strings("ended", idStrings(crashed)), zap.Uint32("epoch", c.Epoch))
 }
 
 // Suspects returns what this VM reports to others about content that crashes upstreams.
@@ -109,14 +110,14 @@
 }
 
 // MergeSuspects merges another VM's reports about content that crashes upstreams, and reports
-// whether any of them must be forwarded at once.
-func (r *Relay) MergeSuspects(told []quarantine.Update, from contract.VMID) (urgent bool) {
-	if len(told) == 0 {
+// whether any of these reports must be forwarded at once.
+func (r *Relay) MergeSuspects(updates []quarantine.Update, from contract.VMID) (urgent bool) {
+	if len(updates) == 0 {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, c := range r.quarantineCases.Merge(told, r.opts.Now()) {
+	for _, c := range r.quarantineCases.Merge(updates, r.opts.Now()) {
 		r.logCase(c, string(from))
 		urgent = urgent || c.Urgent()
 	}
@@ -130,7 +131,7 @@
 	r.quarantineCases.SetStored(h, r.opts.Now())
 }
 
-// RemoveQuarantined records that content is no longer marked as quarantined in the store since a
+// RemoveQuarantined records that content is no longer marked as quarantined in the store as of a
 // revision.
 func (r *Relay) RemoveQuarantined(p quarantine.Fingerprint, at contract.Revision) {
 	r.mu.Lock()
@@ -148,9 +149,9 @@
 	return r.quarantineCases.StoredExcept(stored)
 }
 
-// QuarantineUpdates are the changes to be written to the store's records of quarantined
-// content. Store holds the content to add, Erase the content to remove, and Try the content
-// for which to request a trial.
+// QuarantineUpdates are the changes to be written to the store's records of quarantined content.
+// Add holds the content to add, Remove the content to remove, and Trials the content for which to
+// request a trial.
 type QuarantineUpdates struct {
 	Add, Remove, Trials []quarantine.QuarantinedContent
 }
@@ -174,7 +175,7 @@
 	r.log.Info("held-trial", zap.Stringer("print", p), zap.Bool("granted", ok))
 }
 
-// CountQuarantined returns how many contents are quarantined.
+// CountQuarantined returns how many request contents are quarantined.
 func (r *Relay) CountQuarantined() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/relay/reachability.go
+++ b/relay/reachability.go
@@ -19,19 +19,19 @@
 	// data centre that is back is detected within one interval. Each probe opens a connection
 	// to an upstream, which has a cost.
 	probeInterval = 250 * time.Millisecond
-	// isolationDelay is how long a VM must be isolated before it reports that. A single lost
-	// packet does not count as isolation.
+	// isolationDelay is how long a VM must be isolated before it reports its isolation. A
+	// single lost packet does not count as isolation.
 	isolationDelay = 500 * time.Millisecond
 )
 
-// ProbeDataCentres probes data centres that appear unreachable until ctx ends, so that no request has to
-// discover their state.
+// ProbeDataCentres probes data centres that appear unreachable until ctx ends, so that no request
+// is needed to find out that they are reachable again.
 func (r *Relay) ProbeDataCentres(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, probeInterval)
-		var away map[contract.DataCentreID]string
-		r.withLock(func() { away = r.table.ProbeTargets(r.opts.Now(), r.random) })
-		for dc, address := range away {
+		var targets map[contract.DataCentreID]string
+		r.withLock(func() { targets = r.table.ProbeTargets(r.opts.Now(), r.random) })
+		for dc, address := range targets {
 			go r.probeDataCentre(ctx, dc, address)
 		}
 		r.updateIsolation()
@@ -84,11 +84,11 @@
 // count: the operator's order applies even if no other upstream is left, and a VM that is not
 // ready directs callers to VMs that can serve them. The caller holds mu.
 func (r *Relay) isIsolated(s contract.ServiceID, now time.Time) bool {
-	return r.table.CutOff(r.opts.DataCentre, r.notEvacuated(poolsExcept(r.poolsByRelease[s], r.rolledBack[s]), 0, now), now)
+	return r.table.Isolated(r.opts.DataCentre, r.notEvacuated(poolsExcept(r.poolsByRelease[s], r.rolledBack[s]), 0, now), now)
 }
 
-// Isolated reports whether this VM has been isolated from all upstreams of a service for at
-// least isolationDelay. Callers are better served by a VM that can reach some.
+// Isolated reports whether this VM has been isolated from all upstreams of a service for at least
+// isolationDelay. Callers are better served by a VM that can reach some of them.
 func (r *Relay) Isolated() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/relay/refusals.go
+++ b/relay/refusals.go
@@ -10,7 +10,7 @@
 	"woaddoor/upstream"
 )
 
-// Delays after which a caller can usefully retry.
+// Delays after which a refused caller can usefully retry.
 const (
 	// retryAfterBusy is the approximate time until a slot at an upstream becomes free.
 	retryAfterBusy = 250 * time.Millisecond
@@ -23,7 +23,7 @@
 func refuseQuarantined(j *job, c *quarantine.Record) *contract.Refusal {
 	f := &contract.Refusal{
 		Kind: contract.RefusedQuarantined, Outcome: j.outcome, Step: contract.StepPick,
-		Detail: fmt.Sprintf("requests with this content (%s) have crashed %d upstreams one after another and are no longer sent", c.Fingerprint, max(len(c.Crashes), quarantine.CrashLimit)),
+		Detail: fmt.Sprintf("requests of this content (%s) have ended %d upstreams one after the other; it is sent to no other", c.Fingerprint, max(len(c.Crashes), quarantine.CrashLimit)),
 	}
 	return f.WithRetryAfter(quarantine.RetryAfter)
 }
@@ -36,7 +36,7 @@
 func refuseLastUpstream(j *job) *contract.Refusal {
 	f := &contract.Refusal{
 		Kind: contract.RefusedQuarantined, Outcome: j.outcome, Step: contract.StepPick,
-		Detail: "requests with this content have crashed upstreams, and only one available upstream is left",
+		Detail: "requests of this content have ended upstreams, and one alone is left that takes requests",
 	}
 	return f.WithRetryAfter(retryAfterRestart)
 }
@@ -54,7 +54,7 @@
 func refuseRegion(j *job) *contract.Refusal {
 	f := &contract.Refusal{
 		Kind: contract.RefusedRegionNotAllowed, Outcome: j.outcome, Step: contract.StepPick,
-		Detail: fmt.Sprintf("the service has no upstream in the allowed regions: route %v, workspace %v", j.Route.Regions, j.Regions),
+		Detail: fmt.Sprintf("the service has no upstream in the regions that are allowed: route %v, workspace %v", j.Route.Regions, j.Regions),
 	}
 	return f.WithRetryAfter(retryAfterRegion)
 }
@@ -74,23 +74,23 @@
 	}
 	f := &contract.Refusal{
 		Kind: contract.RefusedNoUpstream, Outcome: j.outcome, Step: contract.StepPick,
-		Detail: fmt.Sprintf("none of %d upstreams of the service can accept the request now: %d back off, %d are leaving, %d are at their rate limit (%.1f requests/s)",
-			o.Listed, o.Resting, o.Leaving, o.AtLimit, o.PerSecond),
+		Detail: fmt.Sprintf("none of %d upstreams of the service can take the request now: %d rest, %d leave, %d have all that they take (%.1f a second)",
+			o.Listed, o.BackedOff, o.Leaving, o.AtLimit, o.PerSecond),
 	}
 	switch {
 	case o.NoneAccepting() && o.AtLimit > 0:
 		f.Kind = contract.RefusedUpstreamsAtLimit
 	case o.NoneAccepting():
 		f.Kind = contract.RefusedUpstreamsBackedOff
-		f.Detail += fmt.Sprintf(", the first back-off ends in %v", o.NextBackoffEnd.Round(time.Millisecond))
+		f.Detail += fmt.Sprintf(", the first is back in %v", o.NextBackoffEnd.Round(time.Millisecond))
 	}
 	return f.WithRetryAfter(r.retryAfter(j.service, o, retryAfterListUpdate, now))
 }
 
 // retryAfter returns the delay before a retry. It is defaultDelay unless all upstreams of the
-// service reject requests. If all of them back off, retries start when the first back-off
-// period ends, spread over a period as long as the back-off itself, up to maxRetrySpread.
-// Retries then arrive no faster than new requests. The caller holds mu.
+// service reject requests. If all of them back off, retries start when the first back-off period
+// ends, spread over a period as long as the back-off itself, up to maxRetrySpread. The retries
+// then arrive no faster than new requests. The caller holds mu.
 func (r *Relay) retryAfter(s contract.ServiceID, o upstream.Outlook, defaultDelay time.Duration, now time.Time) time.Duration {
 	if !o.NoneAccepting() {
 		return defaultDelay
@@ -102,14 +102,14 @@
 }
 
 // retryAfterAtLimit returns the delay before a retry at upstreams that have reached their rate
-// limits. Each VM schedules the retries of its callers at its share of these limits. The
-// caller holds mu.
+// limits. Each VM schedules the retries of its callers at the rate of its share of these limits.
+// The caller holds mu.
 func (r *Relay) retryAfterAtLimit(s contract.ServiceID, o upstream.Outlook, now time.Time) time.Duration {
 	return r.retrySchedule(s).NextDelay(o.PerSecond/float64(max(r.opts.VMs(), 1)), maxRetrySpread, r.random.Float64(), now)
 }
 
 // maxRetrySpread limits the period over which retries after a back-off are spread. A longer
-// period would exceed the time that most callers have.
+// period would exceed the time for which most callers wait.
 const maxRetrySpread = 5 * time.Second
 
 // retrySchedule returns the schedule of retries by refused callers of a service. The caller
@@ -128,7 +128,7 @@
 func refuseLongQueue(j *job, retryAfter time.Duration) *contract.Refusal {
 	f := &contract.Refusal{
 		Kind: contract.RefusedLimitReached, Outcome: contract.OutcomeNotRun, Step: contract.StepPick,
-		Detail: "no model can begin an answer before the deadline: the queues at the engines are too long",
+		Detail: "no model could begin an answer before the deadline: engines have more to read than that",
 	}
 	return f.WithRetryAfter(max(retryAfter, retryAfterBusy))
 }
@@ -153,6 +153,6 @@
 func refuseDeadline(j *job) *contract.Refusal {
 	return &contract.Refusal{
 		Kind: contract.RefusedDeadlinePassed, Outcome: j.outcome, Step: contract.StepAnswer, Peer: string(j.lastUpstream.ID),
-		Detail: "the deadline or the route's timeout passed before the answer arrived",
+		Detail: "the deadline, or the timeout of the route, came before the answer",
 	}
 }
--- a/relay/selection.go
+++ b/relay/selection.go
@@ -16,12 +16,13 @@
 	"woaddoor/upstream"
 )
 
+// isStream reports whether a request is answered with a stream of events.
 func isStream(r *Request) bool { return r.Route.Kind == route.Stream }
 
 // selectUpstream chooses the upstream of the next attempt and counts the request at that
 // upstream.
 func (r *Relay) selectUpstream(j *job) (upstream.Entry, *contract.Refusal) {
-	r.preparePrint(j)
+	r.prepareFingerprint(j)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.opts.Now()
@@ -86,8 +87,8 @@
 	})
 }
 
-// candidatePools are pools to choose from. release is empty if the pools may belong to any
-// release.
+// candidatePools are pools to choose from. release is empty if the pools may belong to several
+// releases.
 type candidatePools struct {
 	release string
 	pools   []contract.PoolID
@@ -135,7 +136,7 @@
 	return ids
 }
 
-// recordAttemptEnd records how an attempt ended. timeToFirst is the time to its first answer.
+// recordAttemptEnd records how an attempt ended. timeToFirst is the time until its answer began.
 func (r *Relay) recordAttemptEnd(j *job, e upstream.Entry, result upstream.Result, timeToFirst time.Duration) {
 	r.withLock(func() {
 		r.recordPromptDropped(j)
@@ -179,7 +180,7 @@
 		return // a request to a plain service has no prompt
 	}
 	j.pending = pendingPrompt{upstream: id, incarnation: r.entries[id].Incarnation, work: r.promptWork(j, now), sentAt: now}
-	j.pending.estimate, j.pending.ticket = r.table.RecordExpected(id, j.pending.work, r.opts.DataCentre, now)
+	j.pending.estimate, j.pending.queueID = r.table.RecordExpected(id, j.pending.work, r.opts.DataCentre, now)
 	r.Metrics.countPrompt(j.pending.work, j.pending.estimate, r.table.PrefillPrice(j.pending.estimate))
 	r.recordPromptLoad(j.service, j.pending.estimate.Prefill, now)
 	if e := j.pending.estimate; e.Prefill >= minReportedPrefill && r.opts.OnSent != nil {
@@ -197,7 +198,7 @@
 	j.pending.upstream = ""
 	if pending.upstream != "" && r.isCurrent(pending.upstream, pending.incarnation) {
 		now := r.opts.Now()
-		r.table.RecordAnswerBegin(pending.upstream, pending.ticket, pending.work, pending.estimate, now.Sub(pending.sentAt), now)
+		r.table.RecordAnswerBegin(pending.upstream, pending.queueID, pending.work, pending.estimate, now.Sub(pending.sentAt), now)
 	}
 }
 
@@ -207,17 +208,17 @@
 	pending := j.pending
 	j.pending.upstream = ""
 	if pending.upstream != "" && r.isCurrent(pending.upstream, pending.incarnation) {
-		r.table.RecordDropped(pending.upstream, pending.ticket, r.opts.Now())
+		r.table.RecordDropped(pending.upstream, pending.queueID, r.opts.Now())
 	}
 }
 
 // checkRetry decides whether to make another attempt and takes it from the retry budget. It
-// returns the reason against another attempt, or "".
+// returns the reason why there is no other attempt, or "".
 func (r *Relay) checkRetry(j *job, repeatable bool) retry.Reason {
 	now := r.opts.Now()
 	attempt := retry.Attempt{Number: j.sends, Outcome: j.outcome, Repeatable: repeatable, Deadline: j.Deadline, ExpectedDuration: minAttemptTime}
-	if barred := attempt.RetryBlocked(max(j.Route.MaxAttempts, 1), now); barred != "" {
-		return barred
+	if reason := attempt.RetryBlocked(max(j.Route.MaxAttempts, 1), now); reason != "" {
+		return reason
 	}
 	if j.failures >= maxUnreachable+j.Route.MaxAttempts {
 		return retry.AttemptsExhausted
@@ -260,7 +261,7 @@
 	result := upstream.Failed
 	switch {
 	case errors.Is(err, context.Canceled), errors.Is(err, errDeadline):
-		result = upstream.Abandoned // canceled by the caller or by its deadline
+		result = upstream.Abandoned // canceled by the caller or because the deadline passed
 	case errors.Is(err, errUnavailableMeanwhile):
 		result = upstream.Abandoned // the attempt shows nothing about the upstream
 	case errors.Is(err, exchange.ErrPoolExhausted):
--- a/upstream/limit_replay_test.go
+++ b/upstream/limit_replay_test.go
@@ -21,9 +21,10 @@
 	started time.Time
 }
 
-// limitFleet simulates requests to plain upstreams, some of which state a rate limit for a while. VMs
-// exchange limits as in production: announcements are immediate, but some are lost, late or
-// duplicated, and each half second a VM compares its limits with those of another VM.
+// limitFleet simulates requests to plain upstreams, some of which state a rate limit for a while.
+// VMs exchange limits as in production: changes are reported immediately, but some reports are
+// lost, late or duplicated, and every half second a VM compares its limits with those of another
+// VM.
 type limitFleet struct {
 	limitLoad
 	vms     []*limitVM
@@ -31,11 +32,11 @@
 	now     time.Time
 	random  *rand.Rand
 	events  replayEvents
-	// announcedLimit is what the limited upstreams state. arrivals holds when requests
-	// arrived at each of them.
-	announcedLimit RateLimit
-	arrivals       map[contract.UpstreamID][]time.Time
-	sent, refused  int
+	// upstreamLimit is the rate limit that the limited upstreams state. arrivals holds when
+	// requests arrived at each of them.
+	upstreamLimit RateLimit
+	arrivals      map[contract.UpstreamID][]time.Time
+	sent, refused int
 }
 
 // limitLoad is the size and load of a limitFleet.
@@ -43,7 +44,7 @@
 	vms, centres, upstreams, limited int
 	perSecond                        float64
 	// rate is the requests per second of all VMs; lossRate and duplicateRate are the
-	// fractions of announcements that are lost and duplicated.
+	// fractions of the reports between VMs that are lost and duplicated.
 	rate, lossRate, duplicateRate float64
 	// restartInterval is the time between two restarts of a VM; zero means no restarts.
 	restartInterval time.Duration
@@ -58,7 +59,7 @@
 
 func newLimitFleet(l limitLoad, seed uint64) *limitFleet {
 	f := &limitFleet{
-		limitLoad: l, now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, 7)), announcedLimit: noLimit, arrivals: make(map[contract.UpstreamID][]time.Time),
+		limitLoad: l, now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, 7)), upstreamLimit: noLimit, arrivals: make(map[contract.UpstreamID][]time.Time),
 	}
 	for n := range l.upstreams {
 		e := listEntry(fmt.Sprintf("u%03d", n), fmt.Sprint("d", n%l.centres), 1)
@@ -75,7 +76,7 @@
 	return f
 }
 
-// start starts or restarts a VM, which then knows only the upstream list.
+// start starts or restarts a VM, which knows only the upstream list afterwards.
 func (f *limitFleet) start(v *limitVM, at time.Time) {
 	v.started = at
 	v.table = NewTable(Options{Listed: true})
@@ -118,10 +119,10 @@
 	f.schedule(limitSyncInterval, func() { f.sync(v) })
 }
 
-// gossip announces to other VMs what a VM has learned.
-func (f *limitFleet) gossip(from *limitVM, n LimitChange) {
+// report sends a change of a limit that a VM has learned to other VMs.
+func (f *limitFleet) report(from *limitVM, n LimitChange) {
 	for _, other := range f.vms {
-		if other == from || !n.AnnounceRemote && other.dc != from.dc || f.random.Float64() < f.lossRate {
+		if other == from || !n.ReportRemote && other.dc != from.dc || f.random.Float64() < f.lossRate {
 			continue
 		}
 		times := 1
@@ -134,10 +135,10 @@
 	}
 }
 
-// limitedEntries returns the upstreams that state the limit.
+// limitedEntries returns the upstreams that state a rate limit.
 func (f *limitFleet) limitedEntries() []Entry { return f.entries[:f.limited] }
 
-// send lets a VM send a request, or refuse it if no upstream takes it.
+// send lets a VM send a request, or refuse it if no upstream accepts it.
 func (f *limitFleet) send(v *limitVM) {
 	f.sent++
 	q := engineQuery
@@ -152,12 +153,12 @@
 	f.arrivals[id] = append(f.arrivals[id], f.now)
 	stated := noLimit
 	if slices.ContainsFunc(f.limitedEntries(), func(e Entry) bool { return e.ID == id }) {
-		stated = f.announcedLimit
+		stated = f.upstreamLimit
 	}
 	f.schedule(limitServiceTime, func() {
 		tb.RecordDone(id, Succeeded, limitServiceTime, f.now)
-		if n := tb.ApplyLimitAnswer(tb.Instance(id), stated, sent, f.now); n.Announce && v.table == tb {
-			f.gossip(v, n)
+		if n := tb.ApplyLimitAnswer(tb.Instance(id), stated, sent, f.now); n.Report && v.table == tb {
+			f.report(v, n)
 		}
 	})
 }
@@ -207,14 +208,16 @@
 	return n
 }
 
-// limitPropagation is how long after the first answer with a limit the bound must hold.
+// limitPropagation is the time after the first answer with a limit from which the limit must hold
+// at all VMs.
 const limitPropagation = 3 * time.Second
 
-// TestLimitHoldsAcrossVMs simulates VMs and upstreams of which a few state a rate limit. The requests
-// of all VMs to a limited upstream, whether or not a VM knows the limit, must stay within one and a
-// half times the limit plus five in any 4 s. All requests must be served, and one second after the
-// limit is lifted, the upstreams must have at least half of their usual share again. Announcements
-// are lost, delayed and duplicated at random, and random VMs restart.
+// TestLimitHoldsAcrossVMs simulates VMs and upstreams of which a few state a rate limit. The
+// requests of all VMs to a limited upstream, whether or not a VM knows the limit, must stay
+// within one and a half times the limit plus five in any 4 s. All requests must be served, and
+// one second after the limit is lifted, the upstreams must have at least half of their usual
+// share again. Reports between VMs are lost, delayed and duplicated at random, and random VMs
+// restart.
 func TestLimitHoldsAcrossVMs(t *testing.T) {
 	for _, size := range []limitLoad{
 		{vms: 6, centres: 3, upstreams: 9, limited: 3, rate: 160},
@@ -235,12 +238,12 @@
 				start := f.now
 				f.play(3 * time.Second)
 				usualRate := float64(f.countBetween(start, f.now)) / 3
-				f.announcedLimit = namedLimit(perSecond)
+				f.upstreamLimit = statedLimit(perSecond)
 				limitedAt := f.now
 				f.play(14 * time.Second)
 				peak, allowed := f.maxInWindow(limitedAt.Add(limitPropagation)), toleranceFactor*perSecond*toleranceWindow.Seconds()+toleranceExtra
 				liftedAt := f.now
-				f.announcedLimit = noLimit
+				f.upstreamLimit = noLimit
 				f.play(2500 * time.Millisecond)
 				rateAfterLift := float64(f.countBetween(liftedAt.Add(1500*time.Millisecond), f.now))
 				t.Logf("at most %d in 4 s, %.1f allowed; %.1f per second before, %.1f after; %d of %d refused", peak, allowed, usualRate, rateAfterLift, f.refused, f.sent)
@@ -252,8 +255,8 @@
 	}
 }
 
-// TestLimitedCapacityIsUsed offers twice the load that all upstreams together take: at least nine
-// tenths of their limits must be used, and never more than the tolerance.
+// TestLimitedCapacityIsUsed offers twice the load that all upstreams together accept: at least
+// nine tenths of their limits must be used, and never more than the tolerance.
 func TestLimitedCapacityIsUsed(t *testing.T) {
 	for _, l := range []limitLoad{
 		{vms: 6, centres: 3, upstreams: 9, limited: 9, rate: 144, perSecond: 8},
@@ -264,7 +267,7 @@
 			t.Parallel()
 			is := is.New(t)
 			f := newLimitFleet(l, 1)
-			f.announcedLimit = namedLimit(l.perSecond)
+			f.upstreamLimit = statedLimit(l.perSecond)
 			limitedAt := f.now
 			f.play(13 * time.Second)
 			from := limitedAt.Add(limitPropagation)
@@ -276,20 +279,21 @@
 	}
 }
 
-// TestNonOwnersProbeLimitedUpstream lets only VMs that do not own a limited upstream have callers.
-// They must probe it from time to time, so that they learn when its limit is lifted.
+// TestNonOwnersProbeLimitedUpstream lets only VMs that do not own a limited upstream have
+// callers. These VMs must send it probe requests from time to time, so that they learn when its
+// limit is lifted.
 func TestNonOwnersProbeLimitedUpstream(t *testing.T) {
 	for name, callers := range map[string]contract.DataCentreID{"another VM of the data centre": "d0", "a VM of another data centre": "d1"} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			f := newLimitFleet(limitLoad{vms: 6, centres: 3, upstreams: 3, limited: 1, rate: 50, perSecond: 1}, 1)
-			f.announcedLimit = namedLimit(1)
-			life := f.entries[0].Instance()
+			f.upstreamLimit = statedLimit(1)
+			instance := f.entries[0].Instance()
 			all := f.vms
 			for _, v := range all {
-				v.table.ApplyLimitAnswer(life, f.announcedLimit, f.now, f.now)
+				v.table.ApplyLimitAnswer(instance, f.upstreamLimit, f.now, f.now)
 			}
-			f.announcedLimit = noLimit
+			f.upstreamLimit = noLimit
 			var activeVMs []*limitVM
 			for _, v := range all {
 				if v.dc == callers && (callers == "d1" || v.table.ownerRank(v.table.states["u000"]) > 0) {
@@ -303,13 +307,14 @@
 				}
 				f.send(activeVMs[f.random.IntN(len(activeVMs))])
 			}
-			is.True(!activeVMs[0].table.HasLimit(life))
+			is.True(!activeVMs[0].table.HasLimit(instance))
 		})
 	}
 }
 
-// BenchmarkLimits measures the cost of 200 limited upstreams out of 3,000 for a VM: the digest sent
-// with each status message, merging one limit, and a pick among 100 local upstreams of which 7 are limited.
+// BenchmarkLimits measures the cost of 200 limited upstreams out of 3,000 for a VM: the digest
+// sent with each status message, merging one limit, and a pick among 100 local upstreams of which
+// 7 are limited.
 func BenchmarkLimits(b *testing.B) {
 	now := time.Unix(1000, 0)
 	tb := NewTable(Options{Listed: true})
@@ -330,7 +335,7 @@
 	}
 	b.Run("pick, none limited", choose)
 	for _, e := range entries[:200] {
-		tb.ApplyLimitAnswer(e.Instance(), namedLimit(8), now, now)
+		tb.ApplyLimitAnswer(e.Instance(), statedLimit(8), now, now)
 	}
 	b.Run("pick", choose)
 	b.Run("digest", func(b *testing.B) {
@@ -339,7 +344,7 @@
 		}
 	})
 	b.Run("merge", func(b *testing.B) {
-		k := LimitUpdate{entries[0].Instance(), namedLimit(8), 1}
+		k := LimitUpdate{entries[0].Instance(), statedLimit(8), 1}
 		for b.Loop() {
 			tb.MergeLimit(k, true, now)
 		}
--- a/upstream/limit_test.go
+++ b/upstream/limit_test.go
@@ -10,30 +10,30 @@
 	"woaddoor/contract"
 )
 
-func namedLimit(perSecond float64) RateLimit { return RateLimit{LimitStated, perSecond} }
+func statedLimit(perSecond float64) RateLimit { return RateLimit{LimitStated, perSecond} }
 
 var noLimit = RateLimit{Statement: LimitNone}
 
-// TestLimitFromReorderedAnswers applies statements from answers in the order of their arrival. An
-// answer to a request that was sent before the limit was learned contains nothing newer, since
-// answers can overtake each other.
+// TestLimitFromReorderedAnswers applies the rate limits that answers state in the order in which
+// the answers arrive. An answer to a request that was sent before the limit was learned contains
+// nothing newer, since answers can overtake each other.
 func TestLimitFromReorderedAnswers(t *testing.T) {
 	type answer struct {
-		said               RateLimit
+		stated             RateLimit
 		sentAt, receivedAt int // seconds since the start
 	}
 	for name, c := range map[string]struct {
 		answers []answer
 		want    RateLimit
 	}{
-		"stated":                              {[]answer{{namedLimit(2), 0, 1}}, namedLimit(2)},
-		"lifted":                              {[]answer{{namedLimit(2), 0, 1}, {noLimit, 1, 2}}, noLimit},
-		"answer without a limit, sent before": {[]answer{{namedLimit(2), 1, 2}, {noLimit, 1, 3}}, namedLimit(2)},
-		"rate changed":                        {[]answer{{namedLimit(2), 0, 1}, {namedLimit(8), 1, 2}}, namedLimit(8)},
-		"rate changed, sent before":           {[]answer{{namedLimit(2), 0, 1}, {namedLimit(8), 0, 2}}, namedLimit(2)},
-		"lifted, then a late answer that states it": {[]answer{{namedLimit(2), 0, 1}, {noLimit, 2, 3}, {namedLimit(2), 1, 4}}, noLimit},
-		"lifted, then stated again":                 {[]answer{{namedLimit(2), 0, 1}, {noLimit, 2, 3}, {namedLimit(4), 3, 4}}, namedLimit(4)},
-		"no statement":                              {[]answer{{namedLimit(2), 0, 1}, {RateLimit{}, 2, 3}}, namedLimit(2)},
+		"stated":                              {[]answer{{statedLimit(2), 0, 1}}, statedLimit(2)},
+		"lifted":                              {[]answer{{statedLimit(2), 0, 1}, {noLimit, 1, 2}}, noLimit},
+		"answer without a limit, sent before": {[]answer{{statedLimit(2), 1, 2}, {noLimit, 1, 3}}, statedLimit(2)},
+		"rate changed":                        {[]answer{{statedLimit(2), 0, 1}, {statedLimit(8), 1, 2}}, statedLimit(8)},
+		"rate changed, sent before":           {[]answer{{statedLimit(2), 0, 1}, {statedLimit(8), 0, 2}}, statedLimit(2)},
+		"lifted, then a late answer that states it": {[]answer{{statedLimit(2), 0, 1}, {noLimit, 2, 3}, {statedLimit(2), 1, 4}}, noLimit},
+		"lifted, then stated again":                 {[]answer{{statedLimit(2), 0, 1}, {noLimit, 2, 3}, {statedLimit(4), 3, 4}}, statedLimit(4)},
+		"no statement":                              {[]answer{{statedLimit(2), 0, 1}, {RateLimit{}, 2, 3}}, statedLimit(2)},
 		"never stated":                              {[]answer{{noLimit, 0, 1}}, RateLimit{}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -41,12 +41,12 @@
 			start := time.Unix(1000, 0)
 			tb := newTwoCentreTable(1, start)
 			at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
-			life := contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}
+			instance := contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}
 			for _, a := range c.answers {
-				tb.ApplyLimitAnswer(life, a.said, at(a.sentAt), at(a.receivedAt))
+				tb.ApplyLimitAnswer(instance, a.stated, at(a.sentAt), at(a.receivedAt))
 			}
-			is.Equal(tb.HasLimit(life), c.want.Statement == LimitStated)
-			if got := tb.announcements[life]; got != nil {
+			is.Equal(tb.HasLimit(instance), c.want.Statement == LimitStated)
+			if got := tb.notices[instance]; got != nil {
 				is.Equal(got.limit.RateLimit, c.want)
 			} else {
 				is.Equal(c.want, RateLimit{})
@@ -61,7 +61,7 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tb := newTwoCentreTable(1, now)
-	tb.ApplyLimitAnswer(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, namedLimit(0.1), now, now)
+	tb.ApplyLimitAnswer(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, statedLimit(0.1), now, now)
 	is.Equal(tb.CountLimited(), 1)
 	applyList(tb, now)
 	is.Equal(tb.CountLimited(), 0)
@@ -71,14 +71,14 @@
 	is.Equal(tb.CountLimited(), 0)
 }
 
-// TestLimitMergeConverges gives three VMs the same updates, each in a different order and one of them
-// twice: all must end with the same limit.
+// TestLimitMergeConverges gives three VMs the same limit updates, each VM in a different order
+// and one update twice: all must end with the same limit.
 func TestLimitMergeConverges(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		updates := rapid.SliceOfN(rapid.Custom(func(r *rapid.T) LimitUpdate {
 			limit := noLimit
 			if rapid.Bool().Draw(r, "stated") {
-				limit = namedLimit(float64(rapid.IntRange(0, 3).Draw(r, "per second")))
+				limit = statedLimit(float64(rapid.IntRange(0, 3).Draw(r, "per second")))
 			}
 			return LimitUpdate{contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, limit, uint64(rapid.IntRange(1, 4).Draw(r, "version"))}
 		}), 1, 8).Draw(r, "updates")
@@ -88,7 +88,7 @@
 			for _, k := range append(rapid.Permutation(updates).Draw(r, "order"), updates[0]) {
 				l.merge(k, rapid.Bool().Draw(r, "fresh"), time.Unix(1000, 0))
 			}
-			known = append(known, l.known(contract.UpstreamInstance{}))
+			known = append(known, l.toUpdate(contract.UpstreamInstance{}))
 		}
 		if known[0] != known[1] || known[1] != known[2] {
 			r.Fatalf("three VMs disagree: %v", known)
@@ -113,9 +113,10 @@
 	}
 }
 
-// TestLimiter sends whenever a share allows it. The requests in any window must fit, a pause must
-// save up no more than the burst, a lower limit must count what was sent under the higher one, a
-// request that was not sent must be given back, and sends over the limit must be detected.
+// TestLimiter sends whenever a share of a rate limit allows it. The requests in any window must
+// stay within the share, a pause must save up no more than the burst, a lower limit must count
+// what was sent under the higher one, a request that was not sent must be given back, and sends
+// over the limit must be detected.
 func TestLimiter(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -146,14 +147,14 @@
 	is.Equal(l.wait(low, now), time.Duration(0))
 }
 
-// TestOverLimitOnlyWhenOthersAreBusy checks that an upstream with a limit gets more than that only if
-// the others are busy, and never more than it tolerates.
+// TestOverLimitOnlyWhenOthersAreBusy checks that an upstream with a limit gets more than that
+// only if the others are busy, and never more than its tolerance.
 func TestOverLimitOnlyWhenOthersAreBusy(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tb := newTwoCentreTable(1, now) // u1 in this data centre, u2 in another
 	tb.SetOwners("d", Owners{Self: "vm", VMs: []contract.VMID{"vm"}})
-	tb.ApplyLimitAnswer(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, namedLimit(2), now, now)
+	tb.ApplyLimitAnswer(contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}, statedLimit(2), now, now)
 	send := func(busy bool) (arrivals int) {
 		for range int(limitWindow / (100 * time.Millisecond)) {
 			now = now.Add(100 * time.Millisecond)
@@ -187,15 +188,15 @@
 	is.True(busy <= s.maxPerWindow)
 }
 
-// TestStaleLimitUpdateDoesNotDelayProbe lets another VM repeat what both VMs know, although neither
-// has received an answer: an owner must still probe the upstream.
+// TestStaleLimitUpdateDoesNotDelayProbe lets another VM report a limit that both VMs already
+// know, although neither has received a new answer: an owner must still probe the upstream.
 func TestStaleLimitUpdateDoesNotDelayProbe(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tb := newTwoCentreTable(1, now)
 	tb.SetOwners("d", Owners{Self: "vm", VMs: []contract.VMID{"vm"}})
-	life := contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}
-	tb.ApplyLimitAnswer(life, namedLimit(0), now, now)
+	instance := contract.UpstreamInstance{Upstream: "u1", Incarnation: 1}
+	tb.ApplyLimitAnswer(instance, statedLimit(0), now, now)
 	known := tb.Limits(1)[0]
 	now = now.Add(probeInterval)
 	tb.MergeLimit(known, true, now)
--- a/upstream/outlook.go
+++ b/upstream/outlook.go
@@ -2,25 +2,27 @@
 
 import "time"
 
-// Outlook summarizes when the upstreams that could serve a request will take requests again.
+// Outlook summarizes when the upstreams that could serve a request will accept requests again.
 type Outlook struct {
-	// Listed is the number of these upstreams. Resting, Leaving and AtLimit count those
-	// that requested a rest, that are leaving, and that have used up their rate limit.
-	Listed, Resting, Leaving, AtLimit int
-	// PerSecond is the total request rate that the upstreams in AtLimit take from all VMs.
+	// Listed is the number of upstreams that could serve the request. BackedOff, Leaving and
+	// AtLimit count those that requested a back-off, that are leaving, and that have used up
+	// their rate limit.
+	Listed, BackedOff, Leaving, AtLimit int
+	// PerSecond is the total request rate that the upstreams counted in AtLimit accept from
+	// all VMs.
 	PerSecond float64
-	// NextBackoffEnd is the time until the first rest ends, and Rest the whole length of that rest:
-	// callers have been turned away for about that long.
+	// NextBackoffEnd is the time until the first back-off ends, and NextBackoffLength the
+	// whole length of that back-off: callers have been refused for about that long.
 	NextBackoffEnd, NextBackoffLength time.Duration
 }
 
-// NoneAccepting reports whether no upstream takes requests now but at least one will later.
+// NoneAccepting reports whether no upstream accepts requests now but at least one will later.
 func (o Outlook) NoneAccepting() bool {
-	return o.Resting+o.AtLimit > 0 && o.Resting+o.AtLimit+o.Leaving == o.Listed
+	return o.BackedOff+o.AtLimit > 0 && o.BackedOff+o.AtLimit+o.Leaving == o.Listed
 }
 
-// Outlook returns the outlook for a query. It includes the upstreams that have already failed
-// the request.
+// Outlook returns when the upstreams that a query allows will accept requests again. It includes
+// the upstreams that have already failed the request.
 func (t *Table) Outlook(q Query, now time.Time) Outlook {
 	q.Exclude = nil
 	var o Outlook
@@ -32,14 +34,14 @@
 		switch {
 		case s.isLeaving():
 			o.Leaving++
-		case s.announced.isResting(now):
-			o.Resting++
-			if in := s.announced.restUntil.Sub(now); o.Resting == 1 || in < o.NextBackoffEnd {
-				o.NextBackoffEnd, o.NextBackoffLength = in, s.announced.rest
+		case s.notices.inBackoff(now):
+			o.BackedOff++
+			if in := s.notices.backoffUntil.Sub(now); o.BackedOff == 1 || in < o.NextBackoffEnd {
+				o.NextBackoffEnd, o.NextBackoffLength = in, s.notices.backoff
 			}
 		case !t.withinLimit(s, now):
 			o.AtLimit++
-			o.PerSecond += maxSendRate(s.announced.limit.PerSecond)
+			o.PerSecond += maxSendRate(s.notices.limit.PerSecond)
 		}
 	}
 	return o
--- a/upstream/pick.go
+++ b/upstream/pick.go
@@ -30,10 +30,11 @@
 
 // Pick returns the upstream for a request, or ErrNone.
 //
-// Each prompt prefix has two home upstreams, which all VMs compute without communication
+// Each prompt prefix has two upstreams as its homes, which all VMs compute without communication
 // (rendezvous hashing), so that the prefix is cached there and not everywhere. Without the
-// platform's list, a home is selected if it has room, else the upstream with the least expected
-// wait. With the list, the upstream with the lowest cost is selected, and homes cost less.
+// platform's list, a home is selected if its load is low enough, else the upstream with the least
+// expected wait. With the list, the upstream with the lowest cost is selected, and homes cost
+// less.
 func (t *Table) Pick(q Query, now time.Time, random *rand.Rand) (contract.UpstreamID, error) {
 	if t.opts.Listed {
 		best := t.dueForProbe(q, now)
@@ -51,7 +52,7 @@
 	if len(usable) == 0 {
 		return "", ErrNone
 	}
-	best := t.homeWithRoom(usable, q.Prefix, now)
+	best := t.availableHome(usable, q.Prefix, now)
 	if best == nil {
 		best = shortestWait(usable, random, now)
 	}
@@ -93,8 +94,8 @@
 	return slices.ContainsFunc(states, func(s *state) bool { return s.expectedLoad()+1 <= float64(s.pool.Slots) })
 }
 
-// homeWithRoom returns a home of a prefix that has room, or nil.
-func (t *Table) homeWithRoom(usable []*state, prefix uint64, now time.Time) *state {
+// availableHome returns a home upstream of a prompt prefix that is not too loaded, or nil.
+func (t *Table) availableHome(usable []*state, prefix uint64, now time.Time) *state {
 	if prefix == 0 {
 		return nil
 	}
@@ -104,18 +105,20 @@
 		if s == nil || s.failures > 0 || isSlow(s, usable, now) {
 			continue
 		}
-		room := max(t.opts.HomeLoadLimit*float64(s.pool.Slots), maxHomeLoadRatio*mean)
-		if s.expectedLoad()+1 <= room {
+		loadLimit := max(t.opts.HomeLoadLimit*float64(s.pool.Slots), maxHomeLoadRatio*mean)
+		if s.expectedLoad()+1 <= loadLimit {
 			return s
 		}
 	}
 	return nil
 }
 
-// maxHomeLoadRatio is how much more than the mean load a home may have when every upstream is
-// full: sending a prompt elsewhere would then only add the work of prefilling its prefix again.
+// maxHomeLoadRatio is the load that a home upstream of a prompt prefix may have, relative to the
+// mean load, when every upstream is full: sending a prompt to another upstream would then only
+// add the work of prefilling its prefix again.
 const maxHomeLoadRatio = 1.25
 
+// meanLoad returns the mean of the expected load of upstreams.
 func meanLoad(usable []*state) float64 {
 	total := 0.0
 	for _, s := range usable {
@@ -127,7 +130,7 @@
 // rendezvousHash ranks upstreams for a prefix (or VMs for an upstream). The key and the state's
 // hash are hashes already; the steps mix their bits (the finalizer of splitmix64).
 func (s *state) rendezvousHash(key uint64) uint64 {
-	x := s.hashSeed ^ key
+	x := s.idHash ^ key
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
@@ -137,7 +140,7 @@
 // before it counts as slow.
 const slowFactor = 2
 
-// isSlow reports whether an upstream takes much longer than the others.
+// isSlow reports whether the requests of an upstream take much longer than those of the others.
 func isSlow(s *state, usable []*state, now time.Time) bool {
 	others := meanServiceTime(usable, s, now)
 	return others > 0 && s.recentServiceTime(now) > slowFactor*others
@@ -160,7 +163,7 @@
 }
 
 // serviceTimeTTL is how long the last service time of an idle upstream stays valid. Only answers
-// update it, and an upstream that counts as slow gets no requests that could.
+// update it, and an upstream that counts as slow gets no requests whose answers could update it.
 const serviceTimeTTL = 2 * time.Second
 
 // recentServiceTime returns the service time of an upstream, or zero if it is not known.
@@ -215,11 +218,12 @@
 func (s *state) expectedLoad() float64 { return float64(s.inFlight) + s.othersInFlight }
 
 // ownRequestWeight is how much more this VM's own requests count than the expected requests of
-// other VMs. Those are known late and equally to all VMs; relying on them makes all VMs move to
-// the same upstream. See docs/MEASURES.md.
+// other VMs. The latter are known late and equally to all VMs; relying on them makes all VMs move
+// to the same upstream. See docs/MEASURES.md.
 const ownRequestWeight = 4.0
 
-// waitScore returns the expected wait, in seconds times a constant, at the given service time.
+// waitScore returns a score that is proportional to the expected wait (seconds times a constant),
+// at the given service time.
 func (s *state) waitScore(serviceTime time.Duration) float64 {
 	return (ownRequestWeight*float64(s.inFlight) + s.othersInFlight + 1) / float64(s.pool.Slots) * serviceTime.Seconds()
 }
--- a/upstream/prefill_price.go
+++ b/upstream/prefill_price.go
@@ -7,12 +7,12 @@
 	"woaddoor/cascade"
 )
 
-// PrefillPrice returns the cost that the prefill of a prompt imposes on later requests, relative to
-// the worth of a mean request. Requests that arrive while the engine has a queue wait longer by
-// the duration of this prefill; the queue that the prefill itself creates counts half. Each
-// second of waiting brings a request closer to being late, which costs cascade.LateLoss. The
-// price applies even while all requests are in time, because the capacity saved then is
-// available for the next burst.
+// PrefillPrice returns the cost that the prefill of a prompt imposes on later requests, relative
+// to the value of a mean request. Requests that arrive while the engine has a queue wait longer
+// by the duration of this prefill; the queue that the prefill itself creates counts half. Each
+// second of waiting brings a request closer to being late, which costs cascade.LatePenalty. The
+// price applies even while all requests are in time, because the capacity saved then is available
+// for the next burst.
 func (t *Table) PrefillPrice(e Estimate) float64 {
 	if !t.opts.Policy.Has(PrefillPrice) {
 		return 0
@@ -29,8 +29,8 @@
 	updatedAt  time.Time
 	// meanObjective is the mean latency objective of the prompts, in seconds.
 	meanObjective float64
-	// meanWorth is the mean worth of the prompts.
-	meanWorth float64
+	// meanValue is the mean value of the prompts.
+	meanValue float64
 }
 
 // Parameters of demand.
@@ -50,24 +50,24 @@
 }
 
 // recordPrompt counts a prompt of this VM, scaled up by the number of VMs.
-func (d *demand) recordPrompt(objective time.Duration, worth float64, vms int, now time.Time) {
+func (d *demand) recordPrompt(objective time.Duration, value float64, vms int, now time.Time) {
 	d.decay(now)
 	d.promptRate += float64(vms) / demandWindow.Seconds()
 	if d.meanObjective == 0 {
-		d.meanObjective, d.meanWorth = objective.Seconds(), worth
+		d.meanObjective, d.meanValue = objective.Seconds(), value
 	}
 	d.meanObjective += demandMeanWeight * (objective.Seconds() - d.meanObjective)
-	d.meanWorth += demandMeanWeight * (worth - d.meanWorth)
+	d.meanValue += demandMeanWeight * (value - d.meanValue)
 }
 
-// RecordPrompt records a prompt that arrived at this VM, which is one of vms VMs. It returns the worth
-// of the prompt relative to the mean.
-func (t *Table) RecordPrompt(objective time.Duration, worth float64, vms int, now time.Time) float64 {
-	t.demand.recordPrompt(objective, worth, max(vms, 1), now)
-	if t.demand.meanWorth <= 0 {
+// RecordPrompt records a prompt that arrived at this VM, which is one of vms VMs. It returns the
+// value of the prompt relative to the mean.
+func (t *Table) RecordPrompt(objective time.Duration, value float64, vms int, now time.Time) float64 {
+	t.demand.recordPrompt(objective, value, max(vms, 1), now)
+	if t.demand.meanValue <= 0 {
 		return 1
 	}
-	return worth / t.demand.meanWorth
+	return value / t.demand.meanValue
 }
 
 // countActiveEngines updates the number of engines that currently receive prompts.
--- a/upstream/table.go
+++ b/upstream/table.go
@@ -6,8 +6,8 @@
 // selection therefore weighs this VM's own requests most, and averages reported load over
 // time, with less weight for older reports.
 //
-// An instance of an upstream is one run of its process (contract.Life). An upstream that
-// restarts under the same ID is a new instance.
+// An instance of an upstream is one run of its process (contract.UpstreamInstance). After a
+// restart under the same ID, an upstream is a new instance.
 package upstream
 
 import (
@@ -29,8 +29,8 @@
 	// ReportTimeout is how long an upstream may go without a load report before it gets
 	// no new work. Zero means 3 s.
 	ReportTimeout time.Duration
-	// HomeLoadLimit is the fraction of an upstream's slots up to which the upstream takes
-	// requests for whose prompt prefix it is a home. Zero means 0.9.
+	// HomeLoadLimit is the fraction of an upstream's slots up to which the upstream gets
+	// requests because it is a home of their prompt prefix. Zero means 0.9.
 	HomeLoadLimit float64
 	// Listed means that upstreams come from the platform's list: an upstream needs no load
 	// report before it gets work, and its load is read from its answers. False means that
@@ -60,7 +60,7 @@
 type Table struct {
 	opts   Options
 	states map[contract.UpstreamID]*state
-	// unreachableUntil holds, for each data centre that appears to be cut off, the time
+	// unreachableUntil holds, for each data centre that appears to be unreachable, the time
 	// until which it counts as unreachable.
 	unreachableUntil map[contract.DataCentreID]time.Time
 	// suspectedCentres holds the data centres with an upstream that stopped responding.
@@ -86,28 +86,29 @@
 	meanDecodeTime time.Duration
 	// listReceived is set once an upstream list has been applied. owners are the VMs that
 	// share the bounds of cold and rate-limited upstreams. coldTransitions holds the
-	// transitions to cold that the owner of the table has not fetched yet.
+	// transitions to cold that TakeColdTransitions has not returned yet.
 	listReceived    bool
 	owners          ownership
 	coldTransitions []ColdTransition
-	// announcements holds what each instance stated about itself in its answers. limited holds
-	// the listed upstreams whose announced rate limit is in force, sorted by ID.
-	announcements map[contract.UpstreamInstance]*announcement
-	limited       []*state
+	// notices holds what each instance stated about itself in its answers. limited holds the
+	// listed upstreams whose stated rate limit is in force, sorted by ID.
+	notices map[contract.UpstreamInstance]*instanceNotices
+	limited []*state
 }
 
 // state holds what is known about one upstream.
 type state struct {
 	upstream config.Upstream
 	pool     *config.Pool
-	hashSeed uint64 // hash of the upstream ID, for rendezvous hashing
+	idHash   uint64 // hash of the upstream ID, for rendezvous hashing
 
-	incarnation contract.Incarnation
-	load        contract.LoadReport
+	// reportedIncarnation and load come from the last load report; zero without one.
+	reportedIncarnation contract.Incarnation
+	load                contract.LoadReport
 	// reportedAt is when the last load report was requested; zero means never.
 	reportedAt time.Time
-	// leavingIncarnation is the incarnation that is known to be leaving. A later
-	// incarnation at the same address is a new instance.
+	// leavingIncarnation is the incarnation that is known to be leaving. A later incarnation
+	// is a new instance, which is not leaving.
 	leavingIncarnation contract.Incarnation
 	inFlight           int
 	sentSinceReport    int     // requests sent since the last report was requested
@@ -128,15 +129,16 @@
 	// cachedRank is this VM's rank among the owners of this upstream, computed for version
 	// cachedRankVersion of the owners.
 	cachedRank, cachedRankVersion int
-	// born and slots are copied from the list entry; cold is the estimated cold state.
-	born  int64
-	slots int
-	cold  coldState
-	// announced is what the current instance stated about itself in answers; nil if
-	// nothing. othersRestUntil is when the last rest ends that the upstream requested from
-	// other VMs; a rest is a pause in which the upstream gets no new requests.
-	announced       *announcement
-	othersRestUntil time.Time
+	// incarnation and slots are copied from the list entry, or incarnation from a load report
+	// of an upstream that sends them. cold is the estimated cold state.
+	incarnation int64
+	slots       int
+	cold        coldState
+	// notices is what the current instance stated about itself in answers; nil if nothing.
+	// othersBackoffUntil is when the last of the back-offs ends that the upstream requested
+	// from other VMs.
+	notices            *instanceNotices
+	othersBackoffUntil time.Time
 }
 
 // NewTable returns an empty table.
@@ -144,7 +146,7 @@
 	o := opts.withDefaults()
 	return &Table{
 		opts: o, unreachableUntil: make(map[contract.DataCentreID]time.Time), suspectedCentres: make(map[contract.DataCentreID]bool), states: make(map[contract.UpstreamID]*state), pools: make(map[contract.PoolID][]*state), byDataCentre: make(map[contract.DataCentreID][]*state),
-		prefillRates: prefill.NewRates(nil), announcements: make(map[contract.UpstreamInstance]*announcement),
+		prefillRates: prefill.NewRates(nil), notices: make(map[contract.UpstreamInstance]*instanceNotices),
 	}
 }
 
@@ -157,7 +159,7 @@
 		for _, u := range p.Upstreams {
 			s, had := t.states[u.ID]
 			if !had || s.upstream.URL != u.URL {
-				s = &state{hashSeed: xxhash.Sum64String(string(u.ID)), prefixCache: prefill.NewPrefixCache(0)}
+				s = &state{idHash: xxhash.Sum64String(string(u.ID)), prefixCache: prefill.NewPrefixCache(0)}
 			}
 			s.upstream, s.pool = u, p
 			states[u.ID] = s
@@ -174,18 +176,18 @@
 }
 
 // ApplyReport applies a load report that was requested at askedAt. It ignores a report that is
-// older than the last one or that comes from an earlier incarnation.
+// older than the last one or that comes from an earlier instance.
 func (t *Table) ApplyReport(id contract.UpstreamID, l contract.LoadReport, askedAt time.Time) {
 	s, ok := t.states[id]
-	if !ok || askedAt.Before(s.reportedAt) || l.Incarnation < s.incarnation {
+	if !ok || askedAt.Before(s.reportedAt) || l.Incarnation < s.reportedIncarnation {
 		return
 	}
-	if l.Incarnation > s.incarnation {
-		// A new incarnation at the same address: reset the state of the previous
-		// incarnation, except for the count of requests still in flight.
-		s.incarnation, s.failures, s.breakerOpenUntil, s.serviceTime, s.othersInFlight = l.Incarnation, 0, time.Time{}, 0, 0
-		s.born = int64(l.Incarnation)
-		s.announced = t.announcements[contract.UpstreamInstance{Upstream: id, Incarnation: s.born}]
+	if l.Incarnation > s.reportedIncarnation {
+		// A new instance at the same address: reset the state of the previous instance,
+		// except for the count of requests still in flight.
+		s.reportedIncarnation, s.failures, s.breakerOpenUntil, s.serviceTime, s.othersInFlight = l.Incarnation, 0, time.Time{}, 0, 0
+		s.incarnation = int64(l.Incarnation)
+		s.notices = t.notices[contract.UpstreamInstance{Upstream: id, Incarnation: s.incarnation}]
 	}
 	if l.Draining {
 		s.leavingIncarnation = l.Incarnation
@@ -195,12 +197,12 @@
 	s.sentSinceReport, s.doneSinceReport = 0, 0
 }
 
-// MarkLeaving applies the set of upstreams that the platform lists as leaving, or that its
-// list, which lags, no longer contains as live.
+// MarkLeaving marks upstreams as leaving: those that the platform's list reports as leaving or no
+// longer contains as live. The list may lag.
 func (t *Table) MarkLeaving(leaving map[contract.UpstreamID]bool) {
 	for id, s := range t.states {
 		if leaving[id] {
-			s.leavingIncarnation = max(s.leavingIncarnation, s.incarnation)
+			s.leavingIncarnation = max(s.leavingIncarnation, s.reportedIncarnation)
 		}
 	}
 }
@@ -231,16 +233,16 @@
 	Succeeded Result = iota
 	// Failed means that the upstream failed; it counts towards the circuit breaker.
 	Failed
-	// Abandoned means that the caller cancelled; it reveals nothing about the upstream.
+	// Abandoned means that the caller cancelled; the result shows nothing about the upstream.
 	Abandoned
 	// Unreachable means that no connection could be established: nothing was sent.
 	Unreachable
-	// ConnectionRefused means that the connection was refused because no process listens on the port:
-	// nothing was sent, and the upstream's machine is reachable.
+	// ConnectionRefused means that the connection was refused because no process listens on
+	// the port: nothing was sent, and the upstream's machine is reachable.
 	ConnectionRefused
 	// NoConnection means that no connection to the upstream is free: nothing was sent.
 	NoConnection
-	// Rejected means that the upstream refused the request without executing it.
+	// Rejected means that the upstream rejected the request without executing it.
 	Rejected
 	// Broken means that the connection closed or stalled before the answer was complete.
 	// The upstream process may have ended.
@@ -298,11 +300,11 @@
 
 // All returns the configuration of all upstreams, in no particular order.
 func (t *Table) All() []config.Upstream {
-	every := make([]config.Upstream, 0, len(t.states))
+	upstreams := make([]config.Upstream, 0, len(t.states))
 	for _, s := range t.states {
-		every = append(every, s.upstream)
+		upstreams = append(upstreams, s.upstream)
 	}
-	return every
+	return upstreams
 }
 
 // UsableSlots returns the total number of slots (concurrent requests) of the usable upstreams of a
