--- a/cascade/calibration.go
+++ b/cascade/calibration.go
@@ -11,7 +11,7 @@
 // the largest model's. The confidences of the largest model show what good answers look
 // like; those of a smaller model are a mixture of good and poor answers.
 //
-// Opinions is not safe for concurrent use; the caller holds a lock.
+// ConfidenceEstimator is not safe for concurrent use; the caller holds a lock.
 type ConfidenceEstimator struct {
 	models map[contract.ModelID]*confidenceStats
 }
@@ -23,7 +23,7 @@
 	samples, lowSamples int
 }
 
-// Priors and weights of Opinions.
+// Priors and weights of a ConfidenceEstimator.
 const (
 	// priorGoodConfidence and priorPoorConfidence are the prior mean confidences of good
 	// and of poor answers.
@@ -51,12 +51,12 @@
 
 // Observe records the confidence from 0 to 1 that a model reported for one of its answers.
 // largest is the model that defines good answers.
-func (o *ConfidenceEstimator) Observe(m, largest contract.ModelID, confidence float64) {
+func (e *ConfidenceEstimator) Observe(m, largest contract.ModelID, confidence float64) {
 	if !(confidence >= 0 && confidence <= 1) { // Also rejects NaN: the values come from other VMs and are not validated.
 		return
 	}
-	s := o.statsOf(m, largest)
-	good := o.statsOf(largest, largest).mean
+	s := e.statsOf(m, largest)
+	good := e.statsOf(largest, largest).mean
 	s.samples++
 	s.mean += sampleWeight(s.samples) * (confidence - s.mean)
 	if m != largest && confidence < (good+s.lowMean)/2 {
@@ -65,54 +65,55 @@
 	}
 }
 
+// sampleWeight returns the weight of the newest of a number of samples.
 func sampleWeight(samples int) float64 { return max(1/float64(samples+priorSamples), minSampleWeight) }
 
 // statsOf returns the statistics of a model, initialized with the priors.
-func (o *ConfidenceEstimator) statsOf(m, largest contract.ModelID) *confidenceStats {
-	s, ok := o.models[m]
+func (e *ConfidenceEstimator) statsOf(m, largest contract.ModelID) *confidenceStats {
+	s, ok := e.models[m]
 	if !ok {
 		s = &confidenceStats{mean: priorGoodConfidence, lowMean: priorPoorConfidence}
 		if m != largest {
 			s.mean = priorGoodShare*priorGoodConfidence + (1-priorGoodShare)*priorPoorConfidence
 		}
-		o.models[m] = s
+		e.models[m] = s
 	}
 	return s
 }
 
 // Samples returns the number of confidences recorded for a model.
-func (o *ConfidenceEstimator) Samples(m contract.ModelID) int {
-	if s, ok := o.models[m]; ok {
+func (e *ConfidenceEstimator) Samples(m contract.ModelID) int {
+	if s, ok := e.models[m]; ok {
 		return s.samples
 	}
 	return 0
 }
 
 // meanConfidences returns the mean confidences of a model's good and poor answers.
-func (o *ConfidenceEstimator) meanConfidences(m, largest contract.ModelID) (good, poor float64) {
-	good = o.statsOf(largest, largest).mean
-	return good, min(o.statsOf(m, largest).lowMean, good-minSeparation)
+func (e *ConfidenceEstimator) meanConfidences(m, largest contract.ModelID) (good, poor float64) {
+	good = e.statsOf(largest, largest).mean
+	return good, min(e.statsOf(m, largest).lowMean, good-minSeparation)
 }
 
 // GoodShare returns the share of a model's answers that are as good as the largest model's.
-func (o *ConfidenceEstimator) GoodShare(m, largest contract.ModelID) float64 {
+func (e *ConfidenceEstimator) GoodShare(m, largest contract.ModelID) float64 {
 	if m == largest {
 		return 1
 	}
-	good, poor := o.meanConfidences(m, largest)
-	return min(max((o.statsOf(m, largest).mean-poor)/(good-poor), 0), 1)
+	good, poor := e.meanConfidences(m, largest)
+	return min(max((e.statsOf(m, largest).mean-poor)/(good-poor), 0), 1)
 }
 
 // GoodProbability returns the probability that an answer of a model is good, given its confidence.
 // The confidences of good and of poor answers are assumed to have the same variance (linear
 // discriminant analysis).
-func (o *ConfidenceEstimator) GoodProbability(m, largest contract.ModelID, confidence float64) float64 {
-	goodShare := o.GoodShare(m, largest)
+func (e *ConfidenceEstimator) GoodProbability(m, largest contract.ModelID, confidence float64) float64 {
+	goodShare := e.GoodShare(m, largest)
 	if confidence < 0 || m == largest {
 		return goodShare
 	}
 	goodShare = min(max(goodShare, minShare), 1-minShare)
-	good, poor := o.meanConfidences(m, largest)
+	good, poor := e.meanConfidences(m, largest)
 	logOdds := math.Log(goodShare/(1-goodShare)) + (good-poor)/(confidenceStdDev*confidenceStdDev)*(confidence-(good+poor)/2)
 	return 1 / (1 + math.Exp(-logOdds))
 }
--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -22,7 +22,7 @@
 	// ExplorationRate is the fraction of requests that try the cheapest model with a check,
 	// even if another plan looks better. Zero means 0.02.
 	ExplorationRate float64
-	// MaxSamples is the maximum number of ratings that an estimate effectively rests on.
+	// MaxSamples is the maximum effective number of ratings behind an estimate.
 	// Zero means 400.
 	MaxSamples float64
 	// StandardErrors is the number of standard errors by which an estimate is lowered
@@ -114,13 +114,16 @@
 	priorLast    = estimate{9, 1}
 )
 
+// mean returns the expected share of good answers.
 func (e estimate) mean() float64 { return e.good / (e.good + e.bad) }
 
+// stdDev returns the standard deviation of the share of good answers.
 func (e estimate) stdDev() float64 {
 	n := e.good + e.bad
 	return math.Sqrt(e.good * e.bad / (n * n * (n + 1)))
 }
 
+// estimateOf returns the estimate of an arm, which is its ratings added to the prior.
 func (l *Learner) estimateOf(a Arm, prior estimate) estimate {
 	if e, ok := l.arms.Get(a); ok {
 		return estimate{e.good + prior.good, e.bad + prior.bad}
@@ -153,7 +156,8 @@
 	quality, qualityLowerBound float64 // expected share of good answers, and its lower confidence bound
 }
 
-// Decide returns the plan for a request.
+// Decide returns the plan for a request. A small share of requests explores: it gets the
+// cheapest model with a check.
 func (l *Learner) Decide(q Query, random *rand.Rand) Plan {
 	candidates := l.candidates(q)
 	if random.Float64() < l.opts.ExplorationRate {
--- a/cascade/price.go
+++ b/cascade/price.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Parameters of RepeatPrice.
+// Parameters of EscalationPrice.
 const (
 	// freeBudgetShare is the used fraction of the resend budget up to which an escalation
 	// has no price.
--- a/cascade/value.go
+++ b/cascade/value.go
@@ -50,9 +50,9 @@
 // probability. Its cost is not deducted, since it is already spent.
 func (o ModelOption) ValueKept(good float64) float64 { return o.answerValue(good) }
 
-// ValueOfEscalation returns the value of escalating to the option from an answer of a smaller one that
-// is good with the given probability. The option turns the smaller one's poor answers into
-// good ones only to the extent that it is better.
+// ValueOfEscalation returns the value of escalating to the option from an answer of a smaller
+// one that is good with the given probability. The option turns the smaller one's poor answers
+// into good ones only to the extent that it is better.
 func (o ModelOption) ValueOfEscalation(smaller ModelOption, good float64) float64 {
 	improvedShare := 1.0
 	if smaller.GoodProbability < 1 {
--- a/prefill/prefill_test.go
+++ b/prefill/prefill_test.go
@@ -77,6 +77,7 @@
 	prompts   []queuedPrompt
 }
 
+// advance removes the prompts whose prefill ends by now.
 func (r *referenceQueue) advance(now time.Time) {
 	for len(r.prompts) > 0 && now.Sub(r.doneUntil) >= r.prompts[0].duration {
 		r.doneUntil = r.doneUntil.Add(r.prompts[0].duration)
@@ -87,6 +88,7 @@
 	}
 }
 
+// wait returns how long a prompt that arrives now would wait.
 func (r *referenceQueue) wait(now time.Time) time.Duration {
 	var sum time.Duration
 	for _, p := range r.prompts {
@@ -120,32 +122,32 @@
 func TestQueueWaitIsNeverNegative(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue
-		var tickets []QueueID
+		var ids []QueueID
 		now := start
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "elapsed")) * time.Millisecond)
 			switch rapid.SampledFrom([]string{"own prompt", "remote prompt", "began", "drop"}).Draw(t, "event") {
 			case "own prompt":
-				tickets = append(tickets, q.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "duration"))*time.Millisecond, true, now))
+				ids = append(ids, q.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "duration"))*time.Millisecond, true, now))
 			case "remote prompt":
 				q.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "duration"))*time.Millisecond, false, now)
 			case "began":
-				if len(tickets) > 0 {
-					q.AnswerBegan(tickets[0], now)
-					tickets = tickets[1:]
+				if len(ids) > 0 {
+					q.AnswerBegan(ids[0], now)
+					ids = ids[1:]
 				}
 			case "drop":
-				if n := len(tickets); n > 0 {
-					q.Drop(tickets[n-1], now)
-					tickets = tickets[:n-1]
+				if n := len(ids); n > 0 {
+					q.Drop(ids[n-1], now)
+					ids = ids[:n-1]
 				}
 			}
 			if q.Wait(now) < 0 {
 				t.Fatalf("negative wait %v", q.Wait(now))
 			}
 		}
-		for _, ticket := range tickets {
-			q.Drop(ticket, now)
+		for _, id := range ids {
+			q.Drop(id, now)
 		}
 		now = now.Add(time.Hour)
 		if q.Wait(now) != 0 {
@@ -160,6 +162,7 @@
 	entries  []cacheEntry
 }
 
+// use moves an entry to the end of the list, or adds it there.
 func (r *referenceCache) use(key cacheKey, tokens int) {
 	for i, e := range r.entries {
 		if e.key == key && key != (cacheKey{}) {
@@ -170,6 +173,7 @@
 	r.entries = append(r.entries, cacheEntry{key, tokens})
 }
 
+// insert adds the parts of a prompt and evicts the oldest entries beyond the capacity.
 func (r *referenceCache) insert(p Prompt) {
 	shared := 0
 	for _, part := range p.Parts[:max(len(p.Parts)-1, 1)] {
@@ -186,6 +190,7 @@
 	}
 }
 
+// total returns the number of cached tokens.
 func (r *referenceCache) total() int {
 	sum := 0
 	for _, e := range r.entries {
@@ -194,6 +199,8 @@
 	return sum
 }
 
+// cachedPrefix returns the number of tokens in the contiguous cached parts at the start of a
+// prompt.
 func (r *referenceCache) cachedPrefix(p Prompt) int {
 	sum := 0
 	for _, part := range p.Parts {
@@ -209,7 +216,7 @@
 	return min(sum, p.Tokens)
 }
 
-// TestPrefixCacheMatchesReference is a property test that compares Kept with a plain list
+// TestPrefixCacheMatchesReference is a property test that compares PrefixCache with a plain list
 // for random prompts of two models.
 func TestPrefixCacheMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/prefill/prefixcache.go
+++ b/prefill/prefixcache.go
@@ -7,7 +7,7 @@
 )
 
 // PrefixCache estimates the contents of one engine's prefix cache. All models share the engine's
-// memory, and the least recently used parts are evicted first. Kept is not safe for
+// memory, and the least recently used parts are evicted first. PrefixCache is not safe for
 // concurrent use; the caller holds a lock.
 type PrefixCache struct {
 	// capacity is the size of the engine's cache in tokens; zero means unlimited.
@@ -24,7 +24,7 @@
 	partKey uint64
 }
 
-// cacheEntry is an element of Kept.lru. Its key is the zero value for tokens that no other
+// cacheEntry is an element of PrefixCache.lru. Its key is the zero value for tokens that no other
 // request shares.
 type cacheEntry struct {
 	key    cacheKey
@@ -35,20 +35,21 @@
 // little prefill to be worth the memory of a VM.
 const minPartTokens = 48
 
-// NewPrefixCache returns the estimate for an engine with an empty cache.
+// NewPrefixCache returns the estimate for an engine with an empty cache. capacity is the size
+// of that cache in tokens; zero means unlimited.
 func NewPrefixCache(capacity int) *PrefixCache {
 	return &PrefixCache{capacity: capacity, entries: make(map[cacheKey]*list.Element)}
 }
 
 // SetCapacity sets the size of the engine's cache in tokens; zero means unlimited.
-func (k *PrefixCache) SetCapacity(capacity int) { k.capacity = capacity }
+func (c *PrefixCache) SetCapacity(capacity int) { c.capacity = capacity }
 
 // CachedTokens returns the number of tokens of a prompt that need no prefill: the contiguous cached
 // parts at its start.
-func (k *PrefixCache) CachedTokens(p Prompt) int {
+func (c *PrefixCache) CachedTokens(p Prompt) int {
 	n := 0
 	for _, part := range p.Parts {
-		if _, ok := k.entries[cacheKey{p.Model, part.Key}]; !ok && part.Tokens >= minPartTokens {
+		if _, ok := c.entries[cacheKey{p.Model, part.Key}]; !ok && part.Tokens >= minPartTokens {
 			break
 		}
 		n += part.Tokens
@@ -58,7 +59,7 @@
 
 // Insert records that the engine processes a prompt. The last part is unique to its request:
 // it occupies cache memory but is never found again.
-func (k *PrefixCache) Insert(p Prompt) {
+func (c *PrefixCache) Insert(p Prompt) {
 	shared := 0
 	for i, part := range p.Parts {
 		if i == len(p.Parts)-1 && i > 0 {
@@ -66,39 +67,40 @@
 		}
 		shared += part.Tokens
 		if part.Tokens >= minPartTokens {
-			k.use(cacheKey{p.Model, part.Key}, part.Tokens)
+			c.use(cacheKey{p.Model, part.Key}, part.Tokens)
 		}
 	}
-	k.addUnshared(max(p.Tokens-shared, 0))
-	for k.capacity > 0 && k.cachedTokens > k.capacity {
-		k.evict()
+	c.addUnshared(max(p.Tokens-shared, 0))
+	for c.capacity > 0 && c.cachedTokens > c.capacity {
+		c.evict()
 	}
 }
 
 // use marks a part as the most recently used and adds it if it is missing.
-func (k *PrefixCache) use(key cacheKey, tokens int) {
-	if e, ok := k.entries[key]; ok {
-		k.lru.MoveToBack(e)
+func (c *PrefixCache) use(key cacheKey, tokens int) {
+	if e, ok := c.entries[key]; ok {
+		c.lru.MoveToBack(e)
 		return
 	}
-	k.entries[key] = k.lru.PushBack(&cacheEntry{key, tokens})
-	k.cachedTokens += tokens
+	c.entries[key] = c.lru.PushBack(&cacheEntry{key, tokens})
+	c.cachedTokens += tokens
 }
 
 // addUnshared adds tokens that no other request shares. They only occupy cache memory.
-func (k *PrefixCache) addUnshared(tokens int) {
-	k.cachedTokens += tokens
-	if last := k.lru.Back(); last != nil {
+func (c *PrefixCache) addUnshared(tokens int) {
+	c.cachedTokens += tokens
+	if last := c.lru.Back(); last != nil {
 		if e := last.Value.(*cacheEntry); e.key == (cacheKey{}) {
 			e.tokens += tokens
 			return
 		}
 	}
-	k.lru.PushBack(&cacheEntry{tokens: tokens})
+	c.lru.PushBack(&cacheEntry{tokens: tokens})
 }
 
-func (k *PrefixCache) evict() {
-	e := k.lru.Remove(k.lru.Front()).(*cacheEntry)
-	k.cachedTokens -= e.tokens
-	delete(k.entries, e.key)
+// evict removes the least recently used entry.
+func (c *PrefixCache) evict() {
+	e := c.lru.Remove(c.lru.Front()).(*cacheEntry)
+	c.cachedTokens -= e.tokens
+	delete(c.entries, e.key)
 }
--- a/prefill/queue.go
+++ b/prefill/queue.go
@@ -8,8 +8,8 @@
 // Queue estimates the prefill queue of one engine, in the order of arrival. It is not safe
 // for concurrent use; the caller holds a lock.
 type Queue struct {
-	prompts    []queuedPrompt
-	lastTicket QueueID
+	prompts []queuedPrompt
+	lastID  QueueID
 	// lastBegan is when the newest answer to a prompt of this VM began.
 	lastBegan time.Time
 }
@@ -19,7 +19,7 @@
 
 // queuedPrompt is a prompt that is in prefill or waits for it.
 type queuedPrompt struct {
-	ticket   QueueID
+	id       QueueID
 	duration time.Duration
 	addedAt  time.Time
 	// doneAt is the expected end of its prefill.
@@ -33,9 +33,9 @@
 // prefill.
 func (q *Queue) Add(duration time.Duration, sentByThisVM bool, now time.Time) QueueID {
 	q.expire(now)
-	q.lastTicket++
-	q.prompts = append(q.prompts, queuedPrompt{ticket: q.lastTicket, duration: duration, addedAt: now, doneAt: q.idleAt(now).Add(duration), sentByThisVM: sentByThisVM})
-	return q.lastTicket
+	q.lastID++
+	q.prompts = append(q.prompts, queuedPrompt{id: q.lastID, duration: duration, addedAt: now, doneAt: q.idleAt(now).Add(duration), sentByThisVM: sentByThisVM})
+	return q.lastID
 }
 
 // expire removes prompts of other VMs whose prefill should be done, since this VM does not
@@ -49,7 +49,8 @@
 	q.prompts = slices.Delete(q.prompts, 0, n)
 }
 
-// idleAt returns when all known prompts will be processed.
+// idleAt returns when the prefill of all known prompts is expected to end, or now if the queue
+// is empty.
 func (q *Queue) idleAt(now time.Time) time.Time {
 	if n := len(q.prompts); n > 0 && q.prompts[n-1].doneAt.After(now) {
 		return q.prompts[n-1].doneAt
@@ -80,16 +81,16 @@
 // BusyInterval is a period in which an engine did nothing but process known prompts. The
 // zero value means that there is none.
 type BusyInterval struct {
-	// Actual is its actual duration and Planned its expected one. Own is the part of Planned
-	// that belongs to the newest prompt.
+	// Actual is its actual duration and Expected its expected one. Newest is the part of
+	// Expected that belongs to the newest prompt.
 	Actual, Expected, Newest time.Duration
 }
 
 // AnswerBegan records that the answer to a prompt has begun, so the prefill of that prompt and of
 // all before it is done. If the prompt was already queued when the previous answer began,
-// the engine was busy between the two answers, and Began returns that interval.
-func (q *Queue) AnswerBegan(t QueueID, now time.Time) BusyInterval {
-	i := q.indexOf(t)
+// the engine was busy between the two answers, and AnswerBegan returns that interval.
+func (q *Queue) AnswerBegan(id QueueID, now time.Time) BusyInterval {
+	i := q.indexOf(id)
 	if i < 0 {
 		return BusyInterval{}
 	}
@@ -107,8 +108,8 @@
 }
 
 // Drop removes a prompt whose request ended before its answer began.
-func (q *Queue) Drop(t QueueID, now time.Time) {
-	i := q.indexOf(t)
+func (q *Queue) Drop(id QueueID, now time.Time) {
+	i := q.indexOf(id)
 	if i < 0 {
 		return
 	}
@@ -120,8 +121,9 @@
 	q.reschedule(i, from)
 }
 
-func (q *Queue) indexOf(t QueueID) int {
-	return slices.IndexFunc(q.prompts, func(p queuedPrompt) bool { return p.ticket == t })
+// indexOf returns the position of a prompt in the queue, or -1.
+func (q *Queue) indexOf(id QueueID) int {
+	return slices.IndexFunc(q.prompts, func(p queuedPrompt) bool { return p.id == id })
 }
 
 // reschedule recalculates the expected ends of the prompts from index first on; the first
--- a/prefill/rates.go
+++ b/prefill/rates.go
@@ -106,7 +106,7 @@
 }
 
 // RecordSample records the time from a send to the beginning of the answer, and the number of
-// prompt tokens that were expected not to be cached. exact means that neither a queue nor
+// prompt tokens that were expected not to be cached. If exact is true, neither a queue nor
 // cached parts were expected, so the time is a sample of the rate. Otherwise it is only an
 // upper bound: the prefill took no longer than the answer took to begin.
 func (r *Rates) RecordSample(m contract.ModelID, uncachedTokens int, elapsed time.Duration, exact bool) {
@@ -126,8 +126,8 @@
 	rate.setLog(rate.logSecondsPerToken + max(1/float64(rate.samples+1), minSampleWeight)*min(max(observed-rate.logSecondsPerToken, -step), step))
 }
 
-// RecordRatio records the ratio of the actual to the expected duration of a busy interval. If no
-// engine is ever idle, these are the only available samples.
+// RecordRatio records the ratio of the actual to the expected duration of a busy interval of an
+// engine. If no engine is ever idle, these ratios are the only available samples.
 func (r *Rates) RecordRatio(m contract.ModelID, ratio float64) {
 	if ratio <= 0 {
 		return
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -9,7 +9,7 @@
 )
 
 // BenchmarkCheckRequest measures the per-request cost of the quarantine check while 1,000
-// request contents are held: hashing the content, by body size, and looking up its
+// request contents are quarantined: hashing the content, by body size, and looking up its
 // fingerprint.
 func BenchmarkCheckRequest(b *testing.B) {
 	table, now := NewTable(), time.Unix(1000, 0)
@@ -22,7 +22,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if table.Blocks(FingerprintOf("workspace", "host.example", "/path/of/a/request", body), now) {
-					b.Fatal("unexpectedly held")
+					b.Fatal("unexpectedly quarantined")
 				}
 			}
 		})
--- a/quarantine/crashes.go
+++ b/quarantine/crashes.go
@@ -14,7 +14,7 @@
 	Service     contract.ServiceID
 	Workspace   contract.WorkspaceID
 	Route       string
-	// SentAt is when the request was sent to the upstream, Broke when its connection broke.
+	// SentAt is when the request was sent to the upstream, BrokenAt when its connection broke.
 	SentAt, BrokenAt time.Time
 }
 
@@ -23,57 +23,58 @@
 // within a few heartbeats of one second each.
 const confirmTimeout = 5 * time.Second
 
-// maxSuspectsPerLife bounds the suspect requests that are remembered per upstream
-// incarnation.
-const maxSuspectsPerLife = 256
+// maxSuspectsPerInstance bounds the suspect requests that are remembered per upstream
+// instance.
+const maxSuspectsPerInstance = 256
 
-// CrashTracker tracks upstream incarnations whose connections broke until their crash is
-// confirmed. A single reset connection, a silent upstream, a cut link and a machine without
-// power look the same at first. An upstream counts as crashed only when its machine reports
-// that nothing listens on its port, or when another incarnation is listed under its
-// address.
+// CrashTracker tracks upstream instances whose connections broke until their crash is
+// confirmed. A single reset connection, a silent upstream, an interrupted network link and a
+// machine without power look the same at first. An upstream counts as crashed only when its
+// machine reports that nothing listens on its port, or when another instance is listed under
+// its address.
 //
-// Doubts is not safe for concurrent use; the caller holds a lock.
+// CrashTracker is not safe for concurrent use; the caller holds a lock.
 type CrashTracker struct {
-	byLife map[contract.UpstreamInstance]*suspectedCrash
+	byInstance map[contract.UpstreamInstance]*suspectedCrash
 }
 
+// suspectedCrash is an upstream instance that may have crashed.
 type suspectedCrash struct {
 	address   string
 	lastBroke time.Time // time of the newest broken connection
 	confirmed bool
-	suspects  []SuspectRequest
+	suspects  []SuspectRequest // requests that were running on the instance
 }
 
 // NewCrashTracker returns an empty crash tracker.
 func NewCrashTracker() *CrashTracker {
-	return &CrashTracker{byLife: make(map[contract.UpstreamInstance]*suspectedCrash)}
+	return &CrashTracker{byInstance: make(map[contract.UpstreamInstance]*suspectedCrash)}
 }
 
-// ConnectionBroke records that the connection of a request to an upstream incarnation broke. It
+// ConnectionBroke records that the connection of a request to an upstream instance broke. It
 // reports whether the caller should probe the upstream's address now, and whether the crash
 // is already confirmed.
-func (d *CrashTracker) ConnectionBroke(l contract.UpstreamInstance, address string, s SuspectRequest) (probe, confirmed bool) {
-	crash := d.byLife[l]
+func (t *CrashTracker) ConnectionBroke(instance contract.UpstreamInstance, address string, s SuspectRequest) (probe, confirmed bool) {
+	crash := t.byInstance[instance]
 	if crash == nil {
 		crash = &suspectedCrash{address: address}
-		d.byLife[l] = crash
+		t.byInstance[instance] = crash
 		probe = true
 	}
 	crash.lastBroke = s.BrokenAt
 	if crash.confirmed {
 		return false, true
 	}
-	if len(crash.suspects) < maxSuspectsPerLife {
+	if len(crash.suspects) < maxSuspectsPerInstance {
 		crash.suspects = append(crash.suspects, s)
 	}
 	return probe, false
 }
 
-// Confirm marks the crash of an upstream incarnation as confirmed and returns the requests
-// that were running on it. Later calls for the same incarnation return nil.
-func (d *CrashTracker) Confirm(l contract.UpstreamInstance) []SuspectRequest {
-	crash := d.byLife[l]
+// Confirm marks the crash of an upstream instance as confirmed and returns the requests
+// that were running on it. Later calls for the same instance return nil.
+func (t *CrashTracker) Confirm(instance contract.UpstreamInstance) []SuspectRequest {
+	crash := t.byInstance[instance]
 	if crash == nil || crash.confirmed {
 		return nil
 	}
@@ -82,29 +83,29 @@
 	return out
 }
 
-// ReplacedLives returns the suspected incarnations whose address now belongs to another
-// incarnation in the list of upstreams, which confirms their crash.
-func (d *CrashTracker) ReplacedLives(lifeAt func(address string) (contract.UpstreamInstance, bool)) []contract.UpstreamInstance {
+// ReplacedLives returns the suspected upstream instances whose address now belongs to another
+// instance in the upstream list, which confirms their crash.
+func (t *CrashTracker) ReplacedLives(instanceAt func(address string) (contract.UpstreamInstance, bool)) []contract.UpstreamInstance {
 	var out []contract.UpstreamInstance
-	for l, crash := range d.byLife {
+	for instance, crash := range t.byInstance {
 		if crash.confirmed {
 			continue
 		}
-		if current, listed := lifeAt(crash.address); listed && current != l {
-			out = append(out, l)
+		if current, listed := instanceAt(crash.address); listed && current != instance {
+			out = append(out, instance)
 		}
 	}
 	return out
 }
 
-// Any reports whether any upstream incarnation is tracked.
-func (d *CrashTracker) Any() bool { return len(d.byLife) > 0 }
+// Any reports whether any upstream instance is tracked.
+func (t *CrashTracker) Any() bool { return len(t.byInstance) > 0 }
 
-// Expire forgets incarnations whose newest broken connection is older than confirmTimeout.
-func (d *CrashTracker) Expire(now time.Time) {
-	for l, crash := range d.byLife {
+// Expire forgets upstream instances whose newest broken connection is older than confirmTimeout.
+func (t *CrashTracker) Expire(now time.Time) {
+	for instance, crash := range t.byInstance {
 		if now.Sub(crash.lastBroke) > confirmTimeout {
-			delete(d.byLife, l)
+			delete(t.byInstance, instance)
 		}
 	}
 }
--- a/quarantine/crashes_test.go
+++ b/quarantine/crashes_test.go
@@ -9,7 +9,7 @@
 	"woaddoor/contract"
 )
 
-// TestCrashIsConfirmedOnce checks that each suspected upstream incarnation is probed once,
+// TestCrashIsConfirmedOnce checks that each suspected upstream instance is probed once,
 // that its requests are returned once when a probe or the upstream list confirms the crash,
 // and that a broken connection alone never confirms one.
 func TestCrashIsConfirmedOnce(t *testing.T) {
@@ -30,7 +30,7 @@
 	crashes.ConnectionBroke(second, "b:1", suspect("4"))
 	listed := contract.UpstreamInstance{Upstream: "u2", Incarnation: 1}
 	at := func(string) (contract.UpstreamInstance, bool) { return listed, true }
-	is.Equal(len(crashes.ReplacedLives(at)), 0) // the same incarnation is still listed: only its connection broke
+	is.Equal(len(crashes.ReplacedLives(at)), 0) // the same instance is still listed: only its connection broke
 	listed = contract.UpstreamInstance{Upstream: "u2", Incarnation: 2}
 	is.Equal(crashes.ReplacedLives(at), []contract.UpstreamInstance{second})
 	is.Equal(len(crashes.Confirm(second)), 1)
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -17,7 +17,7 @@
 	"woaddoor/contract"
 )
 
-// fingerprintBytes is the length of a Print. With 128 bits of SHA-256, a caller needs about
+// fingerprintBytes is the length of a Fingerprint. With 128 bits of SHA-256, a caller needs about
 // 2^64 attempts to find two of its own requests with the same fingerprint, and 2^128 to
 // match the fingerprint of another caller's request.
 const fingerprintBytes = 16
@@ -40,17 +40,17 @@
 }
 
 // String returns the fingerprint in hexadecimal.
-func (p Fingerprint) String() string { return hex.EncodeToString(p[:]) }
+func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// ParseFingerprint parses a fingerprint in the format of Print.String.
+// ParseFingerprint parses a fingerprint in the format of Fingerprint.String.
 func ParseFingerprint(text string) (Fingerprint, error) {
-	var p Fingerprint
+	var f Fingerprint
 	if len(text) != hex.EncodedLen(fingerprintBytes) {
-		return p, fmt.Errorf("fingerprint %q: has %d digits, want %d", text, len(text), hex.EncodedLen(fingerprintBytes))
+		return f, fmt.Errorf("fingerprint %q: has %d digits, want %d", text, len(text), hex.EncodedLen(fingerprintBytes))
 	}
 	raw, err := hex.DecodeString(text)
 	if err != nil {
-		return p, fmt.Errorf("fingerprint %q: %w", text, err)
+		return f, fmt.Errorf("fingerprint %q: %w", text, err)
 	}
 	return Fingerprint(raw), nil
 }
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// scheduleHeartbeat makes a VM broadcast its gossip periodically and synchronize the held
-// content with the store.
+// scheduleHeartbeat makes a VM broadcast its gossip periodically and synchronize the
+// quarantined content with the store.
 func (s *fleetSim) scheduleHeartbeat(v *simVM) {
 	s.after(rapid.IntRange(400, 600).Draw(s.t, "heartbeat"), func() {
 		s.broadcast(v)
@@ -109,21 +109,21 @@
 	sent, table := s.now, v.table
 	s.sends = append(s.sends, simSend{s.now, s.now - v.startedAt, s.now - v.disconnectedUntil})
 	s.upstreamCount++
-	life := contract.UpstreamInstance{Upstream: contract.UpstreamID(fmt.Sprint("u", s.upstreamCount)), Incarnation: 1}
+	instance := contract.UpstreamInstance{Upstream: contract.UpstreamID(fmt.Sprint("u", s.upstreamCount)), Incarnation: 1}
 	s.after(rapid.IntRange(20, 300).Draw(s.t, "ran"), func() {
 		s.crashes = append(s.crashes, s.now)
 		if v.table != table {
 			return // the VM restarted meanwhile and lost track of the request
 		}
-		if v.table.RecordCrash(crashingContent, Source{}, Crash{life, at(sent), at(s.now)}, at(s.now)) {
+		if v.table.RecordCrash(crashingContent, Source{}, Crash{instance, at(sent), at(s.now)}, at(s.now)) {
 			s.broadcast(v)
 		}
 		s.send(v, attempts-1)
 	})
 }
 
-// lateSends counts the sends later than propagationMs after the third crash, by VMs that
-// had been running and connected for at least propagationMs.
+// lateSends counts the sends of the crashing content later than propagationMs after the third
+// crash, by VMs that had been running and connected for at least propagationMs.
 func (s *fleetSim) lateSends() int {
 	if len(s.crashes) < CrashLimit {
 		return 0
@@ -186,7 +186,7 @@
 			v.table, v.startedAt = NewTable(), s.now
 		}
 	case 2:
-		v := randomVM("cut")
-		v.disconnectedUntil = s.now + rapid.IntRange(100, 6000).Draw(s.t, "cut_ms")
+		v := randomVM("disconnected")
+		v.disconnectedUntil = s.now + rapid.IntRange(100, 6000).Draw(s.t, "disconnected_ms")
 	}
 }
--- a/quarantine/gossip.go
+++ b/quarantine/gossip.go
@@ -11,22 +11,23 @@
 // Update is a gossip update about one request content. Its times are sent as ages because the
 // clocks of VMs differ.
 type Update struct {
-	Fingerprint Fingerprint   `cbor:"1,keyasint"`
-	About       Source        `cbor:"2,keyasint"`
-	Epoch       uint32        `cbor:"3,keyasint,omitempty"`
-	Held        bool          `cbor:"4,keyasint,omitempty"`
-	Crashes     []CrashUpdate `cbor:"5,keyasint,omitempty"`
+	Fingerprint Fingerprint `cbor:"1,keyasint"`
+	About       Source      `cbor:"2,keyasint"`
+	Epoch       uint32      `cbor:"3,keyasint,omitempty"`
+	// Held is true if the content is quarantined.
+	Held    bool          `cbor:"4,keyasint,omitempty"`
+	Crashes []CrashUpdate `cbor:"5,keyasint,omitempty"`
 }
 
 // CrashUpdate is an upstream crash in a gossip update.
 type CrashUpdate struct {
-	Life     contract.UpstreamInstance `cbor:"1,keyasint"`
+	Instance contract.UpstreamInstance `cbor:"1,keyasint"`
 	SentAge  time.Duration             `cbor:"2,keyasint"`
 	BrokeAge time.Duration             `cbor:"3,keyasint"`
 }
 
 // Updates returns the updates for the next gossip message: contents that changed recently, and
-// held contents that are not in the store yet. Contents with the most crashes come first.
+// quarantined contents that are not in the store yet. Contents with the most crashes come first.
 func (t *Table) Updates(now time.Time) []Update {
 	var records []*Record
 	for p, c := range t.gossiping {
@@ -57,6 +58,7 @@
 // ran on the crashed upstream, about a dozen per crash.
 func (c *Record) Urgent() bool { return c.Held || countSuccessive(c.Crashes) >= CrashLimit-1 }
 
+// gossipTTL returns how long the last change of the record is repeated in gossip.
 func (c *Record) gossipTTL() time.Duration {
 	if len(c.Crashes) == 1 && !c.Held {
 		return singleCrashGossipTTL
@@ -64,6 +66,7 @@
 	return gossipTTL
 }
 
+// update returns the gossip update about the record.
 func (c *Record) update(now time.Time) Update {
 	out := Update{Fingerprint: c.Fingerprint, About: c.Source, Epoch: c.Epoch, Held: c.Held}
 	for _, e := range c.Crashes {
@@ -78,7 +81,7 @@
 	for _, u := range updates[:min(len(updates), maxUpdates)] {
 		other := Record{Fingerprint: u.Fingerprint, Source: u.About, Epoch: u.Epoch, Held: u.Held}
 		for _, e := range u.Crashes[:min(len(u.Crashes), maxCrashesKept)] {
-			other.Crashes = append(other.Crashes, Crash{e.Life, now.Add(-e.SentAge), now.Add(-e.BrokeAge)})
+			other.Crashes = append(other.Crashes, Crash{e.Instance, now.Add(-e.SentAge), now.Add(-e.BrokeAge)})
 		}
 		if t.merge(other, now) {
 			changed = append(changed, t.records[u.Fingerprint])
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -7,15 +7,15 @@
 	"woaddoor/contract"
 )
 
-// QuarantinedContent is a held request content as written to the store, where it survives a power loss of
-// all VMs.
+// QuarantinedContent is a quarantined request content as written to the store, where it
+// survives a power loss of all VMs.
 type QuarantinedContent struct {
 	Fingerprint Fingerprint
 	Source
 	// Upstreams lists the upstreams that crashed while running the content.
 	Upstreams []contract.UpstreamID
-	// Trials counts the trial sends granted since the content was held. A trial checks
-	// whether it still crashes upstreams.
+	// Trials counts the trial sends granted since the content was quarantined. A trial checks
+	// whether the content still crashes upstreams.
 	Trials   int
 	Revision contract.Revision
 }
@@ -29,7 +29,7 @@
 	return h
 }
 
-// SetStored records that the store contains a held content.
+// SetStored records that the store contains a quarantined content.
 func (t *Table) SetStored(h QuarantinedContent, now time.Time) {
 	c := t.records[h.Fingerprint]
 	if c != nil && h.Revision <= c.storeRevision {
@@ -43,12 +43,12 @@
 	c.storeRevision = h.Revision
 	t.setInStore(c, true)
 	c.trials.setCount(h.Trials, now)
-	t.setHeld(c, true)
+	t.setQuarantined(c, true)
 }
 
 // SetUnstored records that the store no longer contains a content as of a revision, because an
-// operator released it or an answer cleared it. It reports whether the content was held on
-// this VM.
+// operator released it or an answer cleared it. It reports whether the content was quarantined
+// on this VM.
 func (t *Table) SetUnstored(p Fingerprint, at contract.Revision, now time.Time) bool {
 	c := t.records[p]
 	if c == nil || !c.inStore || at < c.storeRevision {
@@ -75,7 +75,7 @@
 	return out
 }
 
-// ToStore returns the held contents that still have to be written to the store.
+// ToStore returns the quarantined contents that still have to be written to the store.
 func (t *Table) ToStore() []QuarantinedContent {
 	return t.recordsWhere(func(c *Record) bool { return c.Held && !c.inStore })
 }
@@ -85,8 +85,10 @@
 	return t.recordsWhere(func(c *Record) bool { return !c.Held && c.inStore })
 }
 
+// recordsWhere returns the matching records in the store's representation, sorted by
+// fingerprint.
 func (t *Table) recordsWhere(match func(c *Record) bool) []QuarantinedContent {
-	if t.heldCount == 0 && t.storedCount == 0 {
+	if t.quarantinedCount == 0 && t.storedCount == 0 {
 		return nil
 	}
 	var out []QuarantinedContent
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -8,7 +8,8 @@
 	"woaddoor/contract"
 )
 
-// CrashLimit is the number of successive upstream crashes after which a request content is held.
+// CrashLimit is the number of successive upstream crashes after which a request
+// content is quarantined.
 const CrashLimit = 3
 
 // Crash times received by gossip appear some tens of milliseconds late. A request that was
@@ -28,7 +29,7 @@
 // Limits of a Table.
 const (
 	// maxRecords bounds the request contents that are tracked. An evicted content starts
-	// over and must crash as many upstreams as a new one before it is held.
+	// over and must crash as many upstreams as a new one before it is quarantined.
 	maxRecords = 4096
 	// suspicionTTL is how long a content that does not appear again stays under suspicion.
 	suspicionTTL = 10 * time.Minute
@@ -68,7 +69,7 @@
 	Epoch uint32
 	// Crashes holds the newest crashes of upstreams that ran this content, oldest first.
 	Crashes []Crash
-	// Held reports whether the content is blocked from all upstreams.
+	// Held reports whether the content is quarantined: it is sent to no upstream.
 	Held bool
 
 	changedAt time.Time
@@ -87,9 +88,9 @@
 	// because a hub builds a message for each of its leaf VMs twice a second, while records
 	// may hold thousands of entries.
 	gossiping map[Fingerprint]*Record
-	// heldCount and storedCount count the records that are held and those that are in the
-	// store.
-	heldCount, storedCount int
+	// quarantinedCount and storedCount count the records that are quarantined and those that
+	// are in the store.
+	quarantinedCount, storedCount int
 }
 
 // NewTable returns an empty table.
@@ -101,8 +102,8 @@
 // fingerprint.
 func (t *Table) Empty() bool { return len(t.records) == 0 }
 
-// CountQuarantined returns the number of held contents.
-func (t *Table) CountQuarantined() int { return t.heldCount }
+// CountQuarantined returns the number of quarantined contents.
+func (t *Table) CountQuarantined() int { return t.quarantinedCount }
 
 // Record returns the record of a content, or nil if there is none.
 func (t *Table) Record(p Fingerprint) *Record { return t.records[p] }
@@ -118,6 +119,7 @@
 	return t.merge(Record{Fingerprint: p, Source: a, Epoch: t.epochOf(p), Crashes: []Crash{e}}, now)
 }
 
+// epochOf returns the current epoch of a content, or 0 if there is no record.
 func (t *Table) epochOf(p Fingerprint) uint32 {
 	if c := t.records[p]; c != nil {
 		return c.Epoch
@@ -140,18 +142,18 @@
 func (t *Table) resetTo(c *Record, epoch uint32, now time.Time) {
 	c.Epoch, c.Crashes, c.trials = epoch, nil, trials{}
 	t.markChanged(c, now)
-	t.setHeld(c, false)
+	t.setQuarantined(c, false)
 }
 
-// setHeld sets Held and keeps heldCount up to date.
-func (t *Table) setHeld(c *Record, held bool) {
+// setQuarantined sets Held and keeps quarantinedCount up to date.
+func (t *Table) setQuarantined(c *Record, quarantined bool) {
 	switch {
-	case held && !c.Held:
-		t.heldCount++
-	case !held && c.Held:
-		t.heldCount--
+	case quarantined && !c.Held:
+		t.quarantinedCount++
+	case !quarantined && c.Held:
+		t.quarantinedCount--
 	}
-	c.Held = held
+	c.Held = quarantined
 }
 
 // setInStore sets inStore and keeps storedCount up to date.
@@ -165,9 +167,9 @@
 	c.inStore = inStore
 }
 
-// merge merges a record from another source and reports whether anything changed. Gossip
-// may arrive late, repeatedly and in any order: a later epoch replaces an earlier one,
-// crashes accumulate within an epoch, and a held content stays held.
+// merge merges a record from another source and reports whether anything changed. Gossip may
+// arrive late, repeatedly and in any order: a later epoch replaces an earlier one, crashes
+// accumulate within an epoch, and a quarantined content stays quarantined.
 func (t *Table) merge(other Record, now time.Time) bool {
 	c := t.records[other.Fingerprint]
 	if c == nil {
@@ -187,15 +189,15 @@
 		t.resetTo(c, other.Epoch, now)
 	}
 	if c.Held && !changed {
-		return false // further crashes make no difference to a held content
+		return false // further crashes make no difference to a quarantined content
 	}
 	crashes := mergeCrashes(c.Crashes, other.Crashes)
-	held := c.Held || other.Held || countSuccessive(crashes) >= CrashLimit
+	quarantined := c.Held || other.Held || countSuccessive(crashes) >= CrashLimit
 	// Only a longer list counts as a change. Once the list is full, VMs keep different
 	// newest crashes and would otherwise exchange them forever.
-	changed = changed || len(crashes) > len(c.Crashes) || held != c.Held
+	changed = changed || len(crashes) > len(c.Crashes) || quarantined != c.Held
 	c.Crashes = crashes
-	t.setHeld(c, held)
+	t.setQuarantined(c, quarantined)
 	if changed {
 		t.markChanged(c, now)
 	}
@@ -257,8 +259,8 @@
 	return 0
 }
 
-// makeRoom removes expired records and, if the table is still full, the least recently
-// changed one. Records that are not held go first.
+// makeRoom removes expired records and, if the table is still full, the least recently changed
+// one. Records that are not quarantined go first.
 func (t *Table) makeRoom(now time.Time) {
 	if len(t.records) < maxRecords {
 		return
@@ -275,8 +277,8 @@
 	}
 }
 
-// Expire removes records that changed longer than suspicionTTL ago, unless they are held or
-// in the store.
+// Expire removes records that changed longer than suspicionTTL ago, unless they are
+// quarantined or in the store.
 func (t *Table) Expire(now time.Time) {
 	for _, c := range t.records {
 		if !c.Held && !c.inStore && now.Sub(c.changedAt) > suspicionTTL {
@@ -285,9 +287,10 @@
 	}
 }
 
+// remove deletes a record and updates the counts.
 func (t *Table) remove(c *Record) {
 	if c.Held {
-		t.heldCount--
+		t.quarantinedCount--
 	}
 	t.setInStore(c, false)
 	delete(t.records, c.Fingerprint)
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -21,9 +21,9 @@
 	return Crash{contract.UpstreamInstance{Upstream: contract.UpstreamID(upstream), Incarnation: 1}, at(sent), at(broke)}
 }
 
-// TestThreeSuccessiveCrashesHoldContent checks that a content is held once it has crashed
-// three upstreams, each of which it was sent to after the previous crash.
-func TestThreeSuccessiveCrashesHoldContent(t *testing.T) {
+// TestThreeSuccessiveCrashesQuarantineContent checks that a content is quarantined once it has
+// crashed three upstreams, each of which it was sent to after the previous crash.
+func TestThreeSuccessiveCrashesQuarantineContent(t *testing.T) {
 	is := is.New(t)
 	table, p := NewTable(), Fingerprint{1}
 	is.True(table.Empty())
@@ -37,9 +37,9 @@
 	is.Equal(table.CountQuarantined(), 1)
 }
 
-// TestUnrelatedCrashesDoNotHoldContent checks that simultaneous crashes, overlapping runs,
-// repeated reports of one crash, and crashes before an answer do not hold a content.
-func TestUnrelatedCrashesDoNotHoldContent(t *testing.T) {
+// TestUnrelatedCrashesDoNotQuarantineContent checks that simultaneous crashes, overlapping runs,
+// repeated reports of one crash, and crashes before an answer do not quarantine a content.
+func TestUnrelatedCrashesDoNotQuarantineContent(t *testing.T) {
 	p := Fingerprint{1}
 	for name, crashes := range map[string][]Crash{
 		"data centre crashes":             {crash("u1", 0, 40), crash("u2", 5, 41), crash("u3", 8, 42), crash("u4", 9, 43)},
@@ -71,12 +71,12 @@
 // randomUpdate generates a gossip update about one content with up to maxCrashesKept
 // crashes.
 func randomUpdate(t *rapid.T, label string) Update {
-	out := Update{Fingerprint: Fingerprint{1}, Epoch: uint32(rapid.IntRange(0, 2).Draw(t, label+"epoch")), Held: rapid.IntRange(0, 9).Draw(t, label+"held") == 0}
-	for _, life := range rapid.SliceOfNDistinct(rapid.IntRange(0, maxCrashesKept-1), 0, maxCrashesKept, rapid.ID[int]).Draw(t, label+"incarnations") {
-		broke := rapid.IntRange(0, 20).Draw(t, fmt.Sprint(label, "broke", life))
+	out := Update{Fingerprint: Fingerprint{1}, Epoch: uint32(rapid.IntRange(0, 2).Draw(t, label+"epoch")), Held: rapid.IntRange(0, 9).Draw(t, label+"quarantined") == 0}
+	for _, incarnation := range rapid.SliceOfNDistinct(rapid.IntRange(0, maxCrashesKept-1), 0, maxCrashesKept, rapid.ID[int]).Draw(t, label+"incarnations") {
+		broke := rapid.IntRange(0, 20).Draw(t, fmt.Sprint(label, "broke", incarnation))
 		out.Crashes = append(out.Crashes, CrashUpdate{
-			contract.UpstreamInstance{Upstream: contract.UpstreamID(fmt.Sprint("u", life)), Incarnation: 1},
-			time.Duration(broke+rapid.IntRange(1, 5).Draw(t, fmt.Sprint(label, "ran", life))) * time.Second, time.Duration(broke) * time.Second,
+			contract.UpstreamInstance{Upstream: contract.UpstreamID(fmt.Sprint("u", incarnation)), Incarnation: 1},
+			time.Duration(broke+rapid.IntRange(1, 5).Draw(t, fmt.Sprint(label, "ran", incarnation))) * time.Second, time.Duration(broke) * time.Second,
 		})
 	}
 	return out
@@ -84,9 +84,9 @@
 
 // TestMergeOrderDoesNotMatter is a property test in which two VMs receive the same gossip
 // updates in opposite order, each update twice. Crash lists stay bounded, a repeated update
-// changes nothing, and a held content stays held within its epoch. Until the content is
-// held, the crashes do not depend on the order of updates. After the VMs exchange updates,
-// they agree on whether the content is held.
+// changes nothing, and a quarantined content stays quarantined within its epoch. Until the
+// content is quarantined, the crashes do not depend on the order of updates. After the VMs
+// exchange updates, they agree on whether the content is quarantined.
 func TestMergeOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := randomUpdate(t, "a"), randomUpdate(t, "b")
@@ -114,13 +114,13 @@
 		}
 		after := updateOf(table)
 		if before.Held && before.Epoch == after.Epoch && !after.Held {
-			t.Fatal("released by an update of the same epoch")
+			t.Fatal("an update of the same epoch released the content")
 		}
 		if len(after.Crashes) > maxCrashesKept {
 			t.Fatal("more than maxCrashesKept crashes kept")
 		}
-		if held := table.CountQuarantined() == 1; held != after.Held {
-			t.Fatalf("Held() = %d, but the record says otherwise", table.CountQuarantined())
+		if quarantined := table.CountQuarantined() == 1; quarantined != after.Held {
+			t.Fatalf("CountQuarantined() = %d, which contradicts the record", table.CountQuarantined())
 		}
 	}
 	return table
@@ -135,7 +135,7 @@
 }
 
 // TestTableSizeIsBounded checks that a table stays within maxRecords when three times as
-// many contents each crash an upstream, and that a held content is not evicted.
+// many contents each crash an upstream, and that a quarantined content is not evicted.
 func TestTableSizeIsBounded(t *testing.T) {
 	is := is.New(t)
 	table, crashing := NewTable(), Fingerprint{0xff, 0xff, 0xff, 0xff}
@@ -174,10 +174,10 @@
 	t.Logf("%d bytes for %d contents", len(raw), maxUpdates)
 }
 
-// TestHeldContentTrials checks that a held content gets no trial before it is in the store,
-// that trials run one at a time on the VM that was granted one, and that there are two in
-// total.
-func TestHeldContentTrials(t *testing.T) {
+// TestQuarantinedContentTrials checks that a quarantined content gets no trial before it is in
+// the store, that trials run one at a time on the VM that was granted one, and that there are
+// two in total.
+func TestQuarantinedContentTrials(t *testing.T) {
 	is := is.New(t)
 	table, p := NewTable(), Fingerprint{1}
 	for n, name := range []string{"u1", "u2", "u3"} {
@@ -207,7 +207,7 @@
 }
 
 // TestReleaseByStoreOrAnswer checks that a content is released when it is removed from the
-// store or answered, but not by a store listing that is older than its object.
+// store or answered, but not by a store revision that is older than the content's object.
 func TestReleaseByStoreOrAnswer(t *testing.T) {
 	is := is.New(t)
 	table, p := NewTable(), Fingerprint{1}
--- a/quarantine/trials.go
+++ b/quarantine/trials.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// trialDelays are the waiting times before each trial of a held content. A held content may
-// have become harmless, for example after a new release of its upstream service, or may
-// have been held by chance after three unrelated crashes. The store therefore grants single
-// VMs a rare trial send, and an answer clears the content.
+// trialDelays are the waiting times before each trial of a quarantined content. Such a content
+// may have become harmless, for example after a new release of its upstream service, or may
+// have been quarantined by chance after three unrelated crashes. The store therefore grants
+// single VMs a rare trial send, and an answer clears the content.
 //
-// A content that still crashes upstreams can reach at most three more in total, on any VM
-// and over any period: two by trials, and one by a VM that does not know yet that it is
-// held.
+// A content that still crashes upstreams can reach at most three more upstreams in total, from
+// any VM and over any period: two by trials, and one by a VM that does not know yet that the
+// content is quarantined.
 var trialDelays = [...]time.Duration{RetryAfter, time.Hour}
 
-// RetryAfter is the earliest time after which the caller of a held content may retry: the
+// RetryAfter is the earliest time after which the caller of a quarantined content may retry: the
 // first trial is due then.
 const RetryAfter = 5 * time.Minute
 
@@ -22,11 +22,11 @@
 // trials is the trial state of one content.
 type trials struct {
 	// count is the number of granted trials. since is when this VM learned of the last one,
-	// or learned that the content is held.
+	// or learned that the content is quarantined.
 	count int
 	since time.Time
 	// requested reports whether the content arrived while a trial was due. Until
-	// grantedUntil, this VM may send it once.
+	// grantedUntil, this VM may send the content once.
 	requested    bool
 	grantedUntil time.Time
 }
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -63,8 +63,8 @@
 	Outcome contract.Outcome
 	// Repeatable reports whether the request may be executed more than once.
 	Repeatable bool
-	// Deadline is the time after which the caller no longer needs the answer. Expected is
-	// the expected duration of another attempt.
+	// Deadline is the time after which the caller no longer needs the answer.
+	// ExpectedDuration is the expected duration of another attempt.
 	Deadline         time.Time
 	ExpectedDuration time.Duration
 }
@@ -73,7 +73,7 @@
 type Decision struct {
 	Retry bool
 	Pause time.Duration
-	// Reason is the reason when there is no retry.
+	// Reason is why there is no retry; it is empty if Retry is true.
 	Reason Reason
 }
 
@@ -94,7 +94,7 @@
 const jitterFactor = 2
 
 // RetryBlocked returns why this attempt must not be followed by another one, regardless of the
-// budget, or "" if a retry is allowed. maxAttempts bounds the attempts of one request.
+// retry budget, or "" if a retry is allowed. maxAttempts bounds the attempts of one request.
 //
 // A request that is not repeatable may only be retried if its attempt provably was not
 // executed.
@@ -115,8 +115,8 @@
 	meanBackoff := b.opts.Backoff << max(a.Number-1, 0)
 	pause := time.Duration(random.Float64() * jitterFactor * float64(meanBackoff))
 	a.ExpectedDuration += pause
-	if why := a.RetryBlocked(b.opts.MaxAttempts, now); why != "" {
-		return Decision{Reason: why}
+	if reason := a.RetryBlocked(b.opts.MaxAttempts, now); reason != "" {
+		return Decision{Reason: reason}
 	}
 	if b.tokens < 1 {
 		return Decision{Reason: BudgetExhausted}
--- a/retry/retryafter.go
+++ b/retry/retryafter.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// RetryScheduler assigns retry times to refused callers of a rate-limited resource, so that they
-// come back spread over the time in which capacity becomes available. Callers that were
+// RetryScheduler assigns retry times to refused callers of a rate-limited resource, so that the
+// callers return spread over the time in which capacity becomes available. Callers that were
 // already given a retry time precede those that are refused now. The zero value has no
 // waiting callers.
 type RetryScheduler struct {
--- a/retry/window.go
+++ b/retry/window.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ResendWindowOptions configures a Window.
+// ResendWindowOptions configures a ResendWindow.
 type ResendWindowOptions struct {
 	// Ratio is the number of resends that each request adds to the allowance.
 	Ratio float64
@@ -21,7 +21,7 @@
 	Reserve float64
 }
 
-// Defaults of WindowOptions.
+// Defaults of ResendWindowOptions, and the number of slots of a window.
 const (
 	defaultWindowLength = 10 * time.Second
 	defaultMargin       = 0.15
@@ -36,13 +36,14 @@
 // sliding window. Each VM's allowance comes from its own requests and its share of the
 // slack, so the fleet stays within its limit without communication between VMs.
 //
-// Window is not safe for concurrent use; the caller holds a lock.
+// ResendWindow is not safe for concurrent use; the caller holds a lock.
 type ResendWindow struct {
 	opts   ResendWindowOptions
 	slots  [ringSlots]slot
 	newest int64 // number of the newest slot
 }
 
+// slot counts the requests and resends of one part of the window.
 type slot struct{ requests, resends float64 }
 
 // NewResendWindow returns an empty window.
@@ -124,6 +125,7 @@
 	return w.allowance(vms)
 }
 
+// allowance returns how many resends this VM may make per window.
 func (w *ResendWindow) allowance(vms int) float64 {
 	requests := 0.0
 	for number := w.newest; number > w.newest-windowSlots; number-- { // slots that lie completely inside the window
@@ -132,6 +134,7 @@
 	return (1 - w.opts.Margin) * (w.opts.Ratio*requests + w.opts.Slack/float64(max(vms, 1)))
 }
 
+// used returns how many resends this VM made in the window.
 func (w *ResendWindow) used() float64 {
 	used := 0.0
 	for _, s := range w.slots {
