--- a/cascade/value_test.go
+++ b/cascade/value_test.go
@@ -21,19 +21,19 @@
 	return min(max(mean+0.25*r.NormFloat64(), 0), 1)
 }
 
-// trainedCalibration returns estimates that are trained with answers of a small model, of
+// trainedEstimator returns an estimator that is trained with answers of a small model, of
 // which goodShare are good, and of the large model.
-func trainedCalibration(seed uint64, goodShare float64, answers int) *ConfidenceEstimator {
+func trainedEstimator(seed uint64, goodShare float64, answers int) *ConfidenceEstimator {
 	r := rand.New(rand.NewPCG(seed, 1))
-	o := NewConfidenceEstimator()
+	e := NewConfidenceEstimator()
 	for range answers {
 		good := r.Float64() < goodShare
-		o.Observe("small", "large", randomConfidence(r, good))
+		e.Observe("small", "large", randomConfidence(r, good))
 		if !good {
-			o.Observe("large", "large", randomConfidence(r, true))
+			e.Observe("large", "large", randomConfidence(r, true))
 		}
 	}
-	return o
+	return e
 }
 
 // TestGoodShareIsEstimatedFromConfidence checks, with 50 seeds, that 250 answers suffice to
@@ -41,8 +41,8 @@
 func TestGoodShareIsEstimatedFromConfidence(t *testing.T) {
 	for _, goodShare := range []float64{0.05, 0.3, 0.54, 0.8, 0.97} {
 		for seed := range uint64(50) {
-			o := trainedCalibration(seed, goodShare, 250)
-			if got := o.GoodShare("small", "large"); math.Abs(got-goodShare) > 0.22 {
+			e := trainedEstimator(seed, goodShare, 250)
+			if got := e.GoodShare("small", "large"); math.Abs(got-goodShare) > 0.22 {
 				t.Errorf("good share %.2f, seed %d: estimated %.2f", goodShare, seed, got)
 			}
 		}
@@ -55,11 +55,11 @@
 func TestExtremeConfidenceWithFewSamples(t *testing.T) {
 	for answers := range 120 {
 		for seed := range uint64(20) {
-			o := trainedCalibration(seed, 0.54, answers)
-			if got := o.GoodProbability("small", "large", 0.05); got > 0.15 {
+			e := trainedEstimator(seed, 0.54, answers)
+			if got := e.GoodProbability("small", "large", 0.05); got > 0.15 {
 				t.Fatalf("seed %d, after %d answers: probability %.2f of a good answer without confidence", seed, answers, got)
 			}
-			if got := o.GoodProbability("small", "large", 0.98); got < 0.85 {
+			if got := e.GoodProbability("small", "large", 0.98); got < 0.85 {
 				t.Fatalf("seed %d, after %d answers: probability %.2f of a good answer with full confidence", seed, answers, got)
 			}
 		}
@@ -70,16 +70,16 @@
 // within bounds and never fall as the confidence rises.
 func TestGoodProbabilityBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := NewConfidenceEstimator()
+		e := NewConfidenceEstimator()
 		models := []contract.ModelID{"small", "middle", "large"}
 		for range rapid.IntRange(0, 80).Draw(t, "answers") {
 			m := rapid.SampledFrom(models).Draw(t, "model")
-			o.Observe(m, "large", rapid.Float64().Draw(t, "confidence"))
+			e.Observe(m, "large", rapid.Float64().Draw(t, "confidence"))
 		}
 		for _, m := range models {
 			previous := 0.0
 			for c := 0.0; c <= 1; c += 0.05 {
-				got := o.GoodProbability(m, "large", c)
+				got := e.GoodProbability(m, "large", c)
 				if math.IsNaN(got) || got < previous-1e-9 || got > 1 {
 					t.Fatalf("%s at %.2f: %v after %v", m, c, got, previous)
 				}
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -1,6 +1,7 @@
-// Package leader lets one VM at a time act for all VMs, under a lease in the platform's store.
+// Package leader lets one VM at a time, the leader, make the calls to the platform for all VMs,
+// under a lease in the platform's store.
 //
-// The platform does not check the fencing number of a call. A call is therefore made only
+// The platform does not check the fencing token of a call. A call is therefore made only
 // while the lease lasts at least as long as the call may take, and a VM that takes the lease
 // over waits that long before its first call. VMs that may take the lease learn of renewals
 // from other VMs: while the holder is alive, it alone accesses the store.
@@ -20,7 +21,7 @@
 )
 
 // Task is a task that the lease holder runs for all VMs. It runs often and makes at most one
-// call to the platform each time, under the fencing number n.
+// call to the platform each time, under the fencing token n.
 type Task interface {
 	Run(ctx context.Context, n contract.FencingToken)
 }
@@ -57,11 +58,11 @@
 	// mu is held while the lease is read or written and while tasks run, so that the lease
 	// is resigned only when no call is in progress.
 	mu sync.Mutex
-	// mu guards the fields below. loggedHolder and loggedFencing are the values that were
-	// logged last.
+	// mu guards the fields below. loggedHolder and loggedFencing are the lease holder and the
+	// fencing token that were logged last.
 	loggedHolder  contract.VMInstance
 	loggedFencing contract.FencingToken
-	resigned      bool
+	resigned      bool // whether this VM gave the lease up and takes it no more
 	// failedCalls counts consecutive failed calls. No call is made before retryAt.
 	failedCalls int
 	retryAt     time.Time
@@ -108,7 +109,7 @@
 	l.logChange()
 }
 
-// tick reads or writes the lease if that is due, and runs the tasks if this VM may act.
+// tick reads or writes the lease if that is due, and runs the tasks if this VM may make calls.
 func (l *Leader) tick(ctx context.Context) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -119,9 +120,9 @@
 		l.syncLease(ctx)
 	}
 	l.logChange()
-	for _, act := range l.opts.Tasks {
+	for _, task := range l.opts.Tasks {
 		if n, ready := l.opts.Lease.ActiveFencing(true); ready && ctx.Err() == nil {
-			act.Run(ctx, n)
+			task.Run(ctx, n)
 		}
 	}
 }
@@ -192,6 +193,7 @@
 	l.opts.OnChange()
 }
 
+// incrementCounter adds one to a metric.
 func (l *Leader) incrementCounter(name string) {
 	metrics.GetOrRegisterCounter(name, l.opts.Registry).Inc(1)
 }
--- a/leader/lease_client.go
+++ b/leader/lease_client.go
@@ -23,14 +23,14 @@
 
 // LeaseStore reads and writes the object of one lease.
 type LeaseStore interface {
-	// Read returns the object, or ErrGone.
+	// Read returns the object, or ErrNotFound.
 	Read(ctx context.Context) (lease.VersionedObject, error)
 	// Write makes the write of a proposal and returns the object with its new version. With
-	// ErrTaken it may return the stored object; version zero means that it does not.
+	// ErrConflict it may return the stored object; version zero means that it does not.
 	Write(ctx context.Context, p lease.Proposal) (lease.VersionedObject, error)
 }
 
-// LeaseClientOptions configure a Keeper.
+// LeaseClientOptions configure a LeaseClient.
 type LeaseClientOptions struct {
 	lease.Options
 	Store LeaseStore
@@ -40,7 +40,7 @@
 }
 
 // LeaseClient acquires, renews and resigns a lease in a store on behalf of one process. It is safe
-// for concurrent use, except that Look, Step and Resign must be called by one goroutine.
+// for concurrent use, except that Read, Sync and Resign must be called by one goroutine.
 type LeaseClient struct {
 	opts *LeaseClientOptions
 
@@ -49,90 +49,91 @@
 	handle *lease.Handle
 }
 
-// NewLeaseClient returns a keeper that does not hold the lease.
+// NewLeaseClient returns a client that does not hold the lease.
 func NewLeaseClient(opts *LeaseClientOptions) *LeaseClient {
 	return &LeaseClient{opts: opts, handle: lease.NewHandle(opts.Options)}
 }
 
-func (k *LeaseClient) withHandle(f func(h *lease.Handle, now time.Time)) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	f(k.handle, k.opts.Clock.Now())
+// withHandle calls f with the handle and the current time while it holds mu.
+func (c *LeaseClient) withHandle(f func(h *lease.Handle, now time.Time)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	f(c.handle, c.opts.Clock.Now())
 }
 
 // Read reads the lease object from the store.
-func (k *LeaseClient) Read(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, k.opts.Timeout)
+func (c *LeaseClient) Read(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout)
 	defer cancel()
-	seen, err := k.opts.Store.Read(ctx)
+	seen, err := c.opts.Store.Read(ctx)
 	switch {
 	case errors.Is(err, ErrNotFound):
-		k.withHandle(func(h *lease.Handle, now time.Time) { h.ObserveMissing(now) })
+		c.withHandle(func(h *lease.Handle, now time.Time) { h.ObserveMissing(now) })
 	case err != nil:
 		return err
 	default:
-		k.withHandle(func(h *lease.Handle, now time.Time) { h.ObserveRead(seen, now) })
+		c.withHandle(func(h *lease.Handle, now time.Time) { h.ObserveRead(seen, now) })
 	}
 	return nil
 }
 
 // Sync reads the lease object if necessary and makes the write that is due, if any.
-func (k *LeaseClient) Sync(ctx context.Context) error {
+func (c *LeaseClient) Sync(ctx context.Context) error {
 	needsRead := false
-	k.withHandle(func(h *lease.Handle, now time.Time) { needsRead = h.NeedsRead(now) })
+	c.withHandle(func(h *lease.Handle, now time.Time) { needsRead = h.NeedsRead(now) })
 	if needsRead {
-		if err := k.Read(ctx); err != nil {
+		if err := c.Read(ctx); err != nil {
 			return err
 		}
 	}
-	return k.write(ctx, (*lease.Handle).Propose)
+	return c.write(ctx, (*lease.Handle).Propose)
 }
 
 // Resign gives the lease up if this process holds it.
-func (k *LeaseClient) Resign(ctx context.Context) error { return k.write(ctx, (*lease.Handle).Resign) }
+func (c *LeaseClient) Resign(ctx context.Context) error { return c.write(ctx, (*lease.Handle).Resign) }
 
 // write makes the write that decide returns, if any.
-func (k *LeaseClient) write(ctx context.Context, decide func(*lease.Handle, time.Time) (lease.Proposal, bool)) error {
+func (c *LeaseClient) write(ctx context.Context, decide func(*lease.Handle, time.Time) (lease.Proposal, bool)) error {
 	var p lease.Proposal
 	var sentAt time.Time
 	due := false
-	k.withHandle(func(h *lease.Handle, now time.Time) {
+	c.withHandle(func(h *lease.Handle, now time.Time) {
 		p, due = decide(h, now)
 		sentAt = now
 	})
 	if !due {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, k.opts.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout)
 	defer cancel()
-	seen, err := k.opts.Store.Write(ctx, p)
+	seen, err := c.opts.Store.Write(ctx, p)
 	switch {
 	case errors.Is(err, ErrNotFound):
-		k.withHandle(func(h *lease.Handle, now time.Time) { h.ObserveMissing(now) })
+		c.withHandle(func(h *lease.Handle, now time.Time) { h.ObserveMissing(now) })
 	case errors.Is(err, ErrConflict) && seen.Version == 0:
-		k.withHandle(func(h *lease.Handle, _ time.Time) { h.Invalidate() })
+		c.withHandle(func(h *lease.Handle, _ time.Time) { h.Invalidate() })
 	case errors.Is(err, ErrConflict):
-		k.withHandle(func(h *lease.Handle, now time.Time) { h.ObserveRead(seen, now) })
+		c.withHandle(func(h *lease.Handle, now time.Time) { h.ObserveRead(seen, now) })
 	case err != nil:
 		return err
 	default:
-		k.withHandle(func(h *lease.Handle, _ time.Time) { h.ConfirmWrite(p, seen.Version, sentAt) })
+		c.withHandle(func(h *lease.Handle, _ time.Time) { h.ConfirmWrite(p, seen.Version, sentAt) })
 	}
 	return nil
 }
 
-// ActiveFencing returns the fencing number under which a call may be made now; see
+// ActiveFencing returns the fencing token under which a call may be made now; see
 // lease.Handle.ActiveFencing.
-func (k *LeaseClient) ActiveFencing(ignoresFencing bool) (n contract.FencingToken, ok bool) {
-	k.withHandle(func(h *lease.Handle, now time.Time) { n, ok = h.ActiveFencing(now, ignoresFencing) })
+func (c *LeaseClient) ActiveFencing(ignoresFencing bool) (n contract.FencingToken, ok bool) {
+	c.withHandle(func(h *lease.Handle, now time.Time) { n, ok = h.ActiveFencing(now, ignoresFencing) })
 	return n, ok
 }
 
 // UpdateRecord applies change to the record and stores the result with the next write,
-// immediately if urgent is true. change gets the pending record, or else the stored one.
-func (k *LeaseClient) UpdateRecord(change func(record json.RawMessage) (json.RawMessage, error), urgent bool) error {
+// immediately if urgent is true. change gets the record to be written next, or else the stored one.
+func (c *LeaseClient) UpdateRecord(change func(record json.RawMessage) (json.RawMessage, error), urgent bool) error {
 	var err error
-	k.withHandle(func(h *lease.Handle, _ time.Time) {
+	c.withHandle(func(h *lease.Handle, _ time.Time) {
 		var next json.RawMessage
 		if next, err = change(h.LatestRecord()); err == nil {
 			h.SetRecord(next, urgent)
@@ -143,25 +144,25 @@
 
 // Latest returns the newest known object and how long it has been unchanged. ok is false if no
 // object is known.
-func (k *LeaseClient) Latest() (seen lease.VersionedObject, age time.Duration, ok bool) {
-	k.withHandle(func(h *lease.Handle, now time.Time) { seen, age, ok = h.Latest(), h.Age(now), h.Latest().Version != 0 })
+func (c *LeaseClient) Latest() (seen lease.VersionedObject, age time.Duration, ok bool) {
+	c.withHandle(func(h *lease.Handle, now time.Time) { seen, age, ok = h.Latest(), h.Age(now), h.Latest().Version != 0 })
 	return seen, age, ok
 }
 
 // ObservePeer records a version that another VM knows and that has been unchanged for age.
-func (k *LeaseClient) ObservePeer(s lease.VersionedObject, age time.Duration) {
-	k.withHandle(func(h *lease.Handle, now time.Time) { h.ObservePeer(s, now.Add(-max(age, 0))) })
+func (c *LeaseClient) ObservePeer(s lease.VersionedObject, age time.Duration) {
+	c.withHandle(func(h *lease.Handle, now time.Time) { h.ObservePeer(s, now.Add(-max(age, 0))) })
 }
 
 // HeldBySelf reports whether the newest known object names this process as the holder.
-func (k *LeaseClient) HeldBySelf() (mine bool) {
-	k.withHandle(func(h *lease.Handle, _ time.Time) { mine = h.HeldBySelf() })
+func (c *LeaseClient) HeldBySelf() (mine bool) {
+	c.withHandle(func(h *lease.Handle, _ time.Time) { mine = h.HeldBySelf() })
 	return mine
 }
 
 // AvailableIn returns the time until this process may acquire the lease. It is zero or
 // negative if it may do so now or already holds it.
-func (k *LeaseClient) AvailableIn() (in time.Duration) {
-	k.withHandle(func(h *lease.Handle, now time.Time) { in = h.AvailableAt().Sub(now) })
+func (c *LeaseClient) AvailableIn() (in time.Duration) {
+	c.withHandle(func(h *lease.Handle, now time.Time) { in = h.AvailableAt().Sub(now) })
 	return in
 }
--- a/leader/record.go
+++ b/leader/record.go
@@ -7,7 +7,7 @@
 	"woaddoor/usage"
 )
 
-// Record is the record in the lease object. Each task of the holder has its own part of it.
+// Record is the record in the lease object. Each task of the lease holder has its own part of it.
 type Record struct {
 	Usage   usage.Record  `json:"usage"`
 	Scaling scaling.State `json:"scaling"`
@@ -24,15 +24,15 @@
 }
 
 // storedRecord returns the record in the newest known lease object.
-func storedRecord(k *LeaseClient) (Record, error) {
-	seen, _, _ := k.Latest()
+func storedRecord(c *LeaseClient) (Record, error) {
+	seen, _, _ := c.Latest()
 	return decodeRecord(seen.Object.Record)
 }
 
 // updateRecord stores a change of the record with the next renewal, immediately if urgent is
 // true. It replaces a record that cannot be decoded by a new one.
-func updateRecord(k *LeaseClient, urgent bool, change func(*Record)) error {
-	return k.UpdateRecord(func(raw json.RawMessage) (json.RawMessage, error) {
+func updateRecord(c *LeaseClient, urgent bool, change func(*Record)) error {
+	return c.UpdateRecord(func(raw json.RawMessage) (json.RawMessage, error) {
 		r, err := decodeRecord(raw)
 		if err != nil {
 			r = Record{}
--- a/leader/reports.go
+++ b/leader/reports.go
@@ -33,10 +33,10 @@
 	Registry metrics.Registry
 }
 
-// UsageReporter reports the usage of each window once. It is an Act.
+// UsageReporter reports the usage of each window once. It is a Task.
 type UsageReporter struct {
 	opts *UsageReporterOptions
-	// fencing is the fencing number of the last run, and fencingSince the time of the first
+	// fencing is the fencing token of the last run, and fencingSince the time of the first
 	// run under it.
 	fencing      contract.FencingToken
 	fencingSince time.Time
@@ -59,13 +59,13 @@
 	maxReportBackoff = 1600 * time.Millisecond
 )
 
-// collectionDelay is how long a new lease holder collects counts before it fixes any window.
+// collectionDelay is how long a new lease holder collects counts before it closes any window.
 // Other VMs first have to learn that it holds the lease.
 const collectionDelay = 700 * time.Millisecond
 
-// Run fixes the counts of windows that are over, or reports the first window that is fixed but not
-// finished. Counts are reported only once the store contains them; otherwise another VM could fix
-// and report different counts for the same window.
+// Run closes windows that are over, or reports the first closed window that is not finished.
+// Counts are reported only once the store contains them; otherwise another VM could close the
+// window with different counts and report those.
 func (r *UsageReporter) Run(ctx context.Context, n contract.FencingToken) {
 	now := r.opts.Now()
 	if n != r.fencing {
@@ -108,7 +108,7 @@
 	}
 }
 
-// firstOpen returns the first window that is fixed but not finished.
+// firstOpen returns the first closed window that is not finished.
 func (r *UsageReporter) firstOpen(record usage.Record) (usage.ClosedWindow, bool) {
 	for _, f := range record.Unreported {
 		if !r.finished[f.Window] {
@@ -120,11 +120,11 @@
 
 // pruneFinished forgets finished windows that the stored record no longer contains.
 func (r *UsageReporter) pruneFinished(record usage.Record) {
-	fixed := make(map[usage.Window]bool, len(record.Unreported))
+	closed := make(map[usage.Window]bool, len(record.Unreported))
 	for _, f := range record.Unreported {
-		fixed[f.Window] = true
+		closed[f.Window] = true
 	}
-	maps.DeleteFunc(r.finished, func(w usage.Window, _ bool) bool { return !fixed[w] })
+	maps.DeleteFunc(r.finished, func(w usage.Window, _ bool) bool { return !closed[w] })
 }
 
 // expireWindows gives up the windows whose deadline for reporting has passed.
@@ -157,7 +157,7 @@
 	}
 }
 
-// finish records the outcome of a window.
+// finish records that a window is reported or given up, and logs the outcome.
 func (r *UsageReporter) finish(w usage.Window, outcome string, fields ...zap.Field) {
 	r.finished[w] = true
 	metrics.GetOrRegisterCounter(fmt.Sprintf("usage_windows_total{end=%q}", outcome), r.opts.Registry).Inc(1)
--- a/leader/reports_test.go
+++ b/leader/reports_test.go
@@ -48,7 +48,7 @@
 func (a *fakeUsageAPI) Report(_ context.Context, n contract.FencingToken, f usage.ClosedWindow) error {
 	a.calls++
 	if n < a.lastFencing {
-		a.t.Errorf("fencing number %d came after %d", n, a.lastFencing)
+		a.t.Errorf("fencing token %d came after %d", n, a.lastFencing)
 	}
 	a.lastFencing = n
 	if earlier, ok := a.reported[f.Window]; ok && !maps.Equal(earlier, f.Counts) {
@@ -64,7 +64,7 @@
 // Settings of the VMs under test.
 const testLease = 3 * time.Second
 
-var testTerms = usage.Rules{Window: 5 * time.Second, ReportDeadline: 10 * time.Second}
+var testRules = usage.Rules{Window: 5 * time.Second, ReportDeadline: 10 * time.Second}
 
 // simulation is VMs that share a store and a platform, in simulated time.
 type simulation struct {
@@ -74,31 +74,31 @@
 }
 
 func newSimulation(t *testing.T) *simulation {
-	start := testTerms.Window // the clock starts at the start of a window
+	start := testRules.Window // the clock starts at the start of a window
 	return &simulation{clock.NewFake(time.Unix(0, int64(1000*start))), &memoryStore{}, &fakeUsageAPI{t: t, reported: make(map[usage.Window]usage.Counts)}}
 }
 
 // testVM is one simulated VM.
 type testVM struct {
 	simulation *simulation
-	book       *UsageLedger
-	keeper     *LeaseClient
+	ledger     *UsageLedger
+	client     *LeaseClient
 	leader     *Leader
 }
 
 func (s *simulation) newVM(name contract.VMID) *testVM {
 	vm := &testVM{simulation: s}
-	vm.keeper = NewLeaseClient(&LeaseClientOptions{
+	vm.client = NewLeaseClient(&LeaseClientOptions{
 		Options: lease.Options{Self: contract.VMInstance{VM: name, Incarnation: 1}, Duration: testLease},
 		Store:   s.store, Clock: s.clock, Timeout: time.Second,
 	})
-	vm.book = NewUsageLedger(&UsageLedgerOptions{Self: contract.VMInstance{VM: name}, Terms: testTerms, Now: s.clock.Now})
+	vm.ledger = NewUsageLedger(&UsageLedgerOptions{Self: contract.VMInstance{VM: name}, Terms: testRules, Now: s.clock.Now})
 	registry := metrics.NewRegistry()
 	reports := NewUsageReporter(&UsageReporterOptions{
-		Lease: vm.keeper, Ledger: vm.book, Terms: testTerms, API: s.platform, Now: s.clock.Now, Log: zap.NewNop(), Registry: registry,
+		Lease: vm.client, Ledger: vm.ledger, Terms: testRules, API: s.platform, Now: s.clock.Now, Log: zap.NewNop(), Registry: registry,
 	})
 	vm.leader = New(&Options{
-		Lease: vm.keeper, TakeoverDelay: func() (time.Duration, bool) { return 0, true }, OnChange: func() {},
+		Lease: vm.client, TakeoverDelay: func() (time.Duration, bool) { return 0, true }, OnChange: func() {},
 		Tasks: []Task{reports}, Log: zap.NewNop(), Registry: registry,
 	})
 	return vm
@@ -121,10 +121,10 @@
 	sim := newSimulation(t)
 	a, b := sim.newVM("a"), sim.newVM("b")
 	for range 3 {
-		a.book.CountRequest("w", sim.clock.Now())
+		a.ledger.CountRequest("w", sim.clock.Now())
 	}
 	for range 5 {
-		b.book.CountRequest("w", sim.clock.Now())
+		b.ledger.CountRequest("w", sim.clock.Now())
 	}
 	sim.platform.noReply = true
 	sim.run(8*time.Second, a)
@@ -140,9 +140,9 @@
 	is := is.New(t)
 	sim := newSimulation(t)
 	a := sim.newVM("a")
-	a.book.CountRequest("w", sim.clock.Now())
-	sim.run(testTerms.Window, a)
-	a.book.CountRequest("w", sim.clock.Now())
+	a.ledger.CountRequest("w", sim.clock.Now())
+	sim.run(testRules.Window, a)
+	a.ledger.CountRequest("w", sim.clock.Now())
 	sim.run(12*time.Second, a)
 	is.Equal(sim.platform.calls, 2)
 	is.Equal(sim.platform.reported, map[usage.Window]usage.Counts{1000: {"w": 1}, 1001: {"w": 1}})
@@ -151,7 +151,7 @@
 
 func (vm *testVM) usageRecord(t *testing.T) usage.Record {
 	t.Helper()
-	record, err := storedRecord(vm.keeper)
+	record, err := storedRecord(vm.client)
 	is.New(t).NoErr(err)
 	return record.Usage
 }
@@ -162,28 +162,28 @@
 	sim := newSimulation(t)
 	sim.platform.err = &RefusedError{errors.New("status 400")}
 	a := sim.newVM("a")
-	a.book.CountRequest("w", sim.clock.Now())
+	a.ledger.CountRequest("w", sim.clock.Now())
 	sim.run(20*time.Second, a)
 	is.Equal(sim.platform.calls, 1)
 }
 
-// TestSilentCollectorDelaysWindow checks that a window is not fixed while a collector is silent, but
-// is fixed before its deadline passes.
+// TestSilentCollectorDelaysWindow checks that a window is not closed while a collector is
+// silent, but is closed before its deadline passes.
 func TestSilentCollectorDelaysWindow(t *testing.T) {
 	is := is.New(t)
 	sim := newSimulation(t)
 	a := sim.newVM("a")
 	sim.run(2*time.Second, a)
-	a.book.CountRequest("w", sim.clock.Now())
-	a.book.CollectorReported(contract.VMInstance{VM: "hub"}, "other", false)
+	a.ledger.CountRequest("w", sim.clock.Now())
+	a.ledger.CollectorReported(contract.VMInstance{VM: "hub"}, "other", false)
 	sim.run(6*time.Second, a) // until 3 s after the end of the window
 	is.Equal(sim.platform.calls, 0)
-	a.book.Merge([]usage.Part{{Source: contract.VMInstance{VM: "hub"}, Window: 1000, Counts: usage.Counts{"w": 2}}})
-	a.book.CollectorReported(contract.VMInstance{VM: "hub"}, "other", false)
+	a.ledger.Merge([]usage.Part{{Source: contract.VMInstance{VM: "hub"}, Window: 1000, Counts: usage.Counts{"w": 2}}})
+	a.ledger.CollectorReported(contract.VMInstance{VM: "hub"}, "other", false)
 	sim.run(time.Second, a)
 	is.Equal(sim.platform.reported[1000], usage.Counts{"w": 3})
 
-	a.book.CountRequest("w", sim.clock.Now())
-	sim.run(testTerms.ReportDeadline, a)
+	a.ledger.CountRequest("w", sim.clock.Now())
+	sim.run(testRules.ReportDeadline, a)
 	is.Equal(sim.platform.reported[1001], usage.Counts{"w": 1})
 }
--- a/leader/scaler.go
+++ b/leader/scaler.go
@@ -29,39 +29,39 @@
 	Lease *LeaseClient
 	API   ScalingAPI
 	// Services returns the configured services, and Upstreams the upstreams on the store's
-	// list. Age returns the age of that list.
+	// list. ListAge returns the age of that list.
 	Services  func() map[contract.ServiceID]*route.Service
 	Upstreams func() []upstream.Entry
 	ListAge   func() time.Duration
 	// Load returns the load of all VMs on the upstreams of each service.
 	Load func() map[contract.ServiceID]scaling.Load
-	// ReleaseState reports whether a service has a release roll-out in progress, and whether it
-	// has completed one. Objective is the time within which responses should begin.
-	ReleaseState      func(contract.ServiceID) (under, brought bool)
+	// ReleaseState reports whether a service has a release rollout in progress, and whether it
+	// has completed one. ResponseObjective is the time within which responses should begin.
+	ReleaseState      func(contract.ServiceID) (inProgress, done bool)
 	ResponseObjective func(contract.ServiceID) time.Duration
 	Now               func() time.Time
 	Log               *zap.Logger
 	Registry          metrics.Registry
 }
 
-// Scaler orders upstreams according to load. It is an Act.
+// Scaler orders as many upstreams as the load requires. It is a Task.
 type Scaler struct {
 	opts *ScalerOptions
 	// peaks are the recent peak requirements of each service.
 	peaks map[contract.ServiceID]*scaling.Peak
 	// listedSince is when each listed upstream first appeared on the list.
 	listedSince map[contract.UpstreamInstance]time.Time
-	// lastRun is when this VM last checked all services. A failed order of a subject is not
-	// repeated before retryAt.
+	// lastRun is when this VM last checked all services. A failed scaling order for a
+	// group is not repeated before retryAt.
 	lastRun time.Time
 	retryAt map[scaling.Group]time.Time
-	// lastOrders are the last orders of each subject, by this VM or an earlier lease holder.
+	// lastOrders are the last scaling orders for each group, by this VM or an earlier lease holder.
 	lastOrders map[scaling.Group]sentOrder
 	// listedCounts are the numbers of listed upstreams of each service.
 	listedCounts map[contract.ServiceID]listedCount
 }
 
-// sentOrder is the number of upstreams that was ordered and when this VM sent or first saw
+// sentOrder is the number of upstreams in a scaling order, and when this VM sent or first saw
 // the order.
 type sentOrder struct {
 	count  int
@@ -88,19 +88,19 @@
 	scaleInterval = 500 * time.Millisecond
 	// maxListAge is the maximum age of the upstream list. Nothing is ordered from an older one.
 	maxListAge = 5 * time.Second
-	// failedOrderBackoff is the delay after an order that failed. refusedOrderBackoff is the
-	// delay after an order that the platform refused because it has no upstreams to give.
+	// failedOrderBackoff is the delay after a scaling order that failed. refusedOrderBackoff is
+	// the delay after an order that the platform refused because it has no upstreams to give.
 	failedOrderBackoff  = time.Second
 	refusedOrderBackoff = 4 * time.Second
-	// listLag is how far the list is behind: a new upstream appears on it that long after it
-	// starts to serve, and a removed upstream stays on it that long after it stops.
+	// listLag is how far the upstream list is behind: a new upstream appears on it that long
+	// after it starts to serve, and a removed upstream stays on it that long after it stops.
 	listLag = 3 * time.Second
 	// stableListDelay is how long the number of listed upstreams must be unchanged before it
 	// is taken as the number that the operator has assigned to the service.
 	stableListDelay = time.Second
 )
 
-// Run sends the first order that is due.
+// Run sends the first scaling order that is due.
 func (s *Scaler) Run(ctx context.Context, n contract.FencingToken) {
 	now := s.opts.Now()
 	if now.Sub(s.lastRun) < scaleInterval {
@@ -116,14 +116,14 @@
 	if err != nil {
 		s.opts.Log.Error("lease-record-malformed", logs.ErrorFields(err)...)
 	}
-	work := s.opts.Load()
+	load := s.opts.Load()
 	services := s.opts.Services()
 	for _, id := range slices.Sorted(maps.Keys(services)) {
 		limits := services[id].Scaling
 		if limits == nil {
 			continue
 		}
-		if s.scaleService(ctx, n, id, *limits, record.Scaling, entriesOfService(entries, id), work[id], now) {
+		if s.scaleService(ctx, n, id, *limits, record.Scaling, entriesOfService(entries, id), load[id], now) {
 			return
 		}
 	}
@@ -141,47 +141,48 @@
 	maps.DeleteFunc(s.listedSince, func(l contract.UpstreamInstance, _ time.Time) bool { return !listed[l] })
 }
 
+// entriesOfService returns the upstreams of one service.
 func entriesOfService(entries []upstream.Entry, id contract.ServiceID) []upstream.Entry {
 	return slices.DeleteFunc(slices.Clone(entries), func(e upstream.Entry) bool { return e.Service != id })
 }
 
 // scaleService decides how many upstreams one service needs and sends the first order that is
 // due. It reports whether it sent one.
-func (s *Scaler) scaleService(ctx context.Context, n contract.FencingToken, id contract.ServiceID, limits scaling.Limits, record scaling.State, entries []upstream.Entry, work scaling.Load, now time.Time) bool {
-	stands := s.countUpstreams(entries, now)
-	sized := record.Baseline[id]
-	if sized == nil {
-		s.recordInitialSize(id, stands, now)
+func (s *Scaler) scaleService(ctx context.Context, n contract.FencingToken, id contract.ServiceID, limits scaling.Limits, record scaling.State, entries []upstream.Entry, load scaling.Load, now time.Time) bool {
+	running := s.countUpstreams(entries, now)
+	baseline := record.Baseline[id]
+	if baseline == nil {
+		s.recordInitialSize(id, running, now)
 		return false
 	}
-	need := s.requiredUpstreams(id, work, entries, now)
+	need := s.requiredUpstreams(id, load, entries, now)
 	releasing, released := s.opts.ReleaseState(id)
 	next := scaling.Plan(scaling.Input{
-		Service: id, Limits: limits, Baseline: sized, Running: stands, InProgress: s.pendingOrders(record.OrdersOf(id), limits, now),
+		Service: id, Limits: limits, Baseline: baseline, Running: running, InProgress: s.pendingOrders(record.OrdersOf(id), limits, now),
 		Need: need, ReleaseInProgress: releasing, ReleaseDone: released,
 	})
 	for _, o := range next {
 		if now.Before(s.retryAt[o.Group]) {
 			continue
 		}
-		s.sendOrder(ctx, n, o, stands[o.DataCentre], need)
+		s.sendOrder(ctx, n, o, running[o.DataCentre], need)
 		return true
 	}
 	return false
 }
 
-// pendingOrders returns the orders that the list may not reflect yet. An order of an earlier
-// lease holder counts as sent at the time when this VM first sees it.
+// pendingOrders returns the scaling orders that the upstream list may not reflect yet. An order
+// of an earlier lease holder counts as sent at the time when this VM first sees it.
 func (s *Scaler) pendingOrders(ordered map[scaling.Group]int, limits scaling.Limits, now time.Time) map[scaling.Group]int {
-	for subject, count := range ordered {
-		if _, ok := s.lastOrders[subject]; !ok {
-			s.lastOrders[subject] = sentOrder{count, now}
+	for group, count := range ordered {
+		if _, ok := s.lastOrders[group]; !ok {
+			s.lastOrders[group] = sentOrder{count, now}
 		}
 	}
 	out := make(map[scaling.Group]int, len(s.lastOrders))
-	for subject, o := range s.lastOrders {
+	for group, o := range s.lastOrders {
 		if now.Sub(o.sentAt) < limits.BootTime+listLag {
-			out[subject] = o.count
+			out[group] = o.count
 		}
 	}
 	return out
@@ -189,12 +190,12 @@
 
 // countUpstreams counts the upstreams of each data centre that are not leaving.
 func (s *Scaler) countUpstreams(entries []upstream.Entry, now time.Time) map[contract.DataCentreID]scaling.UpstreamCounts {
-	stands := make(map[contract.DataCentreID]scaling.UpstreamCounts)
+	running := make(map[contract.DataCentreID]scaling.UpstreamCounts)
 	for _, e := range entries {
 		if e.Leaving {
 			continue
 		}
-		counts := stands[e.DataCentre]
+		counts := running[e.DataCentre]
 		cold := now.Sub(s.listedSince[e.Instance()]) < e.Cold
 		if cold {
 			counts.Cold++
@@ -207,16 +208,16 @@
 		if cold && e.Preemptible {
 			counts.ColdPreemptible++
 		}
-		stands[e.DataCentre] = counts
+		running[e.DataCentre] = counts
 	}
-	return stands
+	return running
 }
 
 // recordInitialSize stores how many upstreams a service has before any is ordered.
-func (s *Scaler) recordInitialSize(id contract.ServiceID, stands map[contract.DataCentreID]scaling.UpstreamCounts, now time.Time) {
+func (s *Scaler) recordInitialSize(id contract.ServiceID, running map[contract.DataCentreID]scaling.UpstreamCounts, now time.Time) {
 	each := make(map[contract.DataCentreID]int)
 	total := 0
-	for dc, counts := range stands {
+	for dc, counts := range running {
 		each[dc] = counts.Standard + counts.Preemptible
 		total += each[dc]
 	}
@@ -234,7 +235,7 @@
 }
 
 // requiredUpstreams returns how many upstreams the recent peak load requires.
-func (s *Scaler) requiredUpstreams(id contract.ServiceID, w scaling.Load, entries []upstream.Entry, now time.Time) float64 {
+func (s *Scaler) requiredUpstreams(id contract.ServiceID, load scaling.Load, entries []upstream.Entry, now time.Time) float64 {
 	slots := 0
 	for _, e := range entries {
 		slots = max(slots, e.Slots)
@@ -244,7 +245,7 @@
 		p = &scaling.Peak{}
 		s.peaks[id] = p
 	}
-	return p.Record(w.Need(slots, s.opts.ResponseObjective(id)), now)
+	return p.Record(load.Need(slots, s.opts.ResponseObjective(id)), now)
 }
 
 // sendOrder sends one order and logs its outcome.
@@ -275,6 +276,7 @@
 	s.opts.Log.Warn("upstreams-not-ordered", append(fields, logs.ErrorFields(err)...)...)
 }
 
+// countOutcome counts a scaling order by its outcome.
 func (s *Scaler) countOutcome(outcome string) {
 	metrics.GetOrRegisterCounter(fmt.Sprintf("upstream_orders_total{end=%q}", outcome), s.opts.Registry).Inc(1)
 }
--- a/leader/usage_ledger.go
+++ b/leader/usage_ledger.go
@@ -8,7 +8,7 @@
 	"woaddoor/usage"
 )
 
-// UsageLedgerOptions configure a Book.
+// UsageLedgerOptions configure a UsageLedger.
 type UsageLedgerOptions struct {
 	Self       contract.VMInstance
 	DataCentre contract.DataCentreID
@@ -34,17 +34,18 @@
 	collectors map[contract.VMInstance]collector
 }
 
+// collector is a VM that collects the counts of other VMs.
 type collector struct {
 	dataCentre contract.DataCentreID
 	reportedAt time.Time // when it last sent all counts that it knew
 }
 
-// NewUsageLedger returns an empty book.
+// NewUsageLedger returns an empty ledger.
 func NewUsageLedger(opts *UsageLedgerOptions) *UsageLedger {
 	return &UsageLedger{opts: opts, sums: usage.NewCounter(), acknowledged: make(map[contract.VMInstance]uint64), collectors: make(map[contract.VMInstance]collector)}
 }
 
-// Limits of what a book keeps.
+// Limits of what a UsageLedger stores.
 const (
 	// extraWindows is how many windows are kept beyond those that can still be reported.
 	extraWindows = 2
@@ -56,75 +57,76 @@
 )
 
 // CountRequest counts a request that an upstream began to run at the wall-clock time at.
-func (b *UsageLedger) CountRequest(w contract.WorkspaceID, at time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.sums.CountStart(b.opts.Self, usage.WindowOf(at, b.opts.Terms.Window), w)
+func (l *UsageLedger) CountRequest(w contract.WorkspaceID, at time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.sums.CountStart(l.opts.Self, usage.WindowOf(at, l.opts.Terms.Window), w)
 }
 
 // ChangesFor returns the counts to send to a recipient, and the number of the newest change among
-// them, to pass to Answered once the recipient has replied.
-func (b *UsageLedger) ChangesFor(recipient contract.VMInstance) ([]usage.Part, uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.pruneWindows()
-	return b.sums.ChangedSince(b.acknowledged[recipient])
+// them, to pass to Acknowledge once the recipient has replied.
+func (l *UsageLedger) ChangesFor(recipient contract.VMInstance) ([]usage.Part, uint64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.pruneWindows()
+	return l.sums.ChangedSince(l.acknowledged[recipient])
 }
 
-// Acknowledge records that a recipient has all changes up to and including mark.
-func (b *UsageLedger) Acknowledge(recipient contract.VMInstance, mark uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(b.acknowledged) >= maxRecipients {
-		clear(b.acknowledged)
+// Acknowledge records that a recipient has all changes up to and including the change with the
+// given number.
+func (l *UsageLedger) Acknowledge(recipient contract.VMInstance, change uint64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.acknowledged) >= maxRecipients {
+		clear(l.acknowledged)
 	}
-	b.acknowledged[recipient] = max(b.acknowledged[recipient], mark)
+	l.acknowledged[recipient] = max(l.acknowledged[recipient], change)
 }
 
 // Merge merges usage counts that another VM has sent.
-func (b *UsageLedger) Merge(parts []usage.Part) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (l *UsageLedger) Merge(parts []usage.Part) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for _, p := range parts {
-		b.sums.Merge(p)
+		l.sums.Merge(p)
 	}
 }
 
-// CollectorReported records that a collector has sent all counts that it knows. If final is true, the
-// collector is shutting down and will send no more.
-func (b *UsageLedger) CollectorReported(from contract.VMInstance, dc contract.DataCentreID, final bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// CollectorReported records that a collector has sent all counts that it knows. If final is
+// true, the collector is shutting down and will send no more.
+func (l *UsageLedger) CollectorReported(from contract.VMInstance, dc contract.DataCentreID, final bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if final {
-		delete(b.collectors, from)
+		delete(l.collectors, from)
 		return
 	}
-	b.collectors[from] = collector{dc, b.opts.Now()}
+	l.collectors[from] = collector{dc, l.opts.Now()}
 }
 
 // completeUntil returns the earliest of the times at which the active collectors last sent
 // their counts, or the zero time if a data centre has no active collector.
-func (b *UsageLedger) completeUntil() time.Time {
-	var centres []contract.DataCentreID
-	if b.opts.DataCentres != nil {
-		centres = b.opts.DataCentres()
+func (l *UsageLedger) completeUntil() time.Time {
+	var dataCentres []contract.DataCentreID
+	if l.opts.DataCentres != nil {
+		dataCentres = l.opts.DataCentres()
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.opts.Now()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.opts.Now()
 	earliest := now
-	reported := map[contract.DataCentreID]bool{b.opts.DataCentre: true}
-	for life, t := range b.collectors {
-		if now.Sub(t.reportedAt) > collectorTimeout {
-			delete(b.collectors, life)
+	reported := map[contract.DataCentreID]bool{l.opts.DataCentre: true}
+	for instance, c := range l.collectors {
+		if now.Sub(c.reportedAt) > collectorTimeout {
+			delete(l.collectors, instance)
 			continue
 		}
-		reported[t.dataCentre] = true
-		if t.reportedAt.Before(earliest) {
-			earliest = t.reportedAt
+		reported[c.dataCentre] = true
+		if c.reportedAt.Before(earliest) {
+			earliest = c.reportedAt
 		}
 	}
-	for _, dc := range centres {
+	for _, dc := range dataCentres {
 		if !reported[dc] {
 			return time.Time{}
 		}
@@ -132,19 +134,19 @@
 	return earliest
 }
 
-// CloseWindows returns the record with the counts of all windows fixed that can be fixed
-// now, and whether it changed; see usage.Terms.Close.
-func (b *UsageLedger) CloseWindows(r usage.Record) (usage.Record, bool) {
-	completeUntil := b.completeUntil()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.pruneWindows()
-	return b.opts.Terms.Close(r, b.sums, completeUntil, b.opts.Now())
+// CloseWindows returns the record with all windows closed that can be closed now, and whether it
+// changed; see usage.Rules.Close.
+func (l *UsageLedger) CloseWindows(r usage.Record) (usage.Record, bool) {
+	completeUntil := l.completeUntil()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.pruneWindows()
+	return l.opts.Terms.Close(r, l.sums, completeUntil, l.opts.Now())
 }
 
 // pruneWindows drops the windows that cannot be reported any more. The caller holds mu.
-func (b *UsageLedger) pruneWindows() {
-	t := b.opts.Terms
-	oldest := b.opts.Now().Add(-t.ReportDeadline)
-	b.sums.DropBefore(usage.WindowOf(oldest, t.Window) - extraWindows)
+func (l *UsageLedger) pruneWindows() {
+	rules := l.opts.Terms
+	oldest := l.opts.Now().Add(-rules.ReportDeadline)
+	l.sums.DropBefore(usage.WindowOf(oldest, rules.Window) - extraWindows)
 }
--- a/lease/fleet_simulation_test.go
+++ b/lease/fleet_simulation_test.go
@@ -19,10 +19,10 @@
 	maxSimulatedCall = simulatedLease/marginDivisor - time.Millisecond
 )
 
-// fleetSimulation is a store, a platform that accepts any fencing number, and VMs that hold the lease
-// in turn and call the platform. VMs are suspended, killed and restarted under the same name, send
-// each other the state of the lease, and resign. The store is unavailable at times, loses replies and
-// applies writes late.
+// fleetSimulation is a store, a platform that accepts any fencing token, and VMs that hold the
+// lease in turn and call the platform. VMs are suspended, killed and restarted under the same
+// name, send each other the state of the lease, and resign. The store is unavailable at times,
+// loses replies and applies writes late.
 type fleetSimulation struct {
 	t             *rapid.T
 	now           time.Time
@@ -30,23 +30,25 @@
 	vms           []*simulatedVM
 	delayedWrites []Proposal // writes without a reply that may still be applied
 	calls         []simulatedCall
-	// About the calls that have arrived: the last fencing number and VM, the VM that used each
-	// number, and the time of each VM's last call.
+	// Of the calls that have arrived: the last fencing token and VM, the VM that used each
+	// token, and the time of each VM's last call.
 	lastFencing contract.FencingToken
 	lastVM      contract.VMID
 	vmByFencing map[contract.FencingToken]contract.VMID
 	lastArrival map[contract.VMID]time.Time
-	// storedRecord is the last record in the store. callers are the VM incarnations that made calls.
+	// storedRecord is the last record in the store. callers are the VM instances that made calls.
 	storedRecord int
 	callers      map[contract.VMInstance]bool
 }
 
+// simulatedVM is a VM, whose incarnation grows with each restart.
 type simulatedVM struct {
 	name        contract.VMID
 	incarnation contract.Incarnation
 	handle      *Handle
 }
 
+// simulatedCall is a call that is on its way to the platform.
 type simulatedCall struct {
 	from      contract.VMID
 	fencing   contract.FencingToken
@@ -77,10 +79,11 @@
 
 // eventKinds are the possible events, repeated according to their frequency.
 var eventKinds = []string{
-	"step", "step", "step", "step", "step", "step", "step", "step", "call", "call", "call", "call", "call", "call", "tell peer", "tell peer",
+	"step", "step", "step", "step", "step", "step", "step", "step", "call", "call", "call", "call", "call", "call", "send to peer", "send to peer",
 	"time passes", "time passes", "time passes", "step, reply lost", "step, reply lost", "apply delayed write", "step, store unavailable", "read", "read", "resign", "restart", "restart all", "long pause",
 }
 
+// randomEvent draws an event and applies it.
 func (f *fleetSimulation) randomEvent() {
 	v := f.randomVM()
 	switch rapid.SampledFrom(eventKinds).Draw(f.t, "event") {
@@ -94,8 +97,8 @@
 		v.handle.Propose(f.now)
 	case "call":
 		f.call(v)
-	case "tell peer":
-		f.tellPeer(v, f.randomVM())
+	case "send to peer":
+		f.sendToPeer(v, f.randomVM())
 	case "read":
 		if f.stored.Version != 0 {
 			v.handle.ObserveRead(f.stored, f.now)
@@ -164,6 +167,7 @@
 	return true
 }
 
+// applyDelayedWrite applies the oldest write that the store delayed.
 func (f *fleetSimulation) applyDelayedWrite() {
 	if len(f.delayedWrites) > 0 {
 		p := f.delayedWrites[0]
@@ -183,9 +187,9 @@
 	f.calls = append(f.calls, simulatedCall{v.name, n, f.now.Add(delay)})
 }
 
-// tellPeer sends the state of the lease, without its record, from one VM to another. Delivery takes
-// some time.
-func (f *fleetSimulation) tellPeer(from, to *simulatedVM) {
+// sendToPeer sends the state of the lease, without its record, from one VM to another. Delivery
+// takes some time.
+func (f *fleetSimulation) sendToPeer(from, to *simulatedVM) {
 	s := from.handle.Latest()
 	if s.Version == 0 || from == to {
 		return
@@ -217,25 +221,26 @@
 	}
 }
 
+// deliver checks a call that arrives against those that arrived before it.
 func (f *fleetSimulation) deliver(c simulatedCall) {
 	if c.fencing < f.lastFencing {
-		f.t.Fatalf("fencing number %d of %s arrived after %d", c.fencing, c.from, f.lastFencing)
+		f.t.Fatalf("fencing token %d of %s arrived after %d", c.fencing, c.from, f.lastFencing)
 	}
 	if otherVM, used := f.vmByFencing[c.fencing]; used && otherVM != c.from {
-		f.t.Fatalf("fencing number %d was used by %s and %s", c.fencing, otherVM, c.from)
+		f.t.Fatalf("fencing token %d was used by %s and %s", c.fencing, otherVM, c.from)
 	}
-	if previous, acted := f.lastArrival[c.from]; acted && f.lastVM != c.from && c.arrivesAt.Sub(previous) < simulatedLease {
-		f.t.Fatalf("%s acted, then %s, then %s again within %v", c.from, f.lastVM, c.from, c.arrivesAt.Sub(previous))
+	if previous, known := f.lastArrival[c.from]; known && f.lastVM != c.from && c.arrivesAt.Sub(previous) < simulatedLease {
+		f.t.Fatalf("%s made a call, then %s, then %s again within %v", c.from, f.lastVM, c.from, c.arrivesAt.Sub(previous))
 	}
 	f.lastFencing, f.lastVM = c.fencing, c.from
 	f.vmByFencing[c.fencing], f.lastArrival[c.from] = c.from, c.arrivesAt
 }
 
-// TestOnlyOneVMActsUnderFaults simulates fleets with all kinds of faults, before a platform that
-// accepts any fencing number. Fencing numbers must never decrease and never be shared by two VMs. No
-// VM may act, then another VM, then the first one again within the length of one lease. A stored
-// record must never be reverted.
-func TestOnlyOneVMActsUnderFaults(t *testing.T) {
+// TestOnlyOneVMMakesCallsUnderFaults simulates fleets with all kinds of faults, before a
+// platform that accepts any fencing token. Fencing tokens must never decrease and never be
+// shared by two VMs. No VM may make calls, then another VM, then the first one again within the
+// length of one lease. A stored record must never be reverted.
+func TestOnlyOneVMMakesCallsUnderFaults(t *testing.T) {
 	mostCallers := 0
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleetSimulation(t, rapid.IntRange(2, 4).Draw(t, "vms"))
@@ -246,7 +251,7 @@
 		mostCallers = max(mostCallers, len(f.callers))
 	})
 	if mostCallers < 3 {
-		t.Errorf("at most %d VM incarnations acted in one run: the simulation has too few faults", mostCallers)
+		t.Errorf("at most %d VM instances made calls in one run: the simulation has too few faults", mostCallers)
 	}
 }
 
@@ -274,8 +279,8 @@
 }
 
 // TestResignedVMWaitsFullLease checks VMs that are stopped one after the other, each of which
-// resigns. Without the rule the first one, once restarted, would act again within a second of its
-// last call although another VM has acted since.
+// resigns. Without the rule the first one, once restarted, would make calls again within a second of
+// its last call although another VM has made calls since.
 func TestResignedVMWaitsFullLease(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
@@ -299,7 +304,7 @@
 	c := newHandle("c", 1)
 	c.ObserveRead(s, now)
 	_, ok = c.Propose(now)
-	is.True(ok) // c has not acted yet
+	is.True(ok) // c has made no call yet
 	_, ok = restarted.Propose(now.Add(simulatedLease))
 	is.True(ok)
 }
@@ -338,7 +343,7 @@
 
 // TestLostReplyKeepsStoredRecord checks a renewal that is applied but whose reply is lost. Meanwhile
 // the holder prepares another record from the old object. Writing it over the stored record would
-// let two different records of the same thing be acted on.
+// let VMs act on two different records of the same decision.
 func TestLostReplyKeepsStoredRecord(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
@@ -356,11 +361,11 @@
 	is.Equal(string(p.Object.Record), `"first"`)
 }
 
-// TestPeerUpdateBlocksActingUntilRead checks a renewal that is applied but whose reply is lost, and
-// that the holder learns of from another VM, without the record. Until it reads the object, the holder
-// must not renew the lease, which would delete the stored record, nor make a call, which might
-// contradict that record.
-func TestPeerUpdateBlocksActingUntilRead(t *testing.T) {
+// TestPeerUpdateBlocksCallsUntilRead checks a renewal that is applied but whose reply is lost,
+// and that the holder learns of from another VM, without the record. Until it reads the object,
+// the holder must not renew the lease, which would delete the stored record, nor make a call,
+// which might contradict that record.
+func TestPeerUpdateBlocksCallsUntilRead(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	a, s := newHolder(t, now)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,6 +1,7 @@
-// Package lease elects the one VM that acts for all VMs, under a fencing number. It is a
-// state machine over one object in the platform's store and does no I/O. The current time is
-// a parameter, taken from a clock that includes suspensions and is never set.
+// Package lease elects the leader: the one VM that makes the calls to the platform for all VMs,
+// each under a fencing token. It is a state machine over one object in the platform's store and
+// does no I/O. The current time is a parameter, taken from a clock that includes suspensions
+// and is never set.
 //
 // A holder measures its lease on its own clock, starting before it sent the request, and
 // stops well before the end. A VM that takes the lease over first waits, on its own clock,
@@ -9,7 +10,7 @@
 // lease has expired.
 //
 // A call made under a lease may still be in progress when the lease ends. An engine that
-// checks fencing numbers refuses it then. For engines that do not, ActiveFencing makes a new
+// checks fencing tokens refuses it then. For engines that do not, ActiveFencing makes a new
 // holder wait for the longest delay of a call. The state of an engine is read back, never
 // assumed.
 //
@@ -41,8 +42,8 @@
 	Record json.RawMessage `json:"record,omitempty" cbor:"-"`
 }
 
-// VersionedObject is a lease object and its version in the store. Version zero means that the store has
-// no object.
+// VersionedObject is a lease object and its version in the store. Version zero means that the
+// store has no object.
 type VersionedObject struct {
 	Object  Object
 	Version contract.ObjectVersion
@@ -54,7 +55,7 @@
 	// Duration is how long a lease lasts. Zero means 15 s.
 	Duration time.Duration
 	// Margin is how long before the end of its lease a holder stops making calls. It must
-	// be longer than the timeout of a call. Zero means a third of Length.
+	// be longer than the timeout of a call. Zero means a third of Duration.
 	Margin time.Duration
 	// TakeoverDelay is how long a new holder waits before its first call, because calls of
 	// the former holder may still be in progress. Zero means Margin.
@@ -64,15 +65,16 @@
 // Defaults of Options.
 const (
 	defaultDuration = 15 * time.Second
-	marginDivisor   = 3 // Length / marginDivisor is the default Margin
+	marginDivisor   = 3 // Duration / marginDivisor is the default Margin
 )
 
-// Handle is one process's view of a lease and its right to act under it.
+// Handle is one process's view of a lease. It decides whether the process may make calls under
+// the lease.
 type Handle struct {
 	opts   Options
 	latest VersionedObject
 	// unchangedSince is when the latest version was first seen. recordUnknown is true if
-	// the version was learned from another VM, which does not send the record.
+	// this process learned of the version from another VM, which does not send the record.
 	unchangedSince time.Time
 	recordUnknown  bool
 	expiresAt      time.Time // end of this process's lease; zero if it has none
@@ -127,7 +129,7 @@
 	}
 }
 
-// ObserveMissing records that the store has no object. Fencing numbers continue from the
+// ObserveMissing records that the store has no object. Fencing tokens continue from the
 // last known one.
 func (h *Handle) ObserveMissing(now time.Time) {
 	h.latest.Version, h.unchangedSince, h.expiresAt, h.recordUnknown = 0, now, time.Time{}, false
@@ -182,8 +184,8 @@
 	if now.Before(h.AvailableAt()) {
 		return Proposal{}, false
 	}
-	// An expired lease of this process is also acquired anew, with a new fencing number:
-	// another process may have held it in between, under a number that was not seen here.
+	// An expired lease of this process is also acquired anew, with a new fencing token:
+	// another process may have held it in between, under a token that this process has not seen.
 	next := h.latest.Object
 	if next.Holder != (contract.VMInstance{}) {
 		next.Resigned = nil // the holder did not resign: the lease ran for its whole length
@@ -219,8 +221,8 @@
 
 // AvailableAt returns the time from which this process may acquire the lease, provided that
 // the object does not change before. After a resignation the lease is available immediately,
-// except to the VMs in Resigned. Otherwise one of them could act, then another VM, and then
-// the first one again, all within the length of one lease.
+// except to the VMs in Resigned. Otherwise one of them could make calls, then another VM, and
+// then the first one again, all within the length of one lease.
 func (h *Handle) AvailableAt() time.Time {
 	o := h.latest.Object
 	available := h.latest.Version == 0 || o.Holder == contract.VMInstance{} && !slices.Contains(o.Resigned, h.opts.Self.VM)
@@ -260,9 +262,9 @@
 	}
 }
 
-// ActiveFencing returns the fencing number under which a call may be made now. It returns
+// ActiveFencing returns the fencing token under which a call may be made now. It returns
 // false while the stored record is unknown. ignoresFencing means that the recipient of the
-// call accepts old fencing numbers.
+// call accepts old fencing tokens.
 func (h *Handle) ActiveFencing(now time.Time, ignoresFencing bool) (contract.FencingToken, bool) {
 	if h.recordUnknown || h.expiresAt.IsZero() || !now.Before(h.expiresAt.Add(-h.opts.Margin)) {
 		return 0, false
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -13,7 +13,7 @@
 // maxCallDelay is the longest time that a call takes to arrive, as Options assumes.
 const maxCallDelay = defaultDuration/marginDivisor - time.Millisecond
 
-// engineSimulation is a store, an engine that ignores fencing numbers, and processes that read and
+// engineSimulation is a store, an engine that ignores fencing tokens, and processes that read and
 // write the store, are suspended, and make calls that arrive up to maxCallDelay later.
 type engineSimulation struct {
 	t       *rapid.T
@@ -21,17 +21,19 @@
 	object  Object
 	version contract.ObjectVersion
 	handles []*Handle
-	// calls are in progress, each with its fencing number.
+	// calls holds the calls in progress, each with its fencing token.
 	calls []call
-	// engineFencing is the fencing number of the last call that arrived at the engine.
+	// engineFencing is the fencing token of the last call that arrived at the engine.
 	engineFencing contract.FencingToken
 }
 
+// call is a call that is on its way to the engine.
 type call struct {
 	fencing   contract.FencingToken
 	arrivesAt time.Time
 }
 
+// randomEvent draws an event of the simulation and applies it.
 func (s *engineSimulation) randomEvent() {
 	h := s.handles[rapid.IntRange(0, len(s.handles)-1).Draw(s.t, "process")]
 	switch rapid.SampledFrom([]string{"read", "write", "write, reply lost", "call", "call", "time passes"}).Draw(s.t, "event") {
@@ -51,6 +53,7 @@
 	}
 }
 
+// write applies the write that a process proposes, if its condition holds.
 func (s *engineSimulation) write(h *Handle, replyArrives bool) {
 	sentAt := s.now
 	p, ok := h.Propose(s.now)
@@ -82,14 +85,14 @@
 		c := s.calls[earliest]
 		s.calls = append(s.calls[:earliest], s.calls[earliest+1:]...)
 		if c.fencing < s.engineFencing {
-			s.t.Fatalf("a call under fencing number %d arrived after one under %d", c.fencing, s.engineFencing)
+			s.t.Fatalf("a call under fencing token %d arrived after one under %d", c.fencing, s.engineFencing)
 		}
 		s.engineFencing = c.fencing
 	}
 }
 
 // TestFormerHolderCallsNeverArriveLast simulates suspensions, lost replies and slow calls. Even at
-// an engine that ignores fencing numbers, no call of a former holder may arrive after one of a later
+// an engine that ignores fencing tokens, no call of a former holder may arrive after one of a later
 // holder.
 func TestFormerHolderCallsNeverArriveLast(t *testing.T) {
 	highestFencing := contract.FencingToken(0)
--- a/rollout/canary.go
+++ b/rollout/canary.go
@@ -11,46 +11,48 @@
 	"woaddoor/contract"
 )
 
-// OrderState is the outcome of an order, or OrderOpen while it is in progress.
+// OrderState is the state of a release rollout: its outcome, or OrderOpen while it is in
+// progress.
 type OrderState string
 
-// The states of an order.
+// States of a release rollout.
 const (
 	OrderOpen       OrderState = ""
 	OrderCompleted  OrderState = "completed"
 	OrderRolledBack OrderState = "rolled back"
 )
 
-// ReleaseOrder is an operator's order to move a service's requests to a new release. The
-// release's upstreams run alongside those of the other releases until the order ends.
+// ReleaseOrder is a release rollout: an operator's request to move the requests of a service to
+// a new release. The release's upstreams run alongside those of the other releases until the
+// rollout ends.
 type ReleaseOrder struct {
 	Service contract.ServiceID
 	Release string
-	// IssuedAt is when the order was given, on this VM's clock. Length is how long the
-	// order may take.
+	// IssuedAt is when the operator requested the rollout, on this VM's clock. Duration is how
+	// long the rollout may take.
 	IssuedAt time.Time
 	Duration time.Duration
 	State    OrderState
-	// Name is the name of the order's object in the store.
+	// Name is the name of the rollout's object in the store.
 	Name string
-	// StartedAt is the wall-clock time at which a VM first saw the order. That VM stores it
+	// StartedAt is the wall-clock time at which a VM first saw the rollout. That VM stores it
 	// for VMs that start later. It is zero until then.
 	StartedAt time.Time
-	// Revision is the revision of the order's object in the store.
+	// Revision is the revision of the rollout's object in the store.
 	Revision contract.Revision
 }
 
-// Stages of an order, as fractions of its length. Sessions may move to the release
-// only in the second half of the order. A VM does not know which sessions are active
+// Stages of a release rollout, as fractions of its duration. Sessions may move to the release
+// only in the second half of the rollout. A VM does not know which sessions are active
 // at other VMs, so it sends no request to the release before that. The trial may miss
 // a release that turns bad later or fails only under more load. Even such a release
-// must get no more than its allowed share of all requests of the order, so that share
-// limits the lengths of the trial, of the steps and of the final stage, in which all
+// must get no more than its allowed share of all requests of the rollout, so that share
+// limits the durations of the trial, of the steps and of the final stage, in which all
 // sessions use the release.
 const (
 	trialStart = 0.52
 	// plannedFraction is the fraction of the allowed share that the stages use. The
-	// rest covers VMs that see the order at different times, and rising traffic.
+	// rest covers VMs that see the rollout at different times, and rising traffic.
 	plannedFraction = 0.93
 	// Fractions of the planned share for the trial, for the two steps and for the
 	// final stage.
@@ -60,17 +62,18 @@
 	// The fractions of sessions on the release in the two steps between the trial
 	// and the final stage.
 	firstStepShare, secondStepShare = 0.25, 0.5
-	// completionFraction is the fraction of the final stage after which the order is
+	// completionFraction is the fraction of the final stage after which the rollout is
 	// marked completed. Requests at the other releases end before that point, and the
 	// rest of the stage leaves time to store the outcome.
 	completionFraction = 0.2
 )
 
-// stage is a part of an order: from start on, share of the sessions use the release.
+// stage is a part of a release rollout: from start, a fraction of the duration, on, share of
+// the sessions use the release.
 type stage struct{ start, share float64 }
 
-// planStages returns the stages of an order whose release may get at most share of the
-// service's requests, and the fraction of the order's length at which it is completed.
+// planStages returns the stages of a release rollout whose release may get at most share of the
+// service's requests, and the fraction of the rollout's duration at which it is completed.
 func planStages(share float64) (stages []stage, completion float64) {
 	finalLength := finalFraction * plannedFraction * share
 	stepLength := stepsFraction * plannedFraction * share / (firstStepShare + secondStepShare)
@@ -81,7 +84,7 @@
 }
 
 // Canary decides which sessions of a service use a release on trial, and whether the
-// release is good. Every VM computes the assignment from the order and the session key,
+// release is good. Every VM computes the assignment from the rollout and the session key,
 // so all VMs send a session to the same release without coordination. A Canary does no
 // I/O and is not safe for concurrent use.
 type Canary struct {
@@ -89,28 +92,28 @@
 	testParams config.Rollout
 	alarm      *CUSUMAlarm
 	slowness   *SlownessDetector
-	// stages and completeAt are the schedule of the order.
+	// stages and completeAt are the schedule of the rollout.
 	stages     []stage
 	completeAt float64
-	// ageKnown is true if the order's age was measured on a VM's running clock: this VM
-	// saw the order before its start was stored, or received the age from such a VM.
+	// ageKnown is true if the rollout's age was measured on a VM's running clock: this VM
+	// saw the rollout before its start was stored, or received the age from such a VM.
 	ageKnown bool
-	// joinedLate is true if this VM first saw the order after the trial had started.
-	// ageReceived is true once a VM that knows the order's age has sent it.
+	// joinedLate is true if this VM first saw the rollout after the trial had started.
+	// ageReceived is true once a VM that knows the rollout's age has sent it.
 	joinedLate, ageReceived bool
-	// trialCounts and baselineCounts are the responses that this VM has seen from the
-	// release on trial and from the other releases. The latter give the service's
+	// trialCounts and baselineCounts count the responses that this VM has seen from the
+	// release on trial and from the other releases. baselineCounts gives the service's
 	// usual failure rate.
 	trialCounts, baselineCounts Counts
 	// received holds the counts of other VMs.
 	received   Evidence
 	dataCentre contract.DataCentreID // of this VM; empty until the first evidence is received
-	bad        bool
+	bad        bool                  // whether the release counts as bad
 }
 
 // Parameters of the statistical test. A release is bad if its failure rate exceeds the
 // acceptable rate by badRateMargin. The acceptable rate is goodRateMargin above the
-// failure rate of the other releases. falseAlarmRate applies to the whole order.
+// failure rate of the other releases. falseAlarmRate applies to the whole rollout.
 const (
 	badRateMargin  = 0.25
 	goodRateMargin = 0.03
@@ -119,9 +122,9 @@
 	maxGoodRate    = 0.6
 )
 
-// NewCanary returns the canary of an order that this VM sees for the first time at now.
+// NewCanary returns the canary of a release rollout that this VM sees for the first time at now.
 // share is the largest fraction of the service's requests that a bad release may get
-// over the whole order.
+// over the whole rollout.
 func NewCanary(order ReleaseOrder, share float64, now time.Time) *Canary {
 	c := &Canary{order: order, ageKnown: order.StartedAt.IsZero()}
 	c.stages, c.completeAt = planStages(share)
@@ -132,18 +135,18 @@
 	return c
 }
 
-// Order returns the order in its newest known state.
+// Order returns the release rollout in its newest known state.
 func (c *Canary) Order() ReleaseOrder { return c.order }
 
-// Update replaces the order by a newer state of the same order.
+// Update replaces the release rollout by a newer state of the same one.
 func (c *Canary) Update(o ReleaseOrder) {
 	issued := c.order.IssuedAt // measured on this VM's clock, which does not jump
 	c.order = o
 	c.order.IssuedAt = issued
 }
 
-// elapsedFraction returns the elapsed time as a fraction of the order's length, from 0 at
-// the start to 1 at the end. It exceeds 1 once the order is overdue.
+// elapsedFraction returns the elapsed time as a fraction of the rollout's duration, from 0 at
+// the start to 1 at the end. It exceeds 1 once the rollout is overdue.
 func (c *Canary) elapsedFraction(now time.Time) float64 {
 	if c.order.Duration <= 0 {
 		return 1
@@ -206,7 +209,7 @@
 	return float64(d.Sum64()>>11) / (1 << 53)
 }
 
-// Response is the outcome of a response of a service that has an open order.
+// Response is the outcome of a response of a service that has an open release rollout.
 type Response struct {
 	// OnTrial is true for a response of the release on trial.
 	OnTrial bool
@@ -238,15 +241,15 @@
 	return c.bad
 }
 
-// Age returns the time since the order was given, and whether it was measured on a VM's
-// running clock.
+// Age returns the time since the operator requested the rollout, and whether it was measured on
+// a VM's running clock.
 func (c *Canary) Age(now time.Time) (time.Duration, bool) {
 	return now.Sub(c.order.IssuedAt), c.ageKnown
 }
 
-// MergeOrderAge sets the order's age to the one that another VM has measured on its clock. It
+// MergeOrderAge sets the rollout's age to the one that another VM has measured on its clock. It
 // replaces an age that was derived from a stored time of day. Of two measured ages the
-// larger one is correct, since it comes from the VM that saw the order first.
+// larger one is correct, since it comes from the VM that saw the rollout first.
 func (c *Canary) MergeOrderAge(age time.Duration, now time.Time) {
 	issued := now.Add(-age)
 	c.ageReceived = true
@@ -255,7 +258,7 @@
 	}
 }
 
-// Values of ObservedCounts.Step in the evidence of an order, which has no numbered steps.
+// Values of ObservedCounts.Step in the evidence of a release rollout, which has no numbered steps.
 const (
 	trialStep    = 0
 	baselineStep = 1
@@ -270,6 +273,7 @@
 // Recipient is the kind of VM that evidence is sent to.
 type Recipient uint8
 
+// Kinds of recipients.
 const (
 	// RecipientLocal is a VM of the sender's data centre.
 	RecipientLocal Recipient = iota
@@ -280,7 +284,7 @@
 	RecipientRemote
 )
 
-// Evidence returns the counts to send to another VM, or nil if there are none or the order
+// Evidence returns the counts to send to another VM, or nil if there are none or the rollout
 // has ended. Recipients get one total for each data centre, so the size does not depend on
 // the number of VMs. Only hubs of the same data centre exchange the counts of each VM of it,
 // because each of them receives counts from a different subset of the VMs.
@@ -307,6 +311,7 @@
 	return Merge(known, c.received.Filter(func(o Observer) bool { return o == totalObserver(dc) }))
 }
 
+// localEvidence returns the counts of this VM.
 func (c *Canary) localEvidence(self Observer) Evidence {
 	return Evidence{{self, c.versionKey(), trialStep, c.trialCounts}, {self, c.versionKey(), baselineStep, c.baselineCounts}}
 }
@@ -314,13 +319,13 @@
 // isDataCentreTotal reports whether the observer stands for all VMs of a data centre.
 func (o Observer) isDataCentreTotal() bool { return strings.HasPrefix(string(o.VM), "total of ") }
 
-// versionKey returns the identifier of the order in evidence.
+// versionKey returns the identifier of the rollout in evidence.
 func (c *Canary) versionKey() contract.VersionID {
 	return contract.VersionID(string(c.order.Service) + "/" + c.order.Release)
 }
 
 // MergeEvidence merges the counts of other VMs. Evidence may arrive late, repeatedly and in any
-// order. Hear returns true if the evidence makes the release count as bad.
+// order. MergeEvidence returns true if the evidence makes the release count as bad.
 func (c *Canary) MergeEvidence(e Evidence, self Observer, dc contract.DataCentreID) bool {
 	c.dataCentre = dc
 	for _, count := range e {
@@ -363,6 +368,7 @@
 	return c.order.State == OrderOpen && (c.bad || NewSequentialTest(&c.testParams).Suspects(c.trialTotals()))
 }
 
+// add returns the sum of both counts.
 func (c Counts) add(o Counts) Counts { return Counts{Good: c.Good + o.Good, Bad: c.Bad + o.Bad} }
 
 // baselinePriorGood is the number of assumed good responses with which the failure rate
@@ -383,8 +389,8 @@
 // TotalTrialCounts returns the known counts of all VMs for the release on trial.
 func (c *Canary) TotalTrialCounts() Counts { return c.totalCounts(trialStep, c.trialCounts) }
 
-// NextState returns the state to store for the order and whether it has to be stored now:
-// OrderOpen when the order has just started, or its final state.
+// NextState returns the state to store for the rollout and whether it has to be stored now:
+// OrderOpen when the rollout has just started, or its final state.
 func (c *Canary) NextState(now time.Time) (OrderState, bool) {
 	switch {
 	case c.order.State != OrderOpen:
@@ -394,7 +400,7 @@
 	case c.lacksTrialResults():
 		return OrderOpen, false
 	case c.elapsedFraction(now) >= c.completeAt && c.IsSuspect():
-		// A service with few requests gives too few responses to halt the release before
+		// A service with few requests gives too few responses to reject the release before
 		// this point. After it there is no other release to go back to.
 		return OrderRolledBack, true
 	case c.elapsedFraction(now) >= c.completeAt:
--- a/rollout/canary_test.go
+++ b/rollout/canary_test.go
@@ -12,14 +12,15 @@
 	"woaddoor/contract"
 )
 
+// testOrder returns a release rollout of 24 seconds.
 func testOrder() ReleaseOrder {
 	return ReleaseOrder{Service: "s", Release: "v2", IssuedAt: time.Unix(1000, 0), Duration: 24 * time.Second}
 }
 
-// TestSessionsNeverMoveBack checks that VMs that see an order at different times move a session
-// to the release only in the second half of the order, never move it back, and differ from each
-// other only by the difference of their clocks. A random draw for each request, as a naive
-// implementation would do, moves sessions back and forth.
+// TestSessionsNeverMoveBack checks that VMs that see a release rollout at different times move
+// a session to the release only in the second half of the rollout, never move it back, and
+// differ from each other only by the difference of their clocks. A random draw for each
+// request, as a naive implementation would do, moves sessions back and forth.
 func TestSessionsNeverMoveBack(t *testing.T) {
 	naiveMovesBack := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -36,7 +37,7 @@
 			canary := canaries[r.IntN(2)]
 			onTrial := canary.UsesRelease(session, now)
 			if onTrial && now.Sub(o.IssuedAt) < o.Duration/2 {
-				t.Fatalf("session on trial in the first half of the order, at %v", now.Sub(o.IssuedAt))
+				t.Fatalf("session on trial in the first half of the rollout, at %v", now.Sub(o.IssuedAt))
 			}
 			if onTrial && movedAt.IsZero() {
 				movedAt = now
@@ -56,7 +57,7 @@
 
 // TestBadReleaseExposureIsBounded simulates a release that is bad from the start, later, or only
 // under load, on several VMs that exchange no evidence. The share of requests that it gets over
-// its order, and the number of bad responses until it is halted, must stay far below the limits of
+// its rollout, and the number of bad responses until it is halted, must stay far below the limits of
 // deployments.
 func TestBadReleaseExposureIsBounded(t *testing.T) {
 	const requestsPerSecond, vms, runs = 100, 6, 40
@@ -80,8 +81,8 @@
 	}
 }
 
-// simulateOrder returns the share of all requests of an order that went to its release, and the
-// number of bad responses among them, when VMs exchange no evidence.
+// simulateOrder returns the share of all requests of a release rollout that went to its
+// release, and the number of bad responses among them, when VMs exchange no evidence.
 func simulateOrder(r *rand.Rand, requestsPerSecond, vms int, failureRate func(part, share float64) float64) (exposed float64, bad int) {
 	o := testOrder()
 	var canaries []*Canary
@@ -161,9 +162,9 @@
 	is.True(rejected <= 2)
 }
 
-// TestUndetectedReleaseStaysWithinShare checks that a release that is never rejected gets no more
-// than its allowed share of the requests of its order, for different shares, and that the order is
-// completed in time.
+// TestUndetectedReleaseStaysWithinShare checks that a release that is never rejected gets no
+// more than its allowed share of the requests of its rollout, for different shares, and that
+// the rollout is completed in time.
 func TestUndetectedReleaseStaysWithinShare(t *testing.T) {
 	is := is.New(t)
 	for _, share := range []float64{0.03, 0.05, 0.1, 0.15, 0.3} {
@@ -184,8 +185,8 @@
 	}
 }
 
-// TestVMsAgreeOnOrderAge checks that VMs agree on the age of an order, whichever VM saw it first
-// and however wrong the wall clocks of VMs that started later are.
+// TestVMsAgreeOnOrderAge checks that VMs agree on the age of a release rollout, whichever VM
+// saw it first and however wrong the wall clocks of VMs that started later are.
 func TestVMsAgreeOnOrderAge(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(2000, 0)
@@ -329,8 +330,9 @@
 	}
 }
 
-// TestSuspectReleaseIsNotCompleted checks that an order is rolled back at its end if the few
-// responses of its release indicate a bad release, though they are too few to halt it earlier.
+// TestSuspectReleaseIsNotCompleted checks that a release rollout is rolled back at its end if
+// the few responses of its release indicate a bad release, though they are too few to halt it
+// earlier.
 func TestSuspectReleaseIsNotCompleted(t *testing.T) {
 	is := is.New(t)
 	finalState := func(bad int) OrderState {
@@ -351,10 +353,11 @@
 	is.Equal(finalState(2), OrderCompleted)   // one of thirteen fails, as at the other releases
 }
 
-// TestLateVMNeedsEvidenceToComplete checks a VM that starts when an order is nearly over and knows
-// nothing of its trial. It must not complete the order, nor send the release more than the trial
-// share, until it hears from a VM that saw the order from the start or has seen enough responses
-// itself. Without this rule such a VM completes a bad release at once.
+// TestLateVMNeedsEvidenceToComplete checks a VM that starts when a release rollout is nearly
+// over and knows nothing of its trial. It must not complete the rollout, nor send the release
+// more than the trial share, until it receives the rollout's age or evidence from a VM that saw
+// the rollout from the start, or has seen enough responses itself. Without this rule such a VM
+// completes a bad release at once.
 func TestLateVMNeedsEvidenceToComplete(t *testing.T) {
 	is := is.New(t)
 	o := testOrder()
@@ -379,7 +382,7 @@
 	is.Equal(state, OrderRolledBack)
 
 	c = lateCanary()
-	c.MergeOrderAge(now.Sub(o.IssuedAt), now) // from a VM that saw the order from the start and found nothing bad
+	c.MergeOrderAge(now.Sub(o.IssuedAt), now) // from a VM that saw the rollout from the start and found nothing bad
 	state, due = c.NextState(now)
 	is.True(due)
 	is.Equal(state, OrderCompleted)
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -23,12 +23,14 @@
 // keeps the larger counts, so evidence may arrive repeatedly and in any order.
 type Evidence []ObservedCounts
 
+// countKey identifies an entry of Evidence.
 type countKey struct {
 	observer Observer
 	version  contract.VersionID
 	step     int
 }
 
+// key returns the key of the entry.
 func (c ObservedCounts) key() countKey { return countKey{c.Observer, c.Version, c.Step} }
 
 // Merge returns the union of two sets of evidence, with the larger counts of each entry.
@@ -94,7 +96,7 @@
 	return total
 }
 
-// Prune returns the evidence for the current steps of the roll-outs in progress.
+// Prune returns the evidence for the current steps of the rollouts in progress.
 func (e Evidence) Prune(progress map[contract.ModelID]*config.Progress) Evidence {
 	var kept Evidence
 	for _, c := range e {
@@ -106,7 +108,7 @@
 	return kept
 }
 
-// Monitor counts the responses of versions in roll-out on one VM and halts a bad version
+// Monitor counts the responses of versions in rollout on one VM and halts a bad version
 // there immediately. It does no I/O and is not safe for concurrent use.
 type Monitor struct {
 	self   Observer
@@ -115,6 +117,7 @@
 	halted map[contract.VersionID]bool
 }
 
+// alarmKey identifies an alarm of a Monitor.
 type alarmKey struct {
 	version   contract.VersionID
 	workspace contract.WorkspaceID // empty for the alarm over all workspaces
@@ -128,7 +131,7 @@
 	}
 }
 
-// Observe records a response of a version in roll-out. A response is bad if it got a bad
+// Observe records a response of a version in rollout. A response is bad if it got a bad
 // rating, failed or was too slow. workspaces is the number of workspaces that share the
 // false-alarm rate. Observe returns whether the version is halted on this VM.
 func (m *Monitor) Observe(ro *config.Rollout, step int, workspaces int, w contract.WorkspaceID, bad bool) bool {
@@ -148,6 +151,7 @@
 	return m.halted[ro.To]
 }
 
+// alarmFor returns the alarm of a version for a workspace, or over all workspaces if w is empty.
 func (m *Monitor) alarmFor(ro *config.Rollout, workspaces int, w contract.WorkspaceID) *CUSUMAlarm {
 	k := alarmKey{ro.To, w}
 	a, ok := m.alarms[k]
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -13,6 +13,7 @@
 	"woaddoor/contract"
 )
 
+// testRollout returns a rollout in four steps with a good rate of 2% and a bad rate of 10%.
 func testRollout() *config.Rollout {
 	return &config.Rollout{
 		Model: "m", From: "m@1", To: "m@2", Steps: []float64{1, 10, 50, 100},
@@ -126,7 +127,7 @@
 				t.Fatalf("invalid step from %+v to %+v", *stored, *next)
 			}
 			if stored == nil && next.Step != 0 {
-				t.Fatalf("roll-out started at %+v", *next)
+				t.Fatalf("rollout started at %+v", *next)
 			}
 			stored = next
 		}
@@ -167,9 +168,9 @@
 	}
 }
 
-// TestAlarmDetectsLateRegression checks a version that turns bad after many good responses. The alarm
-// halts it within a few dozen responses. The sequential test alone takes more than twice as many,
-// because the earlier good responses still count.
+// TestAlarmDetectsLateRegression checks a version that turns bad after many good responses. The
+// alarm halts it within a few dozen responses. The sequential test alone takes more than twice
+// as many, because the earlier good responses still count.
 func TestAlarmDetectsLateRegression(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(3, 3))
@@ -204,9 +205,9 @@
 	is.True(sequentialAt > 2*alarmAt)
 }
 
-// TestChooseMovesWorkOneWay checks that a ramp moves work only from the old version to the new
-// one, and that a halt sends all new work back at once.
-func TestChooseMovesWorkOneWay(t *testing.T) {
+// TestChooseVersionMovesWorkOneWay checks that a ramp moves work only from the old version to
+// the new one, and that a halt sends all new work back at once.
+func TestChooseVersionMovesWorkOneWay(t *testing.T) {
 	is := is.New(t)
 	c := &config.Config{
 		Models:   map[contract.ModelID]*config.Model{"m": {ID: "m", ServingVersion: "m@1"}},
--- a/rollout/slowness.go
+++ b/rollout/slowness.go
@@ -31,7 +31,7 @@
 var minSlowLogRatio = math.Log(3)
 
 const (
-	// minSlowStdDevs is how many standard deviations above the mean a slow time lies. About
+	// minSlowStdDevs is how many standard deviations above the mean a slow time lies at least. About
 	// one in forty times of any release lies that far above.
 	minSlowStdDevs = 2.0
 	// minBaselineSamples is how many times of a kind are needed before any is compared.
@@ -57,6 +57,8 @@
 	return slow
 }
 
+// observeTime compares one time of a response with the baseline, and adds it to the baseline if
+// the response is not on trial.
 func (s *SlownessDetector) observeTime(onTrial bool, t Latency, now time.Time) bool {
 	logSeconds := math.Log(max(t.Seconds, 1e-4))
 	stats, ok := s.statsByKind[t.Kind]
@@ -73,6 +75,7 @@
 	return slow && now.Sub(s.lastBaseline) < maxBaselineAge
 }
 
+// add adds a sample, and gives up the weight of one earlier sample at the maximum.
 func (s *logStats) add(logSeconds float64) {
 	if s.n >= maxBaselineSamples {
 		s.m2 *= 1 - 1/s.n
--- a/rollout/sprt.go
+++ b/rollout/sprt.go
@@ -5,7 +5,7 @@
 // Every VM counts responses, and counts are merged by taking the larger one, so evidence
 // may arrive late, repeatedly and in any order. A halt only removes a version from use, so
 // it takes effect immediately where it is decided and spreads without agreement. A step
-// forward is a conditional write of the configuration, so two VMs that advance a roll-out
+// forward is a conditional write of the configuration, so two VMs that advance a rollout
 // at the same time make only one step.
 package rollout
 
@@ -15,12 +15,13 @@
 	"woaddoor/config"
 )
 
-// SequentialTest is Wald's sequential probability ratio test between a good and a bad rate
-// of bad responses (A. Wald, Sequential Tests of Statistical Hypotheses, 1945). FalseAlarm
-// and Miss of config.Rollout apply to the whole roll-out: the tests of the steps share one
-// half of FalseAlarm, the CUSUM alarms the other half. The chance of passing a version with a
-// rate of BadRate is at most Miss at each step. Both hold up to the factors 1/(1-Miss) and
-// 1/(1-FalseAlarm) of Wald's bounds.
+// SequentialTest is Wald's sequential probability ratio test between a good and a bad rate of
+// bad responses (A. Wald, Sequential Tests of Statistical Hypotheses, 1945).
+// FalseAlarmProbability and MissProbability of config.Rollout apply to the whole rollout: the
+// tests of the steps share one half of FalseAlarmProbability, the CUSUM alarms the other half.
+// The chance of passing a version with a rate of BadRate is at most MissProbability at each
+// step. Both hold up to the factors 1/(1-MissProbability) and 1/(1-FalseAlarmProbability) of
+// Wald's bounds.
 type SequentialTest struct {
 	badIncrement, goodIncrement float64 // added to the log-likelihood ratio for each response
 	haltBound, passBound        float64 // of the log-likelihood ratio
@@ -30,7 +31,7 @@
 // sequential tests of the steps, and the CUSUM alarms.
 const checkKinds = 2
 
-// NewSequentialTest returns the test with the parameters of a roll-out.
+// NewSequentialTest returns the test with the parameters of a rollout.
 func NewSequentialTest(ro *config.Rollout) SequentialTest {
 	falseAlarm := ro.FalseAlarmProbability / checkKinds / float64(max(len(ro.Steps), 1))
 	return SequentialTest{
@@ -44,7 +45,7 @@
 // Verdict is the result of a sequential test.
 type Verdict uint8
 
-// The verdicts.
+// Verdicts of a sequential test.
 const (
 	// Undecided means that more responses are needed.
 	Undecided Verdict = iota
@@ -69,6 +70,8 @@
 	return t.logLikelihoodRatio(c) >= suspectFraction*t.haltBound
 }
 
+// logLikelihoodRatio returns the logarithm of the likelihood of the counts for a bad version,
+// divided by that for a good one.
 func (t SequentialTest) logLikelihoodRatio(c Counts) float64 {
 	return float64(c.Bad)*t.badIncrement + float64(c.Good)*t.goodIncrement
 }
@@ -91,7 +94,7 @@
 // CUSUMAlarm is Page's cumulative sum test (E. S. Page, Continuous Inspection Schemes, 1954).
 // It detects a good version that turns bad, which the sequential test finds only slowly
 // because the earlier good responses still count. Over alarmHorizon responses its false-alarm
-// rate is at most that of the roll-out, because the chance that the sum exceeds a height h
+// rate is at most that of the rollout, because the chance that the sum exceeds a height h
 // after any one start is at most exp(-h).
 type CUSUMAlarm struct {
 	test      SequentialTest
@@ -99,7 +102,7 @@
 	sum       float64
 }
 
-// NewCUSUMAlarm returns an alarm. alarms is the number of alarms that share the roll-out's
+// NewCUSUMAlarm returns an alarm. alarms is the number of alarms that share the rollout's
 // false-alarm rate: one for each workspace, and one over all workspaces.
 func NewCUSUMAlarm(ro *config.Rollout, alarms int) *CUSUMAlarm {
 	return &CUSUMAlarm{test: NewSequentialTest(ro), threshold: math.Log(alarmHorizon * checkKinds * float64(alarms) / ro.FalseAlarmProbability)}
--- a/rollout/stepper.go
+++ b/rollout/stepper.go
@@ -7,7 +7,7 @@
 	"woaddoor/contract"
 )
 
-// StepInput is the input for deciding the next step of a roll-out.
+// StepInput is the input for deciding the next step of a rollout.
 type StepInput struct {
 	Rollout *config.Rollout
 	// Progress is nil before the first step.
@@ -28,7 +28,7 @@
 // Reason is a short explanation of a decision, for logs and the configuration history.
 type Reason string
 
-// The reasons.
+// Reasons of a decision.
 const (
 	ReasonStart                 Reason = "starts"
 	ReasonPassed                Reason = "passed the test of its step"
@@ -41,7 +41,7 @@
 	ReasonEnded                 Reason = "is over"
 )
 
-// Next returns the next progress of a roll-out, or nil if nothing changes, and the reason.
+// Next returns the next progress of a rollout, or nil if nothing changes, and the reason.
 // The result is at most one step ahead of s.Progress. If it is written only on condition
 // that the stored progress is unchanged, no step is skipped or repeated, whichever VM
 // writes it.
@@ -68,7 +68,7 @@
 	case verdict == Bad:
 		return halt(ReasonBad)
 	case s.DataCentreUnreachable:
-		return nil, ReasonDataCentreUnreachable // partial evidence must not advance the roll-out
+		return nil, ReasonDataCentreUnreachable // partial evidence must not advance the rollout
 	case now.Sub(laterOf(s.StepSince, s.LastRating)) >= ro.RatingTimeout:
 		return halt(ReasonRatingsTimeout)
 	case verdict == Undecided:
@@ -82,6 +82,7 @@
 	return &p, ReasonPassed
 }
 
+// laterOf returns the later of two times.
 func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -90,7 +91,7 @@
 }
 
 // NewVersionShare returns the fraction of new work, 0 to 1, that the new version of a
-// roll-out gets.
+// rollout gets.
 func NewVersionShare(ro *config.Rollout, p *config.Progress) float64 {
 	switch {
 	case p == nil || p.To != ro.To || p.State == config.Halted:
@@ -101,10 +102,11 @@
 	return ro.Steps[min(p.Step, len(ro.Steps)-1)] / percent
 }
 
+// percent converts the percentages of config.Rollout.Steps to fractions.
 const percent = 100
 
 // ChooseVersion returns the version for new work of a model: the version that serves the model, or
-// one of the two versions of a roll-out. point, from 0 to 1, is the position of the work in
+// one of the two versions of a rollout. point, from 0 to 1, is the position of the work in
 // the ramp. Work with a lower point moves to the new version first.
 func ChooseVersion(c *config.Config, m contract.ModelID, halted map[contract.VersionID]bool, point float64) contract.VersionID {
 	model, ok := c.Models[m]
--- a/scaling/need.go
+++ b/scaling/need.go
@@ -5,8 +5,8 @@
 // Load is the measured load on the upstreams of a service, as seen by one VM or summed over
 // several.
 type Load struct {
-	// Prefill is how many seconds of each second the engines spend on prefill (reading
-	// prompts), summed over the upstreams. Prompts is the number of prompts per second.
+	// Prefill is how many seconds of each second the engines spend on prefill (processing
+	// prompts), summed over the upstreams. PromptRate is the number of prompts per second.
 	Prefill    float64 `cbor:"1,keyasint,omitempty"`
 	PromptRate float64 `cbor:"3,keyasint,omitempty"`
 	// SlotsInUse is the number of request slots in use.
@@ -14,8 +14,8 @@
 }
 
 // Add returns the sum of both loads.
-func (w Load) Add(other Load) Load {
-	return Load{Prefill: w.Prefill + other.Prefill, PromptRate: w.PromptRate + other.PromptRate, SlotsInUse: w.SlotsInUse + other.SlotsInUse}
+func (l Load) Add(other Load) Load {
+	return Load{Prefill: l.Prefill + other.Prefill, PromptRate: l.PromptRate + other.PromptRate, SlotsInUse: l.SlotsInUse + other.SlotsInUse}
 }
 
 // Highest planned utilization of an upstream.
@@ -35,24 +35,24 @@
 // prefillShare returns the largest fraction of time that an upstream may spend on prefill
 // while the mean wait of prompts stays within its limit. In a queue with one server, the mean
 // wait grows with share / (1 - share) times the time that one prompt takes.
-func (w Load) prefillShare(objective time.Duration) float64 {
-	if w.PromptRate <= 0 || objective <= 0 {
+func (l Load) prefillShare(objective time.Duration) float64 {
+	if l.PromptRate <= 0 || objective <= 0 {
 		return maxPrefillShare
 	}
-	prefillTime := w.Prefill / w.PromptRate
+	prefillTime := l.Prefill / l.PromptRate
 	meanWait := objective.Seconds() / meanWaitDivisor
 	return meanWait / (meanWait + prefillTime)
 }
 
 // Need returns how many upstreams, with the given number of slots each, the load requires so
 // that responses begin within the objective.
-func (w Load) Need(slots int, objective time.Duration) float64 {
+func (l Load) Need(slots int, objective time.Duration) float64 {
 	need := 0.0
-	if w.Prefill > 0 {
-		need = w.Prefill / w.prefillShare(objective)
+	if l.Prefill > 0 {
+		need = l.Prefill / l.prefillShare(objective)
 	}
 	if slots > 0 {
-		need = max(need, w.SlotsInUse/(maxSlotShare*float64(slots)))
+		need = max(need, l.SlotsInUse/(maxSlotShare*float64(slots)))
 	}
 	return need
 }
--- a/scaling/scaling.go
+++ b/scaling/scaling.go
@@ -21,7 +21,7 @@
 	"woaddoor/contract"
 )
 
-// Group identifies what an order applies to: the preemptible or the standard upstreams of
+// Group identifies what a scaling order applies to: the preemptible or the standard upstreams of
 // one service in one data centre.
 type Group struct {
 	Service     contract.ServiceID    `json:"service"`
@@ -29,30 +29,30 @@
 	Preemptible bool                  `json:"preemptible,omitempty"`
 }
 
-// Order sets how many upstreams of a subject should run.
+// Order is a scaling order: it sets how many upstreams of a group should run.
 type Order struct {
 	Group
 	Count int `json:"count"`
 }
 
-// State is the state shared by all VMs that place orders. It is stored because the platform
+// State is the state shared by all VMs that place scaling orders. It is stored because the platform
 // offers no way to read orders back.
 type State struct {
 	// Baseline is how many upstreams ran when they were first counted.
 	Baseline map[contract.ServiceID]map[contract.DataCentreID]int `json:"sized,omitempty"`
-	// Orders are the orders in force.
+	// Orders are the scaling orders in force.
 	Orders []Order `json:"ordered,omitempty"`
 }
 
-// WithOrder returns the record with an order added, which replaces any earlier order for the same
-// subject.
+// WithOrder returns the state with a scaling order added, which replaces any earlier order for the
+// same group.
 func (r State) WithOrder(o Order) State {
 	r.Orders = slices.DeleteFunc(slices.Clone(r.Orders), func(existing Order) bool { return existing.Group == o.Group })
 	r.Orders = append(r.Orders, o)
 	return r
 }
 
-// WithBaseline returns the record with the first upstream counts of a service added.
+// WithBaseline returns the state with the first upstream counts of a service added.
 func (r State) WithBaseline(s contract.ServiceID, byDataCentre map[contract.DataCentreID]int) State {
 	r.Baseline = maps.Clone(r.Baseline)
 	if r.Baseline == nil {
@@ -73,7 +73,7 @@
 	return out
 }
 
-// Limits bound what may be ordered for a service.
+// Limits bound the scaling orders for a service.
 type Limits struct {
 	// Min and Max bound the number of upstreams in each data centre, standard and preemptible
 	// ones together.
@@ -85,7 +85,8 @@
 	PreemptiblePrice float64
 }
 
-// UpstreamCounts counts the upstreams of a service in one data centre, except those that are leaving.
+// UpstreamCounts counts the upstreams of a service in one data centre, except those that are
+// leaving.
 type UpstreamCounts struct {
 	// Standard and Preemptible count the upstreams of each kind, including cold ones.
 	Standard, Preemptible int
@@ -111,14 +112,14 @@
 	Baseline map[contract.DataCentreID]int
 	// Running counts the upstreams that run now.
 	Running map[contract.DataCentreID]UpstreamCounts
-	// InProgress holds the orders that may still be in progress. Upstreams of older orders that
-	// have not appeared are no longer expected.
+	// InProgress holds the upstream counts of the orders that may still be in progress. Upstreams
+	// of older orders that have not appeared are no longer expected.
 	InProgress map[Group]int
 	// Need is how many upstreams the recent load requires.
 	Need float64
-	// ReleaseInProgress is true during a release: its upstreams run beside the old ones, and an order
-	// would remove some of them. Released is true after a release: newly ordered upstreams
-	// would start with the software from before it.
+	// ReleaseInProgress is true during a release rollout: the new upstreams run beside the old
+	// ones, and a scaling order would remove some of them. ReleaseDone is true after a release
+	// rollout: newly ordered upstreams would start with the software from before it.
 	ReleaseInProgress, ReleaseDone bool
 }
 
@@ -132,7 +133,7 @@
 	minCapacityRatio = 0.65
 )
 
-// Plan returns the orders to place, those that add upstreams first.
+// Plan returns the scaling orders to place, those that add upstreams first.
 func Plan(s Input) []Order {
 	if s.ReleaseDone || s.ReleaseInProgress && !s.lacksCapacity() {
 		return nil
@@ -149,11 +150,13 @@
 	return out
 }
 
+// newOrder returns an order for n upstreams of a group of the service.
 func (s Input) newOrder(dc contract.DataCentreID, preemptible bool, n int) Order {
 	return Order{Group{s.Service, dc, preemptible}, n}
 }
 
-// removalRank returns 1 for an order that removes upstreams, otherwise 0.
+// removalRank returns 1 for a scaling order that removes upstreams, otherwise 0, so that orders
+// that add upstreams are sorted first.
 func (s Input) removalRank(o Order) int {
 	if o.Count < s.provisioned(o.Group) {
 		return 1
@@ -161,13 +164,13 @@
 	return 0
 }
 
-// provisioned returns how many upstreams of a subject are running or ordered. An order in
+// provisioned returns how many upstreams of a group are running or ordered. An order in
 // progress takes precedence over the running count.
-func (s Input) provisioned(subject Group) int {
-	if n, ok := s.InProgress[subject]; ok {
+func (s Input) provisioned(group Group) int {
+	if n, ok := s.InProgress[group]; ok {
 		return n
 	}
-	return s.Running[subject.DataCentre].countOf(subject.Preemptible)
+	return s.Running[group.DataCentre].countOf(group.Preemptible)
 }
 
 // preemptibleIsCheaper reports whether preemptible upstreams are available and cost less than
--- a/scaling/scaling_test.go
+++ b/scaling/scaling_test.go
@@ -18,9 +18,9 @@
 var dataCentres = []contract.DataCentreID{"a", "b", "c", "d"}
 
 // fakeCloud simulates the platform. Ordered upstreams of both kinds serve after the boot time;
-// removals take effect at once. Tests change situation to take preemptible upstreams away.
+// removals take effect at once. Tests change input to take preemptible upstreams away.
 type fakeCloud struct {
-	situation Input
+	input Input
 	// booting holds the times at which ordered upstreams start to serve.
 	booting map[Group][]time.Time
 	now     time.Time
@@ -30,18 +30,18 @@
 
 func newFakeCloud(perDataCentre int, limits Limits) *fakeCloud {
 	c := &fakeCloud{booting: make(map[Group][]time.Time), now: time.Unix(0, 0)}
-	c.situation = Input{
+	c.input = Input{
 		Service: service, Limits: limits, Baseline: make(map[contract.DataCentreID]int),
 		Running: make(map[contract.DataCentreID]UpstreamCounts), InProgress: make(map[Group]int),
 	}
 	for _, dc := range dataCentres {
-		c.situation.Baseline[dc] = perDataCentre
-		c.situation.Running[dc] = UpstreamCounts{Standard: perDataCentre}
+		c.input.Baseline[dc] = perDataCentre
+		c.input.Running[dc] = UpstreamCounts{Standard: perDataCentre}
 	}
 	return c
 }
 
-// advance moves the time forward by half a second and applies the orders that Next returns.
+// advance moves the time forward by half a second and applies the orders that Plan returns.
 func (c *fakeCloud) advance() {
 	const interval = 500 * time.Millisecond
 	c.now = c.now.Add(interval)
@@ -49,60 +49,63 @@
 		for _, preemptible := range []bool{false, true} {
 			c.finishBooting(Group{service, dc, preemptible})
 		}
-		counts := c.situation.Running[dc]
-		c.cost += interval.Seconds() * (float64(counts.Standard) + c.situation.Limits.PreemptiblePrice*float64(counts.Preemptible))
+		counts := c.input.Running[dc]
+		c.cost += interval.Seconds() * (float64(counts.Standard) + c.input.Limits.PreemptiblePrice*float64(counts.Preemptible))
 	}
-	for _, o := range Plan(c.situation) {
+	for _, o := range Plan(c.input) {
 		c.orders++
 		c.apply(o)
 	}
 }
 
 // finishBooting makes booted upstreams serve. The order is complete once none are left.
-func (c *fakeCloud) finishBooting(subject Group) {
-	readyTimes := c.booting[subject]
+func (c *fakeCloud) finishBooting(group Group) {
+	readyTimes := c.booting[group]
 	for len(readyTimes) > 0 && !readyTimes[0].After(c.now) {
-		c.adjust(subject, 1)
+		c.adjust(group, 1)
 		readyTimes = readyTimes[1:]
 	}
-	c.booting[subject] = readyTimes
+	c.booting[group] = readyTimes
 	if len(readyTimes) == 0 {
-		delete(c.situation.InProgress, subject)
+		delete(c.input.InProgress, group)
 	}
 }
 
-func (c *fakeCloud) adjust(subject Group, n int) {
-	counts := c.situation.Running[subject.DataCentre]
-	if subject.Preemptible {
+// adjust adds n to the number of running upstreams of a group.
+func (c *fakeCloud) adjust(group Group, n int) {
+	counts := c.input.Running[group.DataCentre]
+	if group.Preemptible {
 		counts.Preemptible += n
 	} else {
 		counts.Standard += n
 	}
-	c.situation.Running[subject.DataCentre] = counts
+	c.input.Running[group.DataCentre] = counts
 }
 
+// apply removes upstreams or starts to boot new ones, as a scaling order demands.
 func (c *fakeCloud) apply(o Order) {
-	current := c.situation.Running[o.DataCentre].countOf(o.Preemptible)
+	current := c.input.Running[o.DataCentre].countOf(o.Preemptible)
 	if o.Count < current {
 		c.booting[o.Group] = nil
 		c.adjust(o.Group, o.Count-current)
 		return
 	}
 	for range o.Count - current - len(c.booting[o.Group]) {
-		c.booting[o.Group] = append(c.booting[o.Group], c.now.Add(c.situation.Limits.BootTime))
+		c.booting[o.Group] = append(c.booting[o.Group], c.now.Add(c.input.Limits.BootTime))
 	}
-	c.situation.InProgress[o.Group] = o.Count
+	c.input.InProgress[o.Group] = o.Count
 }
 
 // serving returns how many upstreams serve requests.
 func (c *fakeCloud) serving() int {
 	n := 0
-	for _, counts := range c.situation.Running {
+	for _, counts := range c.input.Running {
 		n += counts.Standard + counts.Preemptible
 	}
 	return n
 }
 
+// runFor advances the time by d and returns the lowest number of serving upstreams meanwhile.
 func (c *fakeCloud) runFor(d time.Duration) (fewest int) {
 	fewest = c.serving()
 	for end := c.now.Add(d); c.now.Before(end); {
@@ -120,7 +123,7 @@
 	c := newFakeCloud(22, testLimits)
 	is.Equal(c.runFor(20*time.Second), 88)
 	for _, dc := range dataCentres {
-		is.Equal(c.situation.Running[dc], UpstreamCounts{Standard: 1, Preemptible: 21})
+		is.Equal(c.input.Running[dc], UpstreamCounts{Standard: 1, Preemptible: 21})
 	}
 	before, orders := c.cost, c.orders
 	c.runFor(time.Minute)
@@ -134,22 +137,22 @@
 func TestPreemptibleLossInTwoDataCentres(t *testing.T) {
 	is := is.New(t)
 	c := newFakeCloud(22, testLimits)
-	c.situation.Need = 80
+	c.input.Need = 80
 	c.runFor(30 * time.Second)
 	for _, dc := range dataCentres[:toleratedDataCentreLosses] {
-		counts := c.situation.Running[dc]
+		counts := c.input.Running[dc]
 		counts.Preemptible = 0
-		c.situation.Running[dc] = counts
+		c.input.Running[dc] = counts
 	}
-	is.True(float64(c.serving()) >= minCapacityRatio*c.situation.Need)
-	is.True(!c.situation.lacksCapacity())
+	is.True(float64(c.serving()) >= minCapacityRatio*c.input.Need)
+	is.True(!c.input.lacksCapacity())
 	standard := 0
 	c.runFor(20 * time.Second)
-	for _, counts := range c.situation.Running {
+	for _, counts := range c.input.Running {
 		standard += counts.Standard
 	}
 	is.Equal(standard, len(dataCentres)) // no extra standard upstreams, because the capacity suffices
-	is.True(float64(c.serving()) >= c.situation.Need)
+	is.True(float64(c.serving()) >= c.input.Need)
 }
 
 // TestScaleOut raises the load above the running capacity. More upstreams must be ordered,
@@ -159,40 +162,40 @@
 	for _, limits := range []Limits{testLimits, {Min: 1, Max: 46, BootTime: 4 * time.Second}} {
 		c := newFakeCloud(10, limits)
 		c.runFor(20 * time.Second)
-		c.situation.Need = 100
+		c.input.Need = 100
 		c.runFor(20 * time.Second)
 		is.True(c.serving() >= 100)
-		c.situation.Need = 10_000
+		c.input.Need = 10_000
 		c.runFor(20 * time.Second)
 		is.True(c.serving() <= len(dataCentres)*limits.Max)
 	}
 }
 
-// TestNoOrdersDuringRelease checks that no order is placed while the upstreams of a release
+// TestNoOrdersDuringRelease checks that no scaling order is placed while the upstreams of a release
 // run beside the old ones, because it would remove some of them. An order is still placed if
-// the load requires it, but none after the release.
+// the load requires it, but none after the release rollout.
 func TestNoOrdersDuringRelease(t *testing.T) {
 	is := is.New(t)
 	c := newFakeCloud(22, testLimits)
-	c.situation.ReleaseInProgress = true
-	is.Equal(len(Plan(c.situation)), 0)
-	c.situation.Need = 1000
-	is.True(len(Plan(c.situation)) > 0)
-	c.situation.ReleaseDone = true
-	is.Equal(len(Plan(c.situation)), 0)
+	c.input.ReleaseInProgress = true
+	is.Equal(len(Plan(c.input)), 0)
+	c.input.Need = 1000
+	is.True(len(Plan(c.input)) > 0)
+	c.input.ReleaseDone = true
+	is.Equal(len(Plan(c.input)), 0)
 }
 
-// TestOrdersStayWithinLimits draws situations and checks that orders stay within the limits
+// TestOrdersStayWithinLimits draws inputs and checks that scaling orders stay within the limits
 // for both kinds together, and that each changes the number of upstreams.
 func TestOrdersStayWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Input{
 			Service: service, Baseline: make(map[contract.DataCentreID]int), Running: make(map[contract.DataCentreID]UpstreamCounts), InProgress: make(map[Group]int),
-			Need: rapid.Float64Range(0, 300).Draw(t, "need"), ReleaseInProgress: rapid.Bool().Draw(t, "releasing"),
+			Need: rapid.Float64Range(0, 300).Draw(t, "need"), ReleaseInProgress: rapid.Bool().Draw(t, "release in progress"),
 		}
 		s.Limits = Limits{Min: rapid.IntRange(0, 3).Draw(t, "min"), Max: rapid.IntRange(3, 40).Draw(t, "max"), PreemptiblePrice: rapid.Float64Range(0, 1.5).Draw(t, "price")}
-		for _, dc := range dataCentres[:rapid.IntRange(1, 4).Draw(t, "centres")] {
-			s.Baseline[dc] = rapid.IntRange(0, 40).Draw(t, "sized")
+		for _, dc := range dataCentres[:rapid.IntRange(1, 4).Draw(t, "data centres")] {
+			s.Baseline[dc] = rapid.IntRange(0, 40).Draw(t, "baseline")
 			s.Running[dc] = UpstreamCounts{Standard: rapid.IntRange(0, 20).Draw(t, "standard"), Preemptible: rapid.IntRange(0, 20).Draw(t, "preemptible")}
 			if rapid.Bool().Draw(t, "ordered") {
 				s.InProgress[Group{service, dc, true}] = rapid.IntRange(0, 20).Draw(t, "count")
--- a/session/session.go
+++ b/session/session.go
@@ -28,27 +28,27 @@
 // keyPurpose makes the signature of a token invalid for a ticket.
 const keyPurpose = "session"
 
-// ErrOtherWorkspace means that a token was issued for another workspace. The caller
-// learns no more than for a forged token.
+// ErrOtherWorkspace means that a token was issued for another workspace. The client
+// gets the same refusal as for a forged token.
 var ErrOtherWorkspace = errors.New("session token belongs to another workspace")
 
 // Signer issues and verifies tokens.
 type Signer struct{ key *sign.Key }
 
-// NewSigner returns a Keeper that uses the fleet's signing key.
+// NewSigner returns a Signer that uses the fleet's signing key.
 func NewSigner(secret []byte) *Signer { return &Signer{key: sign.NewKey(secret, keyPurpose)} }
 
 // Issue returns the signed token of a session that begins now.
-func (k *Signer) Issue(t Token, now time.Time) (string, error) {
+func (s *Signer) Issue(t Token, now time.Time) (string, error) {
 	t.IssuedAt = now.Unix()
-	return k.key.Sign(t)
+	return s.key.Sign(t)
 }
 
 // Open verifies and decodes a token presented by workspace w. It fails with
-// sign.ErrForged or ErrOtherWorkspace.
-func (k *Signer) Open(text string, w contract.WorkspaceID) (Token, error) {
+// sign.ErrInvalidSignature or ErrOtherWorkspace.
+func (s *Signer) Open(text string, w contract.WorkspaceID) (Token, error) {
 	var t Token
-	if err := k.key.Verify(text, &t); err != nil {
+	if err := s.key.Verify(text, &t); err != nil {
 		return Token{}, err
 	}
 	if t.Workspace != w {
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -27,7 +27,7 @@
 
 // TestVersionStableDuringRamp checks that a token keeps a session on its version
 // while the rollout percentage grows, whereas hashing the session id moves some
-// sessions. A new Keeper opens each token, as if every VM had been replaced.
+// sessions. A new Signer opens each token, as if every VM had been replaced.
 func TestVersionStableDuringRamp(t *testing.T) {
 	is := is.New(t)
 	moved, kept := 0, 0
@@ -57,10 +57,10 @@
 // are rejected, and that a session token is no valid ticket.
 func TestRejectsForgedToken(t *testing.T) {
 	is := is.New(t)
-	k := NewSigner(secret)
-	text, err := k.Issue(Token{Session: "s", Workspace: "w", Version: "m@1"}, time.Unix(0, 0))
+	signer := NewSigner(secret)
+	text, err := signer.Issue(Token{Session: "s", Workspace: "w", Version: "m@1"}, time.Unix(0, 0))
 	is.NoErr(err)
-	_, err = k.Open(text, "other")
+	_, err = signer.Open(text, "other")
 	is.Equal(err, ErrOtherWorkspace)
 	ticketKey := sign.NewKey(secret, "ticket")
 	is.Equal(ticketKey.Verify(text, &Token{}), sign.ErrInvalidSignature) // signed for another purpose
@@ -72,7 +72,7 @@
 			return
 		}
 		raw[position] = replacement
-		if got, err := k.Open(string(raw), "w"); err == nil && got.Version != "m@1" {
+		if got, err := signer.Open(string(raw), "w"); err == nil && got.Version != "m@1" {
 			t.Fatalf("altered token opened as %+v", got)
 		}
 	})
@@ -81,8 +81,8 @@
 // FuzzOpen checks that no input makes Open panic or return a token of another
 // workspace.
 func FuzzOpen(f *testing.F) {
-	k := NewSigner(secret)
-	good, err := k.Issue(Token{Session: "s", Workspace: "w", Version: "m@1"}, time.Unix(0, 0))
+	signer := NewSigner(secret)
+	good, err := signer.Issue(Token{Session: "s", Workspace: "w", Version: "m@1"}, time.Unix(0, 0))
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -90,7 +90,7 @@
 	f.Add("")
 	f.Add("a.b")
 	f.Fuzz(func(t *testing.T, text string) {
-		if token, err := k.Open(text, "w"); err == nil && token.Workspace != "w" {
+		if token, err := signer.Open(text, "w"); err == nil && token.Workspace != "w" {
 			t.Fatalf("opened for another workspace: %+v", token)
 		}
 	})
--- a/stream/events.go
+++ b/stream/events.go
@@ -9,9 +9,9 @@
 // maxEventBytes is the maximum size of one event.
 const maxEventBytes = 1 << 20
 
-// Errors of Events.
 var (
-	ErrEventTooLong = errors.New("server-sent event is longer than 1 MiB")
+	// ErrEventTooLong means that a server-sent event is longer than maxEventBytes.
+	ErrEventTooLong = errors.New("event of a stream is longer than 1 MiB")
 )
 
 // EventSplitter splits the bytes of a server-sent event stream into whole events. It
@@ -23,12 +23,12 @@
 	hasID  bool
 }
 
-// SkipThrough continues the series after the event with the given id: Feed drops all
-// events up to it.
+// SkipThrough continues the event stream after the event with the given id: Feed drops
+// all events up to it.
 func (e *EventSplitter) SkipThrough(id int64) { e.lastID, e.hasID = id, true }
 
 // DiscardPartial discards an incomplete event, because another upstream continues the
-// series.
+// event stream.
 func (e *EventSplitter) DiscardPartial() { e.buf = e.buf[:0] }
 
 // LastID returns the id of the newest whole event. It returns false if no event has
--- a/stream/events_test.go
+++ b/stream/events_test.go
@@ -54,7 +54,7 @@
 	is.New(t).True(naiveFailures > 0)
 }
 
-// FuzzEvents checks that no input makes Events panic, return partial events, or
+// FuzzEvents checks that no input makes EventSplitter panic, return partial events, or
 // return more bytes than it received.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n"))
--- a/stream/recover.go
+++ b/stream/recover.go
@@ -19,7 +19,7 @@
 	// Continue sends the request to another upstream, for the same version, with
 	// the text that the caller has already received as the start of the response.
 	Continue
-	// GiveUp ends the stream with the known outcome. An incomplete response is never
+	// GiveUp ends the stream and reports the known outcome. An incomplete response is never
 	// presented as complete.
 	GiveUp
 )
@@ -70,7 +70,8 @@
 	return GiveUp
 }
 
-// Outcome returns the outcome to report for a stream that was given up.
+// Outcome returns the outcome to report for a stream that was given up: the request ran if the
+// caller received part of the response.
 func (b Interruption) Outcome() contract.Outcome {
 	if b.DeliveredChunks > 0 {
 		return contract.OutcomeRan
--- a/stream/stall.go
+++ b/stream/stall.go
@@ -13,20 +13,19 @@
 	// MaxGap is the gap between chunks after which every stream counts as stalled.
 	// Zero means 10 s.
 	MaxGap time.Duration
-	// MinGap is the gap below which no stream counts as stalled.
-	// Zero means 400 ms.
+	// MinGap is the gap below which no stream counts as stalled. Zero means 400 ms.
 	MinGap time.Duration
 	// Deviations is how many mean deviations above the mean gap the threshold for a
 	// stall is. Zero means 16.
 	Deviations float64
-	// FirstChunk is the time limit for the first chunk. Zero means Longest.
+	// FirstChunk is the time limit for the first chunk. Zero means MaxGap.
 	FirstChunk time.Duration
 }
 
-// Default values of PaceOptions, and parameters of the threshold.
+// Default values of StallOptions, and parameters of the threshold.
 const (
-	defaultLongest    = 10 * time.Second
-	defaultShortest   = 400 * time.Millisecond
+	defaultMaxGap     = 10 * time.Second
+	defaultMinGap     = 400 * time.Millisecond
 	defaultDeviations = 16.0
 	// minGaps is how many gaps are measured before the threshold adapts to them.
 	minGaps = 4
@@ -42,45 +41,45 @@
 type StallDetector struct {
 	opts      StallOptions
 	lastChunk time.Time
-	gaps      int
+	gaps      int     // measured so far; -1 before the first chunk
 	mean      float64 // seconds
 	deviation float64 // seconds, mean absolute
 }
 
-// NewStallDetector returns a Pace for a stream that starts now.
+// NewStallDetector returns a StallDetector for a stream that starts now.
 func NewStallDetector(opts StallOptions, now time.Time) *StallDetector {
-	opts.MaxGap = cmp.Or(opts.MaxGap, defaultLongest)
-	opts.MinGap = cmp.Or(opts.MinGap, defaultShortest)
+	opts.MaxGap = cmp.Or(opts.MaxGap, defaultMaxGap)
+	opts.MinGap = cmp.Or(opts.MinGap, defaultMinGap)
 	opts.Deviations = cmp.Or(opts.Deviations, defaultDeviations)
 	opts.FirstChunk = cmp.Or(opts.FirstChunk, opts.MaxGap)
 	return &StallDetector{opts: opts, lastChunk: now, gaps: -1}
 }
 
 // RecordChunk records that a chunk has arrived.
-func (p *StallDetector) RecordChunk(now time.Time) {
-	gap := now.Sub(p.lastChunk).Seconds()
-	p.lastChunk = now
-	p.gaps++
+func (d *StallDetector) RecordChunk(now time.Time) {
+	gap := now.Sub(d.lastChunk).Seconds()
+	d.lastChunk = now
+	d.gaps++
 	switch {
-	case p.gaps < 1: // the wait for the first chunk is not a gap
-	case p.gaps == 1:
-		p.mean, p.deviation = gap, gap/2
+	case d.gaps < 1: // the wait for the first chunk is not a gap
+	case d.gaps == 1:
+		d.mean, d.deviation = gap, gap/2
 	default:
-		diff := gap - p.mean
-		p.mean += gapWeight * diff
-		p.deviation += gapWeight * (max(diff, -diff) - p.deviation)
+		diff := gap - d.mean
+		d.mean += gapWeight * diff
+		d.deviation += gapWeight * (max(diff, -diff) - d.deviation)
 	}
 }
 
 // Deadline returns the deadline for the next chunk. After it, the stream counts as
 // stalled.
-func (p *StallDetector) Deadline() time.Time {
-	if p.gaps < 0 {
-		return p.lastChunk.Add(p.opts.FirstChunk)
+func (d *StallDetector) Deadline() time.Time {
+	if d.gaps < 0 {
+		return d.lastChunk.Add(d.opts.FirstChunk)
 	}
-	if p.gaps < minGaps {
-		return p.lastChunk.Add(p.opts.MaxGap)
+	if d.gaps < minGaps {
+		return d.lastChunk.Add(d.opts.MaxGap)
 	}
-	allowed := time.Duration((p.mean + p.opts.Deviations*p.deviation) * float64(time.Second))
-	return p.lastChunk.Add(min(max(allowed, time.Duration(minMeanMultiple*p.mean*float64(time.Second)), p.opts.MinGap), p.opts.MaxGap))
+	allowed := time.Duration((d.mean + d.opts.Deviations*d.deviation) * float64(time.Second))
+	return d.lastChunk.Add(min(max(allowed, time.Duration(minMeanMultiple*d.mean*float64(time.Second)), d.opts.MinGap), d.opts.MaxGap))
 }
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -37,29 +37,29 @@
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		gap := rapid.IntRange(5, 2000).Draw(t, "gap ms")
 		now := time.Unix(0, 0)
-		p := NewStallDetector(StallOptions{}, now)
+		d := NewStallDetector(StallOptions{}, now)
 		for i := range 300 {
 			next := now.Add(time.Duration(float64(gap)*(0.5+r.Float64())) * time.Millisecond)
-			if !next.Before(p.Deadline()) {
-				t.Fatalf("chunk %d counts as stalled: gap %v, threshold %v", i, next.Sub(now), p.Deadline().Sub(now))
+			if !next.Before(d.Deadline()) {
+				t.Fatalf("chunk %d counts as stalled: gap %v, threshold %v", i, next.Sub(now), d.Deadline().Sub(now))
 			}
-			p.RecordChunk(next)
+			d.RecordChunk(next)
 			now = next
 		}
 	})
 }
 
-// TestDecide draws states of a broken stream. A request that must not be repeated,
+// TestNextAction draws states of a broken stream. A request that must not be repeated,
 // or whose version is no longer permitted, must not be sent again, and a stream
 // must not restart after a chunk was delivered.
-func TestDecide(t *testing.T) {
+func TestNextAction(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(100, 0)
 		b := Interruption{
-			DeliveredChunks: rapid.IntRange(0, 3).Draw(t, "delivered"), ResumeAttempts: rapid.IntRange(0, 2).Draw(t, "resumed"),
-			Recoveries: rapid.IntRange(0, 6).Draw(t, "recovered"), Permitted: rapid.Bool().Draw(t, "permitted"),
-			Repeatable: rapid.Bool().Draw(t, "repeatable"), SingleText: rapid.Bool().Draw(t, "plain"),
-			Deadline: now.Add(time.Duration(rapid.IntRange(-1, 1).Draw(t, "left")) * time.Second),
+			DeliveredChunks: rapid.IntRange(0, 3).Draw(t, "delivered"), ResumeAttempts: rapid.IntRange(0, 2).Draw(t, "resume attempts"),
+			Recoveries: rapid.IntRange(0, 6).Draw(t, "recoveries"), Permitted: rapid.Bool().Draw(t, "permitted"),
+			Repeatable: rapid.Bool().Draw(t, "repeatable"), SingleText: rapid.Bool().Draw(t, "single text"),
+			Deadline: now.Add(time.Duration(rapid.IntRange(-1, 1).Draw(t, "time left")) * time.Second),
 		}
 		switch a := NextAction(b, now); a {
 		case Restart, Continue:
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -8,7 +8,7 @@
 // incarnation and no vote, so no vote is ever forgotten.
 //
 // Because a majority is needed to run, enough votes for Nobody prove that a request
-// did not run and never will. The outcome NotRun relies on this.
+// did not run and never will. The outcome NotRun relies on this proof.
 //
 // The alternatives and their costs are in docs/design/at-most-once.md.
 package ticket
@@ -65,21 +65,21 @@
 // Signer issues and verifies tickets.
 type Signer struct{ key *sign.Key }
 
-// NewSigner returns an Office that uses the fleet's signing key.
+// NewSigner returns a Signer that uses the fleet's signing key.
 func NewSigner(secret []byte) *Signer { return &Signer{key: sign.NewKey(secret, keyPurpose)} }
 
 // Issue returns a signed ticket that expires Lifetime from now.
-func (o *Signer) Issue(t Ticket, now time.Time) (string, error) {
+func (s *Signer) Issue(t Ticket, now time.Time) (string, error) {
 	t.Expires = now.Add(Lifetime).Unix()
-	return o.key.Sign(t)
+	return s.key.Sign(t)
 }
 
 // Open verifies and decodes a ticket presented by workspace w. It fails with
-// sign.ErrForged or ErrOtherWorkspace. An expired ticket still opens, because its
-// result can still be requested.
-func (o *Signer) Open(text string, w contract.WorkspaceID) (Ticket, error) {
+// sign.ErrInvalidSignature or ErrOtherWorkspace. An expired ticket still opens, because the
+// result of its request can still be retrieved.
+func (s *Signer) Open(text string, w contract.WorkspaceID) (Ticket, error) {
 	var t Ticket
-	if err := o.key.Verify(text, &t); err != nil {
+	if err := s.key.Verify(text, &t); err != nil {
 		return Ticket{}, err
 	}
 	if t.Workspace != w {
--- a/ticket/ticket_test.go
+++ b/ticket/ticket_test.go
@@ -14,6 +14,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
+// arbiters returns n arbiters in their first incarnation.
 func arbiters(n int) []Arbiter {
 	out := make([]Arbiter, n)
 	for i := range out {
@@ -22,16 +23,16 @@
 	return out
 }
 
-// simulation runs claims against arbiters that die or are replaced, with vote
+// simulation runs claims against arbiters that stop or are replaced, with vote
 // requests and replies that are lost, late or duplicated.
 type simulation struct {
-	t         *rapid.T
-	ticket    Ticket
-	registers []*VoteStore // nil: dead or replaced, has no vote
-	claims    []*Claim
-	now       time.Time
-	ran       map[Claimant]bool
-	proofs    int
+	t      *rapid.T
+	ticket Ticket
+	stores []*VoteStore // nil: stopped or replaced, has no vote
+	claims []*Claim
+	now    time.Time
+	ran    map[Claimant]bool
+	proofs int
 }
 
 func newSimulation(t *rapid.T) *simulation {
@@ -39,11 +40,12 @@
 	s := &simulation{t: t, now: start, ran: make(map[Claimant]bool)}
 	s.ticket = Ticket{ID: "t", Arbiters: arbiters(n), Expires: start.Add(Lifetime).Unix()}
 	for _, a := range s.ticket.Arbiters {
-		s.registers = append(s.registers, NewVoteStore(a, 10))
+		s.stores = append(s.stores, NewVoteStore(a, 10))
 	}
 	return s
 }
 
+// addClaim adds a claim of a new claimant or of Nobody.
 func (s *simulation) addClaim() {
 	c := Claimant{VM: "x", Incarnation: 1, Attempt: contract.RequestID(fmt.Sprint(len(s.claims)))}
 	if rapid.IntRange(0, 3).Draw(s.t, "nobody") == 0 {
@@ -52,24 +54,25 @@
 	s.claims = append(s.claims, NewClaim(s.ticket, c))
 }
 
+// requestVote asks an arbiter for its vote for a claim; the reply may be lost or duplicated.
 func (s *simulation) requestVote() {
 	if len(s.claims) == 0 {
 		return
 	}
 	c := s.claims[rapid.IntRange(0, len(s.claims)-1).Draw(s.t, "claim")]
-	i := rapid.IntRange(0, len(s.registers)-1).Draw(s.t, "arbiter")
+	i := rapid.IntRange(0, len(s.stores)-1).Draw(s.t, "arbiter")
 	vm := s.ticket.Arbiters[i].VM
-	if s.registers[i] == nil {
+	if s.stores[i] == nil {
 		c.NoReply(vm)
 		return
 	}
-	vote, err := s.registers[i].Vote(s.ticket, c.claimant, s.now)
+	vote, err := s.stores[i].Vote(s.ticket, c.claimant, s.now)
 	if err != nil {
 		c.NoReply(vm)
 		return
 	}
-	switch rapid.SampledFrom([]string{"answer", "lost", "twice"}).Draw(s.t, "reply") {
-	case "answer":
+	switch rapid.SampledFrom([]string{"reply", "lost", "twice"}).Draw(s.t, "reply") {
+	case "reply":
 		c.AddVote(vm, vote)
 	case "twice":
 		c.AddVote(vm, vote)
@@ -102,7 +105,7 @@
 	}
 }
 
-// TestAtMostOnce draws schedules of competing claims, dead arbiters and lost
+// TestAtMostOnce draws schedules of competing claims, stopped arbiters and lost
 // replies. At most one claim may win, and NotRun must never be reported for a
 // request that runs, then or later.
 func TestAtMostOnce(t *testing.T) {
@@ -116,7 +119,7 @@
 			case "ask":
 				s.requestVote()
 			case "kill":
-				s.registers[rapid.IntRange(0, len(s.registers)-1).Draw(t, "which")] = nil
+				s.stores[rapid.IntRange(0, len(s.stores)-1).Draw(t, "which")] = nil
 			case "wait":
 				s.now = s.now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "seconds")) * time.Second)
 			}
@@ -143,7 +146,7 @@
 }
 
 // TestReplacedArbiterCannotVote replaces a VM between two attempts. With a single
-// owner that keeps its grants in memory, the request runs twice. The register
+// owner that keeps its grants in memory, the request runs twice. The vote store
 // refuses, because the replacement process has another incarnation and no vote.
 func TestReplacedArbiterCannotVote(t *testing.T) {
 	is := is.New(t)
@@ -170,7 +173,7 @@
 }
 
 // TestSurvivorProvesNotRun checks that the survivor of two arbiters can prove that
-// a request never ran after the other has died.
+// a request never ran after the other has stopped.
 func TestSurvivorProvesNotRun(t *testing.T) {
 	is := is.New(t)
 	tk := Ticket{ID: "t", Arbiters: arbiters(2), Expires: start.Add(Lifetime).Unix()}
@@ -193,9 +196,9 @@
 	tk := Ticket{ID: "t", Arbiters: arbiters(2), Expires: start.Add(Lifetime).Unix()}
 	x, y := Claimant{VM: "x"}, Claimant{VM: "y"}
 	cx, cy := NewClaim(tk, x), NewClaim(tk, y)
-	registers := []*VoteStore{NewVoteStore(tk.Arbiters[0], 10), NewVoteStore(tk.Arbiters[1], 10)}
+	stores := []*VoteStore{NewVoteStore(tk.Arbiters[0], 10), NewVoteStore(tk.Arbiters[1], 10)}
 	requestVote := func(c *Claim, claimant Claimant, i int) Vote {
-		vote, err := registers[i].Vote(tk, claimant, start)
+		vote, err := stores[i].Vote(tk, claimant, start)
 		is.NoErr(err)
 		c.AddVote(tk.Arbiters[i].VM, vote)
 		return vote
@@ -251,9 +254,9 @@
 	is.Equal(notRun.Outcome(), contract.OutcomeUnknown)
 }
 
-// TestFullRegisterRefusesVotes checks that a full register returns ErrRegisterFull,
+// TestFullVoteStoreRefusesVotes checks that a full vote store returns ErrVoteStoreFull,
 // and that it drops no ticket that can still be claimed.
-func TestFullRegisterRefusesVotes(t *testing.T) {
+func TestFullVoteStoreRefusesVotes(t *testing.T) {
 	is := is.New(t)
 	self := arbiters(1)
 	r := NewVoteStore(self[0], 2)
@@ -265,7 +268,7 @@
 	}
 	third := Ticket{ID: "third", Arbiters: self, Expires: start.Add(2 * Lifetime).Unix()}
 	_, err := r.Vote(third, Claimant{VM: "a"}, now)
-	is.Equal(err, ErrRegisterFull)
+	is.Equal(err, ErrVoteStoreFull)
 	now = start.Add(Lifetime + resultRetentionSeconds*time.Second)
 	_, err = r.Vote(third, Claimant{VM: "a"}, now)
 	is.NoErr(err)
--- a/ticket/register.go
+++ b/ticket/votestore.go
@@ -41,13 +41,13 @@
 	Result *Result  `cbor:"2,keyasint"`
 }
 
-// ErrRegisterFull means that an arbiter already stores the maximum number of
-// tickets. It has not voted.
-var ErrRegisterFull = errors.New("arbiter already stores the maximum number of tickets")
+// ErrVoteStoreFull means that an arbiter already stores the maximum number of
+// tickets. The arbiter has not voted.
+var ErrVoteStoreFull = errors.New("arbiter remembers as many tickets as it may")
 
 // ErrNotArbiter means that the ticket names another process, or an earlier
 // incarnation of this one. This process has not voted.
-var ErrNotArbiter = errors.New("ticket does not name this process as an arbiter")
+var ErrNotArbiter = errors.New("ticket names another arbiter")
 
 // VoteStore holds the votes of one arbiter. It is a pure state machine and not safe
 // for concurrent use.
@@ -81,43 +81,43 @@
 // retries.
 const defaultMaxStoredBytes = 16 * contract.MiB
 
-// NewVoteStore returns an empty register for the arbiter self, which stores at most
+// NewVoteStore returns an empty store for the arbiter self, which stores at most
 // maxTickets tickets.
 func NewVoteStore(self Arbiter, maxTickets int) *VoteStore {
 	return &VoteStore{self: self, maxTickets: maxTickets, votes: make(map[string]*voteRecord), maxStoredBytes: defaultMaxStoredBytes}
 }
 
 // Len returns the number of stored tickets.
-func (r *VoteStore) Len() int { return len(r.votes) }
+func (s *VoteStore) Len() int { return len(s.votes) }
 
 // Vote returns the vote on t. The first claimant that asks gets the vote.
 //
 // A lost reply is harmless: another request returns the same vote. A request that
 // arrives late gets the first vote, or ErrExpired.
-func (r *VoteStore) Vote(t Ticket, c Claimant, now time.Time) (Vote, error) {
-	r.dropExpired(now)
-	if !r.isArbiterOf(t) {
+func (s *VoteStore) Vote(t Ticket, c Claimant, now time.Time) (Vote, error) {
+	s.dropExpired(now)
+	if !s.isArbiterOf(t) {
 		return Vote{}, ErrNotArbiter
 	}
-	if e, ok := r.votes[t.ID]; ok {
+	if e, ok := s.votes[t.ID]; ok {
 		return Vote{For: e.vote, Result: e.result}, nil
 	}
 	if now.Unix() >= t.Expires {
 		return Vote{}, ErrExpired
 	}
-	if len(r.votes) >= r.maxTickets {
-		return Vote{}, ErrRegisterFull
+	if len(s.votes) >= s.maxTickets {
+		return Vote{}, ErrVoteStoreFull
 	}
-	r.votes[t.ID] = &voteRecord{vote: c}
-	r.expiry = append(r.expiry, expiryEntry{t.ID, t.Expires})
+	s.votes[t.ID] = &voteRecord{vote: c}
+	s.expiry = append(s.expiry, expiryEntry{t.ID, t.Expires})
 	return Vote{For: c}, nil
 }
 
 // isArbiterOf reports whether t names this process, in its present incarnation, as
 // an arbiter.
-func (r *VoteStore) isArbiterOf(t Ticket) bool {
+func (s *VoteStore) isArbiterOf(t Ticket) bool {
 	for _, a := range t.Arbiters {
-		if a.VM == r.self.VM && a.Incarnation == r.self.Incarnation {
+		if a.VM == s.self.VM && a.Incarnation == s.self.Incarnation {
 			return true
 		}
 	}
@@ -126,34 +126,34 @@
 
 // StoreResult stores the result of a ticket's request. It accepts only the first result,
 // and only from the claimant that has the vote.
-func (r *VoteStore) StoreResult(id string, c Claimant, result Result) {
-	e, ok := r.votes[id]
+func (s *VoteStore) StoreResult(id string, c Claimant, result Result) {
+	e, ok := s.votes[id]
 	if !ok || e.vote != c || e.result != nil {
 		return
 	}
 	size := contract.Bytes(len(result.Body))
-	if size > MaxStoredBody || r.storedBytes+size > r.maxStoredBytes {
+	if size > MaxStoredBody || s.storedBytes+size > s.maxStoredBytes {
 		result.Body, result.BodyComplete, size = nil, false, 0
 	}
-	r.storedBytes += size
+	s.storedBytes += size
 	e.result = &result
 }
 
 // dropExpired removes expired tickets. Tickets are stored in about the order in
 // which they expire; one that is out of order only stays a little longer.
-func (r *VoteStore) dropExpired(now time.Time) {
+func (s *VoteStore) dropExpired(now time.Time) {
 	n := 0
-	for n < len(r.expiry) && now.Unix() >= r.expiry[n].expires+int64(resultRetentionSeconds) {
-		id := r.expiry[n].id
-		if e := r.votes[id]; e != nil && e.result != nil {
-			r.storedBytes -= contract.Bytes(len(e.result.Body))
+	for n < len(s.expiry) && now.Unix() >= s.expiry[n].expires+int64(resultRetentionSeconds) {
+		id := s.expiry[n].id
+		if e := s.votes[id]; e != nil && e.result != nil {
+			s.storedBytes -= contract.Bytes(len(e.result.Body))
 		}
-		delete(r.votes, id)
+		delete(s.votes, id)
 		n++
 	}
-	r.expiry = r.expiry[n:]
+	s.expiry = s.expiry[n:]
 }
 
 // resultRetentionSeconds is how long after its expiry the result of a ticket can be
-// requested.
+// retrieved.
 const resultRetentionSeconds = 120
--- a/usage/closing.go
+++ b/usage/closing.go
@@ -7,17 +7,18 @@
 
 // Rules are the reporting rules of a deployment.
 type Rules struct {
-	// Window is the length of a window, Late how long after its end the report is due.
+	// Window is the length of a window, ReportDeadline how long after its end the report is due.
 	Window, ReportDeadline time.Duration
 }
 
-// Delays between the end of a window and its closing, as fractions of Late.
+// Delays between the end of a window and its closing, as fractions of
+// ReportDeadline.
 const (
 	// minDelayFraction applies if all peers have sent their counts since the window ended.
 	// Counts take two rounds of updates to arrive.
 	minDelayFraction = 0.2
-	// maxDelayFraction limits the wait for silent peers, which may be disconnected for
-	// seconds. The rest of Late is for the report calls and one change of the lease holder.
+	// maxDelayFraction limits the wait for silent peers, which may be disconnected for seconds.
+	// The rest of ReportDeadline is for the report calls and one change of the lease holder.
 	maxDelayFraction = 0.7
 )
 
@@ -39,7 +40,7 @@
 }
 
 // Record is the state shared by all holders of the lease. Windows up to ClosedThrough are
-// closed. Those in Fixed still have to be reported with exactly these counts; the others were
+// closed. Those in Unreported still have to be reported with exactly these counts; the others were
 // reported, or their report would have been too late.
 type Record struct {
 	ClosedThrough Window         `json:"through"`
@@ -52,14 +53,14 @@
 	return r
 }
 
-// pastDeadline reports whether it is too late to report a window.
+// pastDeadline reports whether it is too late to report a window to the platform.
 func (t Rules) pastDeadline(w Window, now time.Time) bool {
 	return now.Sub(w.End(t.Window)) > t.ReportDeadline
 }
 
 // Close returns the record with all windows closed that can be closed now, and whether it has
-// changed. Each peer has last sent all its counts at reportedAt or later. Windows without
-// counts need no report.
+// changed. reportedAt is the earliest of the times at which the peers last sent all their
+// counts. Windows without counts need no report.
 func (t Rules) Close(r Record, s *Counter, reportedAt, now time.Time) (Record, bool) {
 	next := Record{ClosedThrough: r.ClosedThrough, Unreported: slices.Clone(r.Unreported)}
 	for _, w := range s.Windows() {
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -58,6 +58,7 @@
 	Counts Counts              `cbor:"3,keyasint"`
 }
 
+// partKey identifies a Part.
 type partKey struct {
 	window Window
 	source contract.VMInstance
@@ -77,44 +78,46 @@
 	newestChange uint64
 }
 
-// NewCounter returns an empty Sums.
+// NewCounter returns an empty Counter.
 func NewCounter() *Counter { return &Counter{parts: make(map[partKey]*trackedPart)} }
 
 // CountStart counts one started request for an incarnation of this VM.
-func (s *Counter) CountStart(source contract.VMInstance, window Window, w contract.WorkspaceID) {
-	p := s.getOrCreate(source, window)
+func (c *Counter) CountStart(source contract.VMInstance, window Window, w contract.WorkspaceID) {
+	p := c.getOrCreate(source, window)
 	p.counts[w]++
-	s.markChanged(p)
+	c.markChanged(p)
 }
 
 // Merge merges a part that another VM has sent.
-func (s *Counter) Merge(received Part) {
-	p := s.getOrCreate(received.Source, received.Window)
+func (c *Counter) Merge(received Part) {
+	p := c.getOrCreate(received.Source, received.Window)
 	if p.counts.mergeMax(received.Counts) {
-		s.markChanged(p)
+		c.markChanged(p)
 	}
 }
 
-func (s *Counter) getOrCreate(source contract.VMInstance, window Window) *trackedPart {
+// getOrCreate returns the counts of a VM incarnation in a window, empty ones if there are none.
+func (c *Counter) getOrCreate(source contract.VMInstance, window Window) *trackedPart {
 	key := partKey{window, source}
-	p, ok := s.parts[key]
+	p, ok := c.parts[key]
 	if !ok {
 		p = &trackedPart{counts: make(Counts)}
-		s.parts[key] = p
+		c.parts[key] = p
 	}
 	return p
 }
 
-func (s *Counter) markChanged(p *trackedPart) {
-	s.newestChange++
-	p.lastChange = s.newestChange
+// markChanged gives a part the next change number.
+func (c *Counter) markChanged(p *trackedPart) {
+	c.newestChange++
+	p.lastChange = c.newestChange
 }
 
 // ChangedSince returns the parts that were raised after the given change number, and the
 // number of the newest change. Change number 0 selects all parts.
-func (s *Counter) ChangedSince(change uint64) ([]Part, uint64) {
+func (c *Counter) ChangedSince(change uint64) ([]Part, uint64) {
 	var out []Part
-	for key, p := range s.parts {
+	for key, p := range c.parts {
 		if p.lastChange > change {
 			out = append(out, Part{key.source, key.window, maps.Clone(p.counts)})
 		}
@@ -122,13 +125,13 @@
 	slices.SortFunc(out, func(a, b Part) int {
 		return cmp.Or(cmp.Compare(a.Window, b.Window), cmp.Compare(a.Source.VM, b.Source.VM), cmp.Compare(a.Source.Incarnation, b.Source.Incarnation))
 	})
-	return out, s.newestChange
+	return out, c.newestChange
 }
 
 // Total returns the counts of a window, summed over all VM incarnations.
-func (s *Counter) Total(w Window) Counts {
+func (c *Counter) Total(w Window) Counts {
 	total := make(Counts)
-	for key, p := range s.parts {
+	for key, p := range c.parts {
 		if key.window != w {
 			continue
 		}
@@ -140,15 +143,15 @@
 }
 
 // Windows returns the windows that have counts, in ascending order.
-func (s *Counter) Windows() []Window {
+func (c *Counter) Windows() []Window {
 	seen := make(map[Window]bool)
-	for key := range s.parts {
+	for key := range c.parts {
 		seen[key.window] = true
 	}
 	return slices.Sorted(maps.Keys(seen))
 }
 
 // DropBefore drops the parts of all windows before the given one.
-func (s *Counter) DropBefore(before Window) {
-	maps.DeleteFunc(s.parts, func(key partKey, _ *trackedPart) bool { return key.window < before })
+func (c *Counter) DropBefore(before Window) {
+	maps.DeleteFunc(c.parts, func(key partKey, _ *trackedPart) bool { return key.window < before })
 }
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -13,8 +13,8 @@
 	"woaddoor/contract"
 )
 
-// testTerms use windows of 5 s, with reports due 10 s after their end.
-var testTerms = Rules{Window: 5 * time.Second, ReportDeadline: 10 * time.Second}
+// testRules use windows of 5 s, with reports due 10 s after their end.
+var testRules = Rules{Window: 5 * time.Second, ReportDeadline: 10 * time.Second}
 
 // TestSumsConverge draws VMs that count requests and exchange parts late, twice, in any order
 // and through other VMs. A VM that has received all parts must have the true sums.
@@ -40,15 +40,15 @@
 				}
 				expected[w][id]++
 			case 2:
-				parts, _ := vms[drawVM("tells")].ChangedSince(0)
+				parts, _ := vms[drawVM("sender")].ChangedSince(0)
 				inFlight = append(inFlight, parts...)
 			case 3:
 				if len(inFlight) > 0 { // deliver one part, which may be delivered again
-					vms[drawVM("hears")].Merge(inFlight[rapid.IntRange(0, len(inFlight)-1).Draw(t, "part")])
+					vms[drawVM("receiver")].Merge(inFlight[rapid.IntRange(0, len(inFlight)-1).Draw(t, "part")])
 				}
 			case 4: // a VM passes on all parts that it knows
 				i := drawVM("hub")
-				parts, _ := vms[drawVM("teller")].ChangedSince(0)
+				parts, _ := vms[drawVM("sender to hub")].ChangedSince(0)
 				for _, p := range parts {
 					vms[i].Merge(p)
 				}
@@ -69,29 +69,29 @@
 	})
 }
 
-// TestSinceReturnsChangedParts checks that a part is returned again only after its counts have
-// grown.
-func TestSinceReturnsChangedParts(t *testing.T) {
+// TestChangedSinceReturnsChangedParts checks that a part is returned again only after its
+// counts have grown.
+func TestChangedSinceReturnsChangedParts(t *testing.T) {
 	is := is.New(t)
 	s := NewCounter()
 	self := contract.VMInstance{VM: "me"}
 	s.CountStart(self, 1, "w")
-	parts, mark := s.ChangedSince(0)
+	parts, change := s.ChangedSince(0)
 	is.Equal(len(parts), 1)
 	s.Merge(Part{contract.VMInstance{VM: "other"}, 1, Counts{"w": 2}})
 	s.Merge(Part{contract.VMInstance{VM: "other"}, 1, Counts{"w": 2}})
-	parts, mark = s.ChangedSince(mark)
+	parts, change = s.ChangedSince(change)
 	is.Equal(parts, []Part{{contract.VMInstance{VM: "other"}, 1, Counts{"w": 2}}})
 	s.Merge(Part{contract.VMInstance{VM: "other"}, 1, Counts{"w": 1}}) // outdated
-	parts, _ = s.ChangedSince(mark)
+	parts, _ = s.ChangedSince(change)
 	is.Equal(len(parts), 0)
 	is.Equal(s.Total(1), Counts{"w": 3})
 	s.DropBefore(2)
 	is.Equal(len(s.Windows()), 0)
 }
 
-// TestWindowNumbers checks window numbers against an example of the platform with windows of 5
-// s.
+// TestWindowNumbers checks window numbers against an example of the platform with windows of
+// 5 s.
 func TestWindowNumbers(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(353445120*5, 0)
@@ -105,7 +105,7 @@
 func TestCloseTiming(t *testing.T) {
 	is := is.New(t)
 	const w = Window(100)
-	end := w.End(testTerms.Window)
+	end := w.End(testRules.Window)
 	s := NewCounter()
 	s.CountStart(contract.VMInstance{VM: "a"}, w, "x")
 	for _, c := range []struct {
@@ -113,25 +113,25 @@
 		wantClosed      bool
 	}{
 		{0, -time.Second, false},
-		{time.Second, testTerms.minCloseDelay() - 1, false},
-		{time.Second, testTerms.minCloseDelay(), true},
-		{-time.Second, testTerms.minCloseDelay(), false},
-		{-time.Second, testTerms.maxCloseDelay() - 1, false},
-		{-time.Second, testTerms.maxCloseDelay(), true},
+		{time.Second, testRules.minCloseDelay() - 1, false},
+		{time.Second, testRules.minCloseDelay(), true},
+		{-time.Second, testRules.minCloseDelay(), false},
+		{-time.Second, testRules.maxCloseDelay() - 1, false},
+		{-time.Second, testRules.maxCloseDelay(), true},
 	} {
-		_, closed := testTerms.Close(Record{}, s, end.Add(c.reportedAt), end.Add(c.now))
+		_, closed := testRules.Close(Record{}, s, end.Add(c.reportedAt), end.Add(c.now))
 		is.Equal(closed, c.wantClosed)
 	}
-	now := end.Add(testTerms.minCloseDelay())
-	r, _ := testTerms.Close(Record{}, s, now, now)
+	now := end.Add(testRules.minCloseDelay())
+	r, _ := testRules.Close(Record{}, s, now, now)
 	is.Equal(r, Record{ClosedThrough: w, Unreported: []ClosedWindow{{w, Counts{"x": 1}}}})
 	s.CountStart(contract.VMInstance{VM: "b"}, w, "x") // arrives after the window was closed
-	again, changed := testTerms.Close(r, s, now, now)
+	again, changed := testRules.Close(r, s, now, now)
 	is.True(!changed)
 	is.Equal(again.Unreported, r.Unreported)
 	is.Equal(r.Without(w), Record{ClosedThrough: w, Unreported: []ClosedWindow{}})
-	is.Equal(testTerms.Overdue(r, end.Add(testTerms.ReportDeadline)), nil)
-	is.Equal(testTerms.Overdue(r, end.Add(testTerms.ReportDeadline+1)), []Window{w})
+	is.Equal(testRules.Overdue(r, end.Add(testRules.ReportDeadline)), nil)
+	is.Equal(testRules.Overdue(r, end.Add(testRules.ReportDeadline+1)), []Window{w})
 }
 
 // TestCloseSkipsExpiredWindows checks that a lease holder that takes over after the deadline
@@ -141,13 +141,14 @@
 	s := NewCounter()
 	s.CountStart(contract.VMInstance{VM: "a"}, 100, "x")
 	s.CountStart(contract.VMInstance{VM: "a"}, 102, "x")
-	now := Window(102).End(testTerms.Window).Add(testTerms.minCloseDelay())
-	r, changed := testTerms.Close(Record{}, s, now, now)
+	now := Window(102).End(testRules.Window).Add(testRules.minCloseDelay())
+	r, changed := testRules.Close(Record{}, s, now, now)
 	is.True(changed)
 	is.Equal(r.ClosedThrough, Window(102))
 	is.True(slices.Equal([]Window{102}, closedWindows(r)))
 }
 
+// closedWindows returns the windows that were closed and still have to be reported.
 func closedWindows(r Record) []Window {
 	var out []Window
 	for _, f := range r.Unreported {
--- a/workspace/queue.go
+++ b/workspace/queue.go
@@ -181,7 +181,7 @@
 	return q.running < q.opts.Capacity && float64(f.running+1) <= q.guaranteedSlots(f)
 }
 
-// guaranteedSlots returns the slots that a flow is entitled to by its weight among
+// guaranteedSlots returns the number of slots that a flow is entitled to by its weight among
 // all workspaces, at least 1.
 func (q *Queue) guaranteedSlots(f *flow) float64 {
 	return max(float64(q.opts.Capacity)*f.weight/float64(q.opts.TotalWeight), 1)
--- a/workspace/queue_test.go
+++ b/workspace/queue_test.go
@@ -34,11 +34,11 @@
 		}
 		for n := range rapid.IntRange(1, 60).Draw(t, "events") {
 			now = now.Add(50 * time.Millisecond)
-			switch rapid.SampledFrom([]string{"offer", "offer", "done", "expire", "abandon"}).Draw(t, "event") {
+			switch rapid.SampledFrom([]string{"offer", "offer", "done", "expire", "cancel"}).Draw(t, "event") {
 			case "offer":
 				item := Request{
 					ID: ID(n), Workspace: contract.WorkspaceID(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "w")),
-					Weight: rapid.IntRange(1, 3).Draw(t, "share"), Class: Class(rapid.IntRange(0, 1).Draw(t, "class")),
+					Weight: rapid.IntRange(1, 3).Draw(t, "weight"), Class: Class(rapid.IntRange(0, 1).Draw(t, "class")),
 					Deadline: now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond),
 				}
 				switch v, after := q.Offer(item, now, r); v {
@@ -61,10 +61,10 @@
 				for _, i := range q.Expire(now) {
 					delete(waiting, i.ID)
 				}
-			case "abandon":
+			case "cancel":
 				id := ID(rapid.IntRange(0, n).Draw(t, "id"))
 				if q.Cancel(id) != waiting[id] {
-					t.Fatalf("abandoning request %d: waiting was %v", id, waiting[id])
+					t.Fatalf("Cancel of request %d did not return %v", id, waiting[id])
 				}
 				delete(waiting, id)
 			}
@@ -88,7 +88,7 @@
 		if fifoFree > 0 {
 			fifoFree--
 		}
-		q.Offer(Request{ID: ID(i), Workspace: "loud", Deadline: now.Add(time.Hour)}, now, newRandom())
+		q.Offer(Request{ID: ID(i), Workspace: "busy", Deadline: now.Add(time.Hour)}, now, newRandom())
 	}
 	is.Equal(fifoFree, 0) // first come, first served: no slot is left
 	v, _ := q.Offer(Request{ID: 1000, Workspace: "quiet", Deadline: now.Add(time.Second)}, now, newRandom())
@@ -102,9 +102,9 @@
 	now := time.Unix(0, 0)
 	q := NewQueue(Options{Capacity: 1})
 	r := newRandom()
-	far := now.Add(time.Hour)
+	distant := now.Add(time.Hour)
 	for i := range 50 {
-		q.Offer(Request{ID: ID(i), Workspace: "a", Deadline: far}, now, r)
+		q.Offer(Request{ID: ID(i), Workspace: "a", Deadline: distant}, now, r)
 	}
 	retryAfters := make(map[time.Duration]bool)
 	for i := range 20 {
@@ -124,11 +124,11 @@
 	ran := make(map[contract.WorkspaceID]int)
 	var running []contract.WorkspaceID
 	for i := range 4000 {
-		w, share := contract.WorkspaceID("one"), 1
+		w, weight := contract.WorkspaceID("one"), 1
 		if i%2 == 0 {
-			w, share = "three", 3
+			w, weight = "three", 3
 		}
-		if v, _ := q.Offer(Request{ID: ID(i), Workspace: w, Weight: share, Deadline: now.Add(time.Hour)}, now, newRandom()); v == Admitted {
+		if v, _ := q.Offer(Request{ID: ID(i), Workspace: w, Weight: weight, Deadline: now.Add(time.Hour)}, now, newRandom()); v == Admitted {
 			running = append(running, w)
 		}
 	}
