--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -22,8 +22,7 @@
 	// ExplorationRate is the fraction of requests that try the cheapest model with a check,
 	// even if another plan looks better. Zero means 0.02.
 	ExplorationRate float64
-	// MaxSamples is the maximum effective number of ratings behind an estimate.
-	// Zero means 400.
+	// MaxSamples is the maximum effective number of ratings behind an estimate. Zero means 400.
 	MaxSamples float64
 	// StandardErrors is the number of standard errors by which an estimate is lowered
 	// before it is compared with the target. Zero means 1.64 (95%).
--- a/cascade/cascade_test.go
+++ b/cascade/cascade_test.go
@@ -12,6 +12,7 @@
 
 var models = []Model{{ID: "small", Cost: 1}, {ID: "large", Cost: 10}}
 
+// query returns a query about the two test models with a target share of good answers.
 func query(target float64) Query {
 	return Query{Workspace: "w", Models: models, CheckCost: 0.2, Target: target}
 }
@@ -79,8 +80,8 @@
 	is.True(quality > 0.9)
 }
 
-// TestEveryQueryGetsAValidPlan is a property test: any query gets a plan that uses only its
-// own models.
+// TestEveryQueryGetsAValidPlan is a property test: any query gets a plan
+// that uses only its own models.
 func TestEveryQueryGetsAValidPlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLearner(Options{MaxArms: 2})
--- a/cascade/confidence.go
+++ b/cascade/confidence.go
@@ -25,8 +25,8 @@
 
 // Priors and weights of a ConfidenceEstimator.
 const (
-	// priorGoodConfidence and priorPoorConfidence are the prior mean confidences of good
-	// and of poor answers.
+	// priorGoodConfidence and priorPoorConfidence are the prior mean
+	// confidences of good and of poor answers.
 	priorGoodConfidence = 0.8
 	priorPoorConfidence = 0.2
 	// confidenceStdDev is the standard deviation of the confidence among good answers and
--- a/cascade/price.go
+++ b/cascade/price.go
@@ -4,8 +4,8 @@
 
 // Parameters of EscalationPrice.
 const (
-	// freeBudgetShare is the used fraction of the resend budget up to which an escalation
-	// has no price.
+	// freeBudgetShare is the used fraction of the resend budget up to
+	// which an escalation has no price.
 	freeBudgetShare = 0.5
 	// DefaultMaxEscalationPrice is the price of an escalation when the resend budget is almost
 	// used up, as a fraction of the value of a request. Sending a request to the largest
@@ -21,8 +21,8 @@
 //
 // Without a price, the budget ran out and 6% of all answers were poor and could not be
 // replaced. With a price, the escalations go to the requests that gain most. A chat, for
-// which the largest model costs little, goes to that model at once and leaves its
-// escalation to a summary, for which the largest model costs a third of the value.
+// which the largest model costs little, goes to that model at once and leaves the escalation
+// budget to requests such as summaries, for which the largest model costs a third of the value.
 func EscalationPrice(used, maxPrice float64) float64 {
 	if used >= 1 {
 		return math.Inf(1)
--- a/cascade/value.go
+++ b/cascade/value.go
@@ -1,8 +1,8 @@
 package cascade
 
-// ModelOption is a model that could answer a request, with its expected quality, timeliness and
-// costs. Values and costs are fractions of the value of the request when it is answered
-// well and in time.
+// ModelOption is a model that could answer a request, with its expected quality,
+// timeliness and costs. Values and costs are fractions of the value of the request when
+// it is answered well and in time.
 type ModelOption struct {
 	// GoodProbability is the probability that the answer is as good as the largest model's.
 	GoodProbability float64
@@ -10,8 +10,8 @@
 	LateProbability float64
 	// MissesDeadline reports that the answer would begin after the deadline.
 	MissesDeadline bool
-	// QueueCost is the delay cost that processing the prompt imposes on the requests queued
-	// behind it.
+	// QueueCost is the delay cost that processing the prompt imposes on
+	// the requests queued behind it.
 	QueueCost float64
 	// Cost is the cost of the answer itself.
 	Cost float64
@@ -19,8 +19,8 @@
 
 // Values of answers, as fractions of the value of a good answer in time.
 const (
-	// poorAnswerValue is the value of a poor answer: "a small part" of a good one, 0.05 on
-	// the data sheets of all known deployments.
+	// poorAnswerValue is the value of a poor answer, which is "a small part" of that of a good
+	// one: 0.05 on the data sheets of all known deployments.
 	poorAnswerValue = 0.05
 	// LatePenalty is the loss of value of an answer that begins after its objective. A late
 	// answer is worth 0.3 of one in time on the data sheets of all known deployments.
@@ -33,8 +33,7 @@
 // totalCost returns the cost of using the option, whatever its answer is like.
 func (o ModelOption) totalCost() float64 { return o.QueueCost + o.Cost }
 
-// answerValue returns the value of an answer of the option that is good with the given
-// probability.
+// answerValue returns the value of an answer of the option that is good with the given probability.
 func (o ModelOption) answerValue(good float64) float64 {
 	if o.MissesDeadline {
 		return 0
@@ -42,8 +41,7 @@
 	return (good + (1-good)*poorAnswerValue) * (1 - LatePenalty*o.LateProbability)
 }
 
-// Value returns the expected value of a request that is answered by the option without
-// escalation.
+// Value returns the expected value of a request that is answered by the option without escalation.
 func (o ModelOption) Value() float64 { return o.answerValue(o.GoodProbability) - o.totalCost() }
 
 // ValueKept returns the value of an answer that has begun and is good with the given
--- a/cascade/value_test.go
+++ b/cascade/value_test.go
@@ -89,8 +89,8 @@
 	})
 }
 
-// TestEscalationDecision checks in which cases an answer is given up for an escalation to
-// the larger model.
+// TestEscalationDecision checks in which cases an answer is given up for an
+// escalation to the larger model.
 func TestEscalationDecision(t *testing.T) {
 	small := ModelOption{GoodProbability: 0.5}
 	for name, c := range map[string]struct {
@@ -113,9 +113,9 @@
 	}
 }
 
-// TestEscalationGainIsMonotonic is a property test: a better answer never has a higher gain
-// from escalation than a worse one, and a higher queueing price of the larger model never
-// raises the gain.
+// TestEscalationGainIsMonotonic is a property test: a better answer never has a
+// higher gain from escalation than a worse one, and a higher queueing price of the
+// larger model never raises the gain.
 func TestEscalationGainIsMonotonic(t *testing.T) {
 	fraction := rapid.Float64Range(0, 1)
 	rapid.Check(t, func(t *rapid.T) {
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -38,12 +38,12 @@
 // Options configure a Leader.
 type Options struct {
 	Lease *LeaseClient
-	// TakeoverDelay returns how long this VM waits before it takes an available lease, and whether
-	// it may take the lease at all. Only a few VMs of each data centre may, each after
-	// a different delay.
+	// TakeoverDelay returns how long this VM waits before it takes an available lease,
+	// and whether it may take the lease at all. Only a few VMs of each data centre
+	// may, each after a different delay.
 	TakeoverDelay func() (time.Duration, bool)
-	// OnChange is called when other VMs have to learn of a change of the lease at once. It
-	// must not block.
+	// OnChange is called when other VMs have to learn of a change of the
+	// lease at once. It must not block.
 	OnChange func()
 	Tasks    []Task
 	Log      *zap.Logger
@@ -66,8 +66,7 @@
 	// failedCalls counts consecutive failed calls. No call is made before retryAt.
 	failedCalls int
 	retryAt     time.Time
-	// eligibleSince is when this VM became allowed to take a lease of which it knows
-	// nothing.
+	// eligibleSince is when this VM became allowed to take a lease of which it knows nothing.
 	eligibleSince time.Time
 }
 
@@ -181,14 +180,14 @@
 
 // logChange logs a change of the holder and notifies other VMs of it.
 func (l *Leader) logChange() {
-	seen, age, known := l.opts.Lease.Latest()
-	if !known || seen.Object.Holder == l.loggedHolder && seen.Object.Fencing == l.loggedFencing {
+	latest, age, known := l.opts.Lease.Latest()
+	if !known || latest.Object.Holder == l.loggedHolder && latest.Object.Fencing == l.loggedFencing {
 		return
 	}
-	l.opts.Log.Info("lease", zap.String("holder", string(seen.Object.Holder.VM)), zap.Uint64("fencing", uint64(seen.Object.Fencing)),
+	l.opts.Log.Info("lease", zap.String("holder", string(latest.Object.Holder.VM)), zap.Uint64("fencing", uint64(latest.Object.Fencing)),
 		zap.String("before", string(l.loggedHolder.VM)), zap.Uint64("fencing_before", uint64(l.loggedFencing)),
-		zap.Uint64("version", uint64(seen.Version)), zap.Duration("age", age.Round(time.Millisecond)), zap.Bool("mine", l.opts.Lease.HeldBySelf()))
-	l.loggedHolder, l.loggedFencing = seen.Object.Holder, seen.Object.Fencing
+		zap.Uint64("version", uint64(latest.Version)), zap.Duration("age", age.Round(time.Millisecond)), zap.Bool("mine", l.opts.Lease.HeldBySelf()))
+	l.loggedHolder, l.loggedFencing = latest.Object.Holder, latest.Object.Fencing
 	l.incrementCounter("lease_changes_total")
 	l.opts.OnChange()
 }
--- a/leader/lease_client.go
+++ b/leader/lease_client.go
@@ -65,14 +65,14 @@
 func (c *LeaseClient) Read(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout)
 	defer cancel()
-	seen, err := c.opts.Store.Read(ctx)
+	object, err := c.opts.Store.Read(ctx)
 	switch {
 	case errors.Is(err, ErrNotFound):
 		c.withHandle(func(h *lease.Handle, now time.Time) { h.ObserveMissing(now) })
 	case err != nil:
 		return err
 	default:
-		c.withHandle(func(h *lease.Handle, now time.Time) { h.ObserveRead(seen, now) })
+		c.withHandle(func(h *lease.Handle, now time.Time) { h.ObserveRead(object, now) })
 	}
 	return nil
 }
@@ -106,18 +106,18 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout)
 	defer cancel()
-	seen, err := c.opts.Store.Write(ctx, p)
+	object, err := c.opts.Store.Write(ctx, p)
 	switch {
 	case errors.Is(err, ErrNotFound):
 		c.withHandle(func(h *lease.Handle, now time.Time) { h.ObserveMissing(now) })
-	case errors.Is(err, ErrConflict) && seen.Version == 0:
+	case errors.Is(err, ErrConflict) && object.Version == 0:
 		c.withHandle(func(h *lease.Handle, _ time.Time) { h.Invalidate() })
 	case errors.Is(err, ErrConflict):
-		c.withHandle(func(h *lease.Handle, now time.Time) { h.ObserveRead(seen, now) })
+		c.withHandle(func(h *lease.Handle, now time.Time) { h.ObserveRead(object, now) })
 	case err != nil:
 		return err
 	default:
-		c.withHandle(func(h *lease.Handle, _ time.Time) { h.ConfirmWrite(p, seen.Version, sentAt) })
+		c.withHandle(func(h *lease.Handle, _ time.Time) { h.ConfirmWrite(p, object.Version, sentAt) })
 	}
 	return nil
 }
@@ -142,11 +142,13 @@
 	return err
 }
 
-// Latest returns the newest known object and how long it has been unchanged. ok is false if no
-// object is known.
-func (c *LeaseClient) Latest() (seen lease.VersionedObject, age time.Duration, ok bool) {
-	c.withHandle(func(h *lease.Handle, now time.Time) { seen, age, ok = h.Latest(), h.Age(now), h.Latest().Version != 0 })
-	return seen, age, ok
+// Latest returns the newest known object and how long it has been unchanged. ok
+// is false if no object is known.
+func (c *LeaseClient) Latest() (object lease.VersionedObject, age time.Duration, ok bool) {
+	c.withHandle(func(h *lease.Handle, now time.Time) {
+		object, age, ok = h.Latest(), h.Age(now), h.Latest().Version != 0
+	})
+	return object, age, ok
 }
 
 // ObservePeer records a version that another VM knows and that has been unchanged for age.
--- a/leader/record.go
+++ b/leader/record.go
@@ -25,8 +25,8 @@
 
 // storedRecord returns the record in the newest known lease object.
 func storedRecord(c *LeaseClient) (Record, error) {
-	seen, _, _ := c.Latest()
-	return decodeRecord(seen.Object.Record)
+	latest, _, _ := c.Latest()
+	return decodeRecord(latest.Object.Record)
 }
 
 // updateRecord stores a change of the record with the next renewal, immediately if urgent is
--- a/leader/reports.go
+++ b/leader/reports.go
@@ -36,8 +36,8 @@
 // UsageReporter reports the usage of each window once. It is a Task.
 type UsageReporter struct {
 	opts *UsageReporterOptions
-	// fencing is the fencing token of the last run, and fencingSince the time of the first
-	// run under it.
+	// fencing is the fencing token of the last run, and fencingSince the
+	// time of the first run under it.
 	fencing      contract.FencingToken
 	fencingSince time.Time
 	// finished are the windows that this VM has reported or given up, until the stored
--- a/leader/reports_test.go
+++ b/leader/reports_test.go
@@ -18,21 +18,23 @@
 )
 
 // memoryStore is a lease store in memory.
-type memoryStore struct{ seen lease.VersionedObject }
+type memoryStore struct{ object lease.VersionedObject }
 
+// Read returns the object, or ErrNotFound.
 func (m *memoryStore) Read(context.Context) (lease.VersionedObject, error) {
-	if m.seen.Version == 0 {
+	if m.object.Version == 0 {
 		return lease.VersionedObject{}, ErrNotFound
 	}
-	return m.seen, nil
+	return m.object, nil
 }
 
+// Write replaces the object if the proposal has its version.
 func (m *memoryStore) Write(_ context.Context, p lease.Proposal) (lease.VersionedObject, error) {
-	if p.Version != m.seen.Version {
-		return m.seen, ErrConflict
+	if p.Version != m.object.Version {
+		return m.object, ErrConflict
 	}
-	m.seen = lease.VersionedObject{Object: p.Object, Version: m.seen.Version + 1}
-	return m.seen, nil
+	m.object = lease.VersionedObject{Object: p.Object, Version: m.object.Version + 1}
+	return m.object, nil
 }
 
 // fakeUsageAPI accepts reports. If noReply is set, it accepts them but returns an error.
@@ -45,6 +47,8 @@
 	calls       int
 }
 
+// Report accepts a report, and checks that fencing tokens never fall and that all reports of a
+// window have the same counts.
 func (a *fakeUsageAPI) Report(_ context.Context, n contract.FencingToken, f usage.ClosedWindow) error {
 	a.calls++
 	if n < a.lastFencing {
@@ -73,6 +77,7 @@
 	platform *fakeUsageAPI
 }
 
+// newSimulation returns a simulation that starts at the start of window 1000.
 func newSimulation(t *testing.T) *simulation {
 	start := testRules.Window // the clock starts at the start of a window
 	return &simulation{clock.NewFake(time.Unix(0, int64(1000*start))), &memoryStore{}, &fakeUsageAPI{t: t, reported: make(map[usage.Window]usage.Counts)}}
@@ -86,6 +91,7 @@
 	leader     *Leader
 }
 
+// newVM returns a VM that does not hold the lease.
 func (s *simulation) newVM(name contract.VMID) *testVM {
 	vm := &testVM{simulation: s}
 	vm.client = NewLeaseClient(&LeaseClientOptions{
@@ -149,6 +155,7 @@
 	is.Equal(len(a.usageRecord(t).Unreported), 0) // a later lease holder repeats nothing
 }
 
+// usageRecord returns the stored usage record as the VM knows it.
 func (vm *testVM) usageRecord(t *testing.T) usage.Record {
 	t.Helper()
 	record, err := storedRecord(vm.client)
--- a/leader/scaler.go
+++ b/leader/scaler.go
@@ -61,8 +61,8 @@
 	listedCounts map[contract.ServiceID]listedCount
 }
 
-// sentOrder is the number of upstreams in a scaling order, and when this VM sent or first saw
-// the order.
+// sentOrder is the number of upstreams in a scaling order, and when this
+// VM sent or first saw the order.
 type sentOrder struct {
 	count  int
 	sentAt time.Time
@@ -215,11 +215,11 @@
 
 // recordInitialSize stores how many upstreams a service has before any is ordered.
 func (s *Scaler) recordInitialSize(id contract.ServiceID, running map[contract.DataCentreID]scaling.UpstreamCounts, now time.Time) {
-	each := make(map[contract.DataCentreID]int)
+	perDataCentre := make(map[contract.DataCentreID]int)
 	total := 0
 	for dc, counts := range running {
-		each[dc] = counts.Standard + counts.Preemptible
-		total += each[dc]
+		perDataCentre[dc] = counts.Standard + counts.Preemptible
+		total += perDataCentre[dc]
 	}
 	if c := s.listedCounts[id]; c.count != total {
 		s.listedCounts[id] = listedCount{total, now}
@@ -227,11 +227,11 @@
 	if total == 0 || now.Sub(s.listedCounts[id].since) < stableListDelay {
 		return
 	}
-	if err := updateRecord(s.opts.Lease, true, func(r *Record) { r.Scaling = r.Scaling.WithBaseline(id, each) }); err != nil {
+	if err := updateRecord(s.opts.Lease, true, func(r *Record) { r.Scaling = r.Scaling.WithBaseline(id, perDataCentre) }); err != nil {
 		s.opts.Log.Error("scaling-record-failed", logs.ErrorFields(err)...)
 		return
 	}
-	s.opts.Log.Info("upstreams-sized", zap.String("service", string(id)), zap.Int("upstreams", total), zap.Int("data_centres", len(each)))
+	s.opts.Log.Info("upstreams-sized", zap.String("service", string(id)), zap.Int("upstreams", total), zap.Int("data_centres", len(perDataCentre)))
 }
 
 // requiredUpstreams returns how many upstreams the recent peak load requires.
--- a/leader/usage_ledger.go
+++ b/leader/usage_ledger.go
@@ -15,8 +15,8 @@
 	Terms      usage.Rules
 	// Now returns the wall-clock time, which determines the usage window.
 	Now func() time.Time
-	// DataCentres returns the data centres that have VMs. If nil, only the VM's own data
-	// centre is considered.
+	// DataCentres returns the data centres that have VMs. If nil, only the VM's
+	// own data centre is considered.
 	DataCentres func() []contract.DataCentreID
 }
 
@@ -26,8 +26,8 @@
 	opts *UsageLedgerOptions
 
 	// mu guards the fields below.
-	mu   sync.Mutex
-	sums *usage.Counter
+	mu      sync.Mutex
+	counter *usage.Counter
 	// acknowledged is the number of the newest change that each recipient has acknowledged.
 	acknowledged map[contract.VMInstance]uint64
 	// collectors are the VMs that collect the counts of other VMs and send them to this one.
@@ -42,7 +42,7 @@
 
 // NewUsageLedger returns an empty ledger.
 func NewUsageLedger(opts *UsageLedgerOptions) *UsageLedger {
-	return &UsageLedger{opts: opts, sums: usage.NewCounter(), acknowledged: make(map[contract.VMInstance]uint64), collectors: make(map[contract.VMInstance]collector)}
+	return &UsageLedger{opts: opts, counter: usage.NewCounter(), acknowledged: make(map[contract.VMInstance]uint64), collectors: make(map[contract.VMInstance]collector)}
 }
 
 // Limits of what a UsageLedger stores.
@@ -60,7 +60,7 @@
 func (l *UsageLedger) CountRequest(w contract.WorkspaceID, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sums.CountStart(l.opts.Self, usage.WindowOf(at, l.opts.Terms.Window), w)
+	l.counter.CountStart(l.opts.Self, usage.WindowOf(at, l.opts.Terms.Window), w)
 }
 
 // ChangesFor returns the counts to send to a recipient, and the number of the newest change among
@@ -69,11 +69,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.pruneWindows()
-	return l.sums.ChangedSince(l.acknowledged[recipient])
+	return l.counter.ChangedSince(l.acknowledged[recipient])
 }
 
-// Acknowledge records that a recipient has all changes up to and including the change with the
-// given number.
+// Acknowledge records that a recipient has all changes up to and including
+// the change with the given number.
 func (l *UsageLedger) Acknowledge(recipient contract.VMInstance, change uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,7 +88,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, p := range parts {
-		l.sums.Merge(p)
+		l.counter.Merge(p)
 	}
 }
 
@@ -141,12 +141,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.pruneWindows()
-	return l.opts.Terms.Close(r, l.sums, completeUntil, l.opts.Now())
+	return l.opts.Terms.Close(r, l.counter, completeUntil, l.opts.Now())
 }
 
 // pruneWindows drops the windows that cannot be reported any more. The caller holds mu.
 func (l *UsageLedger) pruneWindows() {
 	rules := l.opts.Terms
 	oldest := l.opts.Now().Add(-rules.ReportDeadline)
-	l.sums.DropBefore(usage.WindowOf(oldest, rules.Window) - extraWindows)
+	l.counter.DropBefore(usage.WindowOf(oldest, rules.Window) - extraWindows)
 }
--- a/lease/fleet_simulation_test.go
+++ b/lease/fleet_simulation_test.go
@@ -55,6 +55,7 @@
 	arrivesAt time.Time
 }
 
+// newFleetSimulation returns a simulation of VMs that know nothing about the lease.
 func newFleetSimulation(t *rapid.T, vms int) *fleetSimulation {
 	f := &fleetSimulation{
 		t: t, now: time.Unix(0, 0), vmByFencing: make(map[contract.FencingToken]contract.VMID),
@@ -73,6 +74,7 @@
 	v.handle = NewHandle(Options{Self: contract.VMInstance{VM: v.name, Incarnation: v.incarnation}, Duration: simulatedLease})
 }
 
+// randomVM draws a VM.
 func (f *fleetSimulation) randomVM() *simulatedVM {
 	return f.vms[rapid.IntRange(0, len(f.vms)-1).Draw(f.t, "vm")]
 }
@@ -187,8 +189,8 @@
 	f.calls = append(f.calls, simulatedCall{v.name, n, f.now.Add(delay)})
 }
 
-// sendToPeer sends the state of the lease, without its record, from one VM to another. Delivery
-// takes some time.
+// sendToPeer sends the state of the lease, without its record, from one VM to
+// another. Delivery takes some time.
 func (f *fleetSimulation) sendToPeer(from, to *simulatedVM) {
 	s := from.handle.Latest()
 	if s.Version == 0 || from == to {
@@ -274,6 +276,7 @@
 	return a, acquire(t, a, VersionedObject{}, now)
 }
 
+// newHandle returns a handle of a VM incarnation that does not hold the lease.
 func newHandle(name contract.VMID, incarnation contract.Incarnation) *Handle {
 	return NewHandle(Options{Self: contract.VMInstance{VM: name, Incarnation: incarnation}, Duration: simulatedLease})
 }
@@ -331,7 +334,7 @@
 	is.Equal(string(acquire(t, b, s, now).Object.Record), `"stored"`)
 }
 
-// TestFencingContinuesAfterObjectIsLost checks a lease whose object is gone from the store. Fencing
+// TestFencingContinuesAfterObjectIsLost checks a lease whose object is missing from the store. Fencing
 // numbers that started from the beginning would be lower than ones already used.
 func TestFencingContinuesAfterObjectIsLost(t *testing.T) {
 	is := is.New(t)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,18 +1,16 @@
-// Package lease elects the leader: the one VM that makes the calls to the platform for all VMs,
-// each under a fencing token. It is a state machine over one object in the platform's store and
-// does no I/O. The current time is a parameter, taken from a clock that includes suspensions
-// and is never set.
+// Package lease elects the leader: the one VM that makes the calls to the platform for
+// all VMs, each under a fencing token. It is a state machine over one object in the
+// platform's store and does no I/O. The current time is a parameter, taken from a clock
+// that includes suspensions and is never set.
 //
-// A holder measures its lease on its own clock, starting before it sent the request, and
-// stops well before the end. A VM that takes the lease over first waits, on its own clock,
-// until the object has been unchanged for the whole length of a lease. Clocks of different
-// VMs are never compared, and a holder that was suspended finds on its own clock that its
-// lease has expired.
+// A holder measures its lease on its own clock, starting before it sent the request, and stops well
+// before the end. A VM that takes the lease over first waits, on its own clock, until the object
+// has been unchanged for the whole length of a lease. Clocks of different VMs are never compared,
+// and a holder that was suspended finds on its own clock that its lease has expired.
 //
-// A call made under a lease may still be in progress when the lease ends. An engine that
-// checks fencing tokens refuses it then. For engines that do not, ActiveFencing makes a new
-// holder wait for the longest delay of a call. The state of an engine is read back, never
-// assumed.
+// A call made under a lease may still be in progress when the lease ends. An engine that checks
+// fencing tokens refuses it then. For engines that do not, ActiveFencing makes a new holder wait
+// for the longest delay of a call. The state of an engine is read back, never assumed.
 //
 // The object also contains a record with decisions that later holders have to follow. A
 // record is in force once the store has accepted it, whichever VM holds the lease next.
@@ -42,8 +40,8 @@
 	Record json.RawMessage `json:"record,omitempty" cbor:"-"`
 }
 
-// VersionedObject is a lease object and its version in the store. Version zero means that the
-// store has no object.
+// VersionedObject is a lease object and its version in the store. Version zero
+// means that the store has no object.
 type VersionedObject struct {
 	Object  Object
 	Version contract.ObjectVersion
@@ -68,8 +66,8 @@
 	marginDivisor   = 3 // Duration / marginDivisor is the default Margin
 )
 
-// Handle is one process's view of a lease. It decides whether the process may make calls under
-// the lease.
+// Handle is one process's view of a lease. It decides whether the process
+// may make calls under the lease.
 type Handle struct {
 	opts   Options
 	latest VersionedObject
@@ -101,16 +99,16 @@
 
 // ObserveRead records the object as read from the store. It ignores an older version than
 // the known one, which is a stale read.
-func (h *Handle) ObserveRead(s VersionedObject, now time.Time) {
-	if s.Version < h.latest.Version {
+func (h *Handle) ObserveRead(o VersionedObject, now time.Time) {
+	if o.Version < h.latest.Version {
 		return
 	}
-	if s.Version != h.latest.Version || h.unchangedSince.IsZero() {
+	if o.Version != h.latest.Version || h.unchangedSince.IsZero() {
 		h.unchangedSince = now
 		h.pendingRecord = nil // derived from an older object
 	}
-	h.latest, h.recordUnknown = s, false
-	if s.Object.Holder != h.opts.Self {
+	h.latest, h.recordUnknown = o, false
+	if o.Object.Holder != h.opts.Self {
 		h.expiresAt = time.Time{}
 	}
 }
@@ -118,19 +116,19 @@
 // ObservePeer records a version, without its record, that another VM knows and that existed
 // at unchangedSince. That time must not be earlier than the sending of the write that created
 // the version, from which the holder measures its lease.
-func (h *Handle) ObservePeer(s VersionedObject, unchangedSince time.Time) {
-	if s.Version <= h.latest.Version {
+func (h *Handle) ObservePeer(o VersionedObject, unchangedSince time.Time) {
+	if o.Version <= h.latest.Version {
 		return
 	}
-	h.latest, h.unchangedSince, h.recordUnknown = s, unchangedSince, true
+	h.latest, h.unchangedSince, h.recordUnknown = o, unchangedSince, true
 	h.pendingRecord = nil
-	if s.Object.Holder != h.opts.Self {
+	if o.Object.Holder != h.opts.Self {
 		h.expiresAt = time.Time{}
 	}
 }
 
-// ObserveMissing records that the store has no object. Fencing tokens continue from the
-// last known one.
+// ObserveMissing records that the store has no object. Fencing tokens
+// continue from the last known one.
 func (h *Handle) ObserveMissing(now time.Time) {
 	h.latest.Version, h.unchangedSince, h.expiresAt, h.recordUnknown = 0, now, time.Time{}, false
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -57,8 +57,7 @@
 func (s *engineSimulation) write(h *Handle, replyArrives bool) {
 	sentAt := s.now
 	p, ok := h.Propose(s.now)
-	// The process may be suspended between the decision and the write, or the reply
-	// may take long.
+	// The process may be suspended between the decision and the write, or the reply may take long.
 	s.now = s.now.Add(time.Duration(rapid.IntRange(0, 20).Draw(s.t, "suspended s")) * time.Second)
 	if !ok || p.Version != s.version {
 		return
@@ -91,9 +90,9 @@
 	}
 }
 
-// TestFormerHolderCallsNeverArriveLast simulates suspensions, lost replies and slow calls. Even at
-// an engine that ignores fencing tokens, no call of a former holder may arrive after one of a later
-// holder.
+// TestFormerHolderCallsNeverArriveLast simulates suspensions, lost replies and slow
+// calls. Even at an engine that ignores fencing tokens, no call of a former holder may
+// arrive after one of a later holder.
 func TestFormerHolderCallsNeverArriveLast(t *testing.T) {
 	highestFencing := contract.FencingToken(0)
 	rapid.Check(t, func(t *rapid.T) {
@@ -124,7 +123,7 @@
 	a.ConfirmWrite(p, 1, now)
 	b.ObserveRead(VersionedObject{p.Object, 1}, now)
 	naiveHolds := a.latest.Object.Holder == a.opts.Self
-	now = now.Add(defaultDuration) // a is suspended
+	now = now.Add(defaultDuration) // the holder a is suspended
 	p, ok = b.Propose(now)
 	is.True(ok)
 	b.ConfirmWrite(p, 2, now)
@@ -135,5 +134,5 @@
 	is.True(ok)
 	is.Equal(n, contract.FencingToken(2))
 	_, ok = b.ActiveFencing(now, true)
-	is.True(!ok) // waits for calls of a that may still be in progress
+	is.True(!ok) // waits for calls of the former holder that may still be in progress
 }
--- a/prefill/prefill_test.go
+++ b/prefill/prefill_test.go
@@ -14,8 +14,8 @@
 
 var start = time.Unix(100, 0)
 
-// TestQueueWait checks the expected wait of a prompt and how the beginning of an answer
-// corrects it.
+// TestQueueWait checks the expected wait of a prompt and how the
+// beginning of an answer corrects it.
 func TestQueueWait(t *testing.T) {
 	const second = time.Second
 	t.Run("waits for all earlier prompts", func(t *testing.T) {
@@ -199,8 +199,8 @@
 	return sum
 }
 
-// cachedPrefix returns the number of tokens in the contiguous cached parts at the start of a
-// prompt.
+// cachedPrefix returns the number of tokens in the contiguous cached
+// parts at the start of a prompt.
 func (r *referenceCache) cachedPrefix(p Prompt) int {
 	sum := 0
 	for _, part := range p.Parts {
@@ -296,10 +296,9 @@
 	is.True(r.PrefillTime("large", 10000) < 600*time.Millisecond)
 }
 
-// TestRemoteRatesAreNotPassedOn guards against a feedback loop: VMs adopted rates that
-// others had adopted before, each multiplied by a factor for slow engines, and the rates
-// grew without bound. Only own samples may be passed on, and no rate may exceed the upper
-// limit.
+// TestRemoteRatesAreNotPassedOn guards against a feedback loop: VMs adopted rates that others had
+// adopted before, each multiplied by a factor for slow engines, and the rates grew without bound.
+// Only own samples may be passed on, and no rate may exceed the upper limit.
 func TestRemoteRatesAreNotPassedOn(t *testing.T) {
 	is := is.New(t)
 	a, b := NewRates(nil), NewRates(nil)
--- a/prefill/prefixcache.go
+++ b/prefill/prefixcache.go
@@ -24,8 +24,8 @@
 	partKey uint64
 }
 
-// cacheEntry is an element of PrefixCache.lru. Its key is the zero value for tokens that no other
-// request shares.
+// cacheEntry is an element of PrefixCache.lru. Its key is the zero value for
+// tokens that no other request shares.
 type cacheEntry struct {
 	key    cacheKey
 	tokens int
@@ -44,8 +44,8 @@
 // SetCapacity sets the size of the engine's cache in tokens; zero means unlimited.
 func (c *PrefixCache) SetCapacity(capacity int) { c.capacity = capacity }
 
-// CachedTokens returns the number of tokens of a prompt that need no prefill: the contiguous cached
-// parts at its start.
+// CachedTokens returns the number of tokens of a prompt that need no prefill: the
+// contiguous cached parts at its start.
 func (c *PrefixCache) CachedTokens(p Prompt) int {
 	n := 0
 	for _, part := range p.Parts {
--- a/prefill/prompt.go
+++ b/prefill/prompt.go
@@ -1,8 +1,7 @@
-// Package prefill models the prefill phase of a model engine: what it does before the first
-// token of an answer. An engine processes the prompts that it has accepted one after the
-// other, in the order of arrival, and caches processed prefixes until its memory is full.
-// Prefill takes most of an engine's time, so the choice of an upstream and of a model
-// depends on it.
+// Package prefill models the prefill phase of a model engine: what it does before the first token
+// of an answer. An engine processes the prompts that it has accepted one after the other, in the
+// order of arrival, and caches processed prefixes until its memory is full. Prefill takes most of
+// an engine's time, so the choice of an upstream and of a model depends on it.
 //
 // The package performs no I/O and reads no clock. Its state is an estimate derived from
 // what this VM sends, from what other VMs report about their sends, and from the times at
@@ -14,6 +13,7 @@
 // Part is a section of a prompt that several requests may share. An engine that has cached
 // a part and all parts before it does not process it again.
 type Part struct {
+	// Key is a hash that identifies the section, Tokens is its length in tokens.
 	Key    uint64 `cbor:"1,keyasint"`
 	Tokens int    `cbor:"2,keyasint"`
 }
--- a/prefill/queue.go
+++ b/prefill/queue.go
@@ -24,13 +24,11 @@
 	addedAt  time.Time
 	// doneAt is the expected end of its prefill.
 	doneAt time.Time
-	// sentByThisVM reports whether this VM sent the prompt and will therefore see its
-	// answer begin.
+	// sentByThisVM reports whether this VM sent the prompt and will therefore see its answer begin.
 	sentByThisVM bool
 }
 
-// Add records a prompt that was sent to the engine and the expected duration of its
-// prefill.
+// Add records a prompt that was sent to the engine and the expected duration of its prefill.
 func (q *Queue) Add(duration time.Duration, sentByThisVM bool, now time.Time) QueueID {
 	q.expire(now)
 	q.lastID++
@@ -49,8 +47,8 @@
 	q.prompts = slices.Delete(q.prompts, 0, n)
 }
 
-// idleAt returns when the prefill of all known prompts is expected to end, or now if the queue
-// is empty.
+// idleAt returns when the prefill of all known prompts is expected to
+// end, or now if the queue is empty.
 func (q *Queue) idleAt(now time.Time) time.Time {
 	if n := len(q.prompts); n > 0 && q.prompts[n-1].doneAt.After(now) {
 		return q.prompts[n-1].doneAt
--- a/prefill/rates.go
+++ b/prefill/rates.go
@@ -15,8 +15,7 @@
 	costs map[contract.ModelID]float64
 }
 
-// modelRate is the estimated prefill rate of a model, as the logarithm of seconds per
-// token.
+// modelRate is the estimated prefill rate of a model, as the logarithm of seconds per token.
 type modelRate struct {
 	logSecondsPerToken float64
 	// secondsPerToken caches the exponential of logSecondsPerToken, since it is read far
@@ -33,8 +32,8 @@
 
 // Parameters of Rates.
 const (
-	// priorSecondsPerToken is the initial rate of the most expensive model. The first
-	// answers correct it.
+	// priorSecondsPerToken is the initial rate of the most expensive
+	// model. The first answers correct it.
 	priorSecondsPerToken = 50e-6
 	// costExponent relates prefill times to prices: a model that costs fifteen times as
 	// much takes six to ten times as long.
@@ -57,8 +56,8 @@
 	// and ten times the slowest observed one.
 	minSecondsPerToken = 0.2e-6
 	maxSecondsPerToken = 2e-3
-	// BaseLatency is the time to the first token apart from prefill: the network and the first
-	// engine step.
+	// BaseLatency is the time to the first token apart from prefill: the
+	// network and the first engine step.
 	BaseLatency = 20 * time.Millisecond
 )
 
@@ -150,8 +149,7 @@
 }
 
 // OwnRate returns the prefill time per token if this VM has enough samples of its own. Rates
-// received from other VMs are not passed on, since VMs would then confirm each other's
-// estimates.
+// received from other VMs are not passed on, since VMs would then confirm each other's estimates.
 func (r *Rates) OwnRate(m contract.ModelID) (time.Duration, bool) {
 	rate, ok := r.models[m]
 	if !ok || rate.samples < minOwnSamples {
@@ -168,6 +166,6 @@
 	}
 }
 
-// minOwnSamples is the number of own samples from which on rates received from other VMs
-// are ignored.
+// minOwnSamples is the number of own samples from which on rates
+// received from other VMs are ignored.
 const minOwnSamples = 5
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -8,9 +8,8 @@
 	"woaddoor/contract"
 )
 
-// BenchmarkCheckRequest measures the per-request cost of the quarantine check while 1,000
-// request contents are quarantined: hashing the content, by body size, and looking up its
-// fingerprint.
+// BenchmarkCheckRequest measures the per-request cost of the quarantine check while 1,000 request
+// contents are quarantined: hashing the content, by body size, and looking up its fingerprint.
 func BenchmarkCheckRequest(b *testing.B) {
 	table, now := NewTable(), time.Unix(1000, 0)
 	for n := range 1000 {
--- a/quarantine/crashes.go
+++ b/quarantine/crashes.go
@@ -23,15 +23,13 @@
 // within a few heartbeats of one second each.
 const confirmTimeout = 5 * time.Second
 
-// maxSuspectsPerInstance bounds the suspect requests that are remembered per upstream
-// instance.
+// maxSuspectsPerInstance bounds the suspect requests that are remembered per upstream instance.
 const maxSuspectsPerInstance = 256
 
-// CrashTracker tracks upstream instances whose connections broke until their crash is
-// confirmed. A single reset connection, a silent upstream, an interrupted network link and a
-// machine without power look the same at first. An upstream counts as crashed only when its
-// machine reports that nothing listens on its port, or when another instance is listed under
-// its address.
+// CrashTracker tracks upstream instances whose connections broke until their crash is confirmed. A
+// single reset connection, a silent upstream, an interrupted network link and a machine without
+// power look the same at first. An upstream counts as crashed only when its machine reports that
+// nothing listens on its port, or when another instance is listed under its address.
 //
 // CrashTracker is not safe for concurrent use; the caller holds a lock.
 type CrashTracker struct {
@@ -51,9 +49,9 @@
 	return &CrashTracker{byInstance: make(map[contract.UpstreamInstance]*suspectedCrash)}
 }
 
-// ConnectionBroke records that the connection of a request to an upstream instance broke. It
-// reports whether the caller should probe the upstream's address now, and whether the crash
-// is already confirmed.
+// ConnectionBroke records that the connection of a request to an upstream instance
+// broke. It reports whether the caller should probe the upstream's address now, and
+// whether the crash is already confirmed.
 func (t *CrashTracker) ConnectionBroke(instance contract.UpstreamInstance, address string, s SuspectRequest) (probe, confirmed bool) {
 	crash := t.byInstance[instance]
 	if crash == nil {
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -30,12 +30,14 @@
 	sends   []simSend
 }
 
+// simVM is a simulated VM.
 type simVM struct {
 	table             *Table
 	startedAt         int // simulated time in ms
 	disconnectedUntil int
 }
 
+// simEvent is a scheduled event, at a simulated time in ms.
 type simEvent struct {
 	at int
 	do func()
@@ -46,6 +48,7 @@
 
 var crashingContent = Fingerprint{1}
 
+// after schedules an event a number of milliseconds from now.
 func (s *fleetSim) after(ms int, do func()) {
 	s.events = append(s.events, simEvent{s.now + ms, do})
 }
@@ -100,8 +103,8 @@
 	})
 }
 
-// send simulates the arrival of the crashing content at a VM, which may try several
-// upstreams in turn.
+// send simulates the arrival of the crashing content at a VM, which may
+// try several upstreams in turn.
 func (s *fleetSim) send(v *simVM, attempts int) {
 	if attempts == 0 || v.table.Blocks(crashingContent, at(s.now)) {
 		return
@@ -137,11 +140,10 @@
 	return n
 }
 
-// TestFleetLimitsSendsOfCrashingContent is a property test over random fleets that receive
-// a crashing content for 20 seconds while VMs disconnect and restart, sometimes all at
-// once. Once the third crash is known, all connected VMs together may send the content at
-// most three more times. Without gossip, the same events must exceed that limit in at least
-// one run.
+// TestFleetLimitsSendsOfCrashingContent is a property test over random fleets that receive a
+// crashing content for 20 seconds while VMs disconnect and restart, sometimes all at once. Once the
+// third crash is known, all connected VMs together may send the content at most three more times.
+// Without gossip, the same events must exceed that limit in at least one run.
 func TestFleetLimitsSendsOfCrashingContent(t *testing.T) {
 	baselineViolations := 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/quarantine/gossip.go
+++ b/quarantine/gossip.go
@@ -8,8 +8,8 @@
 	"woaddoor/contract"
 )
 
-// Update is a gossip update about one request content. Its times are sent as ages because the
-// clocks of VMs differ.
+// Update is a gossip update about one request content. Its times are sent as ages
+// because the clocks of VMs differ.
 type Update struct {
 	Fingerprint Fingerprint `cbor:"1,keyasint"`
 	About       Source      `cbor:"2,keyasint"`
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -46,9 +46,9 @@
 	t.setQuarantined(c, true)
 }
 
-// SetUnstored records that the store no longer contains a content as of a revision, because an
-// operator released it or an answer cleared it. It reports whether the content was quarantined
-// on this VM.
+// SetUnstored records that the store no longer contains a content as of a revision,
+// because an operator released it or an answer cleared it. It reports whether the
+// content was quarantined on this VM.
 func (t *Table) SetUnstored(p Fingerprint, at contract.Revision, now time.Time) bool {
 	c := t.records[p]
 	if c == nil || !c.inStore || at < c.storeRevision {
@@ -63,8 +63,8 @@
 	return true
 }
 
-// StoredExcept returns the contents that are believed to be in the store but are missing
-// from the given set.
+// StoredExcept returns the contents that are believed to be in the store but
+// are missing from the given set.
 func (t *Table) StoredExcept(in map[Fingerprint]bool) []Fingerprint {
 	var out []Fingerprint
 	for p, c := range t.records {
@@ -85,8 +85,7 @@
 	return t.recordsWhere(func(c *Record) bool { return !c.Held && c.inStore })
 }
 
-// recordsWhere returns the matching records in the store's representation, sorted by
-// fingerprint.
+// recordsWhere returns the matching records in the store's representation, sorted by fingerprint.
 func (t *Table) recordsWhere(match func(c *Record) bool) []QuarantinedContent {
 	if t.quarantinedCount == 0 && t.storedCount == 0 {
 		return nil
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -31,12 +31,11 @@
 	// maxRecords bounds the request contents that are tracked. An evicted content starts
 	// over and must crash as many upstreams as a new one before it is quarantined.
 	maxRecords = 4096
-	// suspicionTTL is how long a content that does not appear again stays under suspicion.
+	// suspicionTTL is how long a content stays under suspicion after the last change of its record.
 	suspicionTTL = 10 * time.Minute
-	// gossipTTL is how long a change is repeated in every gossip message. It spans several
-	// rounds, so a lost message does no harm. singleCrashGossipTTL applies to contents with
-	// a single crash: most of them merely ran on the crashed upstream, about a dozen per
-	// crash.
+	// gossipTTL is how long a change is repeated in every gossip message. It spans several gossip
+	// rounds, so a lost message does no harm. singleCrashGossipTTL applies to contents with a
+	// single crash: most of them merely ran on the crashed upstream, about a dozen per crash.
 	gossipTTL            = 10 * time.Second
 	singleCrashGossipTTL = 3 * time.Second
 	// maxUpdates bounds the contents in one gossip message, at about 150 bytes each;
@@ -54,18 +53,18 @@
 	ObservedBy contract.VMID `cbor:"4,keyasint"`
 }
 
-// Crash is the crash of an upstream while it ran a request, in the clock of this VM.
+// Crash is the crash of an upstream while it ran a request: when the request was sent and when
+// its connection broke, on the clock of this VM.
 type Crash struct {
 	contract.UpstreamInstance
 	SentAt, BrokenAt time.Time
 }
 
-// Record is the suspicion record of one request content.
+// Record is the suspicion record of one request content: the crashes of upstreams that ran it.
 type Record struct {
 	Fingerprint Fingerprint
 	Source
-	// Epoch counts how often the content was cleared. Gossip from earlier epochs is
-	// ignored.
+	// Epoch counts how often the content was cleared. Gossip from earlier epochs is ignored.
 	Epoch uint32
 	// Crashes holds the newest crashes of upstreams that ran this content, oldest first.
 	Crashes []Crash
@@ -80,16 +79,16 @@
 	trials        trials
 }
 
-// Table holds one VM's suspicion records. It is not safe for concurrent use; the caller
-// holds a lock.
+// Table holds one VM's suspicion records. It is not safe for
+// concurrent use; the caller holds a lock.
 type Table struct {
 	records map[Fingerprint]*Record
 	// gossiping is the subset of records that may appear in gossip. It is kept separately
 	// because a hub builds a message for each of its leaf VMs twice a second, while records
 	// may hold thousands of entries.
 	gossiping map[Fingerprint]*Record
-	// quarantinedCount and storedCount count the records that are quarantined and those that
-	// are in the store.
+	// quarantinedCount and storedCount count the records that are quarantined
+	// and those that are in the store.
 	quarantinedCount, storedCount int
 }
 
@@ -98,8 +97,7 @@
 	return &Table{records: make(map[Fingerprint]*Record), gossiping: make(map[Fingerprint]*Record)}
 }
 
-// Empty reports whether no content is under suspicion. In that case requests need no
-// fingerprint.
+// Empty reports whether no content is under suspicion. In that case requests need no fingerprint.
 func (t *Table) Empty() bool { return len(t.records) == 0 }
 
 // CountQuarantined returns the number of quarantined contents.
@@ -108,8 +106,8 @@
 // Record returns the record of a content, or nil if there is none.
 func (t *Table) Record(p Fingerprint) *Record { return t.records[p] }
 
-// RecordCrash records that an upstream crashed while running a content and reports whether that
-// changed the record.
+// RecordCrash records that an upstream crashed while running a content and reports
+// whether that changed the record.
 //
 // Every request that ran on the upstream becomes suspect. The one that caused the crash
 // also crashes the next upstream, so a crash counts only if the request was sent to that
@@ -210,9 +208,8 @@
 	t.gossiping[c.Fingerprint] = c
 }
 
-// mergeCrashes returns the newest crashes of both lists, oldest first. An incarnation
-// crashes only once; of several reports the earliest is the most accurate, since gossip
-// arrives with a delay.
+// mergeCrashes returns the newest crashes of both lists, oldest first. An incarnation crashes only
+// once; of several reports the earliest is the most accurate, since gossip arrives with a delay.
 func mergeCrashes(a, b []Crash) []Crash {
 	out := slices.Clone(a)
 	for _, e := range b {
@@ -229,6 +226,7 @@
 	return out[max(len(out)-maxCrashesKept, 0):]
 }
 
+// earliest returns the earlier of two times.
 func earliest(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -15,8 +15,11 @@
 
 var start = time.Unix(1000, 0)
 
+// at returns a simulated time, in milliseconds after start.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
+// crash returns the crash of an upstream to which a request was sent at one time, and whose
+// connection broke at another, in simulated milliseconds.
 func crash(upstream string, sent, broke int) Crash {
 	return Crash{contract.UpstreamInstance{Upstream: contract.UpstreamID(upstream), Incarnation: 1}, at(sent), at(broke)}
 }
@@ -68,8 +71,7 @@
 	})
 }
 
-// randomUpdate generates a gossip update about one content with up to maxCrashesKept
-// crashes.
+// randomUpdate generates a gossip update about one content with up to maxCrashesKept crashes.
 func randomUpdate(t *rapid.T, label string) Update {
 	out := Update{Fingerprint: Fingerprint{1}, Epoch: uint32(rapid.IntRange(0, 2).Draw(t, label+"epoch")), Held: rapid.IntRange(0, 9).Draw(t, label+"quarantined") == 0}
 	for _, incarnation := range rapid.SliceOfNDistinct(rapid.IntRange(0, maxCrashesKept-1), 0, maxCrashesKept, rapid.ID[int]).Draw(t, label+"incarnations") {
@@ -152,9 +154,8 @@
 	is.Equal(len(table.records), 1)
 }
 
-// TestUpdateEncodingIsCompact checks that gossip updates survive encoding and decoding, and
-// that an update stays below 200 bytes, so a message with 24 contents fits into two
-// packets.
+// TestUpdateEncodingIsCompact checks that gossip updates survive encoding and decoding, and that an
+// update stays below 200 bytes, so a message with 24 contents fits into two packets.
 func TestUpdateEncodingIsCompact(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
@@ -174,9 +175,9 @@
 	t.Logf("%d bytes for %d contents", len(raw), maxUpdates)
 }
 
-// TestQuarantinedContentTrials checks that a quarantined content gets no trial before it is in
-// the store, that trials run one at a time on the VM that was granted one, and that there are
-// two in total.
+// TestQuarantinedContentTrials checks that a quarantined content gets no trial before
+// it is in the store, that trials run one at a time on the VM that was granted one,
+// and that there are two in total.
 func TestQuarantinedContentTrials(t *testing.T) {
 	is := is.New(t)
 	table, p := NewTable(), Fingerprint{1}
--- a/quarantine/trials.go
+++ b/quarantine/trials.go
@@ -19,7 +19,7 @@
 // grantDuration is how long a granted trial stays valid on a VM.
 const grantDuration = time.Minute
 
-// trials is the trial state of one content.
+// trials holds the state of the trial sends of one quarantined content.
 type trials struct {
 	// count is the number of granted trials. since is when this VM learned of the last one,
 	// or learned that the content is quarantined.
--- a/rating/rating.go
+++ b/rating/rating.go
@@ -1,5 +1,4 @@
-// Package rating is a client for the platform's rating service, which rates the quality of
-// answers.
+// Package rating is a client for the platform's rating service, which rates the quality of answers.
 package rating
 
 import (
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,6 +1,5 @@
-// Package retry decides whether a failed attempt is retried, and limits the retries of a VM
-// and of the fleet. It reads no clock and creates no random numbers: its callers pass both
-// in.
+// Package retry decides whether a failed attempt is retried, and limits the retries of a VM and of
+// the fleet. It reads no clock and creates no random numbers: its callers pass both in.
 //
 // All requests of a VM share one retry budget that is a small fraction of its first
 // attempts, so retries cannot amplify an overload.
@@ -16,15 +15,14 @@
 
 // Options configures a Budget.
 type Options struct {
-	// Ratio is the number of retries that each first attempt adds to the budget. Zero means
-	// 0.05.
+	// Ratio is the number of retries that each first attempt adds to the budget. Zero means 0.05.
 	Ratio float64
 	// Burst is the maximum number of retries the budget can accumulate. Zero means 10.
 	Burst float64
 	// MaxAttempts bounds the attempts of one request. Zero means 3.
 	MaxAttempts int
-	// Backoff is the mean pause before the first retry; it doubles with each further retry.
-	// Zero means 25 ms.
+	// Backoff is the mean pause before the first retry; it doubles with each
+	// further retry. Zero means 25 ms.
 	Backoff time.Duration
 }
 
@@ -89,15 +87,14 @@
 	NoOtherUpstream   Reason = "no other upstream takes it"
 )
 
-// jitterFactor scales a uniform random number from 0 to 1 so that the mean pause equals the
-// backoff.
+// jitterFactor scales a uniform random number from 0 to 1 so that the
+// mean pause equals the backoff.
 const jitterFactor = 2
 
 // RetryBlocked returns why this attempt must not be followed by another one, regardless of the
 // retry budget, or "" if a retry is allowed. maxAttempts bounds the attempts of one request.
 //
-// A request that is not repeatable may only be retried if its attempt provably was not
-// executed.
+// A request that is not repeatable may only be retried if its attempt provably was not executed.
 func (a Attempt) RetryBlocked(maxAttempts int, now time.Time) Reason {
 	switch {
 	case !a.Repeatable && a.Outcome != contract.OutcomeNotRun:
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -11,11 +11,10 @@
 	"woaddoor/contract"
 )
 
-// TestRetryLimits is a property test over random attempts. It checks that a request that
-// may have been executed is only retried if it is repeatable, that no retry starts that
-// cannot finish before its deadline, and that the number of retries stays within the burst
-// plus the ratio. A fixed limit of three attempts per request must exceed that number in at
-// least one run.
+// TestRetryLimits is a property test over random attempts. It checks that a request that may have
+// been executed is only retried if it is repeatable, that no retry starts that cannot finish before
+// its deadline, and that the number of retries stays within the burst plus the ratio. A fixed limit
+// of three attempts per request must exceed that number in at least one run.
 func TestRetryLimits(t *testing.T) {
 	baselineViolations := 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/retry/retryafter.go
+++ b/retry/retryafter.go
@@ -2,13 +2,12 @@
 
 import "time"
 
-// RetryScheduler assigns retry times to refused callers of a rate-limited resource, so that the
-// callers return spread over the time in which capacity becomes available. Callers that were
-// already given a retry time precede those that are refused now. The zero value has no
-// waiting callers.
+// RetryScheduler assigns retry times to refused callers of a rate-limited resource, so
+// that the callers return spread over the time in which capacity becomes available.
+// Callers that were already given a retry time precede those that are refused now. The
+// zero value has no waiting callers.
 type RetryScheduler struct {
-	// reservedUntil is the time up to which the available capacity is promised to refused
-	// callers.
+	// reservedUntil is the time up to which the available capacity is promised to refused callers.
 	reservedUntil time.Time
 }
 
--- a/retry/retryafter_test.go
+++ b/retry/retryafter_test.go
@@ -37,9 +37,8 @@
 	is.True(maxPerSecond <= 3*perSecond)
 }
 
-// TestRetryTimeOfSingleCaller checks that a single refused caller is told to retry when
-// capacity for one request is available, and that the delay is capped if there is no
-// capacity at all.
+// TestRetryTimeOfSingleCaller checks that a single refused caller is told to retry when capacity
+// for one request is available, and that the delay is capped if there is no capacity at all.
 func TestRetryTimeOfSingleCaller(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -8,10 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestFleetStaysWithinRetryBudget is a property test with random requests and resends on
-// VMs that do not communicate and have uneven load. The fleet must stay within its limit
-// over every window. Giving each VM the whole slack must exceed the limit in at least one
-// run.
+// TestFleetStaysWithinRetryBudget is a property test with random requests and resends on VMs that
+// do not communicate and have uneven load. The fleet must stay within its limit over every window.
+// Giving each VM the whole slack must exceed the limit in at least one run.
 func TestFleetStaysWithinRetryBudget(t *testing.T) {
 	const length = 10 * time.Second
 	baselineViolations := 0
@@ -49,8 +48,8 @@
 		for i, last := range events {
 			requests, resends := 0.0, 0.0
 			for _, e := range events[:i+1] {
-				// A resend may use the allowance of requests from the current and the
-				// previous window.
+				// A resend may use the allowance of requests from the
+				// current and the previous window.
 				if last.at.Sub(e.at) < 2*length && !e.resend {
 					requests++
 				}
--- a/rollout/canary.go
+++ b/rollout/canary.go
@@ -11,8 +11,7 @@
 	"woaddoor/contract"
 )
 
-// OrderState is the state of a release rollout: its outcome, or OrderOpen while it is in
-// progress.
+// OrderState is the state of a release rollout: its outcome, or OrderOpen while it is in progress.
 type OrderState string
 
 // States of a release rollout.
@@ -22,9 +21,9 @@
 	OrderRolledBack OrderState = "rolled back"
 )
 
-// ReleaseOrder is a release rollout: an operator's request to move the requests of a service to
-// a new release. The release's upstreams run alongside those of the other releases until the
-// rollout ends.
+// ReleaseOrder is a release rollout: an operator's request to move the requests of a
+// service to a new release. The release's upstreams run alongside those of the other
+// releases until the rollout ends.
 type ReleaseOrder struct {
 	Service contract.ServiceID
 	Release string
@@ -54,13 +53,12 @@
 	// plannedFraction is the fraction of the allowed share that the stages use. The
 	// rest covers VMs that see the rollout at different times, and rising traffic.
 	plannedFraction = 0.93
-	// Fractions of the planned share for the trial, for the two steps and for the
-	// final stage.
+	// Fractions of the planned share for the trial, for the two steps and for the final stage.
 	trialFraction, stepsFraction, finalFraction = 0.2, 0.1, 0.7
 	// maxTrialShare limits the fraction of sessions in the trial.
 	maxTrialShare = 0.10
-	// The fractions of sessions on the release in the two steps between the trial
-	// and the final stage.
+	// The fractions of sessions on the release in the two steps between
+	// the trial and the final stage.
 	firstStepShare, secondStepShare = 0.25, 0.5
 	// completionFraction is the fraction of the final stage after which the rollout is
 	// marked completed. Requests at the other releases end before that point, and the
@@ -101,9 +99,8 @@
 	// joinedLate is true if this VM first saw the rollout after the trial had started.
 	// ageReceived is true once a VM that knows the rollout's age has sent it.
 	joinedLate, ageReceived bool
-	// trialCounts and baselineCounts count the responses that this VM has seen from the
-	// release on trial and from the other releases. baselineCounts gives the service's
-	// usual failure rate.
+	// trialCounts and baselineCounts count the responses that this VM has seen from the release on
+	// trial and from the other releases. baselineCounts gives the service's usual failure rate.
 	trialCounts, baselineCounts Counts
 	// received holds the counts of other VMs.
 	received   Evidence
@@ -178,8 +175,7 @@
 // distinguish a good release from one of which a third of the responses fail.
 const minTrialResponses = 12
 
-// lacksTrialResults reports whether this VM joined late and has not yet learned how the
-// trial went.
+// lacksTrialResults reports whether this VM joined late and has not yet learned how the trial went.
 func (c *Canary) lacksTrialResults() bool {
 	if !c.joinedLate || c.ageReceived {
 		return false
@@ -218,9 +214,8 @@
 	Times  []Latency
 }
 
-// Observe records a response. A response counts as bad if it failed or took much longer
-// than those of the other releases. Observe returns true if this response makes the
-// release count as bad.
+// Observe records a response. A response counts as bad if it failed or took much longer than those
+// of the other releases. Observe returns true if this response makes the release count as bad.
 func (c *Canary) Observe(a Response, now time.Time) bool {
 	slow := c.slowness.Observe(a.OnTrial, a.Times, now)
 	tally := &c.baselineCounts
@@ -241,8 +236,8 @@
 	return c.bad
 }
 
-// Age returns the time since the operator requested the rollout, and whether it was measured on
-// a VM's running clock.
+// Age returns the time since the operator requested the rollout, and whether it was
+// measured on a VM's running clock.
 func (c *Canary) Age(now time.Time) (time.Duration, bool) {
 	return now.Sub(c.order.IssuedAt), c.ageKnown
 }
@@ -264,8 +259,8 @@
 	baselineStep = 1
 )
 
-// totalObserver returns the observer under which the counts of all VMs of a data centre
-// are added up.
+// totalObserver returns the observer under which the counts of all VMs
+// of a data centre are added up.
 func totalObserver(dc contract.DataCentreID) Observer {
 	return Observer{VM: contract.VMID("total of " + string(dc))}
 }
@@ -375,8 +370,7 @@
 // of the other releases starts.
 const baselinePriorGood = 20
 
-// updateGoodRate sets the acceptable failure rate from the failure rate of the other
-// releases.
+// updateGoodRate sets the acceptable failure rate from the failure rate of the other releases.
 func (c *Canary) updateGoodRate(baseline Counts) {
 	rate := float64(baseline.Bad) / float64(baseline.Bad+baseline.Good+baselinePriorGood)
 	c.testParams.GoodRate = min(rate+goodRateMargin, maxGoodRate)
--- a/rollout/canary_test.go
+++ b/rollout/canary_test.go
@@ -55,10 +55,10 @@
 	is.New(t).True(naiveMovesBack > 0)
 }
 
-// TestBadReleaseExposureIsBounded simulates a release that is bad from the start, later, or only
-// under load, on several VMs that exchange no evidence. The share of requests that it gets over
-// its rollout, and the number of bad responses until it is halted, must stay far below the limits of
-// deployments.
+// TestBadReleaseExposureIsBounded simulates a release that is bad from the start, later, or
+// only under load, on several VMs that exchange no evidence. The share of requests that it
+// gets over its rollout, and the number of bad responses until it is halted, must stay far
+// below the limits of deployments.
 func TestBadReleaseExposureIsBounded(t *testing.T) {
 	const requestsPerSecond, vms, runs = 100, 6, 40
 	for name, failureRate := range map[string]func(part, share float64) float64{
@@ -211,9 +211,9 @@
 	}
 }
 
-// TestSharedEvidenceDetectsBadReleaseSooner checks that VMs that see few responses each reject a
-// bad release much sooner if they exchange evidence, and that evidence that arrives late or twice
-// changes nothing.
+// TestSharedEvidenceDetectsBadReleaseSooner checks that VMs that see few responses each
+// reject a bad release much sooner if they exchange evidence, and that evidence that arrives
+// late or twice changes nothing.
 func TestSharedEvidenceDetectsBadReleaseSooner(t *testing.T) {
 	is := is.New(t)
 	const vms = 7
@@ -330,9 +330,8 @@
 	}
 }
 
-// TestSuspectReleaseIsNotCompleted checks that a release rollout is rolled back at its end if
-// the few responses of its release indicate a bad release, though they are too few to halt it
-// earlier.
+// TestSuspectReleaseIsNotCompleted checks that a release rollout is rolled back at its end if the
+// few responses of its release indicate a bad release, though they are too few to halt it earlier.
 func TestSuspectReleaseIsNotCompleted(t *testing.T) {
 	is := is.New(t)
 	finalState := func(bad int) OrderState {
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -183,8 +183,8 @@
 	return e
 }
 
-// Prune drops the counts of steps that are no longer in progress. It keeps halts, which
-// are permanent.
+// Prune drops the counts of steps that are no longer in progress. It
+// keeps halts, which are permanent.
 func (m *Monitor) Prune(progress map[contract.ModelID]*config.Progress) {
 	for k := range m.counts {
 		p, ok := progress[k.version.Model()]
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -86,9 +86,9 @@
 }
 
 // TestConcurrentStepsAreNeitherSkippedNorRepeated lets several VMs decide steps from the progress
-// they last read and write them on condition that the progress is unchanged. No step may be skipped
-// or repeated, and none may follow a halt. A naive implementation that increments a step counter in
-// memory skips steps.
+// they last read and write them on condition that the progress is unchanged. No step may be
+// skipped or repeated, and none may follow a halt. A naive implementation that increments a step
+// counter in memory skips steps.
 func TestConcurrentStepsAreNeitherSkippedNorRepeated(t *testing.T) {
 	naiveSkips := 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/rollout/slowness.go
+++ b/rollout/slowness.go
@@ -26,8 +26,9 @@
 // logStats holds the running mean and variance of the logarithms of one kind of duration.
 type logStats struct{ n, mean, m2 float64 }
 
-// minSlowLogRatio is the smallest log ratio to the mean that counts as slow. A factor of 3
-// lies between the equal times of a good release and the several-fold ones of a bad one.
+// minSlowLogRatio is the smallest logarithm of the ratio of a time to the mean that counts
+// as slow. A good release takes as long as the others and a bad one several times as long;
+// a factor of 3 lies in between.
 var minSlowLogRatio = math.Log(3)
 
 const (
@@ -38,7 +39,7 @@
 	minBaselineSamples = 20
 	// maxBaselineSamples limits the number of samples behind a mean, so that it follows changes.
 	maxBaselineSamples = 500
-	// maxBaselineAge is how recent the last time of another release has to be.
+	// maxBaselineAge is how old the newest time of another release may be for a comparison.
 	maxBaselineAge = 3 * time.Second
 )
 
--- a/rollout/sprt.go
+++ b/rollout/sprt.go
@@ -1,6 +1,5 @@
-// Package rollout moves a model to a new version step by step and halts a bad version. It
-// also puts new releases of a service on trial. It does no I/O: evidence and the current
-// time are parameters.
+// Package rollout moves a model to a new version step by step and halts a bad version. It also puts
+// new releases of a service on trial. It does no I/O: evidence and the current time are parameters.
 //
 // Every VM counts responses, and counts are merged by taking the larger one, so evidence
 // may arrive late, repeatedly and in any order. A halt only removes a version from use, so
@@ -15,13 +14,12 @@
 	"woaddoor/config"
 )
 
-// SequentialTest is Wald's sequential probability ratio test between a good and a bad rate of
-// bad responses (A. Wald, Sequential Tests of Statistical Hypotheses, 1945).
-// FalseAlarmProbability and MissProbability of config.Rollout apply to the whole rollout: the
-// tests of the steps share one half of FalseAlarmProbability, the CUSUM alarms the other half.
-// The chance of passing a version with a rate of BadRate is at most MissProbability at each
-// step. Both hold up to the factors 1/(1-MissProbability) and 1/(1-FalseAlarmProbability) of
-// Wald's bounds.
+// SequentialTest is Wald's sequential probability ratio test between a good and a bad rate of bad
+// responses (A. Wald, Sequential Tests of Statistical Hypotheses, 1945). FalseAlarmProbability and
+// MissProbability of config.Rollout apply to the whole rollout: the tests of the steps share one
+// half of FalseAlarmProbability, the CUSUM alarms the other half. The chance of passing a version
+// with a rate of BadRate is at most MissProbability at each step. Both hold up to the factors
+// 1/(1-MissProbability) and 1/(1-FalseAlarmProbability) of Wald's bounds.
 type SequentialTest struct {
 	badIncrement, goodIncrement float64 // added to the log-likelihood ratio for each response
 	haltBound, passBound        float64 // of the log-likelihood ratio
@@ -64,8 +62,8 @@
 // suspectFraction is the fraction of the halt bound from which a version is suspected.
 const suspectFraction = 0.4
 
-// Suspects reports whether the counts indicate a bad version, possibly without reaching the
-// bound for halting it.
+// Suspects reports whether the counts indicate a bad version, possibly without
+// reaching the bound for halting it.
 func (t SequentialTest) Suspects(c Counts) bool {
 	return t.logLikelihoodRatio(c) >= suspectFraction*t.haltBound
 }
--- a/rollout/stepper.go
+++ b/rollout/stepper.go
@@ -18,8 +18,8 @@
 	// StepSince is when this VM first saw the current step. LastRating is when the
 	// evidence for that step last grew.
 	StepSince, LastRating time.Time
-	// DataCentreUnreachable is true if a data centre cannot be reached, so that its evidence and its
-	// halts may be missing.
+	// DataCentreUnreachable is true if a data centre cannot be reached, so that its
+	// evidence and its halts may be missing.
 	DataCentreUnreachable bool
 	// Loaded is true if an engine in each data centre has loaded the version.
 	Loaded bool
@@ -41,10 +41,9 @@
 	ReasonEnded                 Reason = "is over"
 )
 
-// Next returns the next progress of a rollout, or nil if nothing changes, and the reason.
-// The result is at most one step ahead of s.Progress. If it is written only on condition
-// that the stored progress is unchanged, no step is skipped or repeated, whichever VM
-// writes it.
+// Next returns the next progress of a rollout, or nil if nothing changes, and the reason. The
+// result is at most one step ahead of s.Progress. If it is written only on condition that the
+// stored progress is unchanged, no step is skipped or repeated, whichever VM writes it.
 func Next(s StepInput, now time.Time) (*config.Progress, Reason) {
 	ro := s.Rollout
 	if s.Progress == nil {
@@ -90,8 +89,7 @@
 	return b
 }
 
-// NewVersionShare returns the fraction of new work, 0 to 1, that the new version of a
-// rollout gets.
+// NewVersionShare returns the fraction of new work, 0 to 1, that the new version of a rollout gets.
 func NewVersionShare(ro *config.Rollout, p *config.Progress) float64 {
 	switch {
 	case p == nil || p.To != ro.To || p.State == config.Halted:
--- a/scaling/need.go
+++ b/scaling/need.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Load is the measured load on the upstreams of a service, as seen by one VM or summed over
-// several.
+// Load is the measured load on the upstreams of a service, as seen by
+// one VM or summed over several.
 type Load struct {
 	// Prefill is how many seconds of each second the engines spend on prefill (processing
 	// prompts), summed over the upstreams. PromptRate is the number of prompts per second.
@@ -23,12 +23,11 @@
 	// maxPrefillShare is the fraction of time for prefill if the latency objective or the
 	// prompt rate is unknown.
 	maxPrefillShare = 0.5
-	// maxSlotShare is the fraction of slots in use. Each token takes longer the more requests
-	// run together.
+	// maxSlotShare is the fraction of slots in use. Each token takes longer
+	// the more requests run together.
 	maxSlotShare = 0.5
-	// meanWaitDivisor divides the latency objective to get the mean time that a prompt may
-	// wait for others. Prompts that wait several times longer than the mean still meet the
-	// objective.
+	// meanWaitDivisor divides the latency objective to get the mean time that a prompt may wait for
+	// others. Prompts that wait several times longer than the mean still meet the objective.
 	meanWaitDivisor = 8
 )
 
--- a/scaling/scaling.go
+++ b/scaling/scaling.go
@@ -2,13 +2,12 @@
 // platforms that accept scaling orders and charge for every second that an upstream runs. It
 // is pure: the running upstreams, their load and the time are passed in.
 //
-// Preemptible upstreams cost a fraction of the price of standard ones, but the platform may
-// take away all those of a data centre at once. They replace standard upstreams as far as the
-// remaining capacity still handles the load when the two data centres with the most
-// preemptible upstreams lose them. Working upstreams are removed only once their replacements
-// serve requests. Lost preemptible upstreams are ordered again. Standard upstreams replace
-// them only if the load requires it, because a new upstream starts cold, without cached
-// prompts.
+// Preemptible upstreams cost a fraction of the price of standard ones, but the platform may take
+// away all those of a data centre at once. They replace standard upstreams as far as the remaining
+// capacity still handles the load when the two data centres with the most preemptible upstreams
+// lose them. Working upstreams are removed only once their replacements serve requests. Lost
+// preemptible upstreams are ordered again. Standard upstreams replace them only if the load
+// requires it, because a new upstream starts cold, without cached prompts.
 package scaling
 
 import (
@@ -44,8 +43,8 @@
 	Orders []Order `json:"ordered,omitempty"`
 }
 
-// WithOrder returns the state with a scaling order added, which replaces any earlier order for the
-// same group.
+// WithOrder returns the state with a scaling order added, which replaces any
+// earlier order for the same group.
 func (r State) WithOrder(o Order) State {
 	r.Orders = slices.DeleteFunc(slices.Clone(r.Orders), func(existing Order) bool { return existing.Group == o.Group })
 	r.Orders = append(r.Orders, o)
@@ -75,8 +74,8 @@
 
 // Limits bound the scaling orders for a service.
 type Limits struct {
-	// Min and Max bound the number of upstreams in each data centre, standard and preemptible
-	// ones together.
+	// Min and Max bound the number of upstreams in each data centre, standard
+	// and preemptible ones together.
 	Min, Max int
 	// BootTime is how long a new upstream takes until it serves requests.
 	BootTime time.Duration
@@ -85,8 +84,8 @@
 	PreemptiblePrice float64
 }
 
-// UpstreamCounts counts the upstreams of a service in one data centre, except those that are
-// leaving.
+// UpstreamCounts counts the upstreams of a service in one data centre,
+// except those that are leaving.
 type UpstreamCounts struct {
 	// Standard and Preemptible count the upstreams of each kind, including cold ones.
 	Standard, Preemptible int
@@ -125,8 +124,8 @@
 
 // Parameters for capacity beyond the need.
 const (
-	// toleratedDataCentreLosses is how many data centres may lose their preemptible upstreams
-	// at the same time.
+	// toleratedDataCentreLosses is how many data centres may lose their
+	// preemptible upstreams at the same time.
 	toleratedDataCentreLosses = 2
 	// minCapacityRatio is the fraction of the need that must remain during such a loss.
 	// Upstreams are then busier than normally planned, but keep up.
@@ -173,14 +172,13 @@
 	return s.Running[group.DataCentre].countOf(group.Preemptible)
 }
 
-// preemptibleIsCheaper reports whether preemptible upstreams are available and cost less than
-// standard ones.
+// preemptibleIsCheaper reports whether preemptible upstreams are available
+// and cost less than standard ones.
 func (s Input) preemptibleIsCheaper() bool {
 	return s.Limits.PreemptiblePrice > 0 && s.Limits.PreemptiblePrice < 1
 }
 
-// baselineTotal returns how many upstreams ran in all data centres when they were first
-// counted.
+// baselineTotal returns how many upstreams ran in all data centres when they were first counted.
 func (s Input) baselineTotal() int {
 	total := 0
 	for _, n := range s.Baseline {
@@ -210,8 +208,7 @@
 	return min(max(int(n), s.Limits.Min), s.Limits.Max)
 }
 
-// minStandard returns how many standard upstreams each data centre keeps beside preemptible
-// ones.
+// minStandard returns how many standard upstreams each data centre keeps beside preemptible ones.
 func (s Input) minStandard() int { return max(s.Limits.Min, 1) }
 
 // targetPreemptible returns how many preemptible upstreams should run in a data centre: the
@@ -224,9 +221,9 @@
 	return max(min(s.target(dc)-s.minStandard(), headroom), 0)
 }
 
-// targetStandard returns how many standard upstreams should run in a data centre. It falls as
-// preemptible upstreams start to serve, and rises again only if the total capacity is too low
-// for the load.
+// targetStandard returns how many standard upstreams should run in a data centre. It
+// falls as preemptible upstreams start to serve, and rises again only if the total
+// capacity is too low for the load.
 func (s Input) targetStandard(dc contract.DataCentreID) int {
 	if !s.preemptibleIsCheaper() {
 		return s.target(dc)
--- a/scaling/scaling_test.go
+++ b/scaling/scaling_test.go
@@ -28,6 +28,7 @@
 	cost    float64 // accumulated, in seconds of one standard upstream
 }
 
+// newFakeCloud returns a platform that runs a number of standard upstreams in each data centre.
 func newFakeCloud(perDataCentre int, limits Limits) *fakeCloud {
 	c := &fakeCloud{booting: make(map[Group][]time.Time), now: time.Unix(0, 0)}
 	c.input = Input{
@@ -115,9 +116,9 @@
 	return fewest
 }
 
-// TestPreemptibleReplacesStandard starts with standard upstreams only. Preemptible ones must
-// replace them without the number of serving upstreams ever falling, and no orders may follow
-// once they run.
+// TestPreemptibleReplacesStandard starts with standard upstreams only. Preemptible
+// ones must replace them without the number of serving upstreams ever falling, and no
+// orders may follow once they run.
 func TestPreemptibleReplacesStandard(t *testing.T) {
 	is := is.New(t)
 	c := newFakeCloud(22, testLimits)
@@ -228,8 +229,7 @@
 	is.Equal(w.Need(64, 4*time.Second), 20.0)
 }
 
-// TestPeak checks that a peak counts for a minute and is then replaced by the largest recent
-// need.
+// TestPeak checks that a peak counts for a minute and is then replaced by the largest recent need.
 func TestPeak(t *testing.T) {
 	is := is.New(t)
 	var p Peak
--- a/session/session.go
+++ b/session/session.go
@@ -1,5 +1,4 @@
-// Package session keeps a session on its model version even if every VM that has
-// served it is gone.
+// Package session keeps a session on its model version even if every VM that has served it is gone.
 //
 // No VM stores the version: it is part of a signed token that the caller carries. A
 // session begins only with a token that the router has issued, so no VM has to
@@ -19,8 +18,7 @@
 	Session   string               `cbor:"1,keyasint"`
 	Workspace contract.WorkspaceID `cbor:"2,keyasint"`
 	Version   contract.VersionID   `cbor:"3,keyasint"`
-	// Revision is the revision of the configuration under which the version was
-	// chosen.
+	// Revision is the revision of the configuration under which the version was chosen.
 	Revision contract.Revision `cbor:"4,keyasint"`
 	IssuedAt int64             `cbor:"5,keyasint"` // Unix seconds
 }
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -78,8 +78,7 @@
 	})
 }
 
-// FuzzOpen checks that no input makes Open panic or return a token of another
-// workspace.
+// FuzzOpen checks that no input makes Open panic or return a token of another workspace.
 func FuzzOpen(f *testing.F) {
 	signer := NewSigner(secret)
 	good, err := signer.Issue(Token{Session: "s", Workspace: "w", Version: "m@1"}, time.Unix(0, 0))
--- a/stream/events.go
+++ b/stream/events.go
@@ -23,16 +23,14 @@
 	hasID  bool
 }
 
-// SkipThrough continues the event stream after the event with the given id: Feed drops
-// all events up to it.
+// SkipThrough continues the event stream after the event with the given id:
+// Feed drops all events up to it.
 func (e *EventSplitter) SkipThrough(id int64) { e.lastID, e.hasID = id, true }
 
-// DiscardPartial discards an incomplete event, because another upstream continues the
-// event stream.
+// DiscardPartial discards an incomplete event, because another upstream continues the event stream.
 func (e *EventSplitter) DiscardPartial() { e.buf = e.buf[:0] }
 
-// LastID returns the id of the newest whole event. It returns false if no event has
-// had an id.
+// LastID returns the id of the newest whole event. It returns false if no event has had an id.
 func (e *EventSplitter) LastID() (int64, bool) { return e.lastID, e.hasID }
 
 // HasPartial reports whether an event has begun but not ended.
--- a/stream/recover.go
+++ b/stream/recover.go
@@ -36,8 +36,7 @@
 	Permitted bool
 	// Repeatable is true if the request may run more than once.
 	Repeatable bool
-	// SingleText is true if the response is a single text. Other responses cannot be
-	// continued.
+	// SingleText is true if the response is a single text. Other responses cannot be continued.
 	SingleText bool
 	Deadline   time.Time
 }
@@ -47,10 +46,9 @@
 
 // NextAction returns how to recover a broken stream.
 //
-// Resuming gives the engine no new work, so it is tried first and is allowed even
-// for requests that must not be repeated. Restarting or continuing on another
-// upstream is new work: the version must still be permitted and the request
-// repeatable.
+// Resuming gives the engine no new work, so it is tried first and is allowed even for requests that
+// must not be repeated. Restarting or continuing on another upstream is new work: the version must
+// still be permitted and the request repeatable.
 func NextAction(b Interruption, now time.Time) Action {
 	if !now.Before(b.Deadline) || b.Recoveries >= maxRecoveries {
 		return GiveUp
--- a/stream/stall.go
+++ b/stream/stall.go
@@ -1,6 +1,5 @@
-// Package stream handles streamed responses: it splits them into events, detects
-// stalls and decides how to recover a broken stream. It is pure: its callers pass in
-// the time.
+// Package stream handles streamed responses: it splits them into events, detects stalls and decides
+// how to recover a broken stream. It is pure: its callers pass in the time.
 package stream
 
 import (
@@ -10,8 +9,7 @@
 
 // StallOptions configure the detection of stalls.
 type StallOptions struct {
-	// MaxGap is the gap between chunks after which every stream counts as stalled.
-	// Zero means 10 s.
+	// MaxGap is the gap between chunks after which every stream counts as stalled. Zero means 10 s.
 	MaxGap time.Duration
 	// MinGap is the gap below which no stream counts as stalled. Zero means 400 ms.
 	MinGap time.Duration
@@ -71,8 +69,7 @@
 	}
 }
 
-// Deadline returns the deadline for the next chunk. After it, the stream counts as
-// stalled.
+// Deadline returns the deadline for the next chunk. After it, the stream counts as stalled.
 func (d *StallDetector) Deadline() time.Time {
 	if d.gaps < 0 {
 		return d.lastChunk.Add(d.opts.FirstChunk)
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -9,9 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestStallThresholdAdaptsToStream checks that the threshold fits a fast and a slow
-// stream. A fixed timeout is either too long for the fast one or interrupts the
-// slow one.
+// TestStallThresholdAdaptsToStream checks that the threshold fits a fast and a slow stream. A fixed
+// timeout is either too long for the fast one or interrupts the slow one.
 func TestStallThresholdAdaptsToStream(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(0, 0)
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -41,8 +41,7 @@
 // Quorum returns how many votes a claim needs to win.
 func (t Ticket) Quorum() int { return len(t.Arbiters)/2 + 1 }
 
-// BlockingQuorum returns how many votes for Nobody prove that no other claimant can
-// win.
+// BlockingQuorum returns how many votes for Nobody prove that no other claimant can win.
 func (t Ticket) BlockingQuorum() int { return len(t.Arbiters) - t.Quorum() + 1 }
 
 // Limits of tickets.
--- a/ticket/ticket_test.go
+++ b/ticket/ticket_test.go
@@ -35,6 +35,7 @@
 	proofs int
 }
 
+// newSimulation returns a simulation of one ticket with up to MaxArbiters arbiters.
 func newSimulation(t *rapid.T) *simulation {
 	n := rapid.IntRange(1, MaxArbiters).Draw(t, "arbiters")
 	s := &simulation{t: t, now: start, ran: make(map[Claimant]bool)}
@@ -82,8 +83,7 @@
 	}
 }
 
-// check verifies that at most one claimant ran, and none if a claim has proved
-// NotRun.
+// check verifies that at most one claimant ran, and none if a claim has proved NotRun.
 func (s *simulation) check() {
 	proved := false
 	for _, c := range s.claims {
@@ -133,10 +133,11 @@
 	}
 }
 
-// singleOwner grants each key once, but only in the memory of the VM that owns the
-// keys at the time.
+// singleOwner grants each key once, but only in the memory of the VM
+// that owns the keys at the time.
 type singleOwner struct{ granted map[string]bool }
 
+// claim grants a key unless this owner has granted it before.
 func (o *singleOwner) claim(id string) bool {
 	if o.granted[id] {
 		return false
@@ -276,8 +277,7 @@
 	is.Equal(err, ErrExpired) // dropped, but too old to be claimed
 }
 
-// TestResultStoredForRetry checks that a retry gets the whole response of the first
-// attempt.
+// TestResultStoredForRetry checks that a retry gets the whole response of the first attempt.
 func TestResultStoredForRetry(t *testing.T) {
 	is := is.New(t)
 	tk := Ticket{ID: "t", Arbiters: arbiters(1), Expires: start.Add(Lifetime).Unix()}
--- a/ticket/votestore.go
+++ b/ticket/votestore.go
@@ -7,9 +7,8 @@
 	"woaddoor/contract"
 )
 
-// Claimant identifies who wants to run the request of a ticket: one attempt of one
-// process. The zero Claimant is Nobody; a vote for it is a vote against running the
-// request.
+// Claimant identifies who wants to run the request of a ticket: one attempt of one process. The
+// zero Claimant is Nobody; a vote for it is a vote against running the request.
 type Claimant struct {
 	VM          contract.VMID        `cbor:"1,keyasint"`
 	Incarnation contract.Incarnation `cbor:"2,keyasint"`
@@ -30,8 +29,7 @@
 	BodyComplete bool `cbor:"5,keyasint"`
 }
 
-// MaxStoredBody is the largest response body that arbiters store for a retry of the
-// caller.
+// MaxStoredBody is the largest response body that arbiters store for a retry of the caller.
 const MaxStoredBody = 16 * contract.KiB
 
 // Vote is the reply of an arbiter: the claimant that has its vote, and the result
@@ -49,8 +47,8 @@
 // incarnation of this one. This process has not voted.
 var ErrNotArbiter = errors.New("ticket names another arbiter")
 
-// VoteStore holds the votes of one arbiter. It is a pure state machine and not safe
-// for concurrent use.
+// VoteStore holds the votes of one arbiter. It is a pure state machine
+// and not safe for concurrent use.
 //
 // It drops a ticket only after the ticket has expired, and it uses the same clock
 // to refuse votes on expired tickets. If the clock deviates from others, a ticket
@@ -64,8 +62,7 @@
 	maxStoredBytes contract.Bytes
 }
 
-// voteRecord is the vote on one ticket, with the result of its request if that is
-// known.
+// voteRecord is the vote on one ticket, with the result of its request if that is known.
 type voteRecord struct {
 	vote   Claimant
 	result *Result
@@ -77,12 +74,11 @@
 	expires int64
 }
 
-// defaultMaxStoredBytes limits the total size of the response bodies stored for
-// retries.
+// defaultMaxStoredBytes limits the total size of the response bodies stored for retries.
 const defaultMaxStoredBytes = 16 * contract.MiB
 
-// NewVoteStore returns an empty store for the arbiter self, which stores at most
-// maxTickets tickets.
+// NewVoteStore returns an empty store for the arbiter self, which
+// stores at most maxTickets tickets.
 func NewVoteStore(self Arbiter, maxTickets int) *VoteStore {
 	return &VoteStore{self: self, maxTickets: maxTickets, votes: make(map[string]*voteRecord), maxStoredBytes: defaultMaxStoredBytes}
 }
@@ -113,8 +109,7 @@
 	return Vote{For: c}, nil
 }
 
-// isArbiterOf reports whether t names this process, in its present incarnation, as
-// an arbiter.
+// isArbiterOf reports whether t names this process, in its present incarnation, as an arbiter.
 func (s *VoteStore) isArbiterOf(t Ticket) bool {
 	for _, a := range t.Arbiters {
 		if a.VM == s.self.VM && a.Incarnation == s.self.Incarnation {
@@ -154,6 +149,5 @@
 	s.expiry = s.expiry[n:]
 }
 
-// resultRetentionSeconds is how long after its expiry the result of a ticket can be
-// retrieved.
+// resultRetentionSeconds is how long after its expiry the result of a ticket can be retrieved.
 const resultRetentionSeconds = 120
--- a/usage/closing.go
+++ b/usage/closing.go
@@ -11,8 +11,7 @@
 	Window, ReportDeadline time.Duration
 }
 
-// Delays between the end of a window and its closing, as fractions of
-// ReportDeadline.
+// Delays between the end of a window and its closing, as fractions of ReportDeadline.
 const (
 	// minDelayFraction applies if all peers have sent their counts since the window ended.
 	// Counts take two rounds of updates to arrive.
@@ -27,8 +26,8 @@
 	return time.Duration(minDelayFraction * float64(t.ReportDeadline))
 }
 
-// maxCloseDelay returns the time after the end of a window at which it is closed even if some
-// peers are silent.
+// maxCloseDelay returns the time after the end of a window at which it is closed
+// even if some peers are silent.
 func (t Rules) maxCloseDelay() time.Duration {
 	return time.Duration(maxDelayFraction * float64(t.ReportDeadline))
 }
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -1,7 +1,6 @@
-// Package usage counts the requests that upstreams have started, by workspace and by
-// window of wall-clock time, over all VMs, and decides which counts are reported for
-// a window. It is a pure state machine: its callers pass in the time and the counts
-// of other VMs.
+// Package usage counts the requests that upstreams have started, by workspace and by window of
+// wall-clock time, over all VMs, and decides which counts are reported for a window. It is a pure
+// state machine: its callers pass in the time and the counts of other VMs.
 //
 // Each VM counts the requests of its own callers. A Part holds the counts of one VM
 // incarnation in one window. These counts only grow, so parts may arrive late, twice,
@@ -37,9 +36,8 @@
 // Counts holds the number of started requests of each workspace.
 type Counts map[contract.WorkspaceID]int64
 
-// mergeMax raises each count to that of other if it is larger, and reports whether
-// any count has changed. Both must be counts of the same VM incarnation and window;
-// either may be newer.
+// mergeMax raises each count to that of other if it is larger, and reports whether any count has
+// changed. Both must be counts of the same VM incarnation and window; either may be newer.
 func (c Counts) mergeMax(other Counts) bool {
 	raised := false
 	for w, n := range other {
@@ -64,8 +62,7 @@
 	source contract.VMInstance
 }
 
-// trackedPart holds the counts of a Part and the number of the change that last
-// raised them.
+// trackedPart holds the counts of a Part and the number of the change that last raised them.
 type trackedPart struct {
 	counts     Counts
 	lastChange uint64
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -69,8 +69,8 @@
 	})
 }
 
-// TestChangedSinceReturnsChangedParts checks that a part is returned again only after its
-// counts have grown.
+// TestChangedSinceReturnsChangedParts checks that a part is returned again
+// only after its counts have grown.
 func TestChangedSinceReturnsChangedParts(t *testing.T) {
 	is := is.New(t)
 	s := NewCounter()
@@ -90,8 +90,7 @@
 	is.Equal(len(s.Windows()), 0)
 }
 
-// TestWindowNumbers checks window numbers against an example of the platform with windows of
-// 5 s.
+// TestWindowNumbers checks window numbers against an example of the platform with windows of 5 s.
 func TestWindowNumbers(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(353445120*5, 0)
--- a/workspace/queue.go
+++ b/workspace/queue.go
@@ -77,17 +77,15 @@
 	Rejected
 )
 
-// Queue holds the waiting requests and counts the running ones. It is not safe for
-// concurrent use.
+// Queue holds the waiting requests and counts the running ones. It is not safe for concurrent use.
 type Queue struct {
 	opts            Options
 	flows           map[contract.WorkspaceID]*flow
 	running         int
 	waiting         int
-	virtualTime     float64
+	virtualTime     float64       // virtual start time of the request started last
 	meanServiceTime time.Duration // mean time that a request occupies a slot
-	// rejectionRate is the moving average of the fraction of offers that were
-	// rejected, 0 to 1.
+	// rejectionRate is the moving average of the fraction of offers that were rejected, 0 to 1.
 	rejectionRate float64
 }
 
@@ -206,8 +204,7 @@
 	return q.waiting >= q.opts.MaxQueue/2 && float64(f.queued()) >= limit
 }
 
-// queuedAhead returns how many waiting requests of the flow start before a new one
-// of this class.
+// queuedAhead returns how many waiting requests of the flow start before a new one of this class.
 func (q *Queue) queuedAhead(f *flow, c Class) int {
 	n := len(f.waiting[Interactive])
 	if c == Bulk {
@@ -251,18 +248,16 @@
 	q.rejectionRate += rejectionRateWeight * (sample - q.rejectionRate)
 }
 
-// retryAfter returns how long a rejected caller should wait before a retry. The
-// time grows with the rejection rate, since more callers compete for the free
-// slots. It is spread over a factor of three, so that callers do not return
-// together.
+// retryAfter returns how long a rejected caller should wait before a retry. The time grows with the
+// rejection rate, since more callers compete for the free slots. It is spread over a factor of
+// three, so that callers do not return together.
 func (q *Queue) retryAfter(wait time.Duration, random *rand.Rand) time.Duration {
 	mean := float64(max(wait, minRetryAfter)) / max(1-q.rejectionRate, float64(minRetryAfter)/float64(maxRetryAfter))
 	after := time.Duration(mean * (1 + 2*random.Float64()))
 	return min(after, maxRetryAfter)
 }
 
-// start records that a request of the flow has started. It advances the virtual
-// time of the queue.
+// start records that a request of the flow has started. It advances the virtual time of the queue.
 func (q *Queue) start(f *flow) {
 	q.running++
 	f.running++
--- a/workspace/queue_test.go
+++ b/workspace/queue_test.go
@@ -11,6 +11,7 @@
 	"woaddoor/contract"
 )
 
+// newRandom returns a random source with a fixed seed.
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
 // TestSlotAccounting draws offers, completions, expiries and cancellations. No slot
