--- a/leader/reports_test.go
+++ b/leader/reports_test.go
@@ -18,21 +18,23 @@
 )
 
 // memoryStore is a lease store in memory.
-type memoryStore struct{ seen lease.VersionedObject }
+type memoryStore struct{ object lease.VersionedObject }
 
+// Read returns the object, or ErrNotFound.
 func (m *memoryStore) Read(context.Context) (lease.VersionedObject, error) {
-	if m.seen.Version == 0 {
+	if m.object.Version == 0 {
 		return lease.VersionedObject{}, ErrNotFound
 	}
-	return m.seen, nil
+	return m.object, nil
 }
 
+// Write replaces the object if the proposal has its version.
 func (m *memoryStore) Write(_ context.Context, p lease.Proposal) (lease.VersionedObject, error) {
-	if p.Version != m.seen.Version {
-		return m.seen, ErrConflict
+	if p.Version != m.object.Version {
+		return m.object, ErrConflict
 	}
-	m.seen = lease.VersionedObject{Object: p.Object, Version: m.seen.Version + 1}
-	return m.seen, nil
+	m.object = lease.VersionedObject{Object: p.Object, Version: m.object.Version + 1}
+	return m.object, nil
 }
 
 // fakeUsageAPI accepts reports. If noReply is set, it accepts them but returns an error.
@@ -45,10 +47,12 @@
 	calls       int
 }
 
+// Report accepts a report, and checks that fencing tokens never fall and that all reports of a
+// window have the same counts.
 func (a *fakeUsageAPI) Report(_ context.Context, n contract.FencingToken, f usage.ClosedWindow) error {
 	a.calls++
 	if n < a.lastFencing {
-		a.t.Errorf("fencing number %d came after %d", n, a.lastFencing)
+		a.t.Errorf("fencing token %d came after %d", n, a.lastFencing)
 	}
 	a.lastFencing = n
 	if earlier, ok := a.reported[f.Window]; ok && !maps.Equal(earlier, f.Counts) {
@@ -64,7 +68,7 @@
 // Settings of the VMs under test.
 const testLease = 3 * time.Second
 
-var testTerms = usage.Rules{Window: 5 * time.Second, ReportDeadline: 10 * time.Second}
+var testRules = usage.Rules{Window: 5 * time.Second, ReportDeadline: 10 * time.Second}
 
 // simulation is VMs that share a store and a platform, in simulated time.
 type simulation struct {
@@ -73,32 +77,34 @@
 	platform *fakeUsageAPI
 }
 
+// newSimulation returns a simulation that starts at the start of window 1000.
 func newSimulation(t *testing.T) *simulation {
-	start := testTerms.Window // the clock starts at the start of a window
+	start := testRules.Window // the clock starts at the start of a window
 	return &simulation{clock.NewFake(time.Unix(0, int64(1000*start))), &memoryStore{}, &fakeUsageAPI{t: t, reported: make(map[usage.Window]usage.Counts)}}
 }
 
 // testVM is one simulated VM.
 type testVM struct {
 	simulation *simulation
-	book       *UsageLedger
-	keeper     *LeaseClient
+	ledger     *UsageLedger
+	client     *LeaseClient
 	leader     *Leader
 }
 
+// newVM returns a VM that does not hold the lease.
 func (s *simulation) newVM(name contract.VMID) *testVM {
 	vm := &testVM{simulation: s}
-	vm.keeper = NewLeaseClient(&LeaseClientOptions{
+	vm.client = NewLeaseClient(&LeaseClientOptions{
 		Options: lease.Options{Self: contract.VMInstance{VM: name, Incarnation: 1}, Duration: testLease},
 		Store:   s.store, Clock: s.clock, Timeout: time.Second,
 	})
-	vm.book = NewUsageLedger(&UsageLedgerOptions{Self: contract.VMInstance{VM: name}, Terms: testTerms, Now: s.clock.Now})
+	vm.ledger = NewUsageLedger(&UsageLedgerOptions{Self: contract.VMInstance{VM: name}, Terms: testRules, Now: s.clock.Now})
 	registry := metrics.NewRegistry()
 	reports := NewUsageReporter(&UsageReporterOptions{
-		Lease: vm.keeper, Ledger: vm.book, Terms: testTerms, API: s.platform, Now: s.clock.Now, Log: zap.NewNop(), Registry: registry,
+		Lease: vm.client, Ledger: vm.ledger, Terms: testRules, API: s.platform, Now: s.clock.Now, Log: zap.NewNop(), Registry: registry,
 	})
 	vm.leader = New(&Options{
-		Lease: vm.keeper, TakeoverDelay: func() (time.Duration, bool) { return 0, true }, OnChange: func() {},
+		Lease: vm.client, TakeoverDelay: func() (time.Duration, bool) { return 0, true }, OnChange: func() {},
 		Tasks: []Task{reports}, Log: zap.NewNop(), Registry: registry,
 	})
 	return vm
@@ -121,10 +127,10 @@
 	sim := newSimulation(t)
 	a, b := sim.newVM("a"), sim.newVM("b")
 	for range 3 {
-		a.book.CountRequest("w", sim.clock.Now())
+		a.ledger.CountRequest("w", sim.clock.Now())
 	}
 	for range 5 {
-		b.book.CountRequest("w", sim.clock.Now())
+		b.ledger.CountRequest("w", sim.clock.Now())
 	}
 	sim.platform.noReply = true
 	sim.run(8*time.Second, a)
@@ -140,18 +146,19 @@
 	is := is.New(t)
 	sim := newSimulation(t)
 	a := sim.newVM("a")
-	a.book.CountRequest("w", sim.clock.Now())
-	sim.run(testTerms.Window, a)
-	a.book.CountRequest("w", sim.clock.Now())
+	a.ledger.CountRequest("w", sim.clock.Now())
+	sim.run(testRules.Window, a)
+	a.ledger.CountRequest("w", sim.clock.Now())
 	sim.run(12*time.Second, a)
 	is.Equal(sim.platform.calls, 2)
 	is.Equal(sim.platform.reported, map[usage.Window]usage.Counts{1000: {"w": 1}, 1001: {"w": 1}})
 	is.Equal(len(a.usageRecord(t).Unreported), 0) // a later lease holder repeats nothing
 }
 
+// usageRecord returns the stored usage record as the VM knows it.
 func (vm *testVM) usageRecord(t *testing.T) usage.Record {
 	t.Helper()
-	record, err := storedRecord(vm.keeper)
+	record, err := storedRecord(vm.client)
 	is.New(t).NoErr(err)
 	return record.Usage
 }
@@ -162,28 +169,28 @@
 	sim := newSimulation(t)
 	sim.platform.err = &RefusedError{errors.New("status 400")}
 	a := sim.newVM("a")
-	a.book.CountRequest("w", sim.clock.Now())
+	a.ledger.CountRequest("w", sim.clock.Now())
 	sim.run(20*time.Second, a)
 	is.Equal(sim.platform.calls, 1)
 }
 
-// TestSilentCollectorDelaysWindow checks that a window is not fixed while a collector is silent, but
-// is fixed before its deadline passes.
+// TestSilentCollectorDelaysWindow checks that a window is not closed while a collector is
+// silent, but is closed before its deadline passes.
 func TestSilentCollectorDelaysWindow(t *testing.T) {
 	is := is.New(t)
 	sim := newSimulation(t)
 	a := sim.newVM("a")
 	sim.run(2*time.Second, a)
-	a.book.CountRequest("w", sim.clock.Now())
-	a.book.CollectorReported(contract.VMInstance{VM: "hub"}, "other", false)
+	a.ledger.CountRequest("w", sim.clock.Now())
+	a.ledger.CollectorReported(contract.VMInstance{VM: "hub"}, "other", false)
 	sim.run(6*time.Second, a) // until 3 s after the end of the window
 	is.Equal(sim.platform.calls, 0)
-	a.book.Merge([]usage.Part{{Source: contract.VMInstance{VM: "hub"}, Window: 1000, Counts: usage.Counts{"w": 2}}})
-	a.book.CollectorReported(contract.VMInstance{VM: "hub"}, "other", false)
+	a.ledger.Merge([]usage.Part{{Source: contract.VMInstance{VM: "hub"}, Window: 1000, Counts: usage.Counts{"w": 2}}})
+	a.ledger.CollectorReported(contract.VMInstance{VM: "hub"}, "other", false)
 	sim.run(time.Second, a)
 	is.Equal(sim.platform.reported[1000], usage.Counts{"w": 3})
 
-	a.book.CountRequest("w", sim.clock.Now())
-	sim.run(testTerms.ReportDeadline, a)
+	a.ledger.CountRequest("w", sim.clock.Now())
+	sim.run(testRules.ReportDeadline, a)
 	is.Equal(sim.platform.reported[1001], usage.Counts{"w": 1})
 }
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -30,12 +30,14 @@
 	sends   []simSend
 }
 
+// simVM is a simulated VM.
 type simVM struct {
 	table             *Table
 	startedAt         int // simulated time in ms
 	disconnectedUntil int
 }
 
+// simEvent is a scheduled event, at a simulated time in ms.
 type simEvent struct {
 	at int
 	do func()
@@ -46,6 +48,7 @@
 
 var crashingContent = Fingerprint{1}
 
+// after schedules an event a number of milliseconds from now.
 func (s *fleetSim) after(ms int, do func()) {
 	s.events = append(s.events, simEvent{s.now + ms, do})
 }
@@ -83,8 +86,8 @@
 	}
 }
 
-// scheduleHeartbeat makes a VM broadcast its gossip periodically and synchronize the held
-// content with the store.
+// scheduleHeartbeat makes a VM broadcast its gossip periodically and synchronize the
+// quarantined content with the store.
 func (s *fleetSim) scheduleHeartbeat(v *simVM) {
 	s.after(rapid.IntRange(400, 600).Draw(s.t, "heartbeat"), func() {
 		s.broadcast(v)
@@ -100,8 +103,8 @@
 	})
 }
 
-// send simulates the arrival of the crashing content at a VM, which may try several
-// upstreams in turn.
+// send simulates the arrival of the crashing content at a VM, which may
+// try several upstreams in turn.
 func (s *fleetSim) send(v *simVM, attempts int) {
 	if attempts == 0 || v.table.Blocks(crashingContent, at(s.now)) {
 		return
@@ -109,21 +112,21 @@
 	sent, table := s.now, v.table
 	s.sends = append(s.sends, simSend{s.now, s.now - v.startedAt, s.now - v.disconnectedUntil})
 	s.upstreamCount++
-	life := contract.UpstreamInstance{Upstream: contract.UpstreamID(fmt.Sprint("u", s.upstreamCount)), Incarnation: 1}
+	instance := contract.UpstreamInstance{Upstream: contract.UpstreamID(fmt.Sprint("u", s.upstreamCount)), Incarnation: 1}
 	s.after(rapid.IntRange(20, 300).Draw(s.t, "ran"), func() {
 		s.crashes = append(s.crashes, s.now)
 		if v.table != table {
 			return // the VM restarted meanwhile and lost track of the request
 		}
-		if v.table.RecordCrash(crashingContent, Source{}, Crash{life, at(sent), at(s.now)}, at(s.now)) {
+		if v.table.RecordCrash(crashingContent, Source{}, Crash{instance, at(sent), at(s.now)}, at(s.now)) {
 			s.broadcast(v)
 		}
 		s.send(v, attempts-1)
 	})
 }
 
-// lateSends counts the sends later than propagationMs after the third crash, by VMs that
-// had been running and connected for at least propagationMs.
+// lateSends counts the sends of the crashing content later than propagationMs after the third
+// crash, by VMs that had been running and connected for at least propagationMs.
 func (s *fleetSim) lateSends() int {
 	if len(s.crashes) < CrashLimit {
 		return 0
@@ -137,11 +140,10 @@
 	return n
 }
 
-// TestFleetLimitsSendsOfCrashingContent is a property test over random fleets that receive
-// a crashing content for 20 seconds while VMs disconnect and restart, sometimes all at
-// once. Once the third crash is known, all connected VMs together may send the content at
-// most three more times. Without gossip, the same events must exceed that limit in at least
-// one run.
+// TestFleetLimitsSendsOfCrashingContent is a property test over random fleets that receive a
+// crashing content for 20 seconds while VMs disconnect and restart, sometimes all at once. Once the
+// third crash is known, all connected VMs together may send the content at most three more times.
+// Without gossip, the same events must exceed that limit in at least one run.
 func TestFleetLimitsSendsOfCrashingContent(t *testing.T) {
 	baselineViolations := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -186,7 +188,7 @@
 			v.table, v.startedAt = NewTable(), s.now
 		}
 	case 2:
-		v := randomVM("cut")
-		v.disconnectedUntil = s.now + rapid.IntRange(100, 6000).Draw(s.t, "cut_ms")
+		v := randomVM("disconnected")
+		v.disconnectedUntil = s.now + rapid.IntRange(100, 6000).Draw(s.t, "disconnected_ms")
 	}
 }
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,6 +1,5 @@
-// Package retry decides whether a failed attempt is retried, and limits the retries of a VM
-// and of the fleet. It reads no clock and creates no random numbers: its callers pass both
-// in.
+// Package retry decides whether a failed attempt is retried, and limits the retries of a VM and of
+// the fleet. It reads no clock and creates no random numbers: its callers pass both in.
 //
 // All requests of a VM share one retry budget that is a small fraction of its first
 // attempts, so retries cannot amplify an overload.
@@ -16,15 +15,14 @@
 
 // Options configures a Budget.
 type Options struct {
-	// Ratio is the number of retries that each first attempt adds to the budget. Zero means
-	// 0.05.
+	// Ratio is the number of retries that each first attempt adds to the budget. Zero means 0.05.
 	Ratio float64
 	// Burst is the maximum number of retries the budget can accumulate. Zero means 10.
 	Burst float64
 	// MaxAttempts bounds the attempts of one request. Zero means 3.
 	MaxAttempts int
-	// Backoff is the mean pause before the first retry; it doubles with each further retry.
-	// Zero means 25 ms.
+	// Backoff is the mean pause before the first retry; it doubles with each
+	// further retry. Zero means 25 ms.
 	Backoff time.Duration
 }
 
@@ -63,8 +61,8 @@
 	Outcome contract.Outcome
 	// Repeatable reports whether the request may be executed more than once.
 	Repeatable bool
-	// Deadline is the time after which the caller no longer needs the answer. Expected is
-	// the expected duration of another attempt.
+	// Deadline is the time after which the caller no longer needs the answer.
+	// ExpectedDuration is the expected duration of another attempt.
 	Deadline         time.Time
 	ExpectedDuration time.Duration
 }
@@ -73,7 +71,7 @@
 type Decision struct {
 	Retry bool
 	Pause time.Duration
-	// Reason is the reason when there is no retry.
+	// Reason is why there is no retry; it is empty if Retry is true.
 	Reason Reason
 }
 
@@ -89,15 +87,14 @@
 	NoOtherUpstream   Reason = "no other upstream takes it"
 )
 
-// jitterFactor scales a uniform random number from 0 to 1 so that the mean pause equals the
-// backoff.
+// jitterFactor scales a uniform random number from 0 to 1 so that the
+// mean pause equals the backoff.
 const jitterFactor = 2
 
 // RetryBlocked returns why this attempt must not be followed by another one, regardless of the
-// budget, or "" if a retry is allowed. maxAttempts bounds the attempts of one request.
+// retry budget, or "" if a retry is allowed. maxAttempts bounds the attempts of one request.
 //
-// A request that is not repeatable may only be retried if its attempt provably was not
-// executed.
+// A request that is not repeatable may only be retried if its attempt provably was not executed.
 func (a Attempt) RetryBlocked(maxAttempts int, now time.Time) Reason {
 	switch {
 	case !a.Repeatable && a.Outcome != contract.OutcomeNotRun:
@@ -115,8 +112,8 @@
 	meanBackoff := b.opts.Backoff << max(a.Number-1, 0)
 	pause := time.Duration(random.Float64() * jitterFactor * float64(meanBackoff))
 	a.ExpectedDuration += pause
-	if why := a.RetryBlocked(b.opts.MaxAttempts, now); why != "" {
-		return Decision{Reason: why}
+	if reason := a.RetryBlocked(b.opts.MaxAttempts, now); reason != "" {
+		return Decision{Reason: reason}
 	}
 	if b.tokens < 1 {
 		return Decision{Reason: BudgetExhausted}
--- a/rollout/slowness.go
+++ b/rollout/slowness.go
@@ -26,19 +26,20 @@
 // logStats holds the running mean and variance of the logarithms of one kind of duration.
 type logStats struct{ n, mean, m2 float64 }
 
-// minSlowLogRatio is the smallest log ratio to the mean that counts as slow. A factor of 3
-// lies between the equal times of a good release and the several-fold ones of a bad one.
+// minSlowLogRatio is the smallest logarithm of the ratio of a time to the mean that counts
+// as slow. A good release takes as long as the others and a bad one several times as long;
+// a factor of 3 lies in between.
 var minSlowLogRatio = math.Log(3)
 
 const (
-	// minSlowStdDevs is how many standard deviations above the mean a slow time lies. About
+	// minSlowStdDevs is how many standard deviations above the mean a slow time lies at least. About
 	// one in forty times of any release lies that far above.
 	minSlowStdDevs = 2.0
 	// minBaselineSamples is how many times of a kind are needed before any is compared.
 	minBaselineSamples = 20
 	// maxBaselineSamples limits the number of samples behind a mean, so that it follows changes.
 	maxBaselineSamples = 500
-	// maxBaselineAge is how recent the last time of another release has to be.
+	// maxBaselineAge is how old the newest time of another release may be for a comparison.
 	maxBaselineAge = 3 * time.Second
 )
 
@@ -57,6 +58,8 @@
 	return slow
 }
 
+// observeTime compares one time of a response with the baseline, and adds it to the baseline if
+// the response is not on trial.
 func (s *SlownessDetector) observeTime(onTrial bool, t Latency, now time.Time) bool {
 	logSeconds := math.Log(max(t.Seconds, 1e-4))
 	stats, ok := s.statsByKind[t.Kind]
@@ -73,6 +76,7 @@
 	return slow && now.Sub(s.lastBaseline) < maxBaselineAge
 }
 
+// add adds a sample, and gives up the weight of one earlier sample at the maximum.
 func (s *logStats) add(logSeconds float64) {
 	if s.n >= maxBaselineSamples {
 		s.m2 *= 1 - 1/s.n
--- a/stream/recover.go
+++ b/stream/recover.go
@@ -19,7 +19,7 @@
 	// Continue sends the request to another upstream, for the same version, with
 	// the text that the caller has already received as the start of the response.
 	Continue
-	// GiveUp ends the stream with the known outcome. An incomplete response is never
+	// GiveUp ends the stream and reports the known outcome. An incomplete response is never
 	// presented as complete.
 	GiveUp
 )
@@ -36,8 +36,7 @@
 	Permitted bool
 	// Repeatable is true if the request may run more than once.
 	Repeatable bool
-	// SingleText is true if the response is a single text. Other responses cannot be
-	// continued.
+	// SingleText is true if the response is a single text. Other responses cannot be continued.
 	SingleText bool
 	Deadline   time.Time
 }
@@ -47,10 +46,9 @@
 
 // NextAction returns how to recover a broken stream.
 //
-// Resuming gives the engine no new work, so it is tried first and is allowed even
-// for requests that must not be repeated. Restarting or continuing on another
-// upstream is new work: the version must still be permitted and the request
-// repeatable.
+// Resuming gives the engine no new work, so it is tried first and is allowed even for requests that
+// must not be repeated. Restarting or continuing on another upstream is new work: the version must
+// still be permitted and the request repeatable.
 func NextAction(b Interruption, now time.Time) Action {
 	if !now.Before(b.Deadline) || b.Recoveries >= maxRecoveries {
 		return GiveUp
@@ -70,7 +68,8 @@
 	return GiveUp
 }
 
-// Outcome returns the outcome to report for a stream that was given up.
+// Outcome returns the outcome to report for a stream that was given up: the request ran if the
+// caller received part of the response.
 func (b Interruption) Outcome() contract.Outcome {
 	if b.DeliveredChunks > 0 {
 		return contract.OutcomeRan
