--- a/engine/call.go
+++ b/engine/call.go
@@ -29,7 +29,7 @@
 	// ContentType is the media type of the body. Empty means application/json.
 	ContentType string
 	// AcceptAnyStatus makes a response with any status count as the upstream's own
-	// response. Otherwise a status other than 200 fails the call. Plain sets it.
+	// response. Otherwise a status other than 200 fails the call. CallPlain sets it.
 	AcceptAnyStatus bool
 	// CheckPermission is called immediately before the first byte of the body is sent, and
 	// again after the last byte was written. An error cancels the call. A nil
@@ -49,9 +49,9 @@
 	Outcome contract.Outcome
 	Err     error
 	// RetryAfter is how long the upstream asked clients to wait before the next request.
-	// Zero means that it did not ask for a pause. Unread is the error if its Retry-After
-	// header could not be parsed.
-	RetryAfter    time.Duration
+	// Zero means that it did not ask for a pause.
+	RetryAfter time.Duration
+	// RetryAfterErr is the error if the Retry-After header could not be parsed.
 	RetryAfterErr error
 }
 
--- a/engine/engine_test.go
+++ b/engine/engine_test.go
@@ -30,7 +30,8 @@
 	return e, engine.Call{URL: server.URL, Upstream: "a", RequestID: "r1", Version: testVersion, Body: []byte(requestBody)}
 }
 
-// outcomeOf returns the outcome in a *engine.CallError, or Unknown for any other error.
+// outcomeOf returns the outcome in a *engine.CallError, or
+// contract.OutcomeUnknown for any other error.
 func outcomeOf(err error) contract.Outcome {
 	var ce *engine.CallError
 	if errors.As(err, &ce) {
@@ -74,7 +75,7 @@
 			}
 			is.Equal(e.RunCount("r1"), c.wantRuns)
 			if outcomeOf(err) == contract.OutcomeNotRun {
-				is.Equal(e.RunCount("r1"), 0) // the engine must not have run a request that is reported as NotRun
+				is.Equal(e.RunCount("r1"), 0) // the engine must not have run a request that is reported as not run
 			}
 		})
 	}
--- a/engine/protocol.go
+++ b/engine/protocol.go
@@ -72,7 +72,7 @@
 	Usage   Usage    `json:"usage"`
 }
 
-// Choice is one of the alternative responses in a Completion.
+// Choice is one of the alternative responses in a ChatCompletion.
 type Choice struct {
 	Index        int             `json:"index"`
 	Message      ResponseMessage `json:"message"`
@@ -119,7 +119,7 @@
 	Fencing contract.FencingToken `json:"fencing"`
 }
 
-// CacheEvent reports that an engine has cached a prompt prefix, or, if Held is
+// CacheEvent reports that an engine has cached a prompt prefix, or, if Cached is
 // false, that it has evicted it. Prefix is the key of the prompt prefix. Events
 // arrive late, and a gap in Seq means that some were lost.
 type CacheEvent struct {
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -29,8 +29,8 @@
 	return permit.Check(v.snapshot, w, j.version, j.kind, s.clock.Now())
 }
 
-// engineCall builds the call that sends a job to its upstream. The engine client runs Permit immediately
-// before it writes to the connection, even if the permission was checked earlier.
+// engineCall builds the call that sends a job to its upstream. The engine client calls CheckPermission
+// immediately before it writes to the connection, even if the permission was checked earlier.
 func (s *Server) engineCall(j *job, url string) engine.Call {
 	return engine.Call{
 		URL: url, Upstream: j.upstream, RequestID: j.chat.id, Version: j.version, Body: j.body,
--- a/entry/bills.go
+++ b/entry/bills.go
@@ -196,7 +196,7 @@
 	}
 }
 
-// submitDue submits the records that are due now, and tells the peers that they can drop their copies.
+// submitDue submits the records that are due now, and asks the peers to drop their copies.
 func (s *Server) submitDue(ctx context.Context) {
 	var due []bill.Record
 	s.locked(func() { due = s.bills.Due(s.clock.Now(), maxSubmitRecords) })
@@ -256,7 +256,7 @@
 	return err
 }
 
-// notifySubmitted tells the peers to drop their copies of submitted records. If a message is lost, the peer
+// notifySubmitted asks the peers to drop their copies of submitted records. If a message is lost, the peer
 // submits the record again, which is harmless because the platform stores each record ID once.
 func (s *Server) notifySubmitted(ctx context.Context, records protocol.BillRecords) {
 	for _, m := range s.view.Load().members {
--- a/entry/health.go
+++ b/entry/health.go
@@ -71,7 +71,7 @@
 	s.locked(func() {
 		st.Waiting = s.engineQueue.Waiting() + s.serviceQueue.Waiting()
 		st.BillsHeld, st.BillsAtRisk = s.bills.Len(), s.bills.AtRiskCount()
-		st.Tickets = s.ticketRegister.Len()
+		st.Tickets = s.voteStore.Len()
 	})
 	return st
 }
--- a/entry/peer_handlers.go
+++ b/entry/peer_handlers.go
@@ -15,7 +15,7 @@
 		return s.voteLocally(req.Ticket, req.Claimant)
 	})
 	link.Handle(s.endpoint, link.KindTicketSettled, func(_ context.Context, _ string, req protocol.SettleRequest) (protocol.Ack, error) {
-		s.locked(func() { s.ticketRegister.StoreResult(req.TicketID, req.Claimant, req.Result) })
+		s.locked(func() { s.voteStore.StoreResult(req.TicketID, req.Claimant, req.Result) })
 		return protocol.Ack{}, nil
 	})
 	link.Handle(s.endpoint, link.KindCopyBills, func(_ context.Context, _ string, req protocol.BillRecords) (protocol.Ack, error) {
--- a/entry/plan.go
+++ b/entry/plan.go
@@ -27,7 +27,7 @@
 	version, escalateTo contract.VersionID
 }
 
-// openSession verifies the session token of the request, if it has one, and that the session is of the
+// openSession verifies the session token of the request, if it has one, and that the session belongs to the
 // requested model.
 func (s *Server) openSession(c *chatRequest) *contract.Refusal {
 	if c.session == "" || c.session == newSessionValue {
@@ -168,8 +168,8 @@
 	s.recordRolloutResult(j, !good)
 }
 
-// rateOneIn is the inverse of the fraction of delivered answers that are rated.
-const rateOneIn = 10
+// answersPerRating is how many delivered answers there are on average for each one that is rated.
+const answersPerRating = 10
 
 // rateInBackground rates a random sample of the delivered answers, and every answer of a version in rollout,
 // without delaying the caller. It skips an answer that the cascade has already rated.
@@ -178,7 +178,7 @@
 		return
 	}
 	sampled := false
-	s.locked(func() { sampled = s.random.IntN(rateOneIn) == 0 })
+	s.locked(func() { sampled = s.random.IntN(answersPerRating) == 0 })
 	if !sampled && !s.inRollout(j.version) {
 		return
 	}
--- a/entry/request.go
+++ b/entry/request.go
@@ -36,12 +36,17 @@
 	HeaderTimeout = "Woaddoor-Timeout"
 	// HeaderStream carries the token with which a caller resumes an interrupted stream, at any VM.
 	HeaderStream = "Woaddoor-Stream"
-	// The headers below are set on responses only.
+	// HeaderRequestID is the ID that the router gave the request. It and the headers below are set on
+	// responses only.
 	HeaderRequestID = "Woaddoor-Request"
-	HeaderVersion   = "Woaddoor-Version"
-	HeaderUpstream  = "Woaddoor-Upstream"
-	HeaderVM        = "Woaddoor-Vm"
-	HeaderReplayed  = "Woaddoor-Replayed"
+	// HeaderVersion is the model version that answered.
+	HeaderVersion = "Woaddoor-Version"
+	// HeaderUpstream is the upstream that answered.
+	HeaderUpstream = "Woaddoor-Upstream"
+	// HeaderVM is the VM that served the request.
+	HeaderVM = "Woaddoor-Vm"
+	// HeaderReplayed is "yes" if the answer is the stored answer of an earlier attempt with the same ticket.
+	HeaderReplayed = "Woaddoor-Replayed"
 )
 
 // Values of the request headers.
--- a/entry/server.go
+++ b/entry/server.go
@@ -85,7 +85,7 @@
 	serviceQueue   *workspace.Queue
 	waiters        map[workspace.ID]chan bool
 	retryBudget    *retry.Budget
-	ticketRegister *ticket.VoteStore
+	voteStore      *ticket.VoteStore
 	bills          *bill.RecordBuffer
 	rolloutMonitor *rollout.Monitor
 	cascades       *cascade.Learner
@@ -123,7 +123,7 @@
 	limits := opts.Settings.Entry
 	s.engineQueue = workspace.NewQueue(workspace.Options{Capacity: limits.MaxInFlight, MaxQueue: limits.MaxQueue})
 	s.serviceQueue = workspace.NewQueue(workspace.Options{Capacity: limits.MaxInFlight, MaxQueue: limits.MaxQueue})
-	s.ticketRegister = ticket.NewVoteStore(s.arbiter, limits.MaxTickets)
+	s.voteStore = ticket.NewVoteStore(s.arbiter, limits.MaxTickets)
 	s.bills = bill.NewRecordBuffer(s.origin, limits.MaxBills)
 	s.rolloutMonitor = rollout.NewMonitor(rollout.Observer{VM: s.origin.VM, Incarnation: s.incarnation})
 	s.cascades = cascade.NewLearner(cascade.Options{})
--- a/entry/streaming.go
+++ b/entry/streaming.go
@@ -53,7 +53,7 @@
 	completionID string // the completion ID in all chunks sent to the caller
 	// earlierUsage counts the tokens generated before the answer was continued on another engine.
 	earlierUsage engine.Usage
-	// recovery is the state by which stream.Decide selects how to recover a broken stream.
+	// recovery is the state by which stream.NextAction selects how to recover a broken stream.
 	recovery      stream.Interruption
 	engineChanged bool // another engine than the first one generates the answer now
 }
@@ -186,8 +186,8 @@
 // is overdue, it cancels the call with errStalled.
 func (r *streamRelay) relayEvents(ctx context.Context, cancel context.CancelCauseFunc, call engine.Call) (engine.Usage, error) {
 	s := r.server
-	pace := stream.NewStallDetector(stream.StallOptions{MaxGap: s.opts.Settings.Entry.StallAfter}, s.clock.Now())
-	timer := time.AfterFunc(time.Until(pace.Deadline()), func() { cancel(errStalled) })
+	detector := stream.NewStallDetector(stream.StallOptions{MaxGap: s.opts.Settings.Entry.StallAfter}, s.clock.Now())
+	timer := time.AfterFunc(time.Until(detector.Deadline()), func() { cancel(errStalled) })
 	defer timer.Stop()
 	events, err := s.engine.Stream(ctx, call)
 	if err != nil {
@@ -203,8 +203,8 @@
 			return events.Usage(), nil
 		}
 		now := s.clock.Now()
-		pace.RecordChunk(now)
-		timer.Reset(pace.Deadline().Sub(now))
+		detector.RecordChunk(now)
+		timer.Reset(detector.Deadline().Sub(now))
 		if err := r.forward(e, now); err != nil {
 			return engine.Usage{}, err
 		}
--- a/entry/tickets.go
+++ b/entry/tickets.go
@@ -52,7 +52,7 @@
 }
 
 // arbiters returns the entry processes that vote on a new ticket: this one and up to two others. All are in
-// this VM's data centre, so that tickets can still be claimed when the data centre is cut off from others.
+// this VM's data centre, so that tickets can still be claimed while other data centres cannot be reached.
 func (s *Server) arbiters() []ticket.Arbiter {
 	chosen := []ticket.Arbiter{s.arbiter}
 	ranked := vm.Rank(s.view.Load().members, s.opts.Settings.DataCentre, ulid.Make().String())
@@ -159,7 +159,7 @@
 
 // voteLocally returns this process's own vote on a ticket.
 func (s *Server) voteLocally(t ticket.Ticket, claimant ticket.Claimant) (v ticket.Vote, err error) {
-	s.locked(func() { v, err = s.ticketRegister.Vote(t, claimant, s.clock.Now()) })
+	s.locked(func() { v, err = s.voteStore.Vote(t, claimant, s.clock.Now()) })
 	return v, err
 }
 
@@ -198,7 +198,7 @@
 }
 
 // settleAtArbiters sends the result of a claimed request to all arbiters of its ticket. A body larger than
-// ticket.MaxKept is left out.
+// ticket.MaxStoredBody is left out.
 func (s *Server) settleAtArbiters(ctx context.Context, c *claim, result ticket.Result) {
 	c.settled = true
 	if contract.Bytes(len(result.Body)) > ticket.MaxStoredBody {
@@ -220,7 +220,7 @@
 // settleAtArbiter sends the result of a claimed request to one arbiter, which may be this process.
 func (s *Server) settleAtArbiter(ctx context.Context, a ticket.Arbiter, c *claim, result ticket.Result) error {
 	if a.VM == s.arbiter.VM && a.Incarnation == s.incarnation {
-		s.locked(func() { s.ticketRegister.StoreResult(c.ticket.ID, c.claimant, result) })
+		s.locked(func() { s.voteStore.StoreResult(c.ticket.ID, c.claimant, result) })
 		return nil
 	}
 	req := protocol.SettleRequest{TicketID: c.ticket.ID, Claimant: c.claimant, Result: result}
--- a/entry/view.go
+++ b/entry/view.go
@@ -30,8 +30,8 @@
 	membersAskedAt time.Time
 	// replica is guarded by Server.applyMu.
 	replica *document.Replica
-	// held is the document in replica when this view was made.
-	held *document.Document
+	// document is the document in replica when this view was made.
+	document *document.Document
 }
 
 // age returns the time since the configuration was last known to be the newest one.
@@ -45,7 +45,7 @@
 // emptyView returns the view of a process that has not received a configuration yet.
 func emptyView() *view {
 	r := document.NewReplica()
-	return &view{snapshot: permit.Snapshot{Config: &config.Config{}}, replica: r, held: r.Document()}
+	return &view{snapshot: permit.Snapshot{Config: &config.Config{}}, replica: r, document: r.Document()}
 }
 
 // Timings of the pulls from control processes.
@@ -133,11 +133,11 @@
 // pullFrom pulls from one control process and applies its answer to the view.
 func (s *Server) pullFrom(ctx context.Context, address string) error {
 	v := s.view.Load()
-	held := v.held
+	current := v.document
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	askedAt := s.clock.Now()
-	req := protocol.PullRequest{HeldRevision: held.Revision, HeldHash: held.Hash().Short(), MaxWait: pullMaxWait}
+	req := protocol.PullRequest{HeldRevision: current.Revision, HeldHash: current.Hash().Short(), MaxWait: pullMaxWait}
 	if askedAt.Sub(v.membersAskedAt) >= membersInterval {
 		req.MemberScope = protocol.AllMembers
 	}
@@ -148,7 +148,7 @@
 	if err != nil {
 		return err
 	}
-	return contract.WrapStep(contract.StepPull, address, s.applyPull(answer, held.Revision, askedAt))
+	return contract.WrapStep(contract.StepPull, address, s.applyPull(answer, current.Revision, askedAt))
 }
 
 // entryState returns the state that this process reports to its control process with each pull.
@@ -187,15 +187,15 @@
 	switch freshAt := askedAt.Add(-answer.ConfigAge); {
 	case !answer.AgeKnown || behind:
 	case answer.Patch == nil:
-		// The answer confirms askedRevision as the newest. That may no longer be the held revision, because
+		// The answer confirms askedRevision as the newest. That may no longer be the current revision, because
 		// the other pull loop may have changed it in the meantime.
 		v.replica.Confirm(askedRevision, freshAt)
 	default:
 		v.replica.Update(doc, freshAt)
 	}
 	next := *v
-	next.held = v.replica.Document()
-	next.revision = next.held.Revision
+	next.document = v.replica.Document()
+	next.revision = next.document.Revision
 	if answer.Members != nil {
 		next.members, next.lastListed = mergeMembers(v.members, v.lastListed, answer.Members, askedAt)
 		next.membersAskedAt = askedAt
--- a/exchange/barred_test.go
+++ b/exchange/before_send_test.go
@@ -12,9 +12,9 @@
 	"woaddoor/internal/standin/replica"
 )
 
-// TestBarredRequestIsNotSent checks that a request is not sent if Barred returns an error,
-// and that its connection is used for the next request.
-func TestBarredRequestIsNotSent(t *testing.T) {
+// TestBeforeSendErrorPreventsSend checks that a request is not sent if BeforeSend returns an
+// error, and that its connection is used for the next request.
+func TestBeforeSendErrorPreventsSend(t *testing.T) {
 	is := is.New(t)
 	server, err := replica.Start("u", func(c *replica.Conn, r *replica.Request) bool {
 		c.Respond(http.StatusOK, r.ID(), "whole")
@@ -24,9 +24,9 @@
 	defer server.Close()
 	pool := NewPool(server.Address(), 2)
 	defer pool.Close()
-	errBarred := errors.New("no")
-	send := func(barred error) error {
-		resp, err := pool.Do(context.Background(), &Request{Method: "GET", URI: "/", Host: "h", Header: http.Header{}, BeforeSend: func() error { return barred }},
+	errNotAllowed := errors.New("not allowed")
+	send := func(beforeSendErr error) error {
+		resp, err := pool.Do(context.Background(), &Request{Method: "GET", URI: "/", Host: "h", Header: http.Header{}, BeforeSend: func() error { return beforeSendErr }},
 			func(http.Header) bool { return true })
 		if err == nil {
 			resp.Close()
@@ -34,14 +34,14 @@
 		return err
 	}
 	for range 3 {
-		err = send(errBarred)
+		err = send(errNotAllowed)
 		var exchangeErr *Error
-		is.True(errors.As(err, &exchangeErr) && errors.Is(err, errBarred))
+		is.True(errors.As(err, &exchangeErr) && errors.Is(err, errNotAllowed))
 		is.True(!exchangeErr.Sent)
 	}
 	is.NoErr(send(nil))
 	time.Sleep(20 * time.Millisecond)
 	is.Equal(len(server.Requests()), 1)
 	_, dialled := pool.Stats()
-	is.True(dialled <= 2) // one for the barred requests and one for the request that was sent
+	is.True(dialled <= 2) // one for the requests that were not sent and one for the request that was
 }
--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -17,7 +17,7 @@
 // responses arrive in small pieces and a VM holds several hundred connections.
 const readBuffer = 4 << 10
 
-// connState is the state of a connection.
+// connState is the state of a connection and of the current request on it.
 type connState struct {
 	// writeStarted is set before the first byte of the current request is written.
 	writeStarted atomic.Bool
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -118,7 +118,7 @@
 		}
 	}
 	stop := context.AfterFunc(ctx, c.abort)
-	a, err := p.roundTrip(c, r, match)
+	resp, err := p.roundTrip(c, r, match)
 	if err != nil {
 		stop()
 		p.discard(c)
@@ -130,8 +130,8 @@
 		}
 		return nil, &Error{Sent: c.writeStarted.Load(), NewConnection: !c.reused, Err: err}
 	}
-	a.stopAbort = stop
-	return a, nil
+	resp.stopAbort = stop
+	return resp, nil
 }
 
 // timedOut reports whether a request failed because the upstream did not respond in time, and
@@ -155,7 +155,7 @@
 			continue // an interim response (1xx)
 		}
 		if match(resp.Header) {
-			return p.newAnswer(c, resp), nil
+			return p.newResponse(c, resp), nil
 		}
 		// A late response to an earlier request on this connection.
 		if n, err := io.CopyN(io.Discard, resp.Body, maxMismatchedBody); err == nil || !errors.Is(err, io.EOF) || resp.Close {
@@ -165,7 +165,7 @@
 	return nil, ErrMismatchedResponse
 }
 
-func (p *Pool) newAnswer(c *conn, resp *http.Response) *Response {
+func (p *Pool) newResponse(c *conn, resp *http.Response) *Response {
 	c.closeAfter = resp.Close
 	c.keepAlive = parseKeepAlive(resp.Header)
 	delimited := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
@@ -190,28 +190,28 @@
 }
 
 // Read reads the body. It returns io.EOF when the body is complete.
-func (a *Response) Read(p []byte) (int, error) {
-	n, err := a.body.Read(p)
+func (r *Response) Read(p []byte) (int, error) {
+	n, err := r.body.Read(p)
 	if errors.Is(err, io.EOF) {
-		a.bodyRead = true
+		r.bodyRead = true
 	}
 	return n, err
 }
 
 // Abort makes current and further reads of the body fail with os.ErrDeadlineExceeded. It may
 // be called concurrently with Read.
-func (a *Response) Abort() { _ = a.conn.SetReadDeadline(time.Unix(1, 0)) }
+func (r *Response) Abort() { _ = r.conn.SetReadDeadline(time.Unix(1, 0)) }
 
 // Close ends the exchange. The connection is kept for reuse only if the response was read
 // completely and no data followed it.
-func (a *Response) Close() {
-	stopped := a.stopAbort()
-	if !a.bodyRead || !stopped || a.conn.closeAfter || !a.Delimited || !a.conn.reusable() {
-		a.pool.discard(a.conn)
+func (r *Response) Close() {
+	stopped := r.stopAbort()
+	if !r.bodyRead || !stopped || r.conn.closeAfter || !r.Delimited || !r.conn.reusable() {
+		r.pool.discard(r.conn)
 		return
 	}
-	_ = a.conn.SetReadDeadline(time.Time{})
-	a.pool.release(a.conn)
+	_ = r.conn.SetReadDeadline(time.Time{})
+	r.pool.release(r.conn)
 }
 
 // conn is a connection to an upstream.
--- a/logs/queue.go
+++ b/logs/queue.go
@@ -38,23 +38,23 @@
 // NewQueued returns a logger that writes to w through a bounded queue, and that queue,
 // which must be closed before the process exits.
 func NewQueued(w io.Writer, fields ...zap.Field) (*zap.Logger, *LineQueue) {
-	b := &LineQueue{out: w, lines: make(chan *buffer.Buffer, maxQueuedLines), stop: make(chan struct{})}
-	b.writing.Add(1)
-	go b.writeLoop()
-	core := &queueCore{LevelEnabler: zapcore.InfoLevel, encoder: newEncoder(), queue: b}
-	return zap.New(core).With(fields...), b
+	q := &LineQueue{out: w, lines: make(chan *buffer.Buffer, maxQueuedLines), stop: make(chan struct{})}
+	q.writing.Add(1)
+	go q.writeLoop()
+	core := &queueCore{LevelEnabler: zapcore.InfoLevel, encoder: newEncoder(), queue: q}
+	return zap.New(core).With(fields...), q
 }
 
 // Dropped returns the number of lines dropped so far.
-func (b *LineQueue) Dropped() int64 { return b.droppedTotal.Load() }
+func (q *LineQueue) Dropped() int64 { return q.droppedTotal.Load() }
 
 // Close waits until the queued lines are written, but no longer than timeout, so that a
 // blocked standard output does not delay the exit of the process. Lines logged after
 // Close are not written. It must be called only once.
-func (b *LineQueue) Close(timeout time.Duration) {
-	close(b.stop)
+func (q *LineQueue) Close(timeout time.Duration) {
+	close(q.stop)
 	done := make(chan struct{})
-	go func() { b.writing.Wait(); close(done) }()
+	go func() { q.writing.Wait(); close(done) }()
 	select {
 	case <-done:
 	case <-time.After(timeout):
@@ -62,17 +62,17 @@
 }
 
 // writeLoop writes queued lines, in batches, until Close is called and the queue is empty.
-func (b *LineQueue) writeLoop() {
-	defer b.writing.Done()
+func (q *LineQueue) writeLoop() {
+	defer q.writing.Done()
 	batch := make([]byte, 0, maxBatchBytes)
 	for {
 		select {
-		case line := <-b.lines:
-			batch = b.fillBatch(b.appendLine(batch[:0], line))
-			_, _ = b.out.Write(batch) // a failed write of the log cannot be logged
-		case <-b.stop:
-			for batch = b.fillBatch(batch[:0]); len(batch) > 0; batch = b.fillBatch(batch[:0]) {
-				_, _ = b.out.Write(batch)
+		case line := <-q.lines:
+			batch = q.fillBatch(q.appendLine(batch[:0], line))
+			_, _ = q.out.Write(batch) // a failed write of the log cannot be logged
+		case <-q.stop:
+			for batch = q.fillBatch(batch[:0]); len(batch) > 0; batch = q.fillBatch(batch[:0]) {
+				_, _ = q.out.Write(batch)
 			}
 			return
 		}
@@ -81,11 +81,11 @@
 
 // fillBatch appends queued lines to batch until it reaches maxBatchBytes or the queue is
 // empty.
-func (b *LineQueue) fillBatch(batch []byte) []byte {
+func (q *LineQueue) fillBatch(batch []byte) []byte {
 	for len(batch) < maxBatchBytes {
 		select {
-		case next := <-b.lines:
-			batch = b.appendLine(batch, next)
+		case next := <-q.lines:
+			batch = q.appendLine(batch, next)
 		default:
 			return batch
 		}
@@ -94,30 +94,30 @@
 }
 
 // appendLine appends a line to batch and frees the line's buffer.
-func (b *LineQueue) appendLine(batch []byte, line *buffer.Buffer) []byte {
+func (q *LineQueue) appendLine(batch []byte, line *buffer.Buffer) []byte {
 	batch = append(batch, line.Bytes()...)
 	line.Free()
 	return batch
 }
 
 // enqueue queues a line, or drops it if there is no room for its level.
-func (b *LineQueue) enqueue(level zapcore.Level, line *buffer.Buffer) {
-	if level < zapcore.WarnLevel && len(b.lines) >= maxQueuedLines-reservedForWarnings {
-		b.drop(line)
+func (q *LineQueue) enqueue(level zapcore.Level, line *buffer.Buffer) {
+	if level < zapcore.WarnLevel && len(q.lines) >= maxQueuedLines-reservedForWarnings {
+		q.drop(line)
 		return
 	}
 	select {
-	case b.lines <- line:
+	case q.lines <- line:
 	default:
-		b.drop(line)
+		q.drop(line)
 	}
 }
 
 // drop frees a line and counts it as dropped.
-func (b *LineQueue) drop(line *buffer.Buffer) {
+func (q *LineQueue) drop(line *buffer.Buffer) {
 	line.Free()
-	b.droppedSinceReport.Add(1)
-	b.droppedTotal.Add(1)
+	q.droppedSinceReport.Add(1)
+	q.droppedTotal.Add(1)
 }
 
 // queueCore is a zapcore.Core that encodes log entries and queues the lines.
@@ -158,5 +158,5 @@
 	return nil
 }
 
-// Sync does nothing. Bounded.Close waits for queued lines.
+// Sync does nothing. LineQueue.Close waits for queued lines.
 func (c *queueCore) Sync() error { return nil }
--- a/peek/peek.go
+++ b/peek/peek.go
@@ -7,13 +7,13 @@
 	"syscall"
 )
 
-// State is the state of a connection as seen by Look.
+// State is the state of a connection as seen by Inspect.
 type State uint8
 
 // The states of a connection.
 const (
 	// Idle means that the connection is open and has no unread bytes. A connection
-	// that cannot be inspected counts as Quiet too.
+	// that cannot be inspected counts as Idle too.
 	Idle State = iota
 	// Readable means that bytes have arrived and have not been read yet.
 	Readable
--- a/peek/peek_test.go
+++ b/peek/peek_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// TestLookDoesNotConsume checks the state of a connection before and after a byte arrives
-// and after either side closes it, and that Look leaves the byte to be read.
-func TestLookDoesNotConsume(t *testing.T) {
+// TestInspectDoesNotConsume checks the state of a connection before and after a byte arrives
+// and after either side closes it, and that Inspect leaves the byte to be read.
+func TestInspectDoesNotConsume(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/permit/permit_test.go
+++ b/permit/permit_test.go
@@ -25,6 +25,8 @@
 
 var workspace = &config.Workspace{ID: "w", AllowedVersions: map[contract.VersionID]bool{versionID: true}}
 
+// TestCheck checks which requests are permitted or refused, depending on the state of the version, the age of the
+// configuration and the workspace.
 func TestCheck(t *testing.T) {
 	now := time.Unix(100, 0)
 	fresh := now.Add(-time.Second)
@@ -58,7 +60,7 @@
 	}
 }
 
-// mayServeIgnoringAge is a faulty check for comparison: it trusts the held configuration however old it is.
+// mayServeIgnoringAge is a faulty check for comparison: it trusts the VM's configuration however old it is.
 func mayServeIgnoringAge(c *config.Config) bool {
 	return c.Versions[versionID].State != config.Withdrawn
 }
