--- a/relay/buffered.go
+++ b/relay/buffered.go
@@ -73,7 +73,7 @@
 }
 
 // errUnsigned means that a successful answer lacks the upstream's signature.
-var errUnsigned = errors.New("answer without a signature")
+var errUnsigned = errors.New("answer lacks the upstream's signature")
 
 // errNotRun means that the upstream rejected the request without executing it.
 var errNotRun = errors.New("upstream did not run the request")
--- a/relay/refusals.go
+++ b/relay/refusals.go
@@ -23,7 +23,7 @@
 func refuseQuarantined(j *job, c *quarantine.Record) *contract.Refusal {
 	f := &contract.Refusal{
 		Kind: contract.RefusedQuarantined, Outcome: j.outcome, Step: contract.StepPick,
-		Detail: fmt.Sprintf("requests of this content (%s) have ended %d upstreams one after the other; it is sent to no other", c.Fingerprint, max(len(c.Crashes), quarantine.CrashLimit)),
+		Detail: fmt.Sprintf("requests with this content (%s) have crashed %d upstreams one after another and are no longer sent", c.Fingerprint, max(len(c.Crashes), quarantine.CrashLimit)),
 	}
 	return f.WithRetryAfter(quarantine.RetryAfter)
 }
@@ -36,7 +36,7 @@
 func refuseLastUpstream(j *job) *contract.Refusal {
 	f := &contract.Refusal{
 		Kind: contract.RefusedQuarantined, Outcome: j.outcome, Step: contract.StepPick,
-		Detail: "requests of this content have ended upstreams, and one alone is left that takes requests",
+		Detail: "requests with this content have crashed upstreams, and only one available upstream is left",
 	}
 	return f.WithRetryAfter(retryAfterRestart)
 }
@@ -54,7 +54,7 @@
 func refuseRegion(j *job) *contract.Refusal {
 	f := &contract.Refusal{
 		Kind: contract.RefusedRegionNotAllowed, Outcome: j.outcome, Step: contract.StepPick,
-		Detail: fmt.Sprintf("the service has no upstream in the regions that are allowed: route %v, workspace %v", j.Route.Regions, j.Regions),
+		Detail: fmt.Sprintf("the service has no upstream in the allowed regions: route %v, workspace %v", j.Route.Regions, j.Regions),
 	}
 	return f.WithRetryAfter(retryAfterRegion)
 }
@@ -74,7 +74,7 @@
 	}
 	f := &contract.Refusal{
 		Kind: contract.RefusedNoUpstream, Outcome: j.outcome, Step: contract.StepPick,
-		Detail: fmt.Sprintf("none of %d upstreams of the service can take the request now: %d rest, %d leave, %d have all that they take (%.1f a second)",
+		Detail: fmt.Sprintf("none of %d upstreams of the service can accept the request now: %d back off, %d are leaving, %d are at their rate limit (%.1f requests/s)",
 			o.Listed, o.BackedOff, o.Leaving, o.AtLimit, o.PerSecond),
 	}
 	switch {
@@ -82,7 +82,7 @@
 		f.Kind = contract.RefusedUpstreamsAtLimit
 	case o.NoneAccepting():
 		f.Kind = contract.RefusedUpstreamsBackedOff
-		f.Detail += fmt.Sprintf(", the first is back in %v", o.NextBackoffEnd.Round(time.Millisecond))
+		f.Detail += fmt.Sprintf(", the first back-off ends in %v", o.NextBackoffEnd.Round(time.Millisecond))
 	}
 	return f.WithRetryAfter(r.retryAfter(j.service, o, retryAfterListUpdate, now))
 }
@@ -128,7 +128,7 @@
 func refuseLongQueue(j *job, retryAfter time.Duration) *contract.Refusal {
 	f := &contract.Refusal{
 		Kind: contract.RefusedLimitReached, Outcome: contract.OutcomeNotRun, Step: contract.StepPick,
-		Detail: "no model could begin an answer before the deadline: engines have more to read than that",
+		Detail: "no model can begin an answer before the deadline: the queues at the engines are too long",
 	}
 	return f.WithRetryAfter(max(retryAfter, retryAfterBusy))
 }
@@ -153,6 +153,6 @@
 func refuseDeadline(j *job) *contract.Refusal {
 	return &contract.Refusal{
 		Kind: contract.RefusedDeadlinePassed, Outcome: j.outcome, Step: contract.StepAnswer, Peer: string(j.lastUpstream.ID),
-		Detail: "the deadline, or the timeout of the route, came before the answer",
+		Detail: "the deadline or the route's timeout passed before the answer arrived",
 	}
 }
--- a/relay/streaming.go
+++ b/relay/streaming.go
@@ -24,7 +24,7 @@
 	// model.
 	errEscalated = errors.New("answer of the smaller model discarded")
 	// errServerFailure means that the upstream answered with a 5xx status.
-	errServerFailure = errors.New("upstream failed")
+	errServerFailure = errors.New("upstream answered with a server error")
 	// errCallerGone means that writing to the caller failed.
 	errCallerGone = errors.New("caller has disconnected")
 )
