--- a/control/filer.go
+++ b/control/filer.go
@@ -30,7 +30,8 @@
 	flushInterval time.Duration
 	log           *zap.Logger
 
-	// mu guards pending and waiters. Only flushLoop uses batchSeq.
+	// mu guards pending and waiters. batchSeq needs no lock, because only flushLoop
+	// uses it.
 	mu       sync.Mutex
 	pending  []bill.Record
 	waiters  []chan error
@@ -47,9 +48,10 @@
 	fileTimeout       = 3 * time.Second
 )
 
-// errBacklogFull means that bill records arrive faster than the platform
-// accepts them.
-var errBacklogFull = errors.New("too many bill records are waiting to be filed")
+// errBacklogFull means that maxPendingRecords bill records are waiting to be filed,
+// because they arrive faster than the platform accepts them. Its text is sent to the
+// entry process.
+var errBacklogFull = errors.New("more bill records wait than may")
 
 func newBillFiler(store store.Store, origin bill.Origin, flushInterval time.Duration, log *zap.Logger) *billFiler {
 	return &billFiler{store: store, origin: origin, flushInterval: flushInterval, log: log, wake: make(chan struct{}, 1)}
--- a/control/lease.go
+++ b/control/lease.go
@@ -22,7 +22,7 @@
 	name  string
 }
 
-// Read returns the lease object, or leader.ErrGone if it does not exist.
+// Read returns the lease object, or leader.ErrNotFound if it does not exist.
 func (l leaseStore) Read(ctx context.Context) (lease.VersionedObject, error) {
 	object, err := l.store.Read(ctx, l.name)
 	if errors.Is(err, store.ErrNotFound) {
@@ -53,7 +53,7 @@
 	}
 	switch {
 	case errors.Is(err, store.ErrConflict), errors.Is(err, store.ErrExists):
-		return lease.VersionedObject{}, leader.ErrConflict // the next read returns the object that another process wrote
+		return lease.VersionedObject{}, leader.ErrConflict // the caller reads the object that another process wrote
 	case errors.Is(err, store.ErrNotFound):
 		return lease.VersionedObject{}, leader.ErrNotFound
 	case err != nil:
--- a/control/members.go
+++ b/control/members.go
@@ -15,31 +15,32 @@
 	"woaddoor/vm"
 )
 
-// Intervals, timeouts and fan-out of membership.
+// Intervals, timeouts and fan-out of heartbeats and of reading the VM list.
 const (
 	heartbeatInterval = 2 * time.Second
 	heartbeatTimeout  = 1500 * time.Millisecond
-	// nearContactAfter is how long a VM of this data centre may be silent before
-	// this VM sends it heartbeats even if the other VM is the one to initiate
-	// them; farContactAfter is the same for VMs of other data centres.
-	nearContactAfter = 3 * time.Second
-	farContactAfter  = 6 * time.Second
-	vmListInterval   = 2 * time.Second
-	vmListTimeout    = 2 * time.Second
-	// entryDeadAfter is how long the entry process may be silent before this VM
-	// stops reporting the incarnation of its entry process.
+	// Of each pair of VMs, one sends the heartbeats and the other answers them. If
+	// a VM of this data centre that should send them is silent for
+	// localContactAfter, this VM sends heartbeats to it instead.
+	// remoteContactAfter is the same for a VM of another data centre.
+	localContactAfter  = 3 * time.Second
+	remoteContactAfter = 6 * time.Second
+	vmListInterval     = 2 * time.Second
+	vmListTimeout      = 2 * time.Second
+	// entryDeadAfter is how long the entry process of this VM may be silent
+	// before heartbeats no longer contain its incarnation.
 	entryDeadAfter = 6 * time.Second
-	// farHeartbeatTargets is how many VMs of each other data centre a watcher
+	// remoteHeartbeatTargets is how many VMs of each other data centre a watcher
 	// sends heartbeats to; delegateCount is how many VMs of its own data centre
-	// such a heartbeat reports.
-	farHeartbeatTargets = 1
-	delegateCount       = 2
-	// roundsPerFarHeartbeat is how often heartbeats also go to other data centres:
-	// in one of this many rounds.
-	roundsPerFarHeartbeat = 2
+	// such a heartbeat lists.
+	remoteHeartbeatTargets = 1
+	delegateCount          = 2
+	// In one of roundsPerRemoteHeartbeat rounds, a watcher also sends heartbeats
+	// to other data centres.
+	roundsPerRemoteHeartbeat = 2
 )
 
-// selfMember returns the member entry that this VM reports about itself. The
+// selfMember returns the entry of this VM in the lists of members that it sends. The
 // caller holds mu.
 func (s *Server) selfMember() vm.Member {
 	m := s.table.Self()
@@ -75,8 +76,8 @@
 // is a watcher, to a few VMs of each other data centre.
 func (s *Server) heartbeatLoop(ctx context.Context) {
 	for round := 0; ctx.Err() == nil; round++ {
-		for _, b := range s.planHeartbeats(round%roundsPerFarHeartbeat == 0) {
-			go s.sendHeartbeat(ctx, b)
+		for _, h := range s.planHeartbeats(round%roundsPerRemoteHeartbeat == 0) {
+			go s.sendHeartbeat(ctx, h)
 		}
 		clock.Sleep(ctx, heartbeatInterval)
 	}
@@ -89,73 +90,73 @@
 	message protocol.Heartbeat
 }
 
-// planHeartbeats returns the heartbeats to send in this round. includeFar is true
-// in rounds that also go to other data centres.
-func (s *Server) planHeartbeats(includeFar bool) []outgoingHeartbeat {
+// planHeartbeats returns the heartbeats to send in this round. includeRemote is true
+// in the rounds in which VMs of other data centres also receive heartbeats.
+func (s *Server) planHeartbeats(includeRemote bool) []outgoingHeartbeat {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	selfOnly, allNear, far := s.nearHeartbeat(now, false), s.nearHeartbeat(now, true), s.farHeartbeat(now)
+	selfOnly, allLocal, remote := s.localHeartbeat(now, false), s.localHeartbeat(now, true), s.remoteHeartbeat(now)
 	var planned []outgoingHeartbeat
 	knownVMs := map[contract.VMID]bool{s.opts.Settings.VM: true}
 	for _, m := range s.table.LocalPeers(now) {
 		knownVMs[m.VM] = true
 		// Of each pair of VMs, the one whose name sorts first sends the heartbeat
-		// and the other answers. The other VM sends one too if it has not heard
-		// from the first for nearContactAfter.
-		if s.opts.Settings.VM < m.VM || m.Age > nearContactAfter {
+		// and the other answers. The other VM sends one too if it has received
+		// none for localContactAfter.
+		if s.opts.Settings.VM < m.VM || m.Age > localContactAfter {
 			message := selfOnly
 			if s.digestDiffers[m.VM] {
-				message = allNear
+				message = allLocal
 			}
 			planned = append(planned, outgoingHeartbeat{m.VM, m.ControlAddress, message})
 		}
 	}
-	sendsFar := includeFar && s.table.IsWatcher(s.opts.Settings.Control.Watchers, now)
+	sendsRemote := includeRemote && s.table.IsWatcher(s.opts.Settings.Control.Watchers, now)
 	liveDataCentres := make(map[contract.DataCentreID]bool)
-	for _, m := range s.table.RemoteDelegates(farHeartbeatTargets, now) {
+	for _, m := range s.table.RemoteDelegates(remoteHeartbeatTargets, now) {
 		knownVMs[m.VM], liveDataCentres[m.DataCentre] = true, true
-		if sendsFar && (s.opts.Settings.DataCentre < m.DataCentre || m.Age > farContactAfter) {
-			planned = append(planned, outgoingHeartbeat{m.VM, m.ControlAddress, far})
+		if sendsRemote && (s.opts.Settings.DataCentre < m.DataCentre || m.Age > remoteContactAfter) {
+			planned = append(planned, outgoingHeartbeat{m.VM, m.ControlAddress, remote})
 		}
 	}
 	for _, p := range s.opts.Settings.Peers {
-		isNear := p.DataCentre == s.opts.Settings.DataCentre
+		isLocal := p.DataCentre == s.opts.Settings.DataCentre
 		switch {
-		case knownVMs[p.VM], !isNear && (liveDataCentres[p.DataCentre] || !sendsFar):
-		case isNear:
-			planned = append(planned, outgoingHeartbeat{p.VM, p.ControlLink, allNear})
+		case knownVMs[p.VM], !isLocal && (liveDataCentres[p.DataCentre] || !sendsRemote):
+		case isLocal:
+			planned = append(planned, outgoingHeartbeat{p.VM, p.ControlLink, allLocal})
 		default:
-			planned = append(planned, outgoingHeartbeat{p.VM, p.ControlLink, far})
+			planned = append(planned, outgoingHeartbeat{p.VM, p.ControlLink, remote})
 		}
 	}
 	return planned
 }
 
-// nearHeartbeat returns the heartbeat for VMs of this data centre. It reports this
-// VM alone or, with includeNear, all VMs that it knows in this data centre. The
-// caller holds mu.
-func (s *Server) nearHeartbeat(now time.Time, includeNear bool) protocol.Heartbeat {
+// localHeartbeat returns the heartbeat for VMs of this data centre. It lists this VM
+// alone or, if includeLocal is true, all known VMs of this data centre. The caller
+// holds mu.
+func (s *Server) localHeartbeat(now time.Time, includeLocal bool) protocol.Heartbeat {
 	s.table.SetSelf(s.selfMember())
 	members := []vm.Member{s.table.Self()}
-	if includeNear {
+	if includeLocal {
 		members = append(members, s.table.LocalPeers(now)...)
 	}
 	ownEvidence := s.evidence.Filter(func(o rollout.Observer) bool { return o.VM == s.opts.Settings.VM })
 	return protocol.Heartbeat{Members: members, HaltedVersions: s.haltedVersions(), RolloutEvidence: ownEvidence, MembersDigest: s.table.Digest(now)}
 }
 
-// farHeartbeat returns the heartbeat for VMs of other data centres: the delegates
+// remoteHeartbeat returns the heartbeat for VMs of other data centres: the delegates
 // of this data centre and its summed roll-out evidence. The caller holds mu.
-func (s *Server) farHeartbeat(now time.Time) protocol.Heartbeat {
+func (s *Server) remoteHeartbeat(now time.Time) protocol.Heartbeat {
 	s.table.SetSelf(s.selfMember())
 	ownDataCentre := s.opts.Settings.DataCentre
 	localEvidence := s.evidence.Filter(func(o rollout.Observer) bool { return !isDataCentreTotal(o) })
 	return protocol.Heartbeat{Members: s.table.Delegates(delegateCount, now), HaltedVersions: s.haltedVersions(), RolloutEvidence: localEvidence.Total(dataCentreTotal(ownDataCentre))}
 }
 
-// totalPrefix marks an observer that represents a whole data centre. It cannot
-// clash with a VM name, because VM names contain no slash.
+// totalPrefix is the prefix of an observer name that stands for a whole data centre.
+// It cannot clash with a VM name, because VM names contain no slash.
 const totalPrefix = "total/"
 
 // dataCentreTotal returns the observer under which the summed evidence of a data
@@ -175,12 +176,12 @@
 	return versions
 }
 
-// sendHeartbeat sends one heartbeat, merges the answer, and notes whether the
-// peer's member digest differs from that of this VM.
-func (s *Server) sendHeartbeat(ctx context.Context, b outgoingHeartbeat) {
+// sendHeartbeat sends one heartbeat, merges the answer, and records whether the
+// digest of the members that the peer knows differs from that of this VM.
+func (s *Server) sendHeartbeat(ctx context.Context, h outgoingHeartbeat) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	answer, err := link.Call[protocol.Heartbeat, protocol.Heartbeat](ctx, s.endpoint, b.address, link.KindHeartbeat, b.message)
+	answer, err := link.Call[protocol.Heartbeat, protocol.Heartbeat](ctx, s.endpoint, h.address, link.KindHeartbeat, h.message)
 	if err != nil {
 		s.metrics.heartbeatFailures.Inc(1)
 		s.log.Debug("heartbeat-failed", logs.ErrorFields(err)...)
@@ -189,34 +190,36 @@
 	s.mergeHeartbeat(answer)
 	s.withLock(func() {
 		if answer.MembersDigest == 0 || answer.MembersDigest == s.table.Digest(s.clock.Now()) {
-			delete(s.digestDiffers, b.vm)
+			delete(s.digestDiffers, h.vm)
 		} else {
-			s.digestDiffers[b.vm] = true
+			s.digestDiffers[h.vm] = true
 		}
 	})
 }
 
-// answerHeartbeat merges a heartbeat and returns one: to a sender in this data
-// centre it reports this VM, or all VMs that it knows here if the digests differ;
-// to a sender in another data centre it reports the delegates of this one.
-func (s *Server) answerHeartbeat(b protocol.Heartbeat) protocol.Heartbeat {
-	s.mergeHeartbeat(b)
+// answerHeartbeat merges a received heartbeat and returns the heartbeat that
+// answers it. The answer to a VM of this data centre lists this VM, or all local
+// VMs if the sender knows other members. The answer to a VM of another data centre
+// lists the delegates of this data centre.
+func (s *Server) answerHeartbeat(received protocol.Heartbeat) protocol.Heartbeat {
+	s.mergeHeartbeat(received)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	if len(b.Members) > 0 && b.Members[0].DataCentre == s.opts.Settings.DataCentre {
-		return s.nearHeartbeat(now, b.MembersDigest != s.table.Digest(now))
+	if len(received.Members) > 0 && received.Members[0].DataCentre == s.opts.Settings.DataCentre {
+		return s.localHeartbeat(now, received.MembersDigest != s.table.Digest(now))
 	}
-	return s.farHeartbeat(now)
+	return s.remoteHeartbeat(now)
 }
 
-// mergeHeartbeat merges the members, halted versions and evidence of a heartbeat.
-// It ignores the total of this VM's own data centre, whose parts it knows itself.
-func (s *Server) mergeHeartbeat(b protocol.Heartbeat) {
-	s.mergeMembers(b.Members, b.HaltedVersions)
+// mergeHeartbeat merges the members, halted versions and roll-out evidence of a
+// received heartbeat. It ignores the summed evidence of this VM's own data centre,
+// because this VM already has the evidence of each VM in it.
+func (s *Server) mergeHeartbeat(received protocol.Heartbeat) {
+	s.mergeMembers(received.Members, received.HaltedVersions)
 	ownTotal := dataCentreTotal(s.opts.Settings.DataCentre)
 	s.withLock(func() {
-		evidence := b.RolloutEvidence.Filter(func(o rollout.Observer) bool { return o != ownTotal })
+		evidence := received.RolloutEvidence.Filter(func(o rollout.Observer) bool { return o != ownTotal })
 		s.evidence = rollout.Merge(s.evidence, evidence).Prune(s.config.Progress)
 	})
 }
--- a/control/orders.go
+++ b/control/orders.go
@@ -19,17 +19,17 @@
 	// lease, so that no order is still running when the lease expires.
 	orderTimeout      = 3 * time.Second
 	loadReportTimeout = time.Second
-	// maxConcurrentLoads is how many engines load a version at the same time. The
-	// store that they load weights from limits its rate.
+	// maxConcurrentLoads is how many engines load a version at the same time. They
+	// share the limited rate of the store that holds the model weights.
 	maxConcurrentLoads = 2
 )
 
 // loadOnAllEngines orders the engines that hold the old version of a roll-out to
 // load the new one, a few at a time. It returns true once all of them hold it.
 //
-// It relies on the versions that each engine reports, not on the orders sent. A
-// lost order is therefore sent again, and so is one that a late order of a former
-// lease holder undid.
+// It checks the versions that each engine reports and does not remember which orders
+// were sent. A lost order is therefore sent again, and so is one whose effect a late
+// order of a former lease holder undid.
 func (s *Server) loadOnAllEngines(ctx context.Context, conf *config.Config, ro *config.Rollout) bool {
 	targets, found := s.enginesToLoad(ctx, conf, ro)
 	if !found {
@@ -89,7 +89,7 @@
 }
 
 // sendOrder orders an engine to load a version. The order carries the fencing
-// number of the lease; sendOrder does nothing while the lease is not usable.
+// token of the lease; sendOrder does nothing while the lease is not usable.
 func (s *Server) sendOrder(ctx context.Context, t orderTarget, v contract.VersionID) error {
 	fencing, ready := s.ordersLease.ActiveFencing(t.pool.Fencing != config.FencingEnforced)
 	if !ready {
--- a/control/rollouts.go
+++ b/control/rollouts.go
@@ -48,7 +48,7 @@
 	reason   rollout.Reason
 }
 
-// decideSteps returns the next step of each roll-out that is due to advance.
+// decideSteps returns the next step, by model, of each roll-out that is due to advance.
 func (s *Server) decideSteps(ctx context.Context) map[contract.ModelID]decidedStep {
 	var conf *config.Config
 	s.withLock(func() { conf = s.config })
@@ -86,8 +86,8 @@
 	}
 }
 
-// hasSilentDataCentre returns true if none of the VMs in some data centre of the
-// configured peers is known to be live. The caller holds mu.
+// hasSilentDataCentre returns whether there is a data centre among those of the
+// configured peers of which no VM is known to be live. The caller holds mu.
 func (s *Server) hasSilentDataCentre(now time.Time) bool {
 	live := make(map[contract.DataCentreID]bool)
 	for _, m := range s.table.Live(now) {
@@ -101,8 +101,7 @@
 	return false
 }
 
-// publishStep writes a decided step on top of the configuration that it was decided
-// for. If the configuration has changed since, nothing is written and the next
+// publishStep writes a decided step to the configuration that it was decided for. If the configuration has changed since, nothing is written and the next
 // round decides again.
 func (s *Server) publishStep(ctx context.Context, m contract.ModelID, next decidedStep) error {
 	ctx, cancel := context.WithTimeout(ctx, rolloutTimeout)
--- a/control/server.go
+++ b/control/server.go
@@ -3,8 +3,8 @@
 // exchanges heartbeats with other VMs, writes bill records to the store, and
 // advances roll-outs.
 //
-// No client request waits for the control process. It may be frozen, killed or cut off
-// while the entry process of its VM continues to serve requests.
+// No client request waits for the control process. It may be frozen, killed or unable
+// to reach the platform while the entry process of its VM continues to serve requests.
 package control
 
 import (
@@ -55,8 +55,8 @@
 	metrics     *serverMetrics
 	billFiler   *billFiler
 
-	// swapTopPeers alternates which of the two best peers is asked first. Only
-	// pullLoop uses it.
+	// swapTopPeers is negated before each pull from peers, so that the two best
+	// peers are asked first in turn. Only pullLoop uses it.
 	swapTopPeers bool
 
 	// ordersLease acquires and renews the lease whose holder may send orders to
@@ -83,12 +83,12 @@
 	evidence         rollout.Evidence
 	leavingUpstreams map[contract.UpstreamID]bool
 	stepObservations map[contract.ModelID]stepObservation
-	// digestDiffers holds the VMs of this data centre whose set of known VMs
-	// differs from that of this VM.
+	// digestDiffers holds the VMs of this data centre whose last heartbeat showed
+	// that they know other members than this VM.
 	digestDiffers map[contract.VMID]bool
-	// farMembersAskedAt is when this VM last asked a peer for the VMs of other
+	// remoteMembersAskedAt is when this VM last asked a peer for the VMs of other
 	// data centres.
-	farMembersAskedAt time.Time
+	remoteMembersAskedAt time.Time
 }
 
 // entryState is the last state that the entry process of this VM reported.
@@ -108,8 +108,8 @@
 	countsGrewAt time.Time
 }
 
-// New returns a server that listens on its link address. It answers no calls until
-// Run is called.
+// New returns a server that listens on its link address. It answers calls from other
+// processes only after Run is called.
 func New(opts *Options) (*Server, error) {
 	endpoint, err := link.Listen(opts.Settings.Control.LinkAddress, opts.Keys)
 	if err != nil {
@@ -137,7 +137,7 @@
 }
 
 // Run serves until ctx is cancelled. It files the pending bill records before it
-// returns; everything else that it holds is also held by other processes.
+// returns. Other processes have everything else that it has in memory.
 func (s *Server) Run(ctx context.Context) error {
 	healthListener, err := net.Listen("tcp", s.opts.Settings.Control.Health)
 	if err != nil {
--- a/control/status.go
+++ b/control/status.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// dataCentreStatus returns the status of this data centre, and whether this VM is
-// the one that writes it.
+// dataCentreStatus returns the status of this data centre, and whether this VM has to
+// write it to the store.
 func (s *Server) dataCentreStatus() (datacentre.Status, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/control/watch.go
+++ b/control/watch.go
@@ -28,9 +28,10 @@
 	pullTimeout     = pullWait + 500*time.Millisecond
 	pullRetryDelay  = 200 * time.Millisecond
 	// staleAfter is the age of the configuration from which a watcher also pulls
-	// from its peers: it may be cut off from the platform while they are not.
+	// from its peers, because the platform may be unreachable only from this VM.
 	staleAfter = 2 * time.Second
-	// maxRecentDocuments limits how many documents are kept for making patches.
+	// maxRecentDocuments limits how many documents are kept, from which patches
+	// for peers are made.
 	maxRecentDocuments = 32
 )
 
@@ -132,8 +133,8 @@
 	return !s.table.IsWatcher(s.opts.Settings.Control.Watchers, now) || s.replica.Age(now) > staleAfter
 }
 
-// pullFromPeers asks one peer after another until the configuration is fresh. It
-// returns whether it is.
+// pullFromPeers pulls from one peer after another until the configuration is fresh. It
+// returns whether the configuration is fresh.
 func (s *Server) pullFromPeers(ctx context.Context) bool {
 	for _, address := range s.pullSources() {
 		if ctx.Err() != nil {
@@ -215,20 +216,20 @@
 	return s.adoptDocument(d, freshAt, 0)
 }
 
-// farMembersInterval is how often a VM asks its peers for the VMs of other data
-// centres. VMs that are not watchers receive no heartbeats from them.
-const farMembersInterval = 15 * time.Second
+// remoteMembersInterval is how often a VM asks its peers for the VMs of other data
+// centres. Only watchers receive heartbeats from other data centres.
+const remoteMembersInterval = 15 * time.Second
 
 // nextMemberScope returns which members the next pull asks for: the VMs of other
-// data centres once per farMembersInterval, otherwise none.
+// data centres once per remoteMembersInterval, otherwise none.
 func (s *Server) nextMemberScope() protocol.MemberScope {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	if now.Sub(s.farMembersAskedAt) < farMembersInterval {
+	if now.Sub(s.remoteMembersAskedAt) < remoteMembersInterval {
 		return protocol.NoMembers
 	}
-	s.farMembersAskedAt = now
+	s.remoteMembersAskedAt = now
 	return protocol.RemoteMembers
 }
 
