--- a/bill/bill.go
+++ b/bill/bill.go
@@ -28,8 +28,8 @@
 	Input   contract.Tokens    `cbor:"4,keyasint" json:"input_tokens"`
 	Output  contract.Tokens    `cbor:"5,keyasint" json:"output_tokens"`
 	Amount  contract.Money     `cbor:"6,keyasint" json:"amount"`
-	// InternalCost is the internal cost of the answer that is not billed: attempts of
-	// a cascade with cheaper models, and retries.
+	// InternalCost is the cost of attempts that are not billed: those of a cascade
+	// with cheaper models, and retries.
 	InternalCost contract.Money `cbor:"7,keyasint" json:"inside,omitempty"`
 	At           time.Time      `cbor:"8,keyasint" json:"at"`
 	// Origin is the entry process that created the record.
@@ -47,8 +47,8 @@
 	Records []Record `json:"records"`
 }
 
-// recordKey identifies a record in the union. It includes the workspace, so that two
-// workspaces that use the same idempotency key are each billed for their own
+// recordKey identifies the request that a record bills. It includes the workspace, so
+// that two workspaces that use the same idempotency key are each billed for their own
 // request.
 type recordKey struct {
 	workspace contract.WorkspaceID
@@ -78,8 +78,8 @@
 	return out
 }
 
-// precedes orders the records of one request by time, origin and amount, so that
-// every reader selects the same record.
+// precedes returns whether a comes before b. It orders the records of one request by
+// time, origin and amount, so that every process selects the same record.
 func precedes(a, b Record) bool {
 	order := cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Origin.VM, b.Origin.VM),
 		cmp.Compare(a.Origin.Incarnation, b.Origin.Incarnation), cmp.Compare(a.Amount, b.Amount))
--- a/bill/bill_test.go
+++ b/bill/bill_test.go
@@ -11,10 +11,10 @@
 	"woaddoor/contract"
 )
 
-// entryProcess is a simulated entry process with the records that it holds.
+// entryProcess is a simulated entry process with its unfiled records.
 type entryProcess struct {
 	origin Origin
-	holder *RecordBuffer
+	buffer *RecordBuffer
 }
 
 // fleet simulates entry processes that answer requests, may be killed at any step,
@@ -29,20 +29,21 @@
 	delivered  map[recordKey]bool
 }
 
-// answerRequest answers one request at a random process. The process keeps the record,
-// copies it to a peer and delivers the answer; it may be killed after each step.
+// answerRequest answers one request at a random process. The process adds the bill record
+// to its buffer, copies it to a peer and delivers the answer; it may be killed after each
+// step.
 func (f *fleet) answerRequest() {
 	i := rapid.IntRange(0, len(f.processes)-1).Draw(f.t, "vm")
 	self, peer := f.processes[i], f.processes[(i+1)%len(f.processes)]
 	id := ID(fmt.Sprint(rapid.IntRange(0, 9).Draw(f.t, "request")))
 	r := Record{ID: id, Workspace: contract.WorkspaceID(rapid.SampledFrom([]string{"a", "b"}).Draw(f.t, "workspace")), Amount: 1, At: f.now, Origin: self.origin}
-	if self.holder.Add(r, f.now) != nil || f.maybeKill(i, "after keep") {
+	if self.buffer.Add(r, f.now) != nil || f.maybeKill(i, "after add") {
 		return
 	}
-	if peer.holder.Add(r, f.now) != nil {
+	if peer.buffer.Add(r, f.now) != nil {
 		return
 	}
-	self.holder.MarkCopied(r)
+	self.buffer.MarkCopied(r)
 	if f.maybeKill(i, "after copy") {
 		return
 	}
@@ -50,8 +51,8 @@
 	f.maybeKill(i, "after answer")
 }
 
-// maybeKill randomly replaces a process by its next incarnation, which holds no
-// records. It returns whether it did.
+// maybeKill randomly replaces a process by its next incarnation, whose buffer is empty.
+// It returns whether it replaced the process.
 func (f *fleet) maybeKill(i int, step string) bool {
 	if rapid.IntRange(0, 5).Draw(f.t, step) != 0 {
 		return false
@@ -65,14 +66,14 @@
 // reply of the platform is randomly lost.
 func (f *fleet) fileRecords(outage bool) {
 	for _, process := range f.processes {
-		due := process.holder.Due(f.now, 100)
+		due := process.buffer.Due(f.now, 100)
 		if len(due) == 0 || outage {
 			continue
 		}
 		f.filed = append(f.filed, due...)
 		f.filedCount += len(due)
 		if rapid.Bool().Draw(f.t, "reply arrives") {
-			process.holder.MarkFiled(due)
+			process.buffer.MarkFiled(due)
 		}
 	}
 }
@@ -145,19 +146,19 @@
 	})
 }
 
-// TestFullHolderRefusesRecord checks that a full Holder refuses a record, and that it
-// counts the records at risk.
-func TestFullHolderRefusesRecord(t *testing.T) {
+// TestFullRecordBufferRefusesRecord checks that a full RecordBuffer refuses a record, and
+// that AtRiskCount counts own records that no peer holds and that are not filed.
+func TestFullRecordBufferRefusesRecord(t *testing.T) {
 	is := is.New(t)
 	self := Origin{VM: "a", Incarnation: 1}
-	h := NewRecordBuffer(self, 1)
+	buffer := NewRecordBuffer(self, 1)
 	r := Record{ID: "1", Workspace: "w", Origin: self}
-	is.NoErr(h.Add(r, time.Unix(0, 0)))
-	is.Equal(h.AtRiskCount(), 1)
-	is.True(h.Full())
-	is.Equal(h.Add(Record{ID: "2", Workspace: "w"}, time.Unix(0, 0)), ErrFull)
-	h.MarkCopied(r)
-	is.Equal(h.AtRiskCount(), 0)
-	h.MarkFiled([]Record{r, r})
-	is.Equal(h.Len(), 0)
+	is.NoErr(buffer.Add(r, time.Unix(0, 0)))
+	is.Equal(buffer.AtRiskCount(), 1)
+	is.True(buffer.Full())
+	is.Equal(buffer.Add(Record{ID: "2", Workspace: "w"}, time.Unix(0, 0)), ErrFull)
+	buffer.MarkCopied(r)
+	is.Equal(buffer.AtRiskCount(), 0)
+	buffer.MarkFiled([]Record{r, r})
+	is.Equal(buffer.Len(), 0)
 }
--- a/document/document.go
+++ b/document/document.go
@@ -3,8 +3,7 @@
 //
 // A Document is immutable. The settings from the operator's file and the decisions of
 // the system itself (the progress of roll-outs) are sections of the same document.
-// Both therefore share one revision, one conditional write and one way of
-// distribution.
+// Both are therefore written by the same conditional write and distributed together.
 package document
 
 import (
--- a/document/document_test.go
+++ b/document/document_test.go
@@ -37,7 +37,7 @@
 
 // TestChangeYieldsDocument checks that applying an audit record to the document that it
 // was made from yields the new document, and that applying it to another document
-// fails unless it yields the same document.
+// either fails or yields that new document.
 func TestChangeYieldsDocument(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		old, d, other := drawDocument(t, 1), drawDocument(t, 2), drawDocument(t, 1)
@@ -72,7 +72,7 @@
 func (n *naiveReplica) update(d *Document) { n.held = d }
 
 // TestReplicaNeverReverts checks that a Replica holds the highest revision that it has
-// seen, whatever the order of reads. A naive replica goes back to an older revision
+// received, whatever the order of reads. A naive replica goes back to an older revision
 // after a stale read.
 func TestReplicaNeverReverts(t *testing.T) {
 	is := is.New(t)
@@ -99,7 +99,7 @@
 
 // TestFreshAtNeverTooLate checks, against a known history of accepted revisions, that
 // FreshAt is always before the time at which the held document stopped being the
-// newest. The expiry of a serving lease depends on this.
+// newest. The time until which a VM may give work to a withdrawn version depends on this.
 func TestFreshAtNeverTooLate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		// accepted[i] is the second at which revision i+1 was accepted.
--- a/document/patch.go
+++ b/document/patch.go
@@ -8,7 +8,7 @@
 
 // Patch transfers a document from one VM to another. It holds only the sections that
 // changed since the revision From, so that its size depends on the change and not on
-// the whole document. If From is zero, the patch holds the whole document.
+// the whole document. If From is zero, the patch holds all sections.
 type Patch struct {
 	From     contract.Revision  `cbor:"1,keyasint"`
 	FromHash Hash               `cbor:"2,keyasint"`
--- a/document/replica.go
+++ b/document/replica.go
@@ -9,10 +9,10 @@
 // Replica holds the configuration document of one process and the time up to which it
 // was known to be the newest. It reads no clock: callers pass the time to each method.
 //
-// Two rules guarantee that the configuration never reverts and that a withdrawn
-// version gets no new work:
-//   - the revision of the held document never decreases, whatever is read from which
-//     source in which order;
+// Two rules guarantee that the configuration never goes back to an older revision and
+// that a withdrawn version gets no new work:
+//   - the revision of the held document never decreases, from whichever
+//     sources and in whichever order documents are read;
 //   - FreshAt is the latest time at which the platform is known to have had no
 //     newer revision than the held one. It is the time on this VM's own clock before
 //     the request was sent, so the clocks of different VMs are never compared.
@@ -25,7 +25,7 @@
 // unknown.
 func NewReplica() *Replica { return &Replica{held: &Document{}} }
 
-// Document returns the current document. It has revision 0 until a document is learned.
+// Document returns the current document. It has revision 0 until a document is received.
 func (r *Replica) Document() *Document { return r.held }
 
 // FreshAt returns the latest time at which the held document is known to have been
@@ -45,7 +45,7 @@
 // at freshAt, a time on this VM's clock. It returns whether d replaced the held
 // document.
 //
-// A document older than the held one comes from a source that was behind, so Learn
+// A document older than the held one comes from a source that was behind, so Update
 // ignores both the document and freshAt.
 func (r *Replica) Update(d *Document, freshAt time.Time) bool {
 	if d.Revision < r.held.Revision {
@@ -54,9 +54,9 @@
 	isNewer := d.Revision > r.held.Revision
 	if isNewer {
 		r.held = d
-		// The previous freshAt belongs to an older document. It can be later than
-		// the new one only if it was wrong, because its source lagged behind, so
-		// replace it.
+		// Replace freshAt even by an earlier time. The previous value belongs to an
+		// older document, and it can be later than the new one only if it was wrong,
+		// because its source lagged behind.
 		r.freshAt = freshAt
 		return true
 	}
--- a/history/history.go
+++ b/history/history.go
@@ -83,8 +83,8 @@
 	At             time.Time
 }
 
-// ConflictError means that another change was accepted first. No part of the rejected
-// change is in force.
+// ConflictError means that a competing change was accepted as the revision that the
+// rejected change was to become. No part of the rejected change is in force.
 type ConflictError struct {
 	Winner document.Change
 	// CommonSections are the names of the sections that both changes modify.
@@ -99,7 +99,7 @@
 
 // UnknownOutcomeError means that it is unknown whether a change was accepted, because the
 // platform could not be read or the write may still be in progress. The ID of the
-// change shows the outcome later.
+// change can be used to look up the outcome later.
 type UnknownOutcomeError struct {
 	Change contract.ChangeID
 	Err    error
@@ -119,7 +119,7 @@
 // root object last. If it is interrupted, it leaves objects that cannot be reached
 // from the root. If the reply to the write of the root is lost, Publish reads the root
 // to find out the outcome, and never writes it again.
-func Publish(ctx context.Context, st store.Store, base Snapshot, sections map[string]document.Section, author ChangeInfo) (document.Root, error) {
+func Publish(ctx context.Context, st store.Store, base Snapshot, sections map[string]document.Section, info ChangeInfo) (document.Root, error) {
 	change := contract.ChangeID(ulid.Make().String())
 	nextDocument := document.New(base.Root.Revision+1, change, sections)
 	if _, err := config.FromDocument(nextDocument); err != nil {
@@ -131,7 +131,7 @@
 	}
 	record := document.Change{
 		ID: change, Previous: base.Root.Change, FromRevision: base.Root.Revision, ToRevision: nextDocument.Revision,
-		Author: author.Author, Reason: author.Reason, At: author.At, Hash: nextDocument.Hash(), Sections: document.Diff(base.Document, nextDocument),
+		Author: info.Author, Reason: info.Reason, At: info.At, Hash: nextDocument.Hash(), Sections: document.Diff(base.Document, nextDocument),
 	}
 	encodedRecord, err := json.Marshal(record)
 	if err != nil {
--- a/history/history_test.go
+++ b/history/history_test.go
@@ -15,7 +15,7 @@
 	"woaddoor/store"
 )
 
-// testSections returns sections whose content depends on seed.
+// testSections returns the sections of a valid configuration that depends on seed.
 func testSections(seed int) map[string]document.Section {
 	return map[string]document.Section{
 		"model m":     "serve = m@1\n",
--- a/internal/mutants/main.go
+++ b/internal/mutants/main.go
@@ -40,7 +40,7 @@
 	{"arbiters do not vote on expired tickets", "ticket/register.go", "if now.Unix() >= t.Expires {", "if false {", "./ticket", "TestAtMostOnce|TestFullRegisterRefusesVotes"},
 	{"bills are the union of all copies", "bill/bill.go", "if !exists || precedes(r, old) {", "if r.ID += ID(r.At.String() + string(r.Origin.VM)); !exists || precedes(r, old) {", "./bill", "TestDeliveredAnswerBilledOnce"},
 	{"workspaces are billed separately", "bill/bill.go", "return recordKey{r.Workspace, r.ID}", "return recordKey{\"\", r.ID}", "./bill", "TestSameIdempotencyKeyInTwoWorkspaces"},
-	{"a copy of an unfiled record is kept", "bill/holder.go", "if e.record.Origin == h.self || now.Sub(e.heldSince) >= h.peerDelay {", "if e.record.Origin == h.self {", "./bill", "TestDeliveredAnswerBilledOnce"},
+	{"a copy of an unfiled record is kept", "bill/record_buffer.go", "if e.record.Origin == b.self || now.Sub(e.addedAt) >= b.peerDelay {", "if e.record.Origin == b.self {", "./bill", "TestDeliveredAnswerBilledOnce"},
 	{"a request body is sent once", "engine/call.go", "req, err := http.NewRequestWithContext(ctx, method, call.URL+path, body)", "req, err := http.NewRequestWithContext(ctx, method, call.URL+path, bytes.NewReader(call.Body))\n\treq.Header.Set(\"Idempotency-Key\", \"k\")\n\tbody.started.Store(true)", "./engine", "TestRequestIsSentOnce"},
 	{"an answer must carry its request's id", "engine/call.go", `echoed != "" && echoed != string(call.RequestID)`, `echoed == "never"`, "./engine", "TestChatOutcomes"},
 	{"an answer must come from the requested version", "engine/call.go", "if answer.Completion.Model != string(call.Version) {", "if false {", "./engine", "TestChatOutcomes"},
--- a/keys/address.go
+++ b/keys/address.go
@@ -29,23 +29,23 @@
 
 // VerifyPeer returns the IP address of a peer, or ErrUnknownPeer if it does not belong to a
 // known VM.
-func (b *AddressIdentity) VerifyPeer(_ [][]byte, address net.Addr) (string, error) {
+func (a *AddressIdentity) VerifyPeer(_ [][]byte, address net.Addr) (string, error) {
 	host, _, err := net.SplitHostPort(address.String())
 	if err != nil {
 		return "", fmt.Errorf("%w: %w", ErrUnknownPeer, err)
 	}
-	if !b.isKnown(host) {
+	if !a.isKnown(host) {
 		return "", fmt.Errorf("%w: %s", ErrUnknownPeer, host)
 	}
 	return host, nil
 }
 
 // TLSConfig returns the TLS configuration of a link. It accepts any peer certificate.
-func (b *AddressIdentity) TLSConfig(protocol string) *tls.Config {
+func (a *AddressIdentity) TLSConfig(protocol string) *tls.Config {
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		NextProtos:   []string{protocol},
-		Certificates: []tls.Certificate{b.certificate},
+		Certificates: []tls.Certificate{a.certificate},
 		// Allow only X25519. With the hybrid key exchange that Go prefers by
 		// default, the first message needs two packets and the handshake takes
 		// twice as long. That is too slow on a VM with a fifth of a core that
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -42,7 +42,7 @@
 	SigningKey []byte
 }
 
-// Names and formats of the files that Make writes.
+// Names and formats of the files that GenerateFiles writes.
 const (
 	PinsFile       = "pins.ini"
 	SigningFile    = "signing.key"
@@ -50,8 +50,8 @@
 	signingKeySize = 32 // bytes
 )
 
-// ErrUnknownPeer means that a peer presented no pinned key, or connects from an address
-// of no known VM.
+// ErrUnknownPeer means that a peer presented no pinned key, or that its IP address
+// belongs to no known VM.
 var ErrUnknownPeer = errors.New("peer's key is not pinned")
 
 // certificateLifetime is long because keys are revoked by removing their pins, not by
@@ -181,8 +181,8 @@
 }
 
 // VerifyPeer returns the name of the peer whose pinned key is in the first certificate, or
-// ErrUnknownPeer if that key is not pinned. It compares every pin, each in constant
-// time.
+// ErrUnknownPeer if that key is not pinned. It compares the key with every pin, each in
+// constant time.
 func (s *KeySet) VerifyPeer(raw [][]byte, _ net.Addr) (string, error) {
 	if len(raw) == 0 {
 		return "", ErrUnknownPeer
--- a/sign/sign.go
+++ b/sign/sign.go
@@ -1,8 +1,8 @@
 // Package sign creates and verifies signed texts, such as session tokens. Clients
 // carry them from one VM to another, because VMs share no state.
 //
-// The signature is an HMAC-SHA256 with a key that the whole fleet shares. The content
-// of a text is not encrypted, but nobody outside the fleet can create or alter a text.
+// The signature is an HMAC-SHA256 with a key that all VMs share. The content of a text
+// is not encrypted, but only the VMs can create or alter a text.
 package sign
 
 import (
--- a/store/http.go
+++ b/store/http.go
@@ -79,8 +79,8 @@
 	return c.getObject(ctx, name, "", "")
 }
 
-// Watch waits for a version of the object other than after, for at most wait or
-// maxWatchWait.
+// Watch waits for a version of the object other than after, for at most the shorter of
+// wait and maxWatchWait.
 func (c *Client) Watch(ctx context.Context, name string, after contract.ObjectVersion, wait time.Duration) (Object, error) {
 	return c.getObject(ctx, name, ETag(after), "?"+ParamWait+"="+min(wait, maxWatchWait).String())
 }
@@ -166,7 +166,7 @@
 }
 
 // errPreconditionFailed means that the condition of a write did not hold. putObject
-// replaces it by the error for that condition.
+// returns ErrExists or ErrConflict instead of it.
 var errPreconditionFailed = fmt.Errorf("precondition failed")
 
 // do sends a request and returns the body and the headers of a successful response. It
--- a/store/store.go
+++ b/store/store.go
@@ -2,7 +2,7 @@
 // conditional updates and watches, and a list of VMs.
 //
 // All durable state of the system is stored there. The platform counts every call, and
-// counts a waiting watch as one call, so callers state how often they call.
+// counts a waiting watch as one call, so callers bound how often they call.
 package store
 
 import (
@@ -45,10 +45,11 @@
 	// returns ErrConflict.
 	Update(ctx context.Context, name string, value []byte, version contract.ObjectVersion) (contract.ObjectVersion, error)
 	// List returns the names that begin with prefix and sort after the name
-	// after, sorted, at most ListPage of them.
+	// after, sorted, at most ListPageSize of them.
 	List(ctx context.Context, prefix, after string) ([]string, error)
-	// Watch waits up to wait for a version other than after, and returns the
-	// object, or ErrUnchanged if there is none.
+	// Watch waits for at most the duration wait until the version of the object
+	// is not after, and returns the object. It returns ErrUnchanged if the version
+	// is still the same.
 	Watch(ctx context.Context, name string, after contract.ObjectVersion, wait time.Duration) (Object, error)
 }
 
