--- a/command/command.go
+++ b/command/command.go
@@ -95,17 +95,17 @@
 }
 
 // pendingError means that a change is accepted but not yet in force on every VM.
-type pendingError struct{ force datacentre.RevisionStatus }
+type pendingError struct{ status datacentre.RevisionStatus }
 
 func (e *pendingError) Error() string {
-	text := fmt.Sprintf("revision %d is accepted; pending:", e.force.Revision)
-	for _, p := range e.force.Pending {
+	text := fmt.Sprintf("revision %d is accepted; pending:", e.status.Revision)
+	for _, p := range e.status.Pending {
 		text += "\n  " + pendingLine(p)
 	}
 	return text
 }
 
-// pendingLine describes a VM that has not acknowledged a revision: the revision that
+// pendingLine describes a VM on which a revision is not yet in force: the revision that
 // it has, and until when it may act on an older one.
 func pendingLine(p datacentre.PendingVM) string {
 	has := fmt.Sprintf("has revision %d", p.Revision)
@@ -124,7 +124,7 @@
 	var faults config.Faults
 	var conflict *history.ConflictError
 	var stale *operator.StaleError
-	var unsettled *history.UnknownOutcomeError
+	var unknownOutcome *history.UnknownOutcomeError
 	var pending *pendingError
 	switch {
 	case err == nil:
@@ -135,7 +135,7 @@
 		return ExitConflict
 	case errors.As(err, &pending):
 		return ExitPending
-	case errors.As(err, &unsettled):
+	case errors.As(err, &unknownOutcome):
 		return ExitUnknownOutcome
 	}
 	return ExitFailed
@@ -209,7 +209,8 @@
 	Why string `help:"Why, for the audit trail." required:""`
 }
 
-// author returns the author of a change made now. It defaults to the current user.
+// author returns the author, the reason and the time of a change that is made now. The
+// author defaults to the current user.
 func (f authorFlags) author() history.ChangeInfo {
 	who := f.Who
 	if who == "" {
--- a/command/explain.go
+++ b/command/explain.go
@@ -23,7 +23,7 @@
 // errRequestNotLogged means that no log line has the id of the request.
 var errRequestNotLogged = errors.New("no log line has the id of this request: its VM logged elsewhere, was killed before the request ended, or never received it")
 
-// Run runs the command.
+// Run prints the steps of the request, or returns errRequestNotLogged.
 func (c *explainCmd) Run(s *invocation) error {
 	if c.Request == "" {
 		return errEmptyRequestID
@@ -44,7 +44,7 @@
 	Files []string `arg:"" optional:"" help:"Log files of VMs; standard input when there is none." type:"existingfile"`
 }
 
-// Run runs the command.
+// Run prints the causes of lost requests by route, and the statistics of each model.
 func (c *lossesCmd) Run(s *invocation) error {
 	lines, err := readLogs(c.Files)
 	if err != nil {
@@ -62,7 +62,7 @@
 	Files []string `arg:"" optional:"" help:"Log files of VMs; standard input when there is none." type:"existingfile"`
 }
 
-// Run runs the command.
+// Run prints each change once, in the order of the log lines.
 func (c *changesCmd) Run(s *invocation) error {
 	lines, err := readLogs(c.Files)
 	if err != nil {
@@ -81,7 +81,7 @@
 // errInvalidWindow means that the length of a usage window is not positive.
 var errInvalidWindow = errors.New("--window must be greater than 0, for example 5s")
 
-// Run runs the command.
+// Run prints the lease holders and the outcome of the usage report of each window.
 func (c *usageCmd) Run(s *invocation) error {
 	if c.Window <= 0 {
 		return errInvalidWindow
--- a/command/vms.go
+++ b/command/vms.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// vmsCmd prints a table of VMs with some of their metrics.
+// vmsCmd prints a table with one row of metrics for each VM.
 type vmsCmd struct {
 	Addresses []string `arg:"" help:"Metrics addresses of VMs, each IP:PORT."`
 }
--- a/config/build.go
+++ b/config/build.go
@@ -71,7 +71,7 @@
 	return c, nil
 }
 
-// sortFaults orders faults by line, then by section and key.
+// sortFaults sorts faults by line, then by section and key.
 func sortFaults(faults Faults) {
 	slices.SortFunc(faults, func(a, b Fault) int {
 		if a.Line != b.Line {
@@ -276,7 +276,7 @@
 }
 
 // Repeatable reports whether a call of the service may run more than once: it
-// may unless it matches a pattern in NotRepeatable.
+// may, unless it matches a pattern in NotRepeatable.
 func (s *Service) Repeatable(method, path string) bool {
 	for _, p := range s.NotRepeatable {
 		prefix, isPrefix := strings.CutSuffix(p.Path, "*")
--- a/config/check.go
+++ b/config/check.go
@@ -113,8 +113,9 @@
 // the sections of the new document: those of the file, and the stored progress
 // of each roll-out whose target version is the same in both.
 //
-// A withdrawn version stays withdrawn. Otherwise applying an older file would
-// bring a bad version back into service. A corrected version needs a new number.
+// A version that is withdrawn in the accepted document must be withdrawn in the file
+// too. Otherwise applying an older file would bring a bad version back into service. A
+// corrected version needs a new number.
 func NextSections(accepted *document.Document, f *File) (map[string]document.Section, error) {
 	old, err := FromDocument(accepted)
 	if err != nil {
--- a/config/config.go
+++ b/config/config.go
@@ -31,8 +31,8 @@
 // are never stored in a file or written to a log.
 type KeyHash string
 
-// BillPolicy is what to do with a request when its bill record can be stored
-// neither by a peer nor by the platform.
+// BillPolicy is what a VM does with a request when neither a peer nor the platform can
+// store its bill record.
 type BillPolicy string
 
 // The policies for requests whose bill record cannot be stored.
@@ -57,7 +57,7 @@
 	// MinQuality is the minimum fraction of good answers that the workspace accepts
 	// from a cascade, from 0 to 1.
 	MinQuality float64
-	// BillPolicy is what to do with a request whose bill record cannot be stored.
+	// BillPolicy is what a VM does with a request whose bill record cannot be stored.
 	// Empty means BillRefuse.
 	BillPolicy BillPolicy
 }
@@ -67,15 +67,15 @@
 type Model struct {
 	ID             contract.ModelID
 	ServingVersion contract.VersionID
-	// InputPrice and Output are the prices of a million input and output tokens.
+	// InputPrice and OutputPrice are the prices of a million input and output tokens.
 	InputPrice, OutputPrice contract.PricePerMillion
 }
 
 // VersionState determines which requests a version may serve.
 type VersionState string
 
-// The states of a version, in the order in which a version passes through them.
-// A version never returns from Withdrawn to an earlier state.
+// The states of a version. A version normally passes through them in this order, and
+// never returns from Withdrawn to an earlier state.
 const (
 	// Serving versions accept new sessions and requests.
 	Serving VersionState = "serving"
@@ -96,16 +96,17 @@
 }
 
 // MaxServeWithoutUpdate is the longest that a version may be served without a
-// configuration update. Because of this bound, only the changes within it have
-// to be read to compute when a withdrawal is in force on every VM.
+// configuration update. Because of this bound, only changes that are more recent
+// have to be read to compute when a withdrawal is in force on every VM.
 const MaxServeWithoutUpdate = 48 * time.Hour
 
 // DefaultServeWithoutUpdate applies to a version without the setting. It bounds
-// how long a data centre that is cut off from the platform keeps serving, and
+// how long a data centre from which the platform is unreachable keeps serving, and
 // how long a withdrawal may stay pending.
 const DefaultServeWithoutUpdate = 2 * time.Minute
 
-// Cascade is a list of models of which the cheaper are tried first.
+// Cascade is a list of models. A request is sent to a cheaper model first, and to a
+// more expensive one only if the answer is poor.
 type Cascade struct {
 	Name string
 	// Models has at least two models, ordered by cost, cheapest first.
@@ -127,8 +128,8 @@
 	FalseAlarmProbability float64
 	// MissProbability is the accepted probability of passing a bad version.
 	MissProbability float64
-	// RatingTimeout is how long the roll-out may receive no rating before it is
-	// halted.
+	// RatingTimeout is how long no rating of the new version may arrive before the
+	// roll-out is halted.
 	RatingTimeout time.Duration
 }
 
@@ -161,10 +162,11 @@
 )
 
 // FencingMode is how a pool's engines treat an order that carries an outdated
-// fencing number.
+// fencing token.
 type FencingMode string
 
-// The fencing modes: engines refuse an outdated number, or ignore the number.
+// The fencing modes. Engines refuse orders with an outdated fencing token if it is
+// enforced, and otherwise do not check it.
 const (
 	FencingEnforced FencingMode = "refuses"
 	FencingIgnored  FencingMode = "ignores"
@@ -176,8 +178,8 @@
 	Kind       PoolKind
 	DataCentre contract.DataCentreID
 	Upstreams  []Upstream
-	// Fencing is how the pool's engines treat an outdated fencing number. Empty
-	// means FencingIgnores, which is the safe assumption.
+	// Fencing is how the pool's engines treat an outdated fencing token. Empty
+	// means FencingIgnored, which is the safe assumption.
 	Fencing FencingMode
 	// Slots is how many requests one upstream processes concurrently. Zero means 8.
 	Slots int
@@ -232,9 +234,9 @@
 	return version.ServeWithoutUpdate
 }
 
-// LongestServeWithoutUpdate returns the maximum of ServeWithoutWord over all
-// versions. A VM that misses the next change stops acting on this configuration
-// within that time.
+// LongestServeWithoutUpdate returns the maximum of ServeWithoutUpdate over all
+// versions. A VM that does not receive the next change stops acting on this
+// configuration within that time.
 func (c *Config) LongestServeWithoutUpdate() time.Duration {
 	longest := time.Duration(0)
 	for id := range c.Versions {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -31,7 +31,7 @@
 steps = 1%, 50%, 100%
 `
 
-// TestParseValidFile checks values of each kind of section in a valid file.
+// TestParseValidFile checks values of several kinds of sections in a valid file.
 func TestParseValidFile(t *testing.T) {
 	is := is.New(t)
 	c, _, err := Parse("site.ini", []byte(validFile))
--- a/config/ini.go
+++ b/config/ini.go
@@ -17,7 +17,7 @@
 	Line    int    `json:"line"`
 	Section string `json:"section,omitempty"`
 	Key     string `json:"key,omitempty"`
-	// Message states what is wrong and what was expected instead.
+	// Message states what is wrong and usually what was expected instead.
 	Message string `json:"want"`
 }
 
@@ -72,7 +72,7 @@
 )
 
 // ParseINI parses the text of an INI file; name is used in errors. The INI
-// library keeps no line numbers, so they are looked up separately. A section or
+// library provides no line numbers, so they are determined separately. A section or
 // key that appears twice is a fault.
 func ParseINI(name string, text []byte) (*File, error) {
 	f := &File{Name: name, sections: make(map[string]document.Section), lines: make(map[sectionKey]int)}
--- a/config/reader.go
+++ b/config/reader.go
@@ -12,7 +12,8 @@
 )
 
 // SectionReader reads typed values from one section and collects a fault for each
-// invalid one. Keys of the section that were never read are faults too; see Done.
+// invalid one. Keys of the section that were never read are faults too; see
+// RejectUnknownKeys.
 type SectionReader struct {
 	file     *File
 	section  string
@@ -39,16 +40,16 @@
 }
 
 // Fault records a fault of key; an empty key means the section as a whole. The
-// message is formatted from want and args.
-func (r *SectionReader) Fault(key, want string, args ...any) {
+// message is formatted from format and args.
+func (r *SectionReader) Fault(key, format string, args ...any) {
 	*r.faults = append(*r.faults, Fault{
 		File: r.file.Name, Line: r.file.Line(r.section, key),
-		Section: r.section, Key: key, Message: fmt.Sprintf(want, args...),
+		Section: r.section, Key: key, Message: fmt.Sprintf(format, args...),
 	})
 }
 
 // Keys returns all keys present in the section, sorted. It is for sections whose
-// key names are not fixed.
+// keys are names chosen by the operator, such as those of data centres.
 func (r *SectionReader) Keys() []string { return slices.Sorted(maps.Keys(r.values)) }
 
 // String returns the value of key, or fallback if the key is absent.
@@ -61,7 +62,7 @@
 }
 
 // Required returns the value of key. A missing or empty value is a fault, whose
-// message contains want.
+// message contains want as the description of the expected value.
 func (r *SectionReader) Required(key, want string) string {
 	v := r.String(key, "")
 	if v == "" {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -84,7 +84,7 @@
 }
 
 // serve runs the daemon until SIGTERM or SIGINT. Further signals are logged and have
-// no effect: repeating the signal does not make a planned shutdown cut off requests.
+// no effect: repeating the signal does not make a planned shutdown abort requests.
 func serve(s *settings.Settings, set *keys.KeySet, log *zap.Logger, newServer serverFactory) int {
 	server, err := newServer(s, set, log)
 	if err != nil {
--- a/daemon/duties.go
+++ b/daemon/duties.go
@@ -20,7 +20,7 @@
 // dutiesLeaseName is the name of the lease whose holder acts on behalf of all VMs.
 const dutiesLeaseName = "duties"
 
-// dutyTimeoutDivisor divides the length of the lease to get the timeout of a call. The
+// dutyTimeoutDivisor is the duration of the lease divided by the timeout of a call. The
 // timeout is less than the margin at the end of the lease in which no call is started,
 // so a call ends before the lease does.
 const dutyTimeoutDivisor = 4
@@ -29,28 +29,28 @@
 // calls that renew the lease.
 func (v *vmProcess) dutyTimeout() time.Duration { return v.settings.Duties.Lease / dutyTimeoutDivisor }
 
-// buildDuties creates the lease keeper and the usage book, the components by which one VM
-// acts on behalf of all, if the deployment configures duties.
+// buildDuties creates the client of the lease whose holder acts on behalf of all VMs, and
+// the ledger of usage, if the deployment configures duties.
 func (v *vmProcess) buildDuties(store *platform.Store, self members.Member) {
 	d := v.settings.Duties
 	if d.Address == "" {
 		return
 	}
-	life := contract.VMInstance{VM: self.VM, Incarnation: self.Incarnation}
+	instance := contract.VMInstance{VM: self.VM, Incarnation: self.Incarnation}
 	v.lease = leader.NewLeaseClient(&leader.LeaseClientOptions{
-		Options: lease.Options{Self: life, Duration: d.Lease},
+		Options: lease.Options{Self: instance, Duration: d.Lease},
 		Store:   platform.NewLease(store, dutiesLeaseName), Clock: clock.NewSystem(), Timeout: v.dutyTimeout(),
 	})
 	if !platform.HasUsageDuty(d.Names) {
 		return
 	}
 	v.usage = leader.NewUsageLedger(&leader.UsageLedgerOptions{
-		Self: life, DataCentre: self.DataCentre, Now: time.Now,
+		Self: instance, DataCentre: self.DataCentre, Now: time.Now,
 		Terms: v.usageTerms(), DataCentres: func() []contract.DataCentreID { return v.peers.DataCentres() },
 	})
 }
 
-// usageTerms returns the reporting windows and deadlines of usage.
+// usageTerms returns the length of a usage window and the deadline of its report.
 func (v *vmProcess) usageTerms() usage.Rules {
 	return usage.Rules{Window: v.settings.Duties.UsageWindow, ReportDeadline: v.settings.Duties.UsageReportDeadline}
 }
@@ -73,21 +73,21 @@
 	d := v.settings.Duties
 	calls := platform.NewLeaderClient(d.Address, v.settings.Name, v.dutyTimeout())
 	calls.OnCall = v.countDutyCall
-	var acts []leader.Task
+	var tasks []leader.Task
 	if v.usage != nil {
-		acts = append(acts, leader.NewUsageReporter(&leader.UsageReporterOptions{
+		tasks = append(tasks, leader.NewUsageReporter(&leader.UsageReporterOptions{
 			Lease: v.lease, Ledger: v.usage, Terms: v.usageTerms(), API: calls, Now: time.Now, Log: v.log, Registry: v.registry,
 		}))
 	}
 	if platform.HasScalingDuty(d.Names) {
-		acts = append(acts, leader.NewScaler(&leader.ScalerOptions{
+		tasks = append(tasks, leader.NewScaler(&leader.ScalerOptions{
 			Lease: v.lease, API: calls, Services: v.services, Upstreams: func() []upstream.Entry { return v.site.Upstreams() },
 			ListAge: v.listAge, Load: v.peers.TotalWork, ReleaseState: v.relay.RolloutState, ResponseObjective: v.objective, Now: time.Now, Log: v.log, Registry: v.registry,
 		}))
 	}
-	v.log.Info("duties", zap.Strings("names", d.Names), zap.String("address", d.Address), zap.Duration("lease", d.Lease), zap.Int("acts", len(acts)))
+	v.log.Info("duties", zap.Strings("names", d.Names), zap.String("address", d.Address), zap.Duration("lease", d.Lease), zap.Int("acts", len(tasks)))
 	return leader.New(&leader.Options{
-		Lease: v.lease, TakeoverDelay: v.peers.LeaseDelay, OnChange: v.peers.AnnounceLease, Tasks: acts, Log: v.log, Registry: v.registry,
+		Lease: v.lease, TakeoverDelay: v.peers.LeaseDelay, OnChange: v.peers.AnnounceLease, Tasks: tasks, Log: v.log, Registry: v.registry,
 	})
 }
 
@@ -118,7 +118,8 @@
 	v.countCall("duty", fmt.Sprintf("call=%q", c.Verb), err)
 }
 
-// leaseMetrics returns the metrics of the lease: its holder, fencing number and age.
+// leaseMetrics returns the metrics of the lease: its holder, its fencing token, and how
+// long it has been unchanged.
 func (v *vmProcess) leaseMetrics() []string {
 	if v.lease == nil {
 		return nil
--- a/daemon/vm.go
+++ b/daemon/vm.go
@@ -78,8 +78,8 @@
 	callers *drain.Listener
 }
 
-// gcPercent makes the garbage collector run more often than by default. It trades CPU
-// time, of which the process uses little, for memory, which is charged for.
+// gcPercent makes the garbage collector run more often than by default. The process uses
+// little CPU time, but its memory is charged for.
 const gcPercent = 50
 
 // memoryLimitShare is the fraction of the machine's memory that is set as the memory limit of
@@ -145,7 +145,7 @@
 		Budget:  retry.ResendWindowOptions{Ratio: s.Bounds.RetryRatio, Slack: s.Bounds.RetrySlack, Length: s.Bounds.RetryWindow},
 		VMs:     v.peers.EstimatedVMs,
 		ListAge: v.listAge,
-		Policy:  s.Policy, ValueCostRatio: s.ValueCostRatio, MaxEscalationPrice: s.MaxEscalationPrice, CanaryShare: s.Bounds.CanaryShare, MaxBackoff: s.Bounds.LongestRest, OnBadAnswer: func() { go v.peers.AnnounceUrgent(context.Background()) },
+		Policy:  s.Policy, ValueCostRatio: s.ValueCostRatio, MaxEscalationPrice: s.MaxEscalationPrice, CanaryShare: s.Bounds.CanaryShare, MaxBackoff: s.Bounds.MaxBackoff, OnBadAnswer: func() { go v.peers.AnnounceUrgent(context.Background()) },
 		OnSuspect:    func() { go v.peers.AnnounceUrgent(context.Background()) },
 		OnBadRelease: func() { v.site.EvaluateVerdicts() }, OnSent: v.peers.ReportSent, OnConfidence: v.peers.ReportConfidence, OnBackoff: v.peers.ReportBackoff, OnLimit: v.peers.ReportLimit, GossipScope: v.peers.GossipScope,
 		OnExecution:     v.usageRecorder(),
@@ -166,8 +166,8 @@
 	return nil
 }
 
-// Limits of callers' connections. The limits in the configuration are not known yet when
-// the HTTP servers are created; clients stay within these.
+// Limits of callers' connections. They are fixed, because the limits in the configuration
+// are not known yet when the HTTP servers are created. Clients stay within these limits.
 const (
 	headerTimeout  = 10 * time.Second
 	idleTimeout    = 3 * time.Minute
@@ -261,9 +261,9 @@
 	v.log.Info("reload", zap.Bool("same", reflect.DeepEqual(s, v.settings)), zap.String("takes_effect", "at the next start"))
 }
 
-// shutDown ends the process without cutting off a request: it first reports the VM as not
-// ready to the load balancer, and closes connections after the balancer has stopped
-// sending new ones.
+// shutDown ends the process without aborting a request. It first reports to the load
+// balancer that the VM is not ready, and closes connections after the balancer has
+// stopped sending new ones.
 func (v *vmProcess) shutDown() {
 	v.stopping.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), v.settings.Bounds.ShutdownGrace-shutdownMargin)
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -98,8 +98,8 @@
 	sort.SliceStable(lines, func(a, b int) bool { return lines[a].At.Before(lines[b].At) })
 }
 
-// Request prints each log line of a request, followed by the state that the VM
-// knew at that time. It reports whether there is any line of the request.
+// Request prints each log line of a request, followed by the states that were known to
+// the VM at that time. It reports whether there is any line of the request.
 func Request(w io.Writer, lines []*Line, id contract.RequestID) (bool, error) {
 	p := &printer{w: w, lines: lines}
 	found := false
@@ -147,18 +147,19 @@
 	return v
 }
 
-// stateEvent is a kind of log line that records the state which a VM knows from
-// then on.
+// stateEvent describes a log event that records a state known to a VM. The state lasts
+// until the VM logs the event again or restarts.
 type stateEvent struct {
 	event string
-	// matchField is the field that must have the same value in the line of the
-	// request. Empty means that the event applies to every request of the VM.
+	// matchField is a field, such as upstream. The state is printed only with log
+	// lines that have the same value of this field. Empty means with all log lines
+	// of requests at the VM.
 	matchField string
-	// shownFields are the fields that are printed.
+	// shownFields are the fields of the event that are printed.
 	shownFields []string
 }
 
-// stateEvents lists the state events, in the order in which they are printed.
+// stateEvents lists the known state events, in the order in which they are printed.
 var stateEvents = []stateEvent{
 	{"configuration", "", []string{"version", "revision", "from"}},
 	{"upstream", "upstream", []string{"leaving", "gone", "release", "address", "revision"}},
@@ -178,8 +179,8 @@
 // with the steps of a request.
 const startShownFor = time.Minute
 
-// printKnownState prints the state that the VM of the line at index knew at that time,
-// and since when it had known it.
+// printKnownState prints the states that were known to the VM when it wrote the log line
+// at index, and since when they were known.
 func (p *printer) printKnownState(index int) {
 	l := p.lines[index]
 	for _, e := range stateEvents {
@@ -197,8 +198,8 @@
 	}
 }
 
-// latestBefore returns the latest line of state event e before the line at index that has the
-// same VM and was written since the last start of its process, or nil.
+// latestBefore returns the latest line of state event e that the VM of the line at index
+// wrote before that line and since the last start of its process, or nil.
 func (p *printer) latestBefore(index int, e stateEvent) *Line {
 	l := p.lines[index]
 	for i := index - 1; i >= 0; i-- {
@@ -218,8 +219,8 @@
 
 // auditEvents are the events that Changes prints: changes of the configuration,
 // upstreams, orders and evacuations, the states that upstreams report of themselves,
-// request contents that are held, the start and stop of VMs, and their connection to
-// the store.
+// quarantined request contents, the start and stop of VMs, and their connection to the
+// store.
 var auditEvents = map[string]bool{
 	"configuration": true, "upstream": true, "order": true, "order-noted": true, "release-bad": true, "enlisted": true,
 	"request-held": true, "request-released": true, "evacuation": true,
@@ -229,8 +230,8 @@
 
 // Changes prints the changes in the order of the lines. Each change is printed once,
 // for the first VM that logged it. Changes are identified by the revision of an object,
-// by the fingerprint and epoch of a request's content, or, for the rate limit of an
-// upstream, by the start of the upstream and the version of the limit.
+// by the fingerprint of a quarantined content and its epoch, or, for the rate limit of
+// an upstream, by the incarnation of the upstream and the version of the limit.
 func Changes(w io.Writer, lines []*Line) error {
 	p := &printer{w: w, lines: lines}
 	printed := make(map[string]bool)
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -32,7 +32,7 @@
 }
 
 // TestRequestShowsKnownState checks that each step of a request is printed with the
-// state that its VM knew, and without that of other VMs.
+// states that were known to its VM, and without those known to other VMs.
 func TestRequestShowsKnownState(t *testing.T) {
 	is := is.New(t)
 	var out strings.Builder
@@ -70,7 +70,7 @@
 `
 
 // TestRequestShowsUpstreamState checks that a refusal is printed with the states that the
-// upstream reported of itself, and with its entry in the list of upstreams.
+// upstream reported about itself, and with its entry in the upstream list.
 func TestRequestShowsUpstreamState(t *testing.T) {
 	is := is.New(t)
 	explained, changes, losses := explainSample(t, upstreamStateSample, "r1")
@@ -114,19 +114,19 @@
 	return e.String(), c.String(), l.String()
 }
 
-const heldSample = `time=2026-05-07T06:48:41Z level=warn event=request-held vm=vm-a print=aa01 route=r workspace=w1 by=vm-b first_seen_by=vm-b ended=u1,u2,u3 epoch=0
+const quarantineSample = `time=2026-05-07T06:48:41Z level=warn event=request-held vm=vm-a print=aa01 route=r workspace=w1 by=vm-b first_seen_by=vm-b ended=u1,u2,u3 epoch=0
 time=2026-05-07T06:48:41.1Z level=warn event=request-held vm=vm-b print=aa01 route=r workspace=w1 by=own first_seen_by=vm-b ended=u1,u2,u3 epoch=0
 time=2026-05-07T06:48:42Z level=warn event=request-held vm=vm-a print=bb02 route=r workspace=w2 by=own first_seen_by=vm-a ended=u4,u5,u6 epoch=0
 time=2026-05-07T06:48:44Z level=warn event=refused vm=vm-a request=r1 reason=request-held print=aa01
 time=2026-05-07T06:48:45Z level=warn event=refused vm=vm-a request=r2 reason=no-upstream
 `
 
-// TestRequestShowsHeldContent checks that a refusal is printed with the upstreams that
-// crashed on the request's content, without those of other contents, and that each held
-// content is listed once among the changes.
-func TestRequestShowsHeldContent(t *testing.T) {
+// TestRequestShowsQuarantinedContent checks that a refusal is printed with the upstreams that
+// crashed on the request's content, without those of other contents, and that each
+// quarantined content is listed once among the changes.
+func TestRequestShowsQuarantinedContent(t *testing.T) {
 	is := is.New(t)
-	lines, _, err := Read(strings.NewReader(heldSample))
+	lines, _, err := Read(strings.NewReader(quarantineSample))
 	is.NoErr(err)
 	Sort(lines)
 	var out strings.Builder
--- a/explain/losses.go
+++ b/explain/losses.go
@@ -9,28 +9,29 @@
 	"time"
 )
 
-// Causes of a lost request, one that failed or was late. Each lost request has one
-// cause; for a late one it is the cause of the largest part of the delay.
+// Causes of lost requests, which are those that failed or were late. Each lost request
+// has one cause. That of a late request is the cause of the largest part of its delay.
 const (
 	causeQueue        = "late: waited at the engine"
 	causePrefill      = "late: its prompt was read"
-	causeGivenUp      = "late: a smaller model's answer was given up first"
+	causeEscalated    = "late: a smaller model's answer was given up first"
 	causeRetried      = "late: another attempt had failed first"
 	causeSlowUpstream = "late: the upstream was slow"
-	causeCallerGone   = "the caller left"
+	causeCallerLeft   = "the caller left"
 	causeFailed       = "failed: the upstream's own answer"
 )
 
-// requestLog collects the log lines of one request at one VM.
+// requestLog collects the log lines of one request at one VM. Each line in escalations
+// records that the answer of a smaller model was discarded.
 type requestLog struct {
-	outcome  *Line
-	attempts []*Line
-	givenUp  []*Line
-	retries  []*Line
+	outcome     *Line
+	attempts    []*Line
+	escalations []*Line
+	retries     []*Line
 }
 
 // Losses prints, for each route, how many requests were answered in time and the
-// causes of the others. It takes the latest outcome that each VM logged for a request.
+// causes of the others. If a VM logged several outcomes of a request, the latest counts.
 func Losses(w io.Writer, lines []*Line) error {
 	requests := make(map[string]*requestLog)
 	for _, l := range lines {
@@ -47,7 +48,7 @@
 		case "attempt":
 			r.attempts = append(r.attempts, l)
 		case "given-up":
-			r.givenUp = append(r.givenUp, l)
+			r.escalations = append(r.escalations, l)
 		case "retry":
 			r.retries = append(r.retries, l)
 		case "delivered", "refused", "cut", "caller-gone":
@@ -57,8 +58,8 @@
 	return writeLosses(w, requests)
 }
 
-// routeLosses counts the requests of a route: all, those answered in time, and the
-// others by cause.
+// routeLosses counts all requests of a route, those that were answered in time, and the
+// lost ones by cause.
 type routeLosses struct {
 	requests, inTime int
 	causes           map[string]int
@@ -120,7 +121,7 @@
 	case "cut":
 		return "cut: " + r.outcome.Value("reason")
 	case "caller-gone":
-		return causeCallerGone
+		return causeCallerLeft
 	}
 	if status := r.outcome.Value("status"); status >= "400" {
 		return causeFailed
@@ -140,8 +141,8 @@
 		case i == len(r.attempts)-1:
 			parts[causePrefill] += min(prefill, elapsed)
 			parts[causeQueue] += max(elapsed-prefill, 0)
-		case i < len(r.givenUp):
-			parts[causeGivenUp] += elapsed
+		case i < len(r.escalations):
+			parts[causeEscalated] += elapsed
 		default:
 			parts[causeRetried] += elapsed
 		}
--- a/explain/models.go
+++ b/explain/models.go
@@ -8,15 +8,16 @@
 	"text/tabwriter"
 )
 
-// modelStats collects the figures of a model's answers.
+// modelStats collects statistics of a model's answers. escalated counts the answers that
+// were discarded for the answer of a larger model.
 type modelStats struct {
-	answers, givenUp int
-	// confidences are the model's confidences in its own answers. timeRatios are the
-	// actual divided by the expected times until an answer began.
+	answers, escalated int
+	// confidences are the confidences that the model reported about its answers.
+	// timeRatios are the actual divided by the expected times until an answer began.
 	confidences, timeRatios []float64
-	// keptPoor counts answers that were delivered with a confidence below
+	// deliveredPoor counts answers that were delivered with a confidence below
 	// poorConfidence.
-	keptPoor int
+	deliveredPoor int
 }
 
 // poorConfidence is the confidence below which an answer is more likely poor than
@@ -45,13 +46,13 @@
 			last[id] = l
 		case "given-up":
 			if a := last[id]; a != nil {
-				statsOf(a).givenUp++
+				statsOf(a).escalated++
 				delete(last, id)
 			}
 		case "delivered":
 			a := last[id]
 			if confidence, ok := numberField(a, "confidence"); ok && confidence >= 0 && confidence < poorConfidence {
-				statsOf(a).keptPoor++
+				statsOf(a).deliveredPoor++
 			}
 			delete(last, id)
 		}
@@ -86,7 +87,7 @@
 	for _, name := range sortedKeys(models) {
 		m := models[name]
 		_, err := fmt.Fprintf(t, "model %s\tanswers %d\tgiven up %s\tpoor and stood %s\topinions %s\ttook/expected %s\n",
-			name, m.answers, percentage(m.givenUp, m.answers), percentage(m.keptPoor, m.answers), quartiles(m.confidences), quartiles(m.timeRatios))
+			name, m.answers, percentage(m.escalated, m.answers), percentage(m.deliveredPoor, m.answers), quartiles(m.confidences), quartiles(m.timeRatios))
 		if err != nil {
 			return err
 		}
--- a/explain/models_test.go
+++ b/explain/models_test.go
@@ -20,8 +20,8 @@
 time=2026-05-07T06:48:40Z event=attempt vm=b request=r5 model=small wait_ms=0 read_ms=50 first_ms=75 confidence=-1
 `
 
-// TestModelsSummarizesAnswers checks the figures printed for each model: answers given
-// up, poor answers that were delivered, confidences, and time ratios.
+// TestModelsSummarizesAnswers checks the statistics printed for each model: discarded
+// answers, poor answers that were delivered, confidences, and time ratios.
 func TestModelsSummarizesAnswers(t *testing.T) {
 	is := is.New(t)
 	lines, _, err := Read(strings.NewReader(modelSample))
--- a/explain/usage.go
+++ b/explain/usage.go
@@ -20,14 +20,14 @@
 // the outcome of the usage report of each window. windowLength is the length of a window.
 func Usage(w io.Writer, lines []*Line, windowLength time.Duration) error {
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	printed := make(map[string]bool) // the fencing numbers whose lease holder was printed
+	printed := make(map[string]bool) // the fencing tokens whose lease holder was printed
 	failed := make(map[string]int)
 	for _, l := range lines {
 		switch l.Event {
 		case eventLease:
-			if n := l.Value("fencing"); l.Value("mine") == "true" && !printed[n] {
-				printed[n] = true
-				fmt.Fprintf(out, "%s\t%s holds the lease, number %s\tbefore it %s\n", l.At.Format(time.RFC3339), l.VM, n, cmp.Or(l.Value("before"), "nobody"))
+			if token := l.Value("fencing"); l.Value("mine") == "true" && !printed[token] {
+				printed[token] = true
+				fmt.Fprintf(out, "%s\t%s holds the lease, number %s\tbefore it %s\n", l.At.Format(time.RFC3339), l.VM, token, cmp.Or(l.Value("before"), "nobody"))
 			}
 		case eventUsageReportFailed:
 			failed[l.Value("window")]++
@@ -40,7 +40,7 @@
 	return out.Flush()
 }
 
-// windowStart formats the start time of the window with a number. Window n starts n
+// windowStart formats the start time of the window with the given number. Window n starts n
 // window lengths after the Unix epoch.
 func windowStart(number string, length time.Duration) string {
 	n, err := strconv.ParseInt(number, 10, 64)
--- a/internal/mutants/main.go
+++ b/internal/mutants/main.go
@@ -100,7 +100,7 @@
 	{"a lost reply is resolved by reading", "history/history.go", "if accepted.ID == record.ID {\n		return nil\n	}", "", "./history", "TestPublishWithLostReplies"},
 	{"a withdrawn version stays withdrawn", "config/check.go", "if v.State != Withdrawn {", "if v.State != \"\" {", "./config", "TestNextSectionsKeepsVersionWithdrawn"},
 	{"an outdated file is rejected", "operator/operator.go", "if contract.Revision(from) == p.BaseRevision {", "if true {", "./operator", "TestApplyRefusesStaleFile"},
-	{"earlier configurations count for the stated end", "operator/operator.go", "end.After(latest)", "false", "./operator", "TestForceWaitsForOlderConfigurations"},
+	{"earlier configurations count for the stated end", "operator/operator.go", "end.After(latest)", "false", "./operator", "TestInForceAfterOlderConfigurationsExpire"},
 	{"capacity is reserved for quiet workspaces", "workspace/queue.go", "if q.running < q.opts.Capacity-q.reservedSlots() {", "if q.running < q.opts.Capacity {", "./workspace", "TestReserveAdmitsQuietWorkspace"},
 	{"an empty set of pools does not mean all pools", "relay/evacuation.go", "return len(c.pools) == 0", "return false", "./platform", "TestServiceWithoutUpstreamsRefuses"},
 	{"a quarantined content is not sent", "relay/quarantine.go", "!r.quarantineCases.Blocks(j.contentPrint(), now)", "!r.quarantineCases.Blocks(quarantine.Print{}, now)", "./platform", "TestCrashingRequestIsQuarantined"},
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -32,7 +32,7 @@
 var ErrNoBaseRevision = errors.New("the file does not name the revision that it is based on")
 
 // StaleError means that a file is based on an older revision than the accepted
-// one. Applying it would undo the changes made since.
+// one. Applying it would undo the changes that were accepted since that revision.
 type StaleError struct {
 	BaseRevision, AcceptedRevision contract.Revision
 	NewerChanges                   []document.Change
@@ -81,7 +81,7 @@
 // Apply makes a file the accepted configuration, entirely or not at all. from is
 // the revision that the file is based on. If it is negative, the file's
 // [configuration] section names that revision.
-func (o *Operator) Apply(ctx context.Context, name string, text []byte, from int64, a history.ChangeInfo) (document.Root, error) {
+func (o *Operator) Apply(ctx context.Context, name string, text []byte, from int64, info history.ChangeInfo) (document.Root, error) {
 	p, err := o.Plan(ctx, name, text)
 	if err != nil {
 		return document.Root{}, err
@@ -92,11 +92,11 @@
 	if len(p.Changes) == 0 {
 		return p.base.Root, nil
 	}
-	return history.Publish(ctx, o.Store, p.base, p.sections, a)
+	return history.Publish(ctx, o.Store, p.base, p.sections, info)
 }
 
 // checkBaseRevision refuses a file that is not based on the accepted revision,
-// because it would undo changes that others made since.
+// because it would undo the changes that were accepted since its base revision.
 func (o *Operator) checkBaseRevision(ctx context.Context, name string, text []byte, from int64, p *Plan) error {
 	if p.BaseRevision == 0 {
 		return nil // no configuration has been accepted yet
@@ -160,8 +160,8 @@
 }
 
 // maxWithdrawAttempts is how often a withdrawal is attempted while other changes
-// conflict with it. It can be applied to any newer configuration, because it only
-// changes the state of one version.
+// conflict with it. It can be retried on any newer configuration, because it changes
+// only the state of one version.
 const maxWithdrawAttempts = 10
 
 // ErrUnknownVersion means that the configuration does not declare the version.
@@ -169,7 +169,7 @@
 
 // Withdraw withdraws a version, even if others change the configuration at the
 // same time.
-func (o *Operator) Withdraw(ctx context.Context, v contract.VersionID, a history.ChangeInfo) (document.Root, error) {
+func (o *Operator) Withdraw(ctx context.Context, v contract.VersionID, info history.ChangeInfo) (document.Root, error) {
 	for n := 1; ; n++ {
 		base, err := history.Load(ctx, o.Store)
 		if err != nil {
@@ -182,7 +182,7 @@
 		if !changed {
 			return base.Root, nil
 		}
-		root, err := history.Publish(ctx, o.Store, base, sections, a)
+		root, err := history.Publish(ctx, o.Store, base, sections, info)
 		var conflict *history.ConflictError
 		if !errors.As(err, &conflict) || n == maxWithdrawAttempts {
 			return root, err
@@ -259,8 +259,8 @@
 	return statuses, nil
 }
 
-// maxClockSkew is the maximum difference assumed between the clocks of VMs and the
-// operator while a permission to serve is valid.
+// maxClockSkew is the assumed maximum difference between the clocks of a VM and of the
+// operator's machine while the VM may serve a version without an update.
 const maxClockSkew = 2 * time.Second
 
 // olderExpireAt returns the time from which no VM can act on a configuration
@@ -274,7 +274,7 @@
 		if c.ToRevision < root.Revision && !nextAcceptedAt.IsZero() {
 			longest, err := o.longestServeWithoutUpdate(ctx, c)
 			if err != nil {
-				readErr = err // without this configuration the result could be too early
+				readErr = err // the result could be too early if this configuration were skipped
 				return false
 			}
 			if end := nextAcceptedAt.Add(longest + maxClockSkew); end.After(latest) {
@@ -310,21 +310,21 @@
 }
 
 // Wait returns once the revision is in force on every VM, or when ctx ends. It
-// calls progress with the state after each poll.
+// calls progress with the status of the revision after each poll.
 func (o *Operator) Wait(ctx context.Context, root document.Root, progress func(datacentre.RevisionStatus)) (datacentre.RevisionStatus, error) {
-	var f datacentre.RevisionStatus
+	var status datacentre.RevisionStatus
 	for {
 		got, err := o.RevisionStatus(ctx, root)
 		if err == nil {
-			f = got
-			progress(f)
-			if f.InForceEverywhere(o.Now()) {
-				return f, nil
+			status = got
+			progress(status)
+			if status.InForceEverywhere(o.Now()) {
+				return status, nil
 			}
 		}
 		select {
 		case <-ctx.Done():
-			return f, errors.Join(ctx.Err(), err)
+			return status, errors.Join(ctx.Err(), err)
 		case <-time.After(waitPollInterval):
 		}
 	}
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -84,10 +84,10 @@
 	is.True(errors.Is(err, ErrUnknownVersion))
 }
 
-// TestForceWaitsForOlderConfigurations checks that a revision counts as in force
-// everywhere only after every older configuration has expired: each expires its
-// own serve-without-word time after the next configuration was accepted.
-func TestForceWaitsForOlderConfigurations(t *testing.T) {
+// TestInForceAfterOlderConfigurationsExpire checks that a revision counts as in force
+// everywhere only after every older configuration has expired. A configuration expires
+// when its serve-without-word time has passed since the next one was accepted.
+func TestInForceAfterOlderConfigurationsExpire(t *testing.T) {
 	is := is.New(t)
 	o, st, now := newTestOperator()
 	ctx := t.Context()
@@ -100,11 +100,12 @@
 	*now = startTime.Add(2 * time.Minute)
 	root, err := o.Withdraw(ctx, "m@1", testAuthor("ana", *now))
 	is.NoErr(err)
-	f, err := o.RevisionStatus(ctx, root)
+	status, err := o.RevisionStatus(ctx, root)
 	is.NoErr(err)
-	// A VM cut off with revision 1 may serve for an hour after revision 2 was accepted.
-	is.Equal(f.EnforcedAt, startTime.Add(time.Minute+time.Hour+maxClockSkew))
-	is.Equal(f.Pending[0].VM, contract.VMID("a"))
-	is.True(!f.InForceEverywhere(*now))
-	is.True(f.InForceEverywhere(f.EnforcedAt.Add(time.Second)))
+	// A VM that receives no update after revision 1 may act on it for an hour after
+	// revision 2 was accepted.
+	is.Equal(status.EnforcedAt, startTime.Add(time.Minute+time.Hour+maxClockSkew))
+	is.Equal(status.Pending[0].VM, contract.VMID("a"))
+	is.True(!status.InForceEverywhere(*now))
+	is.True(status.InForceEverywhere(status.EnforcedAt.Add(time.Second)))
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -36,7 +36,8 @@
 	Health string
 	// LinkAddress is the UDP address for links from other daemons of the system.
 	LinkAddress string
-	// AdvertisedLink is the link address announced to other daemons. Empty means Link.
+	// AdvertisedLink is the link address announced to other daemons. Empty means
+	// LinkAddress.
 	AdvertisedLink string
 	// MaxBody is the maximum size of a request body. Zero means 1 MiB.
 	MaxBody contract.Bytes
@@ -44,8 +45,8 @@
 	MaxInFlight int
 	// MaxQueue is the maximum number of queued requests. Zero means 1024.
 	MaxQueue int
-	// MaxTickets is the maximum number of tickets that this VM stores as one of
-	// their arbiters. Zero means 200000.
+	// MaxTickets is the maximum number of tickets whose state this VM stores as one
+	// of their arbiters. Zero means 200000.
 	MaxTickets int
 	// MaxBills is the maximum number of bill records kept in memory until they are
 	// filed with the platform. Zero means 100000.
@@ -65,7 +66,8 @@
 	Health string
 	// LinkAddress is the UDP address for links from other daemons of the system.
 	LinkAddress string
-	// AdvertisedLink is the link address announced to other daemons. Empty means Link.
+	// AdvertisedLink is the link address announced to other daemons. Empty means
+	// LinkAddress.
 	AdvertisedLink string
 	// Watchers is how many VMs of a data centre watch the platform for changes.
 	// Zero means 2.
--- a/settings/vm.go
+++ b/settings/vm.go
@@ -15,7 +15,8 @@
 )
 
 // VM holds the settings of woaddoor-vm, the only process of a VM on the users'
-// platform. Every limit that a deployment sets is here; the code has only defaults.
+// platform. It contains every limit that a deployment can set; the rest of the code has
+// only defaults.
 type VM struct {
 	Name       contract.VMID
 	DataCentre contract.DataCentreID
@@ -30,29 +31,29 @@
 	Bounds  Bounds
 	// Duties configures what one VM does on behalf of all VMs.
 	Duties Duties
-	// Policy selects the mechanisms of the upstream selection policy that are
-	// disabled. It is empty except in experiments that measure the benefit of one.
+	// Policy is the upstream selection policy. It lists the mechanisms that are
+	// disabled: none, except in experiments that measure the benefit of one.
 	Policy upstream.Policy
 	// ValueCostRatio is the value of a request of the highest rank divided by the
-	// cost of an answer from the most expensive model. MaxRepeatPrice is the price of
-	// repeating a request when the retry budget is almost used up, as a fraction of
-	// the value of the request.
+	// cost of an answer from the most expensive model. MaxEscalationPrice is the price
+	// of an escalation when the retry budget is almost used up, as a fraction of the
+	// value of the request.
 	ValueCostRatio, MaxEscalationPrice float64
 }
 
 // PolicyKeys lists the keys of the [policy] section.
-var PolicyKeys = []string{keyWithout, keyValueCostRatio, keyRepeatPrice}
+var PolicyKeys = []string{keyWithout, keyValueCostRatio, keyEscalationPrice}
 
 const (
-	keyWithout        = "without"
-	keyValueCostRatio = "worth-of-cost"
-	keyRepeatPrice    = "repeat-price"
+	keyWithout         = "without"
+	keyValueCostRatio  = "worth-of-cost"
+	keyEscalationPrice = "repeat-price"
 )
 
 // Limits of the values in the [policy] section.
 const (
 	minValueCostRatio, maxValueCostRatio = 0.1, 1000
-	maxRepeatPriceSetting                = 10
+	maxEscalationPriceSetting            = 10
 )
 
 // CheckPolicy validates lines of a [policy] section, each of the form "key = value".
@@ -73,7 +74,7 @@
 		r.Fault(keyWithout, "%v", err)
 	}
 	v.ValueCostRatio = r.Number(keyValueCostRatio, cascade.DefaultValueCostRatio, minValueCostRatio, maxValueCostRatio)
-	v.MaxEscalationPrice = r.Number(keyRepeatPrice, cascade.DefaultMaxEscalationPrice, 0, maxRepeatPriceSetting)
+	v.MaxEscalationPrice = r.Number(keyEscalationPrice, cascade.DefaultMaxEscalationPrice, 0, maxEscalationPriceSetting)
 }
 
 // Machine holds the resources that the machine gives the process. Zero means
@@ -96,14 +97,14 @@
 	callerDescriptorShare = 0.5
 )
 
-// Resources of one capacity unit. They are those of the smallest machines known.
+// Resources of one capacity unit. The smallest known machines have these.
 const (
 	coresPerCapacityUnit    = 0.1  // cores
 	linkMbpsPerCapacityUnit = 10.0 // megabits per second
 )
 
 // CapacityUnits returns the capacity of the machine, in whole units, for work on
-// behalf of other VMs. Its scarcest resource limits it. 0 means that the capacity is
+// behalf of other VMs. The scarcer of CPU time and link speed determines it. 0 means that the capacity is
 // not known.
 func (m Machine) CapacityUnits() int {
 	return int(min(m.CPUCores/coresPerCapacityUnit, m.LinkMbps/linkMbpsPerCapacityUnit))
@@ -125,8 +126,9 @@
 	Callers, Ready string
 	// Links is the UDP address for links from other VMs.
 	Links string
-	// Seeds are link addresses of VMs to contact at the start. Some may be down or
-	// outdated, and the VM's own address is included if it is itself a seed.
+	// Seeds are link addresses of VMs to contact at the start. Some of them may be down
+	// or no longer belong to a VM, and the VM's own address is among them if it is a
+	// seed itself.
 	Seeds []string
 	// Metrics is the TCP address that serves metrics. Empty means none.
 	Metrics string
@@ -141,16 +143,17 @@
 	ShutdownGrace time.Duration
 	// ConfigurationApply is the longest time until a new configuration is in force.
 	ConfigurationApply time.Duration
-	// RetryRatio, RetryWindow and RetrySlack limit the retries of all VMs together:
-	// in each window, the ratio of retries to requests, plus a constant number.
+	// RetryRatio, RetryWindow and RetrySlack limit the retries of all VMs together.
+	// In each window of length RetryWindow, they may be at most RetryRatio times the
+	// number of requests, plus RetrySlack.
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetrySlack  float64
 	// CanaryShare is the maximum fraction of requests that a bad release may receive.
 	CanaryShare float64
-	// LongestRest is the longest pause in requests that an upstream may ask for and
-	// be granted.
-	LongestRest time.Duration
+	// MaxBackoff is the longest back-off that a VM grants to an upstream which asks
+	// for one.
+	MaxBackoff time.Duration
 	// Evacuation is the longest that upstreams of a data centre may still receive
 	// requests after its evacuation is ordered. Zero disables evacuations.
 	Evacuation time.Duration
@@ -238,8 +241,8 @@
 }
 
 // readSeeds returns the link addresses of the seeds. A deployment may list them with
-// the port of another listener, so the port is replaced by that of this VM's
-// links, which is the same on all VMs.
+// the port of another listener, so each port is replaced by the port of this VM's own
+// links address. All VMs use the same port for links.
 func readSeeds(r *config.SectionReader, links string) []string {
 	_, port, err := net.SplitHostPort(links)
 	if err != nil {
@@ -268,7 +271,7 @@
 		RetrySlack:         r.Number("retry-slack", 0, 0, math.MaxInt32),
 		CanaryShare:        r.Number("canary-share", defaultCanaryShare, 0, 1),
 		Evacuation:         r.Duration("evacuation", 0),
-		LongestRest:        cmp.Or(r.Duration("longest-rest", 0), upstream.DefaultMaxBackoff),
+		MaxBackoff:         cmp.Or(r.Duration("longest-rest", 0), upstream.DefaultMaxBackoff),
 
 		ColdOvershoot: r.Number("cold-overshoot", defaultColdOvershoot, 1, math.MaxInt32),
 		ColdSlack:     r.Number("cold-slack", 0, 0, math.MaxInt32),
