--- a/internal/standin/duties/duties.go
+++ b/internal/standin/duties/duties.go
@@ -17,7 +17,8 @@
 type Faults struct {
 	// Down answers every call with 503.
 	Down bool
-	// DropAnswers is how many of the next calls are processed and then cut off without an answer.
+	// DropAnswers is how many of the next calls are processed but get no answer, because the
+	// connection is closed.
 	DropAnswers int
 	// Refuse is the status that answers every call; zero for none.
 	Refuse int
@@ -44,8 +45,8 @@
 	Preemptible         bool
 }
 
-// Platform is the stand-in, an http.Handler. LeaseDuration is the shortest time between two calls
-// of a VM for the same target if another VM made one in between.
+// Platform is the stand-in, an http.Handler. LeaseDuration is the shortest time that must pass
+// between two calls of a VM for the same target if another VM made one in between.
 type Platform struct {
 	LeaseDuration time.Duration
 
@@ -55,7 +56,8 @@
 	scaleOrders map[ScaleTarget]ScaleOrder
 	violations  []string
 	calls       int
-	// histories holds the earlier calls by kind of call and what they apply to.
+	// histories holds the earlier calls by the kind of call and its target, such as a service in a
+	// data centre.
 	histories map[string]*callHistory
 }
 
@@ -181,7 +183,7 @@
 }
 
 // recordCall records a call, and any violation of the protocol by it. duty names the kind of call
-// and what it applies to. The caller holds mu.
+// and its target. The caller holds mu.
 func (p *Platform) recordCall(duty, holder string, token uint64) {
 	history := p.histories[duty]
 	if history == nil {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -23,14 +23,14 @@
 	Versions []contract.VersionID
 	// Slots is how many requests run at once. Zero means 8.
 	Slots int
-	// TokenTime is the time to generate one token, and Prefill the time to process a prompt whose
-	// prefix is not cached. Zero means none.
+	// TokenTime is the time to generate one token, and PrefillTime the time to process a prompt
+	// whose prefix is not cached. Zero means none.
 	TokenTime, PrefillTime time.Duration
 	// PrefixCacheSize is how many prompt prefixes are cached. Zero means 32.
 	PrefixCacheSize int
 	// ReportLag is how old the reported load is. Zero means none.
 	ReportLag time.Duration
-	// IgnoreFencing makes the engine accept orders with an outdated fencing number.
+	// IgnoreFencing makes the engine accept orders with an outdated fencing token.
 	IgnoreFencing bool
 }
 
@@ -39,13 +39,14 @@
 type Faults struct {
 	// DropBeforeRead is how many of the next connections are closed before the request is read.
 	DropBeforeRead int
-	// DropAfterRun is how many of the next requests run and are then cut off without an answer.
+	// DropAfterRun is how many of the next requests run but get no answer, because the connection
+	// is closed.
 	DropAfterRun int
-	// TruncateAt breaks off each stream after that many tokens, and any other answer half-way.
-	// Zero means never.
+	// TruncateAt is the number of tokens after which the connection of each stream is closed. If it
+	// is not zero, any other answer ends half-way.
 	TruncateAt int
-	// StallAt stops each stream after that many tokens, until the caller disconnects. Zero means
-	// never.
+	// StallAt is the number of tokens after which each stream stalls until the caller disconnects.
+	// Zero means never.
 	StallAt int
 	// Refuse is how many of the next requests are answered with 503.
 	Refuse int
@@ -55,7 +56,7 @@
 	RunsVersion contract.VersionID
 	// DropLoadCalls makes the engine close calls for its load without an answer.
 	DropLoadCalls bool
-	// SlowFactor multiplies PerToken and Prefill. Zero means 1.
+	// SlowFactor multiplies TokenTime and PrefillTime. Zero means 1.
 	SlowFactor int
 }
 
@@ -139,7 +140,7 @@
 	return total
 }
 
-// DropGenerations drops every generation, so that no stream can be resumed.
+// DropGenerations forgets all runs, so that no stream can be resumed.
 func (e *Engine) DropGenerations() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -236,7 +237,7 @@
 	}
 }
 
-// releaseSlot passes a slot on to the next waiter, or frees it if there is none.
+// releaseSlot gives a slot to the next waiter in the queue, or frees it if the queue is empty.
 func (e *Engine) releaseSlot() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -305,8 +306,8 @@
 }
 
 // addCacheEvent adds an event that a prefix was cached or evicted. The caller holds mu.
-func (e *Engine) addCacheEvent(hash uint64, held bool) {
-	e.cacheEvents = append(e.cacheEvents, engine.CacheEvent{Seq: uint64(len(e.cacheEvents) + 1), Prefix: hash, Cached: held})
+func (e *Engine) addCacheEvent(hash uint64, cached bool) {
+	e.cacheEvents = append(e.cacheEvents, engine.CacheEvent{Seq: uint64(len(e.cacheEvents) + 1), Prefix: hash, Cached: cached})
 }
 
 // sleep waits for the duration times SlowFactor, or until ctx ends.
@@ -325,7 +326,7 @@
 	}
 }
 
-// applyOrder loads or unloads a version. It returns false if the order's fencing number is
+// applyOrder loads or unloads a version. It returns false if the order's fencing token is
 // outdated.
 func (e *Engine) applyOrder(order engine.Order) bool {
 	e.mu.Lock()
--- a/internal/standin/engine/generation.go
+++ b/internal/standin/engine/generation.go
@@ -26,7 +26,8 @@
 	progress  chan struct{}
 }
 
-// startGeneration counts a run of the request and keeps its generation, so that it can be resumed.
+// startGeneration counts a run of the request and stores it under the request id, so that its
+// stream can be resumed.
 func (e *Engine) startGeneration(id, version string, req engine.ChatRequest, tokens int) *generation {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &generation{
@@ -60,7 +61,7 @@
 	}
 }
 
-// await waits until n tokens are generated, and returns how many there are.
+// await waits until at least n tokens are generated, and returns the number of generated tokens.
 func (g *generation) await(ctx context.Context, n int) (int, error) {
 	for {
 		g.mu.Lock()
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -208,8 +208,8 @@
 	flusher.Flush()
 }
 
-// applyStreamFaults breaks off or stalls the stream if a fault asks for it before token i. A
-// resumed stream is not affected.
+// applyStreamFaults closes the connection of the stream or stalls it if a fault is set for token
+// i. A resumed stream is not affected.
 func (e *Engine) applyStreamFaults(ctx context.Context, i, firstToken int) {
 	e.mu.Lock()
 	truncate, stall := e.faults.TruncateAt, e.faults.StallAt
--- a/internal/standin/objects/sample.go
+++ b/internal/standin/objects/sample.go
@@ -14,7 +14,7 @@
 	Address, DataCentre string
 }
 
-// SampleHost is the host of the routes in a Sample or a Deployment.
+// SampleHost is the host of the routes in a SampleDeployment or a Deployment.
 const SampleHost = "a.example"
 
 // PutSample writes the configuration, as the operator would, and the upstream's entry, as the
@@ -68,7 +68,7 @@
 	ID, Address, DataCentre string
 	// Incarnation differs between successive processes with the same ID.
 	Incarnation int
-	// Leaving reports that the upstream will end soon.
+	// Leaving is true if the upstream has announced that it will end soon.
 	Leaving bool
 }
 
@@ -87,13 +87,13 @@
 // reporting.
 func (s *Store) DeleteUpstream(id string) { s.Delete(kindUpstreams, id) }
 
-// StartEvacuation asks, as the operator would, that the upstreams of a data centre receive no more
-// requests.
+// StartEvacuation orders the evacuation of a data centre, as the operator would, so that its
+// upstreams receive no more requests.
 func (s *Store) StartEvacuation(dataCentre string) {
 	s.Put(kindEvacuations, dataCentre, map[string]any{})
 }
 
-// EndEvacuation withdraws the request for an evacuation.
+// EndEvacuation withdraws the order to evacuate a data centre.
 func (s *Store) EndEvacuation(dataCentre string) { s.Delete(kindEvacuations, dataCentre) }
 
 const kindEvacuations = "evacuations"
--- a/internal/standin/objects/store.go
+++ b/internal/standin/objects/store.go
@@ -36,7 +36,8 @@
 	Down bool
 	// Hang leaves every call unanswered until the fault is cleared or the caller disconnects.
 	Hang bool
-	// DropAnswers is how many of the next writes are applied and then cut off without an answer.
+	// DropAnswers is how many of the next writes are applied but get no answer, because the
+	// connection is closed.
 	DropAnswers int
 	// StallWatches makes watches wait until they time out, even if there are changes.
 	StallWatches bool
@@ -189,8 +190,8 @@
 	}
 }
 
-// admit counts a call and applies the faults that concern every call. It returns false if the call
-// is finished.
+// admit counts a call and applies the faults that concern every call. It returns false if
+// the call has been answered or its caller has disconnected.
 func (s *Store) admit(w http.ResponseWriter, r *http.Request) bool {
 	for {
 		s.mu.Lock()
@@ -260,13 +261,13 @@
 	for {
 		s.mu.Lock()
 		events, revision, compacted, changed := s.changesSince(kind, afterRevision), s.revision, afterRevision < s.compactedTo, s.changed
-		hold := s.faults.StallWatches
+		stalled := s.faults.StallWatches
 		s.mu.Unlock()
 		if compacted {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
-		if len(events) > 0 && !hold {
+		if len(events) > 0 && !stalled {
 			writeJSON(w, http.StatusOK, map[string]any{"events": events, "Timestamp": revision})
 			return
 		}
--- a/internal/standin/replica/replica.go
+++ b/internal/standin/replica/replica.go
@@ -171,8 +171,8 @@
 // EndStream sends the final chunk of a stream.
 func (c *Conn) EndStream() { fmt.Fprint(c, "0\r\n\r\n") }
 
-// WaitClosed waits until the peer closes the connection, at most for the given time, and returns
-// whether it did.
+// WaitClosed waits for at most bound until the peer closes the connection, and returns whether the
+// peer closed it.
 func (c *Conn) WaitClosed(bound time.Duration) bool {
 	_ = c.SetReadDeadline(time.Now().Add(bound))
 	var buf [1]byte
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -17,7 +17,8 @@
 
 // Faults are the faults of the service, in effect until they are replaced.
 type Faults struct {
-	// DropAfterRun is how many of the next calls run and are then cut off without an answer.
+	// DropAfterRun is how many of the next calls run but get no answer, because the connection is
+	// closed.
 	DropAfterRun int
 	// DropBeforeRead is how many of the next connections are closed before the call is read.
 	DropBeforeRead int
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -21,7 +21,7 @@
 	Down bool
 	// DropReplies is how many of the next writes take effect although the client sees a failure.
 	DropReplies int
-	// DropRepliesPrefix limits LoseReplies to objects whose name has this prefix.
+	// DropRepliesPrefix limits DropReplies to objects whose name has this prefix.
 	DropRepliesPrefix string
 	// Latency is the time by which each call is delayed.
 	Latency time.Duration
@@ -82,10 +82,10 @@
 }
 
 // SetDisconnected disconnects a client, by its name, from the store, or reconnects it.
-func (s *Store) SetDisconnected(client string, cut bool) {
+func (s *Store) SetDisconnected(client string, disconnected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.disconnected[client] = cut
+	s.disconnected[client] = disconnected
 	s.notifyWatches()
 }
 
@@ -119,7 +119,8 @@
 // View returns the store as the named client sees it.
 func (s *Store) View(client string) *View { return &View{store: s, client: client} }
 
-// View is the store as one client sees it. Cut affects the views of its client only.
+// View is the store as one client sees it. SetDisconnected affects only the views of the client
+// that it names.
 type View struct {
 	store  *Store
 	client string
--- a/internal/standin/wire/wire.go
+++ b/internal/standin/wire/wire.go
@@ -1,5 +1,5 @@
 // Package wire is a stand-in for the network between VMs. Each VM is reached through its own UDP
-// relay, which drops the packets of pairs of VMs that a test has cut.
+// relay, which drops the packets between pairs of VMs that a test has disconnected.
 package wire
 
 import (
@@ -13,26 +13,26 @@
 	mu sync.Mutex
 	// vmByAddress maps the address of a VM's process to the VM's name.
 	vmByAddress map[string]string
-	// cutPairs holds the pairs of VMs that are cut, in both orders.
-	cutPairs map[[2]string]bool
+	// disconnectedPairs holds the pairs of VMs that cannot reach each other, in both orders.
+	disconnectedPairs map[[2]string]bool
 }
 
 // New returns a network in which every VM reaches every other VM.
 func New() *Net {
-	return &Net{vmByAddress: make(map[string]string), cutPairs: make(map[[2]string]bool)}
+	return &Net{vmByAddress: make(map[string]string), disconnectedPairs: make(map[[2]string]bool)}
 }
 
 // SetCut disconnects two VMs from each other, or reconnects them.
-func (n *Net) SetCut(a, b string, cut bool) {
+func (n *Net) SetCut(a, b string, disconnected bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cutPairs[[2]string{a, b}], n.cutPairs[[2]string{b, a}] = cut, cut
+	n.disconnectedPairs[[2]string{a, b}], n.disconnectedPairs[[2]string{b, a}] = disconnected, disconnected
 }
 
-func (n *Net) isCut(from *net.UDPAddr, to string) bool {
+func (n *Net) isDisconnected(from *net.UDPAddr, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cutPairs[[2]string{n.vmByAddress[from.String()], to}]
+	return n.disconnectedPairs[[2]string{n.vmByAddress[from.String()], to}]
 }
 
 // maxPacketSize is larger than any packet that the VMs send to each other.
@@ -73,7 +73,7 @@
 		if err != nil {
 			return
 		}
-		if r.net.isCut(from, r.vm) {
+		if r.net.isDisconnected(from, r.vm) {
 			continue
 		}
 		socket, err := r.socketFor(from)
@@ -101,9 +101,9 @@
 	for {
 		size, err := socket.Read(buf)
 		if err != nil {
-			continue // the packet was refused, because the process is being restarted
+			continue // no process listens at the address, because the VM is being restarted
 		}
-		if !r.net.isCut(peer, r.vm) {
+		if !r.net.isDisconnected(peer, r.vm) {
 			_, _ = r.listener.WriteToUDP(buf[:size], peer)
 		}
 	}
