--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -13,14 +13,14 @@
 )
 
 // purePackages are the packages that make decisions from typed events and a given time, without
-// side effects. Each runs the same in a property test, in a measurement and in production.
+// side effects. They behave the same in a property test, in a measurement and in production.
 var purePackages = []string{
 	"bill", "cascade", "contract", "datacentre", "document", "lease", "permit", "prefill",
 	"quarantine", "retry", "rollout", "scaling", "session", "stream", "ticket", "upstream", "usage", "vm", "workspace",
 }
 
 // allowedImports are the packages of the project that a pure package may import: the other pure
-// packages, the typed form of a configuration, and the signing of contents.
+// packages, the typed form of a configuration, and the signing of texts.
 var allowedImports = append([]string{"config", "sign"}, purePackages...)
 
 // forbiddenImports are packages, of the standard library and others, that do I/O, log, measure or
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -82,7 +82,7 @@
 		return
 	}
 	replica.SetDeadline(req, callerTimeout)
-	vmIncarnation := c.fleet.upstreams.signals.recordSend(id, v.name)
+	vmIncarnation := c.fleet.upstreams.notices.recordSend(id, v.name)
 	req.Header.Set(headerVMIncarnation, vmIncarnation)
 	sentAt := time.Now()
 	undisturbed := v.undisturbed()
@@ -96,7 +96,7 @@
 	}
 	defer resp.Body.Close()
 	if incarnation, err := strconv.Atoi(resp.Header.Get(headerUpstreamIncarnation)); err == nil {
-		c.fleet.upstreams.signals.recordLeaving(vmIncarnation, incarnation)
+		c.fleet.upstreams.notices.recordLeaving(vmIncarnation, incarnation)
 	}
 	responseBody, err := io.ReadAll(resp.Body)
 	if key == keyRevoked {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -19,14 +19,14 @@
 	inject func()
 }
 
-// faultGroup says what causes a kind of fault. Each group has its own random stream, whose number
+// faultGroup is the cause that several kinds of faults have in common. Each group has its own random stream, whose number
 // is the group's value, so that adding kinds to one group does not change the faults that a seed
 // draws from the others.
 type faultGroup uint64
 
 const (
 	failureGroup  faultGroup = iota + 2 // processes and links fail
-	signalGroup                         // upstreams announce that they are leaving or ask for a back-off
+	noticeGroup                         // upstreams announce that they are leaving or ask for a back-off
 	operatorGroup                       // the operator changes something
 	limitGroup                          // upstreams advertise rate limits
 )
@@ -67,36 +67,36 @@
 		}},
 		"store-links-silent": {failureGroup, func(int, time.Duration) { f.exemptAll(0); f.storeLink.silenceOpen() }},
 		"upstream-ends": {failureGroup, func(n int, d time.Duration) {
-			if slot := f.upstreams.pick(n); slot != nil {
-				f.upstreams.kill(slot, d)
+			if position := f.upstreams.pick(n); position != nil {
+				f.upstreams.kill(position, d)
 			}
 		}},
 		"upstreams-fail": {failureGroup, func(_ int, d time.Duration) {
 			f.upstreams.setFailing(true)
 			time.AfterFunc(d, func() { f.upstreams.setFailing(false) })
 		}},
-		"upstream-leaves": {signalGroup, func(n int, d time.Duration) {
-			if slot := f.upstreams.pick(n); slot != nil {
-				f.upstreams.startDrain(slot, d)
+		"upstream-leaves": {noticeGroup, func(n int, d time.Duration) {
+			if position := f.upstreams.pick(n); position != nil {
+				f.upstreams.startDrain(position, d)
 			}
 		}},
-		"upstream-rests": {signalGroup, func(n int, d time.Duration) {
-			if slot := f.upstreams.pick(n); slot != nil {
-				f.backOff([]*upstreamSlot{slot}, n, 2*d)
+		"upstream-rests": {noticeGroup, func(n int, d time.Duration) {
+			if position := f.upstreams.pick(n); position != nil {
+				f.backOff([]*upstreamPosition{position}, n, 2*d)
 			}
 		}},
 		"upstream-limited": {limitGroup, func(n int, d time.Duration) {
-			if slot := f.upstreams.pick(n); slot != nil {
-				f.upstreams.advertiseLimit(slot, limitValues[n%len(limitValues)], settleTime+limitWindow+2*d)
+			if position := f.upstreams.pick(n); position != nil {
+				f.upstreams.advertiseLimit(position, limitValues[n%len(limitValues)], settleTime+limitWindow+2*d)
 			}
 		}},
-		"upstreams-rest": {signalGroup, func(n int, d time.Duration) { f.backOff(f.upstreams.slots, n, d/2) }},
+		"upstreams-rest": {noticeGroup, func(n int, d time.Duration) { f.backOff(f.upstreams.positions, n, d/2) }},
 		"configurations": {operatorGroup, func(n int, d time.Duration) { f.writeConfigurations(2+n%10, d) }},
 		"evacuated":      {operatorGroup, func(n int, d time.Duration) { f.evacuate(dataCentre(n), d) }},
 		"upstream-mute": {failureGroup, func(n int, d time.Duration) {
-			if slot := f.upstreams.pick(n); slot != nil {
-				f.upstreams.setHanging(slot, true)
-				time.AfterFunc(d, func() { f.upstreams.setHanging(slot, false) })
+			if position := f.upstreams.pick(n); position != nil {
+				f.upstreams.setHanging(position, true)
+				time.AfterFunc(d, func() { f.upstreams.setHanging(position, false) })
 			}
 		}},
 		"upstream-link-cut": {failureGroup, func(n int, d time.Duration) {
@@ -110,8 +110,8 @@
 	}
 }
 
-// kindNames returns the names of the kinds in a group, sorted so that a seed always draws the same
-// ones.
+// kindNames returns the names of the kinds of faults in a group. They are sorted, so that a seed
+// always draws the same kinds.
 func kindNames(kinds map[string]faultKind, group faultGroup) []string {
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(kinds)) {
@@ -125,7 +125,7 @@
 // plan draws the faults for a seed: kind, target and time. Faults may overlap.
 func (f *fleet) plan(seed uint64, length time.Duration) []fault {
 	var faults []fault
-	for _, g := range []faultGroup{failureGroup, signalGroup, operatorGroup, limitGroup} {
+	for _, g := range []faultGroup{failureGroup, noticeGroup, operatorGroup, limitGroup} {
 		faults = append(faults, f.drawFaults(g, seed, length)...)
 	}
 	faults = append(faults, f.fixedFaults(seed, length)...)
@@ -169,7 +169,8 @@
 // maxFaultInterval is the upper bound on the time between two faults of a group.
 const maxFaultInterval = 3 * time.Second
 
-// exemptAll exempts all VMs from the time limits while a fault of the store lasts.
+// exemptAll exempts all VMs from the time limits while a fault of the store lasts, and for
+// settleTime after it.
 func (f *fleet) exemptAll(duration time.Duration) {
 	for _, v := range f.vms {
 		v.exempt(duration)
@@ -183,9 +184,9 @@
 }
 
 // backOff makes upstreams reject requests and ask for back-offs of 1 to 3 s, for the duration d.
-func (f *fleet) backOff(slots []*upstreamSlot, n int, d time.Duration) {
-	f.upstreams.setBackoff(slots, time.Duration(1+n%3)*time.Second)
-	time.AfterFunc(d, func() { f.upstreams.setBackoff(slots, 0) })
+func (f *fleet) backOff(positions []*upstreamPosition, n int, d time.Duration) {
+	f.upstreams.setBackoff(positions, time.Duration(1+n%3)*time.Second)
+	time.AfterFunc(d, func() { f.upstreams.setBackoff(positions, 0) })
 }
 
 // writeConfigurations writes n versions of the configuration spread over the duration d. They
@@ -220,9 +221,9 @@
 func (f *fleet) pause(v *vm, d time.Duration) {
 	v.exempt(d)
 	v.signal(syscall.SIGSTOP)
-	f.upstreams.signals.startIncarnation(v.name)
+	f.upstreams.notices.startIncarnation(v.name)
 	time.AfterFunc(d, func() {
-		f.upstreams.signals.startIncarnation(v.name)
+		f.upstreams.notices.startIncarnation(v.name)
 		v.signal(syscall.SIGCONT)
 	})
 }
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -18,7 +18,7 @@
 	"woaddoor/internal/standin/replica"
 )
 
-// Time limits and budgets, most of which the fleet's settings state.
+// Time limits and budgets, most of which are written to the settings of the VMs.
 const (
 	settleTime   = 3 * time.Second // how long a VM must be undisturbed before all guarantees apply to it
 	gracePeriod  = 4 * time.Second
@@ -89,7 +89,7 @@
 	}
 	f.upstreams = newUpstreams(f.store, rec, seed)
 	for n := range 2 * vms {
-		if err := f.upstreams.addSlot(dataCentre(n)); err != nil {
+		if err := f.upstreams.addPosition(dataCentre(n)); err != nil {
 			return nil, err
 		}
 	}
@@ -174,8 +174,8 @@
 	if err := command.Start(); err != nil {
 		return err
 	}
-	f.upstreams.signals.startIncarnation(v.name)
-	f.upstreams.signals.registerVM(v)
+	f.upstreams.notices.startIncarnation(v.name)
+	f.upstreams.notices.registerVM(v)
 	exited := make(chan struct{})
 	v.mu.Lock()
 	v.command, v.exited, v.terminating = command, exited, false
@@ -220,7 +220,7 @@
 	return time.Now().After(v.exemptUntil)
 }
 
-// isReady reports whether the VM's readiness page says that it accepts connections.
+// isReady reports whether the VM's readiness check succeeds.
 func (v *vm) isReady() bool {
 	client := http.Client{Timeout: time.Second}
 	resp, err := client.Get("http://" + v.readyAddress + replica.ReadinessPath)
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -13,11 +13,11 @@
 // Limits on the requests that reach an upstream that advertises a rate limit, from all VMs
 // together.
 const (
-	// limitLeeway is how long after a VM first receives an advertised limit its requests do not
-	// yet count against it.
+	// limitLeeway is the time after a VM first receives an advertised limit during which its
+	// requests do not count against the limit.
 	limitLeeway = 500 * time.Millisecond
 	// limitWindow is the time over which arrivals are counted. At most limitFactor times the
-	// advertised rate over it, and limitSlack more, may arrive.
+	// number of requests that the advertised rate allows in it, plus limitSlack, may arrive.
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
@@ -29,7 +29,7 @@
 // limitTracker records the rate limits that upstreams advertise and checks the requests that
 // arrive afterwards.
 type limitTracker struct {
-	signals *signalTracker
+	notices *noticeTracker
 
 	// mu guards the fields below.
 	mu sync.Mutex
@@ -97,12 +97,12 @@
 	}
 	limit.arrivals = append(limit.arrivals, limitArrival{now, vmIncarnation})
 	limit.arrivals = slices.DeleteFunc(limit.arrivals, func(a limitArrival) bool {
-		return now.Sub(a.at) >= limitWindow || !l.signals.isCurrent(a.vmIncarnation)
+		return now.Sub(a.at) >= limitWindow || !l.notices.isCurrent(a.vmIncarnation)
 	})
 	if now.Sub(limit.firstSentAt) < settleTime || link == nil || !link.undisturbedSince(now.Add(-limitWindow)) {
 		return
 	}
 	allowed := int(math.Ceil(limitFactor*limit.perSecond*limitWindow.Seconds() + limitSlack))
-	l.signals.recorder.check(guaranteeRateLimit, len(limit.arrivals) <= allowed, r.ID(),
+	l.notices.recorder.check(guaranteeRateLimit, len(limit.arrivals) <= allowed, r.ID(),
 		fmt.Sprintf("request %d within %v from VMs that have received the limit of %g per second, %v after it was first advertised; %d are allowed", len(limit.arrivals), limitWindow, limit.perSecond, now.Sub(limit.firstSentAt), allowed))
 }
--- a/internal/soak/signals.go
+++ b/internal/soak/notices.go
@@ -9,7 +9,8 @@
 	"woaddoor/internal/standin/replica"
 )
 
-// Limits on the requests that reach an upstream after it has signalled that it wants no more.
+// Limits on the requests that reach an upstream after it has announced that it is leaving, or has
+// asked for a back-off.
 const (
 	// drainTimeout is how long a VM may go on sending to an upstream after the VM has relayed an
 	// answer in which that upstream announces that it is leaving.
@@ -27,9 +28,9 @@
 	headerUpstreamIncarnation = "X-Life"
 )
 
-// signalTracker records the signals that upstreams send to VMs (leaving, back-off) and checks the
-// requests that arrive afterwards.
-type signalTracker struct {
+// noticeTracker records the notices of leaving and back-off that upstreams send to VMs, and checks
+// the requests that arrive afterwards.
+type noticeTracker struct {
 	recorder *recorder
 
 	// mu guards the fields below.
@@ -42,8 +43,8 @@
 	// leaving.
 	leavingSince map[incarnationPair]time.Time
 	backoffs     map[incarnationPair][]*backoff
-	// undisturbed reports for each VM, by name, that no fault currently exempts it from the time
-	// limits.
+	// undisturbed holds, by the name of the VM, a function that returns whether no fault currently
+	// exempts the VM from the time limits.
 	undisturbed map[string]func() bool
 }
 
@@ -61,15 +62,15 @@
 	arrivals    int
 }
 
-func newSignalTracker(rec *recorder) *signalTracker {
-	return &signalTracker{
+func newNoticeTracker(rec *recorder) *noticeTracker {
+	return &noticeTracker{
 		recorder: rec, vmIncarnations: make(map[string]int), sentAt: make(map[string]time.Time), leavingSince: make(map[incarnationPair]time.Time),
 		backoffs: make(map[incarnationPair][]*backoff), undisturbed: make(map[string]func() bool),
 	}
 }
 
 // registerVM adds a VM to the VMs that checkEvacuated takes into account.
-func (s *signalTracker) registerVM(v *vm) {
+func (s *noticeTracker) registerVM(v *vm) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.undisturbed[v.name] = v.undisturbed
@@ -77,7 +78,7 @@
 
 // startIncarnation records that a VM starts, pauses or resumes, each of which begins a new
 // incarnation.
-func (s *signalTracker) startIncarnation(vm string) {
+func (s *noticeTracker) startIncarnation(vm string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.vmIncarnations[vm]++
@@ -85,7 +86,7 @@
 
 // recordSend records that a caller sends a request, and returns the incarnation of the VM that it
 // goes to.
-func (s *signalTracker) recordSend(id, vm string) (vmIncarnation string) {
+func (s *noticeTracker) recordSend(id, vm string) (vmIncarnation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sentAt[id] = time.Now()
@@ -93,7 +94,7 @@
 }
 
 // isCurrent reports whether an incarnation is the current one of its VM.
-func (s *signalTracker) isCurrent(vmIncarnation string) bool {
+func (s *noticeTracker) isCurrent(vmIncarnation string) bool {
 	vm, _, _ := strings.Cut(vmIncarnation, " ")
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,13 +102,13 @@
 }
 
 // currentIncarnation returns the name of a VM's current incarnation. The caller holds mu.
-func (s *signalTracker) currentIncarnation(vm string) string {
+func (s *noticeTracker) currentIncarnation(vm string) string {
 	return fmt.Sprintf("%s %d", vm, s.vmIncarnations[vm])
 }
 
 // recordLeaving records that a caller has received an answer whose upstream announces that it is
 // leaving.
-func (s *signalTracker) recordLeaving(vmIncarnation string, incarnation int) {
+func (s *noticeTracker) recordLeaving(vmIncarnation string, incarnation int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	pair := incarnationPair{vmIncarnation, incarnation}
@@ -118,7 +119,7 @@
 }
 
 // recordBackoff records that an upstream asks a VM for a back-off.
-func (s *signalTracker) recordBackoff(vmIncarnation string, incarnation int, duration time.Duration) {
+func (s *noticeTracker) recordBackoff(vmIncarnation string, incarnation int, duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	pair := incarnationPair{vmIncarnation, incarnation}
@@ -128,7 +129,7 @@
 
 // checkEvacuated checks a request that has reached an upstream whose data centre has been under
 // evacuation for the given time.
-func (s *signalTracker) checkEvacuated(r *replica.Request, since time.Duration) {
+func (s *noticeTracker) checkEvacuated(r *replica.Request, since time.Duration) {
 	vm, _, _ := strings.Cut(r.Header.Get(headerVMIncarnation), " ")
 	s.mu.Lock()
 	undisturbed := s.undisturbed[vm]
@@ -140,7 +141,7 @@
 
 // checkArrival checks a request that has reached an upstream through a link. The link is nil once
 // the upstream has ended.
-func (s *signalTracker) checkArrival(r *replica.Request, incarnation int, link *proxy) {
+func (s *noticeTracker) checkArrival(r *replica.Request, incarnation int, link *proxy) {
 	vmIncarnation := r.Header.Get(headerVMIncarnation)
 	vm, _, _ := strings.Cut(vmIncarnation, " ")
 	s.mu.Lock()
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -17,7 +17,7 @@
 	// mu guards the fields below.
 	mu      sync.Mutex
 	delay   time.Duration // of each chunk that is forwarded
-	blocked bool          // bytes are held back in both directions
+	blocked bool          // nothing is forwarded in either direction
 	conns   map[*proxyConn]bool
 	// lastFaultAt is when a fault was last injected or cleared.
 	lastFaultAt time.Time
--- a/internal/soak/recorder.go
+++ b/internal/soak/recorder.go
@@ -47,7 +47,8 @@
 	return &recorder{startedAt: time.Now(), checkCounts: make(map[string]int)}
 }
 
-// check records one check of a guarantee for a request or VM, and its detail if it failed.
+// check records one check of a guarantee. id names the request or VM that was checked, and detail
+// describes the failure if ok is false.
 func (r *recorder) check(guarantee string, ok bool, id, detail string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -28,13 +28,13 @@
 	is.Equal(plan(7), plan(7))
 	is.True(!slices.Equal(plan(7), plan(8)))
 	total := 0
-	for _, g := range []faultGroup{failureGroup, signalGroup, operatorGroup, limitGroup} {
+	for _, g := range []faultGroup{failureGroup, noticeGroup, operatorGroup, limitGroup} {
 		total += len(kindNames(f.faultKinds(), g))
 	}
 	is.Equal(total, len(f.faultKinds()))
 }
 
-// TestProxyFaults checks each fault of a link: bytes are held back while it is blocked, silenced
+// TestProxyFaults checks each fault of a link: it forwards nothing while it is blocked, silenced
 // connections stay silent while new ones work, and a closed link refuses connections.
 func TestProxyFaults(t *testing.T) {
 	is := is.New(t)
--- a/internal/soak/upstreams.go
+++ b/internal/soak/upstreams.go
@@ -30,14 +30,14 @@
 type upstreams struct {
 	store    *objects.Store
 	recorder *recorder
-	signals  *signalTracker
+	notices  *noticeTracker
 	// limits tracks the rate limits that upstreams advertise.
 	limits *limitTracker
 
 	// mu guards the fields below.
 	mu              sync.Mutex
 	random          *rand.Rand
-	slots           []*upstreamSlot
+	positions       []*upstreamPosition
 	lastIncarnation int
 	// runCounts is how often each request, by id, began to run. arrivals lists every request that
 	// reached an upstream, rejected ones included.
@@ -59,8 +59,9 @@
 	id string
 }
 
-// upstreamSlot is a position in the fleet that is held by one upstream incarnation after another.
-type upstreamSlot struct {
+// upstreamPosition is a position in the fleet. When its upstream ends, another incarnation or
+// another upstream replaces it there.
+type upstreamPosition struct {
 	dataCentre  string
 	number      int
 	id          string
@@ -68,37 +69,37 @@
 	link        *proxy
 	hanging     bool // accepts requests and never answers
 	incarnation int
-	leaving     bool          // announces it in all its answers
+	leaving     bool          // announces in all its answers that it will end soon
 	backoff     time.Duration // rejects most requests and asks for this back-off; zero for none
 }
 
 func newUpstreams(store *objects.Store, rec *recorder, seed uint64) *upstreams {
-	signals := newSignalTracker(rec)
-	return &upstreams{store: store, recorder: rec, signals: signals, limits: &limitTracker{signals: signals, advertised: make(map[int]*advertisedLimit)}, random: rand.New(rand.NewPCG(seed, 1)), runCounts: make(map[string]int), evacuatedAt: make(map[string]time.Time)}
+	notices := newNoticeTracker(rec)
+	return &upstreams{store: store, recorder: rec, notices: notices, limits: &limitTracker{notices: notices, advertised: make(map[int]*advertisedLimit)}, random: rand.New(rand.NewPCG(seed, 1)), runCounts: make(map[string]int), evacuatedAt: make(map[string]time.Time)}
 }
 
-// addSlot adds a slot in a data centre and starts an upstream in it.
-func (u *upstreams) addSlot(dataCentre string) error {
+// addPosition adds a position in a data centre and starts an upstream there.
+func (u *upstreams) addPosition(dataCentre string) error {
 	u.mu.Lock()
-	slot := &upstreamSlot{dataCentre: dataCentre, number: len(u.slots)}
-	u.slots = append(u.slots, slot)
+	position := &upstreamPosition{dataCentre: dataCentre, number: len(u.positions)}
+	u.positions = append(u.positions, position)
 	u.mu.Unlock()
-	return u.startIncarnation(slot)
+	return u.startIncarnation(position)
 }
 
-// startIncarnation starts a new upstream incarnation in a slot. Even-numbered slots reuse their
-// id, odd-numbered ones take a new id each time.
-func (u *upstreams) startIncarnation(slot *upstreamSlot) error {
+// startIncarnation starts a new upstream at a position. At an even-numbered position it has the
+// same id as the one before and a new incarnation, at an odd-numbered one it has a new id.
+func (u *upstreams) startIncarnation(position *upstreamPosition) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.lastIncarnation++
 	incarnation := u.lastIncarnation
-	slot.id = fmt.Sprintf("u%d", slot.number)
-	if slot.number%2 == 1 {
-		slot.id = fmt.Sprintf("u%d-%d", slot.number, incarnation)
+	position.id = fmt.Sprintf("u%d", position.number)
+	if position.number%2 == 1 {
+		position.id = fmt.Sprintf("u%d-%d", position.number, incarnation)
 	}
-	slot.hanging, slot.leaving, slot.backoff, slot.incarnation = false, false, 0, incarnation
-	r, err := replica.Start(slot.id, func(c *replica.Conn, got *replica.Request) bool { return u.serve(slot, c, got) })
+	position.hanging, position.leaving, position.backoff, position.incarnation = false, false, 0, incarnation
+	r, err := replica.Start(position.id, func(c *replica.Conn, got *replica.Request) bool { return u.serve(position, c, got) })
 	if err != nil {
 		return err
 	}
@@ -107,63 +108,63 @@
 		r.Close()
 		return err
 	}
-	slot.replica, slot.link = r, link
-	u.putEntry(slot, incarnation)
+	position.replica, position.link = r, link
+	u.putEntry(position, incarnation)
 	return nil
 }
 
-// putEntry writes the store entry of a slot's current incarnation. The caller holds mu.
-func (u *upstreams) putEntry(slot *upstreamSlot, incarnation int) {
-	u.store.PutUpstream(objects.Upstream{ID: slot.id, Address: slot.link.address(), DataCentre: slot.dataCentre, Incarnation: incarnation})
+// putEntry writes the store entry of the current upstream at a position. The caller holds mu.
+func (u *upstreams) putEntry(position *upstreamPosition, incarnation int) {
+	u.store.PutUpstream(objects.Upstream{ID: position.id, Address: position.link.address(), DataCentre: position.dataCentre, Incarnation: incarnation})
 }
 
-// kill ends a slot's upstream at once and starts another one after a delay. Until then its store
-// entry stays in place although nothing answers at its address.
-func (u *upstreams) kill(slot *upstreamSlot, restartAfter time.Duration) {
+// kill ends the upstream at a position at once and starts another one after a delay. Until then the
+// store still has its entry although nothing answers at its address.
+func (u *upstreams) kill(position *upstreamPosition, restartAfter time.Duration) {
 	u.mu.Lock()
-	running, link, id := slot.replica, slot.link, slot.id
+	running, link, id := position.replica, position.link, position.id
 	if running == nil {
 		u.mu.Unlock()
 		return
 	}
-	slot.replica, slot.link = nil, nil
+	position.replica, position.link = nil, nil
 	u.mu.Unlock()
 	link.close()
 	running.Close()
 	time.AfterFunc(restartAfter, func() {
 		u.store.DeleteUpstream(id)
-		if err := u.startIncarnation(slot); err != nil {
+		if err := u.startIncarnation(position); err != nil {
 			u.recorder.recordFault("an upstream cannot be restarted: " + err.Error())
 		}
 	})
 }
 
 // serve handles one request and returns whether the connection stays open.
-func (u *upstreams) serve(slot *upstreamSlot, c *replica.Conn, r *replica.Request) bool {
+func (u *upstreams) serve(position *upstreamPosition, c *replica.Conn, r *replica.Request) bool {
 	u.mu.Lock()
 	u.arrivals = append(u.arrivals, arrival{time.Now(), r.ID()})
-	incarnation, link := slot.incarnation, slot.link
-	headers := append(u.signalHeaders(slot), u.limits.headers(r.Header.Get(headerVMIncarnation), incarnation)...)
+	incarnation, link := position.incarnation, position.link
+	headers := append(u.noticeHeaders(position), u.limits.headers(r.Header.Get(headerVMIncarnation), incarnation)...)
 	chance := u.random.IntN(100)
-	if slot.backoff > 0 && chance < backoffRejectPercent {
-		backoff := slot.backoff
+	if position.backoff > 0 && chance < backoffRejectPercent {
+		backoff := position.backoff
 		u.mu.Unlock()
 		u.reject(c, r, incarnation, link, append(headers, replica.RetryAfterHeader(backoff)), backoff)
 		return true
 	}
 	u.runCounts[r.ID()]++
-	runs, hanging, body := u.runCounts[r.ID()], slot.hanging, string(r.BodyBytes)
+	runs, hanging, body := u.runCounts[r.ID()], position.hanging, string(r.BodyBytes)
 	poison := body == bodyPoison && !u.ignorePoison
 	if body == bodyPoison {
 		u.poisonArrivals = append(u.poisonArrivals, time.Now())
 	}
 	fails := u.failing || u.random.IntN(50) == 0
-	evacuatedAt, isEvacuated := u.evacuatedAt[slot.dataCentre]
+	evacuatedAt, isEvacuated := u.evacuatedAt[position.dataCentre]
 	u.mu.Unlock()
 	if isEvacuated {
-		u.signals.checkEvacuated(r, time.Since(evacuatedAt))
+		u.notices.checkEvacuated(r, time.Since(evacuatedAt))
 	}
-	u.signals.checkArrival(r, incarnation, link)
+	u.notices.checkArrival(r, incarnation, link)
 	u.limits.checkArrival(r, incarnation, link)
 	if strings.HasPrefix(r.URL.Path, "/once/") {
 		u.recorder.check(guaranteeAtMostOnce, runs == 1, r.ID(), fmt.Sprintf("is run number %d", runs))
@@ -177,7 +178,7 @@
 		u.mu.Lock()
 		u.poisonExits = append(u.poisonExits, time.Now())
 		u.mu.Unlock()
-		u.kill(slot, 700*time.Millisecond)
+		u.kill(position, 700*time.Millisecond)
 		return false
 	case strings.HasPrefix(r.URL.Path, "/stream/") && !fails:
 		return u.stream(c, r, chance, headers)
@@ -195,25 +196,25 @@
 	return true
 }
 
-// signalHeaders returns the headers by which a leaving upstream announces this. The caller holds
+// noticeHeaders returns the headers by which a leaving upstream announces this. The caller holds
 // mu.
-func (u *upstreams) signalHeaders(slot *upstreamSlot) []string {
-	if !slot.leaving {
+func (u *upstreams) noticeHeaders(position *upstreamPosition) []string {
+	if !position.leaving {
 		return nil
 	}
-	return []string{replica.LeavingHeader, fmt.Sprintf("%s: %d", headerUpstreamIncarnation, slot.incarnation)}
+	return []string{replica.LeavingHeader, fmt.Sprintf("%s: %d", headerUpstreamIncarnation, position.incarnation)}
 }
 
 // reject refuses a request and asks for a back-off.
 func (u *upstreams) reject(c *replica.Conn, r *replica.Request, incarnation int, link *proxy, headers []string, backoff time.Duration) {
-	u.signals.checkArrival(r, incarnation, link)
+	u.notices.checkArrival(r, incarnation, link)
 	u.limits.checkArrival(r, incarnation, link)
-	u.signals.recordBackoff(r.Header.Get(headerVMIncarnation), incarnation, backoff)
+	u.notices.recordBackoff(r.Header.Get(headerVMIncarnation), incarnation, backoff)
 	c.RejectNotRun(r.ID(), headers...)
 }
 
-// Percentages of requests whose answer is lost or broken off, and of those whose answer is
-// preceded by the answer to another request.
+// Percentages of requests whose answer is lost or incomplete, and of those whose answer is preceded
+// by the answer to another request.
 const (
 	lostAnswerPercent    = 2
 	crossedAnswerPercent = 2
@@ -222,7 +223,7 @@
 	backoffRejectPercent = 70
 )
 
-// setFailing switches on or off that every repeatable request fails.
+// setFailing sets whether every repeatable request fails.
 func (u *upstreams) setFailing(failing bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -232,8 +233,8 @@
 // answerBody returns the full answer to a request.
 func answerBody(id string) string { return "answer to " + id }
 
-// stream answers with events, starting after the last one that the caller has. At random it breaks
-// off in the middle of an event, or repeats the last event that the caller has.
+// stream answers with events, starting after the last one that the caller has received. At random it
+// closes the connection in the middle of an event, or repeats the last event that the caller has.
 func (u *upstreams) stream(c *replica.Conn, r *replica.Request, chance int, headers []string) bool {
 	from := r.LastEventID()
 	c.BeginStream(r.ID(), headers...)
@@ -259,13 +260,13 @@
 	return u.runCounts[id]
 }
 
-// pick returns a slot that has a running upstream, starting the search at index n; nil if there is
-// none.
-func (u *upstreams) pick(n int) *upstreamSlot {
+// pick returns the first position with a running upstream, searching from index n, or nil if there
+// is none.
+func (u *upstreams) pick(n int) *upstreamPosition {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for k := range u.slots {
-		if p := u.slots[(n+k)%len(u.slots)]; p.replica != nil {
+	for k := range u.positions {
+		if p := u.positions[(n+k)%len(u.positions)]; p.replica != nil {
 			return p
 		}
 	}
@@ -277,7 +278,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var links []*proxy
-	for _, p := range u.slots {
+	for _, p := range u.positions {
 		if p.link != nil {
 			links = append(links, p.link)
 		}
@@ -285,45 +286,45 @@
 	return links
 }
 
-// setHanging makes an upstream accept requests without ever answering, or answer again.
-func (u *upstreams) setHanging(slot *upstreamSlot, hanging bool) {
+// setHanging sets whether the upstream at a position accepts requests without ever answering.
+func (u *upstreams) setHanging(position *upstreamPosition, hanging bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	slot.hanging = hanging
+	position.hanging = hanging
 }
 
 // startDrain makes an upstream announce in its answers that it is leaving, and ends it after the
-// drain time. Its store entry goes on to say that it is ready for longer than drainTimeout, as it
-// would while the store is unreachable.
-func (u *upstreams) startDrain(slot *upstreamSlot, extra time.Duration) {
+// drain time. Its store entry keeps the state ready for longer than drainTimeout, as it would while
+// the store is unreachable.
+func (u *upstreams) startDrain(position *upstreamPosition, extra time.Duration) {
 	entryDelay := drainTimeout + time.Second + extra
 	u.mu.Lock()
-	slot.leaving = true
-	incarnation := slot.incarnation
+	position.leaving = true
+	incarnation := position.incarnation
 	u.mu.Unlock()
 	running := func() bool {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		return slot.incarnation == incarnation && slot.replica != nil
+		return position.incarnation == incarnation && position.replica != nil
 	}
 	time.AfterFunc(entryDelay, func() {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		if slot.incarnation == incarnation && slot.replica != nil {
-			u.store.PutUpstream(objects.Upstream{ID: slot.id, Address: slot.link.address(), DataCentre: slot.dataCentre, Incarnation: incarnation, Leaving: true})
+		if position.incarnation == incarnation && position.replica != nil {
+			u.store.PutUpstream(objects.Upstream{ID: position.id, Address: position.link.address(), DataCentre: position.dataCentre, Incarnation: incarnation, Leaving: true})
 		}
 	})
 	time.AfterFunc(entryDelay+drainTimeout+time.Second, func() {
 		if running() {
-			u.kill(slot, 300*time.Millisecond)
+			u.kill(position, 300*time.Millisecond)
 		}
 	})
 }
 
 // advertiseLimit makes an upstream advertise a rate limit for the duration d.
-func (u *upstreams) advertiseLimit(slot *upstreamSlot, perSecond float64, d time.Duration) {
+func (u *upstreams) advertiseLimit(position *upstreamPosition, perSecond float64, d time.Duration) {
 	u.mu.Lock()
-	incarnation := slot.incarnation
+	incarnation := position.incarnation
 	u.mu.Unlock()
 	u.limits.start(incarnation, perSecond)
 	time.AfterFunc(d, func() { u.limits.stop(incarnation) })
@@ -350,11 +351,11 @@
 }
 
 // setBackoff makes upstreams reject most requests and ask for a back-off; zero ends that.
-func (u *upstreams) setBackoff(slots []*upstreamSlot, backoff time.Duration) {
+func (u *upstreams) setBackoff(positions []*upstreamPosition, backoff time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for _, slot := range slots {
-		slot.backoff = backoff
+	for _, position := range positions {
+		position.backoff = backoff
 	}
 }
 
--- a/internal/trial/main.go
+++ b/internal/trial/main.go
@@ -77,8 +77,8 @@
 	if err != nil {
 		return err
 	}
-	if _, err := operator.Wait(ctx, root, func(w datacentre.RevisionStatus) {
-		fmt.Printf("revision %d: in force on %d VMs, pending on %d\n", w.Revision, len(w.InForce), len(w.Pending))
+	if _, err := operator.Wait(ctx, root, func(status datacentre.RevisionStatus) {
+		fmt.Printf("revision %d: in force on %d VMs, pending on %d\n", status.Revision, len(status.InForce), len(status.Pending))
 	}); err != nil {
 		return err
 	}
@@ -88,8 +88,8 @@
 	return sendRequests(ctx, f)
 }
 
-// requestCount is how many requests sendRequests sends. Fleet.Serving has sent one more through
-// each VM by then.
+// requestCount is how many requests sendRequests sends. Before that,
+// Fleet.WaitUntilServing has sent one request through each VM.
 const requestCount = 3
 
 func sendRequests(ctx context.Context, f *fleet.Fleet) error {
