--- a/control/rollouts.go
+++ b/control/rollouts.go
@@ -101,8 +101,9 @@
 	return false
 }
 
-// publishStep writes a decided step to the configuration that it was decided for. If the configuration has changed since, nothing is written and the next
-// round decides again.
+// publishStep writes a decided step to the configuration that it was decided for. If
+// the configuration has changed since, nothing is written and the next round decides
+// again.
 func (s *Server) publishStep(ctx context.Context, m contract.ModelID, next decidedStep) error {
 	ctx, cancel := context.WithTimeout(ctx, rolloutTimeout)
 	defer cancel()
--- a/internal/soak/upstreams.go
+++ b/internal/soak/upstreams.go
@@ -360,7 +360,7 @@
 }
 
 // checkQuarantine checks that few poison requests arrived later than settleTime after they had
-// crashed three upstreams. No fault exempts from this, because a quarantine entry outlasts faults.
+// crashed three upstreams. It applies during faults too, because a quarantine entry outlasts them.
 func (u *upstreams) checkQuarantine() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
