--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -19,9 +19,9 @@
 	inject func()
 }
 
-// faultGroup is the cause that several kinds of faults have in common. Each group has its own random stream, whose number
-// is the group's value, so that adding kinds to one group does not change the faults that a seed
-// draws from the others.
+// faultGroup is the cause that several kinds of faults have in common. Each group has its own random
+// stream, whose number is the group's value, so that adding kinds to one group does not change the
+// faults that a seed draws from the others.
 type faultGroup uint64
 
 const (
--- a/internal/standin/replica/replica.go
+++ b/internal/standin/replica/replica.go
@@ -146,7 +146,8 @@
 // LeavingHeader is the header line by which an upstream announces that it will end soon.
 const LeavingHeader = "Server-Leaving: 1"
 
-// RetryAfterHeader returns the header line by which an upstream that rejects a request asks for a back-off.
+// RetryAfterHeader returns the header line by which an upstream that rejects a request asks for a
+// back-off.
 func RetryAfterHeader(d time.Duration) string { return fmt.Sprintf("Retry-After: %g", d.Seconds()) }
 
 // LimitHeader returns the header line by which an upstream advertises how many requests per second it
--- a/settings/vm.go
+++ b/settings/vm.go
@@ -104,8 +104,8 @@
 )
 
 // CapacityUnits returns the capacity of the machine, in whole units, for work on
-// behalf of other VMs. The scarcer of CPU time and link speed determines it. 0 means that the capacity is
-// not known.
+// behalf of other VMs. The scarcer of CPU time and link speed determines it. 0 means that
+// the capacity is not known.
 func (m Machine) CapacityUnits() int {
 	return int(min(m.CPUCores/coresPerCapacityUnit, m.LinkMbps/linkMbpsPerCapacityUnit))
 }
