--- a/internal/standin/replica/replica.go
+++ b/internal/standin/replica/replica.go
@@ -146,7 +146,8 @@
 // LeavingHeader is the header line by which an upstream announces that it will end soon.
 const LeavingHeader = "Server-Leaving: 1"
 
-// RetryAfterHeader returns the header line by which an upstream that rejects a request asks for a back-off.
+// RetryAfterHeader returns the header line by which an upstream that rejects a request asks for a
+// back-off.
 func RetryAfterHeader(d time.Duration) string { return fmt.Sprintf("Retry-After: %g", d.Seconds()) }
 
 // LimitHeader returns the header line by which an upstream advertises how many requests per second it
@@ -171,8 +172,8 @@
 // EndStream sends the final chunk of a stream.
 func (c *Conn) EndStream() { fmt.Fprint(c, "0\r\n\r\n") }
 
-// WaitClosed waits until the peer closes the connection, at most for the given time, and returns
-// whether it did.
+// WaitClosed waits for at most bound until the peer closes the connection, and returns whether the
+// peer closed it.
 func (c *Conn) WaitClosed(bound time.Duration) bool {
 	_ = c.SetReadDeadline(time.Now().Add(bound))
 	var buf [1]byte
