--- a/internal/bench/control.go
+++ b/internal/bench/control.go
@@ -28,10 +28,10 @@
 type controlFleet struct {
 	store    *standin.Store
 	servers  []*control.Server
-	entries  []*link.Endpoint
+	entries  []*link.Endpoint // of the stand-in entry processes
 	settings []settings.Settings
 	cancel   context.CancelFunc
-	dir      string
+	dir      string // holds the keys
 }
 
 // A fleet runs for settleDuration before it is measured for observeDuration.
@@ -84,8 +84,9 @@
 	vmSettings.Control = settings.Control{Health: "127.0.0.1:0", LinkAddress: peers[i].ControlLink, AdvertisedLink: peers[i].ControlLink, Watchers: 2, WatchWait: time.Second, BillFilingInterval: time.Second}
 	vmSettings.Entry.LinkAddress, vmSettings.Entry.AdvertisedLink = peers[i].EntryLink, peers[i].EntryLink
 	for j, p := range peers {
-		// The settings list the first four VMs of the own data centre and the first VM
-		// of every other, as real settings list a few VMs instead of the whole fleet.
+		// The settings list the first four VMs of the VM's own data centre and the first
+		// VM of every other data centre. Real settings too list a few VMs instead of the
+		// whole fleet.
 		if j != i && (isLocalPeer(peers, i, j) || strings.HasSuffix(string(p.VM), "-0")) {
 			vmSettings.Peers = append(vmSettings.Peers, p)
 		}
@@ -155,7 +156,8 @@
 	return bytes
 }
 
-// trafficGrowth returns the mean and the largest growth of a VM's bytes from a to b.
+// trafficGrowth returns the mean and the largest increase of a control server's bytes
+// between the readings a and b of trafficBytes.
 func trafficGrowth(a, b []int64) (mean, largest float64) {
 	for i := range a {
 		mean += float64(b[i]-a[i]) / float64(len(a))
@@ -181,10 +183,12 @@
 	return float64(m.HeapInuse+m.StackInuse) / (1 << 20)
 }
 
-// configTemplate is a configuration whose serve-without-word time, in seconds, each change sets.
+// configTemplate is a configuration. Each change sets another number of seconds for which
+// the version may be served without a recent configuration (serve-without-word).
 const configTemplate = "[workspace w]\nkey-hash = 0000000000000000000000000000000000000000000000000000000000000000\nallow = m@1\n\n[model m]\nserve = m@1\n\n[version m@1]\nserve-without-word = %ds\n"
 
-// applyChange makes a change and returns the time until every control server has it.
+// applyChange makes the n-th change of the configuration and returns the time until every
+// control server has it.
 func (c *controlFleet) applyChange(ctx context.Context, n int) (time.Duration, error) {
 	op := c.operator()
 	base, err := history.Load(ctx, op.Store)
@@ -239,26 +243,27 @@
 	time.Sleep(observeDuration)
 	seconds := time.Since(began).Seconds()
 	cpu1, bytes1, calls1 := processCPU(), c.trafficBytes(), c.store.Counts()
-	var took []time.Duration
+	var changeTimes []time.Duration
 	for i := range changesPerSize {
 		d, err := c.applyChange(ctx, i+1)
 		if err != nil {
 			return err
 		}
-		took = append(took, d)
+		changeTimes = append(changeTimes, d)
 		time.Sleep(time.Second)
 	}
 	calls2 := c.store.Counts()
 	mean, largest := trafficGrowth(bytes0, bytes1)
-	atRest := ratesBetween(calls0, calls1, seconds)
-	// The calls caused by the changes are those in excess of the calls at rest.
-	changeCalls := callsBetween(calls1, calls2) - atRest.total*(float64(changesPerSize)+totalDuration(took).Seconds())
+	idleRates := ratesBetween(calls0, calls1, seconds)
+	// The calls caused by the changes are those in excess of the rate of an idle fleet.
+	changeCalls := callsBetween(calls1, calls2) - idleRates.total*(float64(changesPerSize)+totalDuration(changeTimes).Seconds())
 	fmt.Printf("| %d x %d | %.2f | %.0f | %.0f | %.2f | %.1f | %.1f | %.1f | %.2f | %v | %v | %.1f |\n", dcs, vms,
 		100*(cpu1-cpu0).Seconds()/seconds/n, mean/seconds, largest/seconds, heapAndStackMiB()/n,
-		atRest.reads, atRest.watches, atRest.lists, atRest.writes, median(took).Round(time.Millisecond), quantile(took, 1).Round(time.Millisecond), changeCalls/changesPerSize)
+		idleRates.reads, idleRates.watches, idleRates.lists, idleRates.writes, median(changeTimes).Round(time.Millisecond), quantile(changeTimes, 1).Round(time.Millisecond), changeCalls/changesPerSize)
 	return nil
 }
 
+// totalDuration returns the sum of d.
 func totalDuration(d []time.Duration) time.Duration {
 	total := time.Duration(0)
 	for _, x := range d {
--- a/internal/bench/entry.go
+++ b/internal/bench/entry.go
@@ -16,11 +16,11 @@
 
 // Sizes of the measurements of the entry process.
 const (
-	requestPairs = 2000
-	cpuRequests  = 20_000
-	chunkStreams = 40
-	chunkTokens  = 4000
-	openStreams  = 1000
+	requestPairs = 2000   // pairs of a direct and a routed request
+	cpuRequests  = 20_000 // requests over which the processor time is measured
+	chunkStreams = 40     // streams for each number of concurrent streams
+	chunkTokens  = 4000   // tokens of each of these streams, one to a chunk
+	openStreams  = 1000   // largest number of open streams in the memory measurement
 )
 
 // median sorts d and returns its median.
@@ -35,7 +35,7 @@
 	return d[min(int(p*float64(len(d))), len(d)-1)]
 }
 
-// caller sends chat requests to a VM or directly to an engine.
+// caller sends chat requests for a model to a VM or directly to an engine.
 type caller struct {
 	url, key, model string
 	client          *http.Client
--- a/internal/bench/main.go
+++ b/internal/bench/main.go
@@ -15,6 +15,7 @@
 	"woaddoor/internal/fleet"
 )
 
+// arguments are the command-line flags.
 type arguments struct {
 	Only string `help:"Run one measurement: added, chunks, memory, control, writes."`
 }
@@ -28,6 +29,7 @@
 	run  func(ctx context.Context, binDir string) error
 }
 
+// measurements are all measurements, in the order in which they run.
 var measurements = []measurement{
 	{"added", measureAddedLatency}, {"chunks", measureChunks}, {"memory", measureMemory}, {"control", measureControl}, {"writes", measurePlatformCalls},
 }
@@ -41,6 +43,7 @@
 	}
 }
 
+// run builds the programs and runs the selected measurements.
 func run(a arguments) error {
 	ctx, cancel := context.WithTimeout(context.Background(), runTimeout)
 	defer cancel()
--- a/internal/bench/platform_calls.go
+++ b/internal/bench/platform_calls.go
@@ -16,7 +16,7 @@
 }
 
 // measurePlatformCalls counts the calls that a running fleet of six VMs makes to the
-// platform: at rest, under requests, and while a VM is replaced.
+// platform: while it is idle, under load, and while a VM is replaced.
 func measurePlatformCalls(ctx context.Context, binDir string) error {
 	f, stop, err := startFleet(ctx, binDir, 3, 2, 0)
 	if err != nil {
--- a/internal/fleet/caller.go
+++ b/internal/fleet/caller.go
@@ -44,18 +44,19 @@
 	return vm.Call(ctx, key, http.MethodPost, "/v1/chat/completions", ChatBody(model, text, 8, false), headers...)
 }
 
-// ChatBody returns the JSON body of a chat request.
+// ChatBody returns the JSON body of a chat request with a single user message. tokens is
+// the maximum length of the answer.
 func ChatBody(model, text string, tokens int, stream bool) string {
 	return fmt.Sprintf(`{"model":%q,"messages":[{"role":"user","content":%q}],"max_tokens":%d,"stream":%v}`, model, text, tokens, stream)
 }
 
-// pollInterval is the time between two checks of Until.
+// pollInterval is the time after which WaitFor checks its condition again.
 const pollInterval = 50 * time.Millisecond
 
-// WaitFor polls holds until it returns true or ctx ends. It returns nil once holds
-// is true, even if ctx has ended meanwhile.
-func WaitFor(ctx context.Context, holds func() bool) error {
-	for !holds() {
+// WaitFor polls condition until it returns true or ctx ends. It returns nil once condition
+// returns true, even if ctx has ended meanwhile.
+func WaitFor(ctx context.Context, condition func() bool) error {
+	for !condition() {
 		select {
 		case <-time.After(pollInterval):
 		case <-ctx.Done():
@@ -94,10 +95,13 @@
 	return n
 }
 
-// Status holds the fields of an entry process's status page that tests read. Arbiters and
-// Keepers are the numbers of processes that vote on this VM's tickets and that hold copies
-// of its bill records. BillsAtRisk counts its records that no peer holds and that are not
-// filed with the platform.
+// Status holds the fields of an entry process's status page that tests read.
+//
+// Members is the number of VMs known to be live. Arbiters and Keepers are the numbers of
+// processes that vote on this VM's tickets and that hold copies of its bill records.
+// ConfigurationAge is the time since the configuration was last confirmed as the newest.
+// BillsHeld counts the bill records stored on the VM, BillsAtRisk those of its records that
+// no peer holds and that are not filed with the platform.
 type Status struct {
 	Revision         contract.Revision `json:"revision"`
 	Members          int               `json:"members"`
--- a/internal/fleet/cutoff_test.go
+++ b/internal/fleet/cutoff_test.go
@@ -21,7 +21,7 @@
 func TestCutOff(t *testing.T) {
 	t.Parallel()
 	f, ctx := startFleet(t, 2, 2, 0)
-	connected, isolated := f.VMs[0], f.VMs[2] // VMs[2] is in dc2, which is cut off
+	connected, disconnected := f.VMs[0], f.VMs[2] // VMs[2] is in dc2, which is cut off
 	for _, c := range []struct {
 		name            string
 		platform, peers bool
@@ -36,27 +36,27 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			session, err := isolated.Chat(ctx, APIKeyNorte, "chat-small", "hello", "Woaddoor-Session", "new")
+			session, err := disconnected.Chat(ctx, APIKeyNorte, "chat-small", "hello", "Woaddoor-Session", "new")
 			is.NoErr(err)
 			foreign, err := connected.Call(ctx, APIKeyMbio, http.MethodPost, "/v1/tickets", "")
 			is.NoErr(err)
 			f.CutFromPlatform("dc2", c.platform)
 			f.CutFromPeers("dc2", c.peers)
 			for began := time.Now(); time.Since(began) < cutOffDuration; {
-				is.Equal(chatStatus(ctx, t, isolated, "chat-small@1"), http.StatusOK)
+				is.Equal(chatStatus(ctx, t, disconnected, "chat-small@1"), http.StatusOK)
 			}
-			status := chatStatus(ctx, t, isolated, "chat-small@2")
+			status := chatStatus(ctx, t, disconnected, "chat-small@2")
 			is.Equal(status == http.StatusOK, c.shortLived)
-			r, err := isolated.Chat(ctx, APIKeyNorte, "chat-small", "and then", "Woaddoor-Session", session.Header.Get("Woaddoor-Session"))
+			r, err := disconnected.Chat(ctx, APIKeyNorte, "chat-small", "and then", "Woaddoor-Session", session.Header.Get("Woaddoor-Session"))
 			is.NoErr(err)
 			is.Equal(r.Status, http.StatusOK)
 
-			own, err := isolated.Call(ctx, APIKeyMbio, http.MethodPost, "/v1/tickets", "")
+			own, err := disconnected.Call(ctx, APIKeyMbio, http.MethodPost, "/v1/tickets", "")
 			is.NoErr(err)
-			r, err = isolated.Call(ctx, APIKeyMbio, http.MethodPost, rulingPath, "own "+c.name, "Woaddoor-Ticket", own.Header.Get("Woaddoor-Ticket"))
+			r, err = disconnected.Call(ctx, APIKeyMbio, http.MethodPost, rulingPath, "own "+c.name, "Woaddoor-Ticket", own.Header.Get("Woaddoor-Ticket"))
 			is.NoErr(err)
 			is.Equal(r.Status, http.StatusOK)
-			r, err = isolated.Call(ctx, APIKeyMbio, http.MethodPost, rulingPath, "foreign "+c.name, "Woaddoor-Ticket", foreign.Header.Get("Woaddoor-Ticket"))
+			r, err = disconnected.Call(ctx, APIKeyMbio, http.MethodPost, rulingPath, "foreign "+c.name, "Woaddoor-Ticket", foreign.Header.Get("Woaddoor-Ticket"))
 			is.NoErr(err)
 			if c.foreign {
 				is.Equal(r.Status, http.StatusOK)
@@ -68,8 +68,8 @@
 			f.CutFromPlatform("dc2", false)
 			f.CutFromPeers("dc2", false)
 			waitUntil(ctx, t, "dc2 has reconnected and serves chat-small@2", func() bool {
-				st, err := isolated.Status(ctx)
-				return err == nil && chatStatus(ctx, t, isolated, "chat-small@2") == http.StatusOK && st.Arbiters == 2 && st.Keepers == 2 && st.ConfigurationAge < 3*time.Second
+				st, err := disconnected.Status(ctx)
+				return err == nil && chatStatus(ctx, t, disconnected, "chat-small@2") == http.StatusOK && st.Arbiters == 2 && st.Keepers == 2 && st.ConfigurationAge < 3*time.Second
 			})
 		})
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -50,13 +50,14 @@
 	Platform *standin.Store
 	// OperatorURL is the platform's address for the operator's commands.
 	OperatorURL string
-	Net         *wire.Net
-	VMs         []*VM
-	Engines     map[contract.UpstreamID]*engine.Engine
-	Boards      *service.Service
-	Rating      *rating.Service
-	urls        map[contract.UpstreamID]string
-	servers     []*http.Server
+	// Net carries the messages between the VMs and can block them.
+	Net     *wire.Net
+	VMs     []*VM
+	Engines map[contract.UpstreamID]*engine.Engine
+	Boards  *service.Service
+	Rating  *rating.Service
+	urls    map[contract.UpstreamID]string // base URLs of the engines and the services
+	servers []*http.Server                 // HTTP servers of the stand-ins
 }
 
 // VM is one virtual machine: an entry process and a control process.
@@ -67,7 +68,7 @@
 	HealthURL  string // URL of the entry process's health and status pages
 	Entry      *Process
 	Control    *Process
-	settings   string
+	settings   string // path of the settings file
 }
 
 // API keys of the workspaces norte and mbio.
@@ -161,6 +162,7 @@
 	endPort   = 20_000
 )
 
+// portCursor holds the offset from firstPort of the port that was tried last.
 var portCursor = struct {
 	sync.Mutex
 	next int
@@ -269,7 +271,7 @@
 	}
 }
 
-// makeKeys generates the key files of all VMs.
-func (f *Fleet) makeKeys(names []string) error {
+// generateKeys generates the key files of all VMs.
+func (f *Fleet) generateKeys(names []string) error {
 	return keys.GenerateFiles(filepath.Join(f.opts.WorkDir, "keys"), names)
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -38,7 +38,9 @@
 // than needed, so that a busy machine does not make a test fail.
 const waitTimeout = 60 * time.Second
 
-// startFleet starts a fleet, applies its configuration and waits until it serves.
+// startFleet starts a fleet of dcs data centres with vms VMs and two engines each, applies
+// its configuration and waits until it serves. An engine generates a token in the time
+// perToken.
 func startFleet(t *testing.T, dcs, vms int, perToken time.Duration) (*Fleet, context.Context) {
 	t.Helper()
 	is := is.New(t)
@@ -87,6 +89,7 @@
 	}
 }
 
+// programs are the names of the programs that run on each VM.
 var programs = []string{"woaddoor-entry", "woaddoor-control"}
 
 // printLogTails prints the last 6000 bytes of every log.
@@ -102,12 +105,12 @@
 	}
 }
 
-// waitUntil fails the test when holds does not become true within waitTimeout.
-func waitUntil(ctx context.Context, t *testing.T, what string, holds func() bool) {
+// waitUntil fails the test when condition does not become true within waitTimeout.
+func waitUntil(ctx context.Context, t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
-	if err := WaitFor(ctx, holds); err != nil {
+	if err := WaitFor(ctx, condition); err != nil {
 		t.Fatalf("condition not reached: %s", what)
 	}
 }
--- a/internal/fleet/guarantees_test.go
+++ b/internal/fleet/guarantees_test.go
@@ -64,7 +64,7 @@
 	t.Parallel()
 	is := is.New(t)
 	f, ctx := startFleet(t, 2, 1, 0)
-	connected, isolated := f.VMs[0], f.VMs[1]
+	connected, disconnected := f.VMs[0], f.VMs[1]
 	for _, vm := range f.VMs {
 		r, err := vm.Chat(ctx, APIKeyNorte, "chat-small@2", "hello")
 		is.NoErr(err)
@@ -78,19 +78,19 @@
 		r, err := connected.Chat(ctx, APIKeyNorte, "chat-small@2", "hello")
 		return err == nil && r.Status == http.StatusGone
 	})
-	var force datacentre.RevisionStatus
+	var revisionStatus datacentre.RevisionStatus
 	waitUntil(ctx, t, "the withdrawal is reported in force on the connected VM", func() bool {
-		force, err = f.Operator().RevisionStatus(ctx, root)
-		return err == nil && slices.Contains(force.InForce, connected.Name)
+		revisionStatus, err = f.Operator().RevisionStatus(ctx, root)
+		return err == nil && slices.Contains(revisionStatus.InForce, connected.Name)
 	})
-	is.Equal(len(force.Pending), 1)
-	is.Equal(force.Pending[0].VM, isolated.Name)
-	is.True(!force.InForceEverywhere(time.Now())) // not yet in force on the VM that is cut off
+	is.Equal(len(revisionStatus.Pending), 1)
+	is.Equal(revisionStatus.Pending[0].VM, disconnected.Name)
+	is.True(!revisionStatus.InForceEverywhere(time.Now())) // not yet in force on the VM that is cut off
 	waitUntil(ctx, t, "the VM that is cut off refuses the version", func() bool {
-		r, err := isolated.Chat(ctx, APIKeyMbio, "chat-small@2", "hello")
+		r, err := disconnected.Chat(ctx, APIKeyMbio, "chat-small@2", "hello")
 		return err == nil && r.Status != http.StatusOK
 	})
-	// After SureAt no VM sends new work to the withdrawn version.
+	// After EnforcedAt no VM sends new work to the withdrawn version.
 	runs := func() int {
 		n := 0
 		for _, e := range f.Engines {
@@ -98,17 +98,17 @@
 		}
 		return n
 	}
-	waitUntil(ctx, t, "SureAt has passed", func() bool { return time.Now().After(force.EnforcedAt) })
+	waitUntil(ctx, t, "EnforcedAt has passed", func() bool { return time.Now().After(revisionStatus.EnforcedAt) })
 	before := runs()
 	for range 5 {
-		_, err := isolated.Chat(ctx, APIKeyMbio, "chat-small@2", "hello")
+		_, err := disconnected.Chat(ctx, APIKeyMbio, "chat-small@2", "hello")
 		is.NoErr(err)
 	}
 	is.Equal(runs(), before)
 	f.CutFromPeers("dc2", false)
 	f.CutFromPlatform("dc2", false)
 	waitUntil(ctx, t, "the reconnected VM has the withdrawal", func() bool {
-		r, err := isolated.Chat(ctx, APIKeyMbio, "chat-small@2", "hello")
+		r, err := disconnected.Chat(ctx, APIKeyMbio, "chat-small@2", "hello")
 		return err == nil && r.Status == http.StatusGone
 	})
 }
@@ -130,9 +130,9 @@
 	}()
 	root, err := f.Operator().Withdraw(ctx, "chat-small@2", history.ChangeInfo{Author: "ana", Reason: "bad", At: time.Now()})
 	is.NoErr(err)
-	force, err := f.Operator().RevisionStatus(ctx, root)
+	revisionStatus, err := f.Operator().RevisionStatus(ctx, root)
 	is.NoErr(err)
-	waitUntil(ctx, t, "the permission has expired", func() bool { return time.Now().After(force.EnforcedAt) })
+	waitUntil(ctx, t, "the permission has expired", func() bool { return time.Now().After(revisionStatus.EnforcedAt) })
 	before := 0
 	for _, e := range f.Engines {
 		before += e.RunCountOfVersion("chat-small@2")
--- a/internal/fleet/layout.go
+++ b/internal/fleet/layout.go
@@ -41,17 +41,17 @@
 			})
 		}
 	}
-	if err := f.makeKeys(names); err != nil {
+	if err := f.generateKeys(names); err != nil {
 		return err
 	}
-	var list []contract.VMEntry
+	var entries []contract.VMEntry
 	for i, vm := range f.VMs {
-		list = append(list, contract.VMEntry{ID: vm.Name, DataCentre: vm.DataCentre, Address: addresses[i].controlAdvertised, State: contract.VMLive})
+		entries = append(entries, contract.VMEntry{ID: vm.Name, DataCentre: vm.DataCentre, Address: addresses[i].controlAdvertised, State: contract.VMLive})
 		if err := os.WriteFile(vm.settings, []byte(f.renderSettings(vm, addresses, i)), 0o600); err != nil {
 			return err
 		}
 	}
-	f.Platform.SetVMs(list)
+	f.Platform.SetVMs(entries)
 	return nil
 }
 
@@ -81,7 +81,7 @@
 	return a, err
 }
 
-// renderSettings returns the settings file of VM i.
+// renderSettings returns the settings file of vm, whose addresses are addresses[i].
 func (f *Fleet) renderSettings(vm *VM, addresses []vmAddresses, i int) string {
 	own := addresses[i]
 	var b strings.Builder
--- a/internal/fleet/rollout_test.go
+++ b/internal/fleet/rollout_test.go
@@ -15,7 +15,7 @@
 )
 
 // rolloutPlan moves chat-small to its second version. Its rates are far apart, so
-// that a step needs few answers and a test can run the roll-out to its end.
+// that a step needs few answers and a test can run the rollout to its end.
 const rolloutPlan = `[rollout chat-small]
 from = chat-small@1
 to = chat-small@2
@@ -47,7 +47,7 @@
 	return f, ctx
 }
 
-// acceptedStates returns the recorded states of the roll-out, oldest first, each
+// acceptedStates returns the recorded states of the rollout, oldest first, each
 // as "STATE STEP".
 func acceptedStates(ctx context.Context, t *testing.T, f *Fleet) []string {
 	t.Helper()
@@ -68,13 +68,13 @@
 
 // formatState returns a progress section as "STATE STEP".
 func formatState(s document.Section) string {
-	words := strings.Fields(strings.NewReplacer("state = ", "", "step = ", "", "to = ", "").Replace(string(s)))
-	return fmt.Sprintf("%s %s", words[0], words[1])
+	fields := strings.Fields(strings.NewReplacer("state = ", "", "step = ", "", "to = ", "").Replace(string(s)))
+	return fmt.Sprintf("%s %s", fields[0], fields[1])
 }
 
-// sendChatsUntil sends chat requests through the second and third VM until holds
+// sendChatsUntil sends chat requests through the second and third VM until condition
 // returns true. It returns how many were answered by the new version.
-func sendChatsUntil(ctx context.Context, t *testing.T, f *Fleet, what string, holds func() bool) (onNew int) {
+func sendChatsUntil(ctx context.Context, t *testing.T, f *Fleet, what string, condition func() bool) (onNew int) {
 	t.Helper()
 	sent := 0
 	waitUntil(ctx, t, what, func() bool {
@@ -85,22 +85,22 @@
 				onNew++
 			}
 		}
-		return holds()
+		return condition()
 	})
 	return onNew
 }
 
-// TestRolloutFailover kills one VM after the first step of a roll-out whose
+// TestRolloutFailover kills one VM after the first step of a rollout whose
 // engines load the new version under a lease. The others continue: no step is
 // skipped or repeated, and each step is in the change history.
 func TestRolloutFailover(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f, ctx := startRollout(t)
-	sendChatsUntil(ctx, t, f, "the roll-out has begun", func() bool { return len(acceptedStates(ctx, t, f)) > 0 })
+	sendChatsUntil(ctx, t, f, "the rollout has begun", func() bool { return len(acceptedStates(ctx, t, f)) > 0 })
 	f.VMs[0].Entry.Kill()
 	f.VMs[0].Control.Kill()
-	sendChatsUntil(ctx, t, f, "the roll-out is done", func() bool {
+	sendChatsUntil(ctx, t, f, "the rollout is done", func() bool {
 		states := acceptedStates(ctx, t, f)
 		return strings.HasPrefix(states[len(states)-1], "done")
 	})
--- a/internal/fleet/stream_test.go
+++ b/internal/fleet/stream_test.go
@@ -105,9 +105,9 @@
 	first, last, _ := readStream(lines, 10)
 	f.VMs[0].Entry.Kill()
 	_, lines = openStream(ctx, t, f.VMs[1], "", "Woaddoor-Stream", token, "Last-Event-ID", last)
-	rest, _, ended := readStream(lines, 0)
+	remaining, _, ended := readStream(lines, 0)
 	is.True(ended)
-	is.True(strings.Contains(whole.Body, first+rest)) // no token is missing or repeated
+	is.True(strings.Contains(whole.Body, first+remaining)) // no token is missing or repeated
 
 	resp, _ = openStream(ctx, t, f.VMs[1], "", "Woaddoor-Stream", token+"x", "Last-Event-ID", last)
 	is.Equal(resp.StatusCode, http.StatusForbidden)
--- a/internal/rounds/experiment.go
+++ b/internal/rounds/experiment.go
@@ -94,34 +94,34 @@
 
 // readVariant reads the settings of one variant and checks them.
 func readVariant(name string, r *config.SectionReader) variant {
-	w := variant{name: name}
+	v := variant{name: name}
 	for _, key := range r.Keys() {
 		if !slices.Contains(settings.PolicyKeys, key) {
 			r.Fault(key, "is not a policy setting: expected one of %s", strings.Join(settings.PolicyKeys, ", "))
 			continue
 		}
-		w.settings = append(w.settings, key+" = "+r.String(key, ""))
+		v.settings = append(v.settings, key+" = "+r.String(key, ""))
 	}
-	if err := settings.CheckPolicy(strings.Join(w.settings, "\n")); err != nil {
+	if err := settings.CheckPolicy(strings.Join(v.settings, "\n")); err != nil {
 		r.Fault(r.Keys()[0], "%v", err)
 	}
-	return w
+	return v
 }
 
 // readDeployment reads the site file and the size of one deployment.
 func readDeployment(name string, r *config.SectionReader) deployment {
-	e := deployment{name: name, site: r.Required("site", "expected a site file"), small: r.OneOf("small", "yes", "yes", "no") == "yes"}
+	d := deployment{name: name, site: r.Required("site", "expected a site file"), small: r.OneOf("small", "yes", "yes", "no") == "yes"}
 	r.RejectUnknownKeys()
-	return e
+	return d
 }
 
-// reportFile returns the file name of the report of a variant's day.
-func (x *experiment) reportFile(w variant, p plannedDay) string {
+// reportFile returns the file name of the report of a day that a variant runs.
+func (x *experiment) reportFile(v variant, p plannedDay) string {
 	name := strings.Map(func(c rune) rune {
 		if c == ' ' || c == '/' {
 			return '-'
 		}
 		return c
-	}, w.name+"."+p.deployment.name+"."+p.day)
+	}, v.name+"."+p.deployment.name+"."+p.day)
 	return fmt.Sprintf("%s.%d.json", name, p.seed)
 }
--- a/internal/rounds/experiment_test.go
+++ b/internal/rounds/experiment_test.go
@@ -117,17 +117,17 @@
 func TestWriteResults(t *testing.T) {
 	is := is.New(t)
 	x := &experiment{variants: []variant{{name: baseline}, {name: "other"}}, deployments: []deployment{{name: "d"}}}
-	trials := resultsWithDifferences(0.02, 0.03)
-	trials[1].report.Breaks = map[string]json.RawMessage{"LOST": nil}
+	results := resultsWithDifferences(0.02, 0.03)
+	results[1].report.Breaks = map[string]json.RawMessage{"LOST": nil}
 	var table strings.Builder
-	printDifferences(&table, x, trials)
+	printDifferences(&table, x, results)
 	is.True(strings.Contains(table.String(), "| d | "))
 	is.True(strings.Contains(table.String(), "LOST quiet-1 seed 0"))
 	var csv strings.Builder
-	is.NoErr(writeCSV(&csv, trials))
+	is.NoErr(writeCSV(&csv, results))
 	is.Equal(strings.Count(csv.String(), "\n"), 5)
 	file := filepath.Join(t.TempDir(), "worth.svg")
-	is.NoErr(plotDifferences(file, x, trials))
+	is.NoErr(plotDifferences(file, x, results))
 	raw, err := os.ReadFile(file)
 	is.NoErr(err)
 	is.True(strings.Contains(string(raw), "<svg"))
--- a/internal/rounds/main.go
+++ b/internal/rounds/main.go
@@ -35,6 +35,7 @@
 	"github.com/alecthomas/kong"
 )
 
+// arguments are the command-line flags.
 type arguments struct {
 	Bench      string   `help:"The users' bench." type:"path" required:""`
 	Site       string   `help:"The site file." type:"path" xor:"what" required:""`
@@ -171,7 +172,8 @@
 	fmt.Fprintln(os.Stderr)
 }
 
-// runDay has the bench run one day of the project in the folder dir, and reads its report.
+// runDay lets the bench run one day with the checkout in the folder dir, and reads the
+// report that the bench writes to file.
 func (a *arguments) runDay(dir, day string, seed int, file string) (*report, error) {
 	args := []string{"run", a.Site, day, "--report", file, "--jobs", "1", "--why", a.Why}
 	if seed > 0 {
@@ -193,7 +195,7 @@
 	return r, nil // err is ignored: the bench exits with an error status when a rule is broken
 }
 
-// reportsOf returns the reports of a day's runs that did not fail.
+// reportsOf returns the reports of those runs of a day that did not fail.
 func reportsOf(runs []*dayRun, day string) []*report {
 	var out []*report
 	for _, run := range runs {
--- a/internal/rounds/paired.go
+++ b/internal/rounds/paired.go
@@ -21,19 +21,19 @@
 	pairs           int
 }
 
-// pairedDifference returns the difference of a metric, variant b minus variant a, over the
-// days of one deployment.
+// pairedDifference returns the mean difference of a metric, variant b minus variant a, over
+// the days of one deployment. Days that only one of the variants has run do not count.
 func pairedDifference(results []result, deployment, a, b string, metric func(*report) float64) difference {
 	var s sampleStats
-	for _, t := range results {
-		if t.deployment != deployment || t.variant != b {
+	for _, r := range results {
+		if r.deployment != deployment || r.variant != b {
 			continue
 		}
-		i := slices.IndexFunc(results, func(o result) bool {
-			return o.variant == a && o.deployment == deployment && o.day == t.day && o.seed == t.seed
+		i := slices.IndexFunc(results, func(other result) bool {
+			return other.variant == a && other.deployment == deployment && other.day == r.day && other.seed == r.seed
 		})
 		if i >= 0 {
-			s.add(metric(t.report) - metric(results[i].report))
+			s.add(metric(r.report) - metric(results[i].report))
 		}
 	}
 	d := difference{mean: s.mean(), halfWidth: math.Inf(1), pairs: int(s.n)}
@@ -44,7 +44,7 @@
 	return d
 }
 
-// verdict says whether the confidence interval excludes zero, and on which side.
+// verdict returns whether the confidence interval excludes zero, and on which side.
 func (d difference) verdict() string {
 	switch {
 	case d.mean-d.halfWidth > 0:
@@ -55,6 +55,8 @@
 	return "no difference seen"
 }
 
+// String returns the mean and, if there are at least two pairs, half the width of its
+// confidence interval.
 func (d difference) String() string {
 	if math.IsInf(d.halfWidth, 1) {
 		return fmt.Sprintf("%+.3f", d.mean)
@@ -68,9 +70,9 @@
 	value func(*report) float64
 }
 
-// metricsOf returns the metrics of a report: its worth, the parts of the worth, and the
-// prices. The worth of a day with a broken rule is not set to zero here: brokenDays lists
-// the broken rules instead.
+// metricsOf returns the metrics of a report: its worth (the bench's score), the parts of
+// the worth, and the prices. The worth of a day with a broken rule is not set to zero here:
+// brokenDays lists the broken rules instead.
 func metricsOf(r *report) []metric {
 	figures := []metric{{"worth", func(r *report) float64 { return r.Worth }}}
 	for i, p := range r.Parts {
@@ -102,13 +104,13 @@
 			fmt.Fprintf(w, " %s |", f.name)
 		}
 		fmt.Fprintf(w, " pairs | broken |\n|%s\n", strings.Repeat("---|", len(figures)+4))
-		for _, e := range x.deployments {
-			worth := pairedDifference(results, e.name, baseline, v.name, figures[0].value)
-			fmt.Fprintf(w, "| %s | %s |", e.name, worth.verdict())
+		for _, d := range x.deployments {
+			worth := pairedDifference(results, d.name, baseline, v.name, figures[0].value)
+			fmt.Fprintf(w, "| %s | %s |", d.name, worth.verdict())
 			for _, f := range figures {
-				fmt.Fprintf(w, " %s |", pairedDifference(results, e.name, baseline, v.name, f.value))
+				fmt.Fprintf(w, " %s |", pairedDifference(results, d.name, baseline, v.name, f.value))
 			}
-			fmt.Fprintf(w, " %d | %s |\n", worth.pairs, brokenDays(results, e.name, v.name))
+			fmt.Fprintf(w, " %d | %s |\n", worth.pairs, brokenDays(results, d.name, v.name))
 		}
 	}
 }
@@ -116,15 +118,15 @@
 // brokenDays lists the days of a variant that broke a rule or ended with a fault.
 func brokenDays(results []result, deployment, variant string) string {
 	var out []string
-	for _, t := range results {
-		if t.deployment != deployment || t.variant != variant {
+	for _, r := range results {
+		if r.deployment != deployment || r.variant != variant {
 			continue
 		}
-		for rule := range t.report.Breaks {
-			out = append(out, fmt.Sprintf("%s %s seed %d", rule, t.day, t.seed))
+		for rule := range r.report.Breaks {
+			out = append(out, fmt.Sprintf("%s %s seed %d", rule, r.day, r.seed))
 		}
-		if t.report.Fault != nil {
-			out = append(out, fmt.Sprintf("fault %s seed %d", t.day, t.seed))
+		if r.report.Fault != nil {
+			out = append(out, fmt.Sprintf("fault %s seed %d", r.day, r.seed))
 		}
 	}
 	slices.Sort(out)
@@ -134,10 +136,10 @@
 // writeCSV writes a line for each day that was run.
 func writeCSV(w io.Writer, results []result) error {
 	out := csv.NewWriter(w)
-	for n, t := range results {
-		head, row := []string{"way", "deployment", "day", "seed"}, []string{t.variant, t.deployment, t.day, fmt.Sprint(t.seed)}
-		for _, f := range metricsOf(t.report) {
-			head, row = append(head, f.name), append(row, fmt.Sprintf("%.4f", f.value(t.report)))
+	for n, r := range results {
+		head, row := []string{"way", "deployment", "day", "seed"}, []string{r.variant, r.deployment, r.day, fmt.Sprint(r.seed)}
+		for _, f := range metricsOf(r.report) {
+			head, row = append(head, f.name), append(row, fmt.Sprintf("%.4f", f.value(r.report)))
 		}
 		if n == 0 {
 			if err := out.Write(head); err != nil {
--- a/internal/rounds/plot.go
+++ b/internal/rounds/plot.go
@@ -16,26 +16,26 @@
 	plotHeight = 4 * vg.Inch
 )
 
-// intervals are the points of a plot with their confidence intervals.
+// intervals holds the points of a plot with their confidence intervals.
 type intervals struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// plotDifferences plots, for each deployment, the difference in worth of each variant to
-// the baseline.
+// plotDifferences plots, for each deployment, the difference in worth (score) between each
+// variant and the baseline.
 func plotDifferences(file string, x *experiment, results []result) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("worth against the way that stands, %g%% confidence", 100*confidenceLevel)
 	p.Y.Label.Text = "difference"
 	var names []string
-	for _, e := range x.deployments {
-		names = append(names, e.name)
+	for _, dep := range x.deployments {
+		names = append(names, dep.name)
 	}
-	for n, w := range x.variants[1:] {
+	for n, v := range x.variants[1:] {
 		points := intervals{}
-		for i, e := range x.deployments {
-			d := pairedDifference(results, e.name, baseline, w.name, func(r *report) float64 { return r.Worth })
+		for i, dep := range x.deployments {
+			d := pairedDifference(results, dep.name, baseline, v.name, func(r *report) float64 { return r.Worth })
 			halfWidth := d.halfWidth
 			if math.IsInf(halfWidth, 1) {
 				halfWidth = 0
@@ -44,7 +44,7 @@
 			points.XYs = append(points.XYs, plotter.XY{X: at, Y: d.mean})
 			points.YErrors = append(points.YErrors, struct{ Low, High float64 }{halfWidth, halfWidth})
 		}
-		if err := addIntervals(p, n, w.name, points); err != nil {
+		if err := addIntervals(p, n, v.name, points); err != nil {
 			return err
 		}
 	}
--- a/internal/rounds/report.go
+++ b/internal/rounds/report.go
@@ -12,34 +12,38 @@
 
 // report holds the fields of the bench's report of a day that this command uses.
 type report struct {
-	Worth  float64 `json:"G"`
+	// Worth is the bench's score of the day.
+	Worth float64 `json:"G"`
+	// Fault is the error with which the day ended, or nil.
 	Fault  *string
 	Parts  []part
 	Prices []price
-	// Breaks counts broken rules by name.
-	Breaks  map[string]json.RawMessage
+	// Breaks holds the broken rules by name, as the bench reports them.
+	Breaks map[string]json.RawMessage
+	// Missed lists the duties that the deployment did not fulfil.
 	Missed  []string
 	Classes []class
 }
 
-// part is one component of the worth.
+// part is one component of the worth of a day.
 type part struct {
 	name   string
 	weight float64
 	value  float64
 }
 
-// price is an amount taken off the worth for the use of a resource.
+// price is what the bench takes off the worth of a day for the use of a resource.
 type price struct {
 	name   string
 	amount float64
 	taken  float64
 }
 
-// class holds the results of one kind of request: how many were sent, and their worth.
+// class holds the results of one kind of request: how many were sent, and their worth
+// (score).
 type class struct {
 	Name  string
-	Asked int `json:"n"`
+	Count int `json:"n"`
 	Worth float64
 }
 
@@ -64,7 +68,8 @@
 	return r, nil
 }
 
-// worth returns the worth of a day: zero if a rule was broken or the day ended with a fault.
+// worth returns the bench's score of a day, or zero if a rule was broken or the day ended
+// with a fault.
 func (r *report) worth() float64 {
 	if len(r.Breaks) > 0 || r.Fault != nil {
 		return 0
@@ -72,7 +77,8 @@
 	return r.Worth
 }
 
-// shownPrices are the prices that get a column of their own; the rest are summed.
+// shownPrices are the prices that get a column of their own: the bench's name of the price
+// and the head of the column. All other prices are summed in one column.
 var shownPrices = []struct{ name, head string }{
 	{"worth paid for the use of models", "models"},
 	{"GB between zones", "bytes"},
@@ -85,8 +91,10 @@
 // sampleStats accumulates the mean and the standard deviation of a sample.
 type sampleStats struct{ sum, squares, n float64 }
 
+// add adds x to the sample.
 func (s *sampleStats) add(x float64) { s.sum, s.squares, s.n = s.sum+x, s.squares+x*x, s.n+1 }
 
+// mean returns the mean of the sample, or zero if the sample is empty.
 func (s *sampleStats) mean() float64 { return s.sum / max(s.n, 1) }
 
 // deviation returns the sample standard deviation.
@@ -179,7 +187,7 @@
 	return cells
 }
 
-// classCell returns the mean worth of each kind of request, in the order of the report.
+// classCell returns the mean worth (score) of each kind of request, in the order of the report.
 func classCell(reports []*report) string {
 	cells := make([]string, len(reports[0].Classes))
 	for i := range cells {
@@ -194,7 +202,7 @@
 	return strings.Join(cells, " ")
 }
 
-// brokenCell counts the days with a broken rule, a fault or a missed duty.
+// brokenCell returns how many days had each broken rule, a fault or a missed duty.
 func brokenCell(reports []*report) string {
 	counts := make(map[string]int)
 	for _, r := range reports {
@@ -219,4 +227,5 @@
 	return fmt.Sprintf("%s of %d", strings.Join(cells, ", "), len(reports))
 }
 
+// formatNumber returns x with three decimals.
 func formatNumber(x float64) string { return fmt.Sprintf("%.3f", x) }
--- a/internal/rounds/report_test.go
+++ b/internal/rounds/report_test.go
@@ -71,7 +71,7 @@
 	}
 	broken := day("trouble-1", 0.7)
 	broken.report.Breaks = map[string]json.RawMessage{"LOST": nil}
-	e := deployment{name: "a", referenceWorth: 0.6}
+	d := deployment{name: "a", referenceWorth: 0.6}
 	for _, c := range []struct {
 		runs     []*dayRun
 		passes   bool
@@ -82,7 +82,7 @@
 		{[]*dayRun{day("trouble-1", 0.9), broken}, false, "broke LOST"},
 		{[]*dayRun{day("trouble-1", 0.9), {day: "scale-1", seed: 2, err: os.ErrNotExist}}, false, "scale-1 seed 2 not run"},
 	} {
-		row, passes := evaluate(e, c.runs)
+		row, passes := evaluate(d, c.runs)
 		is.Equal(passes, c.passes)
 		is.True(strings.Contains(row, c.wantText))
 	}
--- a/internal/rounds/set.go
+++ b/internal/rounds/set.go
@@ -22,13 +22,14 @@
 	jobs  int
 	// small selects the small version of a large deployment.
 	small bool
-	// referenceWorth is the mean worth, over the days that are not quiet, with which
-	// new runs are compared.
+	// referenceWorth is the mean worth (score), over the days that are not quiet, with
+	// which new runs are compared.
 	referenceWorth float64
 }
 
-// maxWorthDrop is by how much the mean worth of a deployment may drop: the users' own
-// bound, and about three times the standard deviation of a mean of 15 days.
+// maxWorthDrop is by how much the mean worth (score) of a deployment may drop below the
+// reference. It is the users' own limit, and about three times the standard deviation of a
+// mean of 15 days.
 const maxWorthDrop = 0.03
 
 // Limits and defaults of the keys in regression sets and experiments.
@@ -51,17 +52,17 @@
 	var set []deployment
 	for _, section := range slices.Sorted(maps.Keys(f.Sections())) {
 		r := config.NewReader(f, section, &faults)
-		e := deployment{
+		d := deployment{
 			name: section, site: r.Required("site", "expected a site file"),
 			seeds: r.Int("seeds", defaultSeeds, minSeeds, maxSeeds), jobs: r.Int("jobs", defaultJobs, 1, maxJobs),
 			small:          r.OneOf("small", "no", "yes", "no") == "yes",
 			referenceWorth: r.Number("reached", 0, 0, 1),
 		}
-		if e.days = r.List("days"); len(e.days) == 0 {
-			e.days = allDays
+		if d.days = r.List("days"); len(d.days) == 0 {
+			d.days = allDays
 		}
 		r.RejectUnknownKeys()
-		set = append(set, e)
+		set = append(set, d)
 	}
 	if len(faults) > 0 {
 		return nil, faults
@@ -81,16 +82,16 @@
 	}
 	passes := true
 	var verdicts []string
-	for _, e := range set {
+	for _, d := range set {
 		command := *a
-		command.Site, command.Days, command.Seeds, command.Jobs, command.Small = filepath.Join(a.Sites, e.site), e.days, e.seeds, e.jobs, e.small
+		command.Site, command.Days, command.Seeds, command.Jobs, command.Small = filepath.Join(a.Sites, d.site), d.days, d.seeds, d.jobs, d.small
 		runs := command.plannedRuns()
 		if err := command.runAll(runs); err != nil {
-			return false, fmt.Errorf("%s: %w", e.name, err)
+			return false, fmt.Errorf("%s: %w", d.name, err)
 		}
-		fmt.Fprintf(w, "\n%s\n\n", e.name)
-		printTable(w, e.days, runs)
-		verdict, ok := evaluate(e, runs)
+		fmt.Fprintf(w, "\n%s\n\n", d.name)
+		printTable(w, d.days, runs)
+		verdict, ok := evaluate(d, runs)
 		verdicts, passes = append(verdicts, verdict), passes && ok
 	}
 	fmt.Fprintf(w, "\n| deployment | with trouble | reached | verdict |\n|---|---|---|---|\n%s\n", strings.Join(verdicts, "\n"))
@@ -99,7 +100,7 @@
 
 // evaluate returns the table row of a deployment, and whether it passes: all days were run,
 // no rule was broken, and the worth did not drop by more than maxWorthDrop.
-func evaluate(e deployment, runs []*dayRun) (row string, passes bool) {
+func evaluate(d deployment, runs []*dayRun) (row string, passes bool) {
 	var worth sampleStats
 	var failures []string
 	for _, run := range runs {
@@ -116,12 +117,12 @@
 			worth.add(run.report.worth())
 		}
 	}
-	if worth.mean() < e.referenceWorth-maxWorthDrop {
-		failures = append(failures, fmt.Sprintf("fell by %.3f", e.referenceWorth-worth.mean()))
+	if worth.mean() < d.referenceWorth-maxWorthDrop {
+		failures = append(failures, fmt.Sprintf("fell by %.3f", d.referenceWorth-worth.mean()))
 	}
 	verdict := "holds"
 	if len(failures) > 0 {
 		verdict = strings.Join(failures, "; ")
 	}
-	return fmt.Sprintf("| %s | %s | %s | %s |", e.name, formatNumber(worth.mean()), formatNumber(e.referenceWorth), verdict), len(failures) == 0
+	return fmt.Sprintf("| %s | %s | %s | %s |", d.name, formatNumber(worth.mean()), formatNumber(d.referenceWorth), verdict), len(failures) == 0
 }
--- a/internal/rounds/variants.go
+++ b/internal/rounds/variants.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// result is the report of one variant's day, on one deployment with one seed.
+// result is the report of one day that a variant ran on a deployment with one seed.
 type result struct {
 	variant, deployment, day string
 	seed                     int
@@ -18,15 +18,16 @@
 }
 
 // runExperiment runs the days that have no report yet, and returns the results of all
-// days. The folder Out keeps the reports, so an interrupted experiment can be resumed.
+// days. The reports stay in the folder Out, so that an interrupted experiment can be
+// resumed.
 func (a *arguments) runExperiment(x *experiment) ([]result, error) {
 	if err := os.MkdirAll(a.Out, 0o755); err != nil {
 		return nil, fmt.Errorf("folder for reports: %w", err)
 	}
 	var all []result
 	var failed error
-	for _, w := range x.variants {
-		results, err := a.runVariant(x, w)
+	for _, v := range x.variants {
+		results, err := a.runVariant(x, v)
 		all = append(all, results...)
 		failed = errors.Join(failed, err)
 	}
@@ -34,26 +35,26 @@
 }
 
 // runVariant runs the missing days of one variant, and returns the results of all its days.
-func (a *arguments) runVariant(x *experiment, w variant) ([]result, error) {
-	if missing := x.missingDays(a.Out, w); len(missing) > 0 {
-		if err := a.runDays(x, w, missing); err != nil {
-			return nil, fmt.Errorf("variant %s: %w", w.name, err)
+func (a *arguments) runVariant(x *experiment, v variant) ([]result, error) {
+	if missing := x.missingDays(a.Out, v); len(missing) > 0 {
+		if err := a.runDays(x, v, missing); err != nil {
+			return nil, fmt.Errorf("variant %s: %w", v.name, err)
 		}
 	}
 	var results []result
 	var failed error
 	for _, p := range x.plannedDays() {
-		r, err := readReport(filepath.Join(a.Out, x.reportFile(w, p)))
+		r, err := readReport(filepath.Join(a.Out, x.reportFile(v, p)))
 		if err != nil {
-			failed = errors.Join(failed, fmt.Errorf("variant %s, %s: not run: %w", w.name, p, err))
+			failed = errors.Join(failed, fmt.Errorf("variant %s, %s: not run: %w", v.name, p, err))
 			continue
 		}
-		results = append(results, result{w.name, p.deployment.name, p.day, p.seed, r})
+		results = append(results, result{v.name, p.deployment.name, p.day, p.seed, r})
 	}
 	return results, failed
 }
 
-// plannedDay is one day that every variant runs.
+// plannedDay is a day of a deployment with a seed, which every variant runs.
 type plannedDay struct {
 	deployment deployment
 	day        string
@@ -67,10 +68,10 @@
 // plannedDays returns all days that every variant runs.
 func (x *experiment) plannedDays() []plannedDay {
 	var days []plannedDay
-	for _, e := range x.deployments {
+	for _, d := range x.deployments {
 		for _, day := range x.days {
 			for seed := range x.seeds {
-				days = append(days, plannedDay{e, day, seed + 1})
+				days = append(days, plannedDay{d, day, seed + 1})
 			}
 		}
 	}
@@ -78,17 +79,17 @@
 }
 
 // missingDays returns the days of a variant that have no report yet.
-func (x *experiment) missingDays(out string, w variant) []plannedDay {
+func (x *experiment) missingDays(out string, v variant) []plannedDay {
 	return slices.DeleteFunc(x.plannedDays(), func(p plannedDay) bool {
-		_, err := os.Stat(filepath.Join(out, x.reportFile(w, p)))
+		_, err := os.Stat(filepath.Join(out, x.reportFile(v, p)))
 		return err == nil
 	})
 }
 
 // runDays runs days of a variant in a clone of the current commit, a few at a time, and
 // prints the progress.
-func (a *arguments) runDays(x *experiment, w variant, days []plannedDay) error {
-	dir, err := a.cloneAndBuild(w)
+func (a *arguments) runDays(x *experiment, v variant, days []plannedDay) error {
+	dir, err := a.cloneAndBuild(v)
 	if err != nil {
 		return err
 	}
@@ -97,12 +98,12 @@
 			fmt.Fprintln(os.Stderr, err)
 		}
 	}()
-	runConcurrently(len(days), x.jobs, w.name+": ", func(i int) {
+	runConcurrently(len(days), x.jobs, v.name+": ", func(i int) {
 		p := days[i]
 		command := *a
-		command.Site, command.Small, command.Why = filepath.Join(a.Sites, p.deployment.site), p.deployment.small, a.Why+": "+w.name
-		if _, err := command.runDay(dir, p.day, p.seed, filepath.Join(a.Out, x.reportFile(w, p))); err != nil {
-			fmt.Fprintf(os.Stderr, "\n%s, %s: %v\n", w.name, p, err)
+		command.Site, command.Small, command.Why = filepath.Join(a.Sites, p.deployment.site), p.deployment.small, a.Why+": "+v.name
+		if _, err := command.runDay(dir, p.day, p.seed, filepath.Join(a.Out, x.reportFile(v, p))); err != nil {
+			fmt.Fprintf(os.Stderr, "\n%s, %s: %v\n", v.name, p, err)
 		}
 	})
 	return copyJournal(dir)
@@ -113,7 +114,7 @@
 
 // cloneAndBuild clones the current commit into a temporary folder, appends the variant's
 // settings, builds it, and returns the folder.
-func (a *arguments) cloneAndBuild(w variant) (string, error) {
+func (a *arguments) cloneAndBuild(v variant) (string, error) {
 	dir, err := os.MkdirTemp("", "way")
 	if err != nil {
 		return "", fmt.Errorf("folder for the clone: %w", err)
@@ -121,12 +122,12 @@
 	if out, err := exec.Command("git", "clone", "--quiet", ".", dir).CombinedOutput(); err != nil {
 		return "", fmt.Errorf("clone: %w\n%s", err, out)
 	}
-	if len(w.settings) > 0 {
+	if len(v.settings) > 0 {
 		file, err := os.OpenFile(filepath.Join(dir, settingsTemplate), os.O_APPEND|os.O_WRONLY, 0)
 		if err != nil {
 			return "", fmt.Errorf("settings: %w", err)
 		}
-		_, err = file.WriteString("\n[policy]\n" + strings.Join(w.settings, "\n") + "\n")
+		_, err = file.WriteString("\n[policy]\n" + strings.Join(v.settings, "\n") + "\n")
 		if err := errors.Join(err, file.Close()); err != nil {
 			return "", fmt.Errorf("settings: %w", err)
 		}
