--- a/internal/measure/cascades.go
+++ b/internal/measure/cascades.go
@@ -16,14 +16,14 @@
 	cascadeRequests   = 40_000
 	costSmall         = 1.0
 	costLarge         = 10.0
-	costCheck         = 0.2
+	costCheck         = 0.2 // of rating the small model's answer before it is delivered
 	latencySmall      = 400 * time.Millisecond
 	latencyLarge      = 1500 * time.Millisecond
 	latencyCheck      = 80 * time.Millisecond
-	largeGoodRate     = 0.96
-	qualityTarget     = 0.93
-	requestsPerRating = 10
-	ratingLag         = 200 // number of requests after which a rating arrives
+	largeGoodRate     = 0.96 // share of good answers of the large model
+	qualityTarget     = 0.93 // minimum share of good answers
+	requestsPerRating = 10   // one delivered answer in this many is rated
+	ratingLag         = 200  // number of requests after which a rating arrives
 )
 
 // workload gives the probability that the small model's answer is good, by
@@ -33,8 +33,10 @@
 	smallGoodRate func(class, i int) float64
 }
 
+// promptClasses is the number of prompt classes; class 0 has the shortest prompts.
 const promptClasses = 3
 
+// workloads are the workloads under which the policies are compared.
 var workloads = []workload{
 	{"easy: small good enough for all", func(int, int) float64 { return 0.95 }},
 	{"mixed: good for short prompts only", func(c, _ int) float64 { return []float64{0.97, 0.75, 0.25}[c] }},
@@ -73,13 +75,15 @@
 	p.learner.RecordRating(cascade.Arm{Workspace: "w", Model: m, Class: cascade.Class(class)}, good)
 }
 
+// Plans of the policies: only one model, or the small model with a check of its answer and
+// the large model after a bad one.
 var (
-	planLarge = cascade.Plan{First: "large"}
-	planSmall = cascade.Plan{First: "small"}
-	planCheck = cascade.Plan{First: "small", Check: true, Fallback: "large"}
+	planLarge   = cascade.Plan{First: "large"}
+	planSmall   = cascade.Plan{First: "small"}
+	planCascade = cascade.Plan{First: "small", Check: true, Fallback: "large"}
 )
 
-// delayedRating is a rating that arrives after request number dueAt.
+// delayedRating is a rating that arrives before request number dueAt is sent.
 type delayedRating struct {
 	dueAt int
 	class int
@@ -130,7 +134,7 @@
 	return time.Duration(float64(mean) * (0.5 + r.Float64()))
 }
 
-// cascades compares policies that choose the first model of a cascade.
+// cascades compares policies that plan which models of a cascade answer a request.
 func cascades(seed uint64) []*table {
 	policies := []struct {
 		name     string
@@ -139,7 +143,7 @@
 	}{
 		{"always large", func() policy { return fixedPolicy{func(int) cascade.Plan { return planLarge }} }, true},
 		{"always small", func() policy { return fixedPolicy{func(int) cascade.Plan { return planSmall }} }, true},
-		{"always cascade", func() policy { return fixedPolicy{func(int) cascade.Plan { return planCheck }} }, true},
+		{"always cascade", func() policy { return fixedPolicy{func(int) cascade.Plan { return planCascade }} }, true},
 		{"small for short prompts, else large", func() policy {
 			return fixedPolicy{func(c int) cascade.Plan {
 				if c == 0 {
--- a/internal/measure/choice.go
+++ b/internal/measure/choice.go
@@ -18,11 +18,11 @@
 	vms              = 7
 	slots            = 8
 	perToken         = 20 * time.Millisecond
-	prefillCold      = 300 * time.Millisecond
-	prefillWarm      = 30 * time.Millisecond
-	meanTokens       = 40
-	distinctPrefixes = 400
-	cachedPrefixes   = 24
+	prefillCold      = 300 * time.Millisecond // of a prompt whose prefix is not cached
+	prefillWarm      = 30 * time.Millisecond  // of a prompt whose prefix is cached
+	meanTokens       = 40                     // of an answer
+	distinctPrefixes = 400                    // prefixes among all prompts
+	cachedPrefixes   = 24                     // prefixes that an engine can cache
 	loadDuration     = 120 * time.Second
 	warmUpDuration   = 20 * time.Second
 	drainDuration    = 20 * time.Minute // long enough for every request to end
@@ -30,6 +30,7 @@
 	version          = contract.VersionID("m@1")
 )
 
+// engineOptions returns the options of an engine at full speed.
 func engineOptions() model.EngineOptions {
 	return model.EngineOptions{Slots: slots, PerToken: perToken, Prefill: prefillCold, CachedPrefill: prefillWarm, CacheCapacity: cachedPrefixes}
 }
@@ -49,11 +50,15 @@
 	silentEngines int
 }
 
-// chooser is the strategy by which one VM chooses an engine.
+// chooser is the strategy by which one VM chooses an engine. Engines are numbered from 0.
 type chooser interface {
+	// pick returns the engine for a request with a prompt prefix, or -1 if there is none.
 	pick(now time.Time, prefix uint64) int
+	// sent records that a request was sent to engine i.
 	sent(i int, prefix uint64)
+	// done records that a request to engine i ended after the duration took.
 	done(i int, took time.Duration, failed bool, now time.Time)
+	// report records a load report of engine i that is age old.
 	report(i, running, waiting int, age time.Duration, now time.Time)
 }
 
@@ -64,6 +69,7 @@
 	index  map[contract.UpstreamID]int
 }
 
+// newWoaddoorChooser returns a chooser among n engines in one pool.
 func newWoaddoorChooser(n int, random *rand.Rand) chooser {
 	pool := &config.Pool{ID: "p", Kind: config.EnginePool, DataCentre: "d", Slots: slots}
 	chooser := &woaddoorChooser{table: upstream.NewTable(upstream.Options{}), random: random, index: make(map[contract.UpstreamID]int)}
@@ -76,26 +82,26 @@
 	return chooser
 }
 
-func (o *woaddoorChooser) pick(now time.Time, prefix uint64) int {
-	id, err := o.table.Pick(upstream.Query{Kind: config.EnginePool, DataCentre: "d", Version: version, Prefix: prefix}, now, o.random)
+func (c *woaddoorChooser) pick(now time.Time, prefix uint64) int {
+	id, err := c.table.Pick(upstream.Query{Kind: config.EnginePool, DataCentre: "d", Version: version, Prefix: prefix}, now, c.random)
 	if err != nil {
 		return -1
 	}
-	return o.index[id]
+	return c.index[id]
 }
 
-func (o *woaddoorChooser) sent(i int, _ uint64) { o.table.RecordSent(model.UpstreamID(i)) }
+func (c *woaddoorChooser) sent(i int, _ uint64) { c.table.RecordSent(model.UpstreamID(i)) }
 
-func (o *woaddoorChooser) done(i int, took time.Duration, failed bool, now time.Time) {
+func (c *woaddoorChooser) done(i int, took time.Duration, failed bool, now time.Time) {
 	result := upstream.Succeeded
 	if failed {
 		result = upstream.Failed
 	}
-	o.table.RecordDone(model.UpstreamID(i), result, took, now)
+	c.table.RecordDone(model.UpstreamID(i), result, took, now)
 }
 
-func (o *woaddoorChooser) report(i, running, waiting int, age time.Duration, now time.Time) {
-	o.table.ApplyReport(model.UpstreamID(i), contract.LoadReport{
+func (c *woaddoorChooser) report(i, running, waiting int, age time.Duration, now time.Time) {
+	c.table.ApplyReport(model.UpstreamID(i), contract.LoadReport{
 		Incarnation: 1, Running: running, Waiting: waiting, AgeMillis: age.Milliseconds(), Versions: []contract.VersionID{version},
 	}, now)
 }
@@ -151,7 +157,8 @@
 }
 
 // newSite returns a site of n engines and m VMs. The first engine is slower by the
-// factor slow. Load reports reach the VMs with a delay of lag.
+// factor slow. Load reports reach the VMs with a delay of lag. make returns a VM's
+// chooser among n engines.
 func newSite(seed uint64, n, m, slow int, lag time.Duration, make func(n int, r *rand.Rand) chooser) *site {
 	s := &site{clock: model.NewClock(), random: rand.New(rand.NewPCG(seed, 1))}
 	for i := range n {
@@ -183,8 +190,9 @@
 }
 
 // sendRequest sends a request through a VM and calls done with the time to the first
-// token, the total time and the result.
-func (s *site) sendRequest(vm chooser, preferred bool, done func(first, total time.Duration, a model.Result)) {
+// token, the total time and the result. Engines take preferred requests from their queues
+// first.
+func (s *site) sendRequest(vm chooser, preferred bool, done func(first, total time.Duration, result model.Result)) {
 	// The product of two random numbers makes a few prefixes common and most rare.
 	prefix := uint64(float64(distinctPrefixes)*s.random.Float64()*s.random.Float64()) + 1
 	request := model.Request{Prefix: prefix, Tokens: 1 + s.random.IntN(2*meanTokens-1), Priority: 1}
@@ -198,10 +206,10 @@
 		return
 	}
 	vm.sent(i, prefix)
-	s.engines[i].Submit(request, func(a model.Result) {
+	s.engines[i].Submit(request, func(result model.Result) {
 		now := s.clock.Now()
-		vm.done(i, now.Sub(began), a.Failed, now)
-		done(a.FirstToken.Sub(began), now.Sub(began), a)
+		vm.done(i, now.Sub(began), result.Failed, now)
+		done(result.FirstToken.Sub(began), now.Sub(began), result)
 	})
 }
 
@@ -212,13 +220,13 @@
 	count, cached := 0, 0
 	model.Arrivals(s.clock, s.random, rate, loadDuration, func() {
 		measured := s.clock.Now().After(begin)
-		s.sendRequest(s.vms[s.random.IntN(len(s.vms))], false, func(f, w time.Duration, a model.Result) {
+		s.sendRequest(s.vms[s.random.IntN(len(s.vms))], false, func(toFirst, toEnd time.Duration, result model.Result) {
 			if !measured {
 				return
 			}
-			first, total = append(first, f), append(total, w)
+			first, total = append(first, toFirst), append(total, toEnd)
 			count++
-			if a.Cached {
+			if result.Cached {
 				cached++
 			}
 		})
--- a/internal/measure/fairness.go
+++ b/internal/measure/fairness.go
@@ -13,20 +13,20 @@
 // Parameters of the fairness measurements.
 const (
 	workspaceCount  = 10
-	requestDeadline = 10 * time.Second
-	headroom        = 1.5 // factor on a VM's equal part of the slots
+	requestDeadline = 10 * time.Second // from the offer of a request to its answer
+	headroom        = 1.5              // factor on a VM's equal part of the slots
 )
 
-// queueCapacity returns a VM's part of the engines' slots, calculated as the entry
-// process does.
+// queueCapacity returns how many requests a VM's admission queue runs at once: the VM's part
+// of the engines' slots, calculated as the entry process does.
 func queueCapacity() int {
 	part := headroom * float64(engines*slots) / float64(vms)
 	return int(part)
 }
 
-// quietLatency offers half of its fair share for every workspace but the last, and ten
-// times its share for the last one if loud is true. It returns the latency quantiles of
-// the quiet workspaces.
+// quietLatency offers half of its fair share of the load for every workspace but the last,
+// and ten times its share for the last one if loud is true. It returns the latency
+// quantiles of the quiet workspaces: all but the last.
 func quietLatency(seed uint64, capacity int, loud bool) model.Quantiles {
 	s := newSite(seed, engines, vms, 1, time.Second, newWoaddoorChooser)
 	queuedVMs := newQueuedVMs(s, seed, capacity, workspaceCount)
@@ -37,9 +37,9 @@
 	offer := func(w contract.WorkspaceID, rate float64, quiet bool) {
 		model.Arrivals(s.clock, random, rate, loadDuration, func() {
 			measured := quiet && s.clock.Now().After(begin)
-			queuedVMs[random.IntN(len(queuedVMs))].offer(w, workspace.Interactive, requestDeadline, func(e requestResult) {
-				if measured && !e.refused {
-					latencies = append(latencies, e.latency)
+			queuedVMs[random.IntN(len(queuedVMs))].offer(w, workspace.Interactive, requestDeadline, func(r requestResult) {
+				if measured && !r.refused {
+					latencies = append(latencies, r.latency)
 				}
 			})
 		})
@@ -54,9 +54,9 @@
 	return model.QuantilesOf(latencies)
 }
 
-// overload offers equal load for all workspaces. Refused callers retry after the
-// returned delay, up to three times. It returns the requests per second answered before
-// their deadline, and the share of offers refused.
+// overload offers equal load for all workspaces. A refused caller retries after the delay
+// that the refusal states, up to three times. It returns the requests per second answered
+// before their deadline, and the share of offers refused.
 func overload(seed uint64, capacity int, load float64) (goodput, refused float64) {
 	s := newSite(seed, engines, vms, 1, time.Second, newWoaddoorChooser)
 	queuedVMs := newQueuedVMs(s, seed, capacity, workspaceCount)
@@ -65,15 +65,15 @@
 	var try func(w contract.WorkspaceID, retriesLeft int)
 	try = func(w contract.WorkspaceID, retriesLeft int) {
 		offers++
-		queuedVMs[random.IntN(len(queuedVMs))].offer(w, workspace.Interactive, requestDeadline, func(e requestResult) {
-			if e.refused {
+		queuedVMs[random.IntN(len(queuedVMs))].offer(w, workspace.Interactive, requestDeadline, func(r requestResult) {
+			if r.refused {
 				refusals++
 				if retriesLeft > 0 {
-					s.clock.After(e.retryAfter, func() { try(w, retriesLeft-1) })
+					s.clock.After(r.retryAfter, func() { try(w, retriesLeft-1) })
 				}
 				return
 			}
-			if e.latency <= requestDeadline {
+			if r.latency <= requestDeadline {
 				good++
 			}
 		})
--- a/internal/measure/lookup.go
+++ b/internal/measure/lookup.go
@@ -10,7 +10,7 @@
 // Overlay Network for Non-Uniform Load-Distribution", 2005) with full membership
 // and rendezvous hashing, for finding the owner of a key.
 //
-// In Chord# a node's pointer i leads to the node 2^i places further on the ring.
+// In Chord# a node's pointer i leads to the node 2^i positions further on the ring.
 // Pointer 0 is the node's successor. Pointer i+1 is pointer i of the node that
 // pointer i leads to.
 func lookup(seed uint64) []*table {
@@ -29,7 +29,8 @@
 	return []*table{t}
 }
 
-// chordHops returns the mean and the maximum number of hops over random lookups.
+// chordHops returns the mean and the maximum number of hops over random lookups in a
+// Chord# ring of n nodes.
 func chordHops(n int, r *rand.Rand) (mean float64, most int) {
 	const keys = 10_000
 	total := 0
--- a/internal/measure/loss.go
+++ b/internal/measure/loss.go
@@ -12,11 +12,11 @@
 
 // Parameters of the capacity-loss measurement.
 const (
-	lossStart       = 40 * time.Second
-	lossDuration    = 60 * time.Second
+	lossStart       = 40 * time.Second // when the engines fail
+	lossDuration    = 60 * time.Second // how long they are down
 	lossRunDuration = 200 * time.Second
-	lossLoad        = 0.8
-	lossRetries     = 3 // retries of a refused caller
+	lossLoad        = 0.8 // as a part of uncachedCapacity
+	lossRetries     = 3   // retries of a refused caller
 )
 
 // trafficKind describes one kind of traffic.
@@ -28,6 +28,7 @@
 	workspaces int
 }
 
+// trafficKinds are the kinds of traffic that are offered together.
 var trafficKinds = []trafficKind{
 	{"interactive of nine small workspaces", workspace.Interactive, 0.35, 9},
 	{"interactive of one large workspace", workspace.Interactive, 0.35, 1},
@@ -79,6 +80,7 @@
 	return tables
 }
 
+// formatPercent returns the ratio x as a percentage.
 func formatPercent(x float64) string { return fmt.Sprintf("%.1f%%", 100*x) }
 
 // busiestSecond returns the largest count of a second in [from, to).
@@ -108,11 +110,11 @@
 		var try func(w contract.WorkspaceID, firstSecond, retriesLeft int, first time.Time)
 		try = func(w contract.WorkspaceID, firstSecond, retriesLeft int, first time.Time) {
 			offers[second()]++
-			queuedVMs[random.IntN(len(queuedVMs))].offer(w, k.class, requestDeadline, func(e requestResult) {
+			queuedVMs[random.IntN(len(queuedVMs))].offer(w, k.class, requestDeadline, func(r requestResult) {
 				switch {
-				case e.refused && retriesLeft > 0:
-					s.clock.After(e.retryAfter, func() { try(w, firstSecond, retriesLeft-1, first) })
-				case !e.refused && !e.failed && e.latency <= requestDeadline:
+				case r.refused && retriesLeft > 0:
+					s.clock.After(r.retryAfter, func() { try(w, firstSecond, retriesLeft-1, first) })
+				case !r.refused && !r.failed && r.latency <= requestDeadline:
 					tallies[i].answered[firstSecond]++
 				}
 			})
--- a/internal/measure/main.go
+++ b/internal/measure/main.go
@@ -11,17 +11,20 @@
 	"github.com/alecthomas/kong"
 )
 
+// arguments are the command-line flags.
 type arguments struct {
 	Only  string `help:"Run one measurement: choice, fairness, retries, stalls, cascades, rollouts, loss, lookup."`
 	Plots string `help:"Write the pictures into this directory, and nothing else."`
 	Seed  uint64 `help:"Seed of arrivals and choices." default:"20261"`
 }
 
+// measurement is a measurement that the flag --only can select.
 type measurement struct {
 	name string
 	run  func(seed uint64) []*table
 }
 
+// measurements are all measurements, in the order in which they run.
 var measurements = []measurement{
 	{"choice", choice}, {"fairness", fairness}, {"retries", retries}, {"stalls", stalls},
 	{"cascades", cascades}, {"rollouts", rollouts}, {"loss", loss}, {"lookup", lookup},
--- a/internal/measure/model/model.go
+++ b/internal/measure/model/model.go
@@ -17,7 +17,7 @@
 type Clock struct {
 	now    time.Time
 	events events
-	seq    int
+	seq    int // sequence number of the event scheduled last
 }
 
 // NewClock returns a clock set to a fixed start time.
@@ -52,12 +52,14 @@
 	c.now = end
 }
 
+// event is a scheduled function. Events due at the same time run in the order of seq.
 type event struct {
 	at  time.Time
 	seq int
 	do  func()
 }
 
+// events is a heap of events that implements heap.Interface.
 type events []event
 
 func (e events) Len() int      { return len(e) }
@@ -102,6 +104,7 @@
 
 // EngineOptions configure an Engine.
 type EngineOptions struct {
+	// Slots is how many requests run at once, PerToken the time to generate a token.
 	// Prefill is the time to the first token, CachedPrefill that of a request whose
 	// prefix is cached. CacheCapacity is the number of cached prefixes.
 	Slots                            int
@@ -117,8 +120,8 @@
 	opts     EngineOptions
 	running  int
 	queue    []pendingRequest
-	prefixes []uint64
-	history  []loadSample
+	prefixes []uint64     // cached prefixes, the most recently used last
+	history  []loadSample // oldest first
 	// Down makes every request fail after failureDelay.
 	Down bool
 	// MaxQueue is the longest queue so far. CacheHits counts the requests whose
@@ -126,11 +129,13 @@
 	MaxQueue, CacheHits, Requests int
 }
 
+// pendingRequest is a submitted request and the function to call with its result.
 type pendingRequest struct {
 	request Request
 	done    func(Result)
 }
 
+// loadSample is the load of an engine at one time.
 type loadSample struct {
 	at               time.Time
 	running, waiting int
@@ -160,6 +165,7 @@
 	e.recordLoad()
 }
 
+// start runs a request in a free slot. When it ends, the next queued request starts.
 func (e *Engine) start(pending pendingRequest) {
 	e.running++
 	cached := e.touchPrefix(pending.request.Prefix)
@@ -217,9 +223,10 @@
 	return false
 }
 
-// maxHistory bounds the load samples kept for delayed reports.
+// maxHistory bounds the number of load samples that an engine keeps for delayed reports.
 const maxHistory = 20_000
 
+// recordLoad appends the current load to the history.
 func (e *Engine) recordLoad() {
 	e.history = append(e.history, loadSample{e.clock.Now(), e.running, len(e.queue)})
 	if len(e.history) > maxHistory {
@@ -227,7 +234,7 @@
 	}
 }
 
-// Load returns the load as it was lag ago.
+// Load returns the numbers of running and waiting requests as they were lag ago.
 func (e *Engine) Load(lag time.Duration) (running, waiting int) {
 	cutoff := e.clock.Now().Add(-lag)
 	i, _ := slices.BinarySearchFunc(e.history, cutoff, func(l loadSample, t time.Time) int {
@@ -260,11 +267,12 @@
 	clock.After(interarrival(random, rate), next)
 }
 
+// interarrival returns an exponentially distributed time between two arrivals.
 func interarrival(random *rand.Rand, rate float64) time.Duration {
 	return time.Duration(random.ExpFloat64() / rate * float64(time.Second))
 }
 
-// Quantiles holds quantiles of a sample, in milliseconds.
+// Quantiles holds the 50th, 95th and 99th percentile of a sample, in milliseconds.
 type Quantiles struct{ P50, P95, P99 float64 }
 
 // QuantilesOf sorts the sample and returns its quantiles.
--- a/internal/measure/plot.go
+++ b/internal/measure/plot.go
@@ -29,6 +29,8 @@
 	return plotChoice(filepath.Join(dir, "choice.svg"), seed)
 }
 
+// savePlot writes a plot to path as SVG. x and y are the labels of the axes; lines
+// alternates names and points.
 func savePlot(path, title, x, y string, lines ...any) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
@@ -39,8 +41,7 @@
 	return p.Save(plotWidth, plotHeight, path)
 }
 
-// plotGoodput plots the answers per second before their deadline against the
-// offered load.
+// plotGoodput plots the rate of answers that meet their deadline against the offered load.
 func plotGoodput(path string, seed uint64) error {
 	var without, with plotter.XYs
 	for _, load := range []float64{0.5, 0.8, 1, 1.2, 1.5, 2, 2.5, 3} {
--- a/internal/measure/queue.go
+++ b/internal/measure/queue.go
@@ -15,9 +15,9 @@
 	chooser  chooser
 	queue    *workspace.Queue // nil: every request is sent at once
 	random   *rand.Rand
-	onRun    map[workspace.ID]func()
-	onExpire map[workspace.ID]func()
-	lastID   workspace.ID
+	onRun    map[workspace.ID]func() // called when a queued request is admitted
+	onExpire map[workspace.ID]func() // called when a queued request expires
+	lastID   workspace.ID            // ID of the request offered last
 }
 
 // requestResult describes how an offered request ended.
@@ -31,8 +31,8 @@
 }
 
 // newQueuedVMs puts an admission queue before each VM of a site. With capacity zero
-// there is no queue.
-func newQueuedVMs(s *site, seed uint64, capacity, totalShare int) []*queuedVM {
+// there is no queue. totalWeight is the sum of the workspaces' weights.
+func newQueuedVMs(s *site, seed uint64, capacity, totalWeight int) []*queuedVM {
 	var queuedVMs []*queuedVM
 	for i, c := range s.vms {
 		vm := &queuedVM{
@@ -40,7 +40,7 @@
 			onRun: make(map[workspace.ID]func()), onExpire: make(map[workspace.ID]func()),
 		}
 		if capacity > 0 {
-			vm.queue = workspace.NewQueue(workspace.Options{Capacity: capacity, TotalWeight: totalShare})
+			vm.queue = workspace.NewQueue(workspace.Options{Capacity: capacity, TotalWeight: totalWeight})
 			s.clock.Every(20*time.Millisecond, func() bool { vm.expire(); return true })
 			s.clock.Every(reportInterval, func() bool {
 				usable := len(s.engines) - s.silentEngines // the entry process sizes its queue in the same way
@@ -68,7 +68,7 @@
 	vm.lastID++
 	id := vm.lastID
 	if vm.queue == nil {
-		vm.run(began, w, func(e requestResult) { done(e) })
+		vm.run(began, w, func(r requestResult) { done(r) })
 		return
 	}
 	item := workspace.Request{ID: id, Workspace: w, Class: class, Deadline: began.Add(deadline)}
@@ -89,9 +89,9 @@
 func (vm *queuedVM) run(began time.Time, w contract.WorkspaceID, done func(requestResult)) {
 	started := vm.site.clock.Now()
 	preferred := vm.queue != nil && vm.queue.WithinShare(w)
-	vm.site.sendRequest(vm.chooser, preferred, func(_, _ time.Duration, a model.Result) {
+	vm.site.sendRequest(vm.chooser, preferred, func(_, _ time.Duration, result model.Result) {
 		now := vm.site.clock.Now()
-		done(requestResult{latency: now.Sub(began), answer: a, failed: a.Failed})
+		done(requestResult{latency: now.Sub(began), answer: result, failed: result.Failed})
 		if vm.queue == nil {
 			return
 		}
--- a/internal/measure/retries.go
+++ b/internal/measure/retries.go
@@ -16,21 +16,21 @@
 	faultStart       = 30 * time.Second
 	faultDuration    = 30 * time.Second
 	retryRunDuration = 180 * time.Second
-	naiveTimeout     = 3 * time.Second
-	naiveRetries     = 3
-	retryLoad        = 0.9
-	bucketWidth      = time.Second
+	naiveTimeout     = 3 * time.Second // of an attempt of the strategies without a retry budget
+	naiveRetries     = 3               // retries of the naive strategy
+	retryLoad        = 0.9             // as a part of uncachedCapacity
+	bucketWidth      = time.Second     // answers are counted by buckets of time
 )
 
 // retryTrial runs one retry strategy through a fault.
 type retryTrial struct {
 	site              *site
 	random            *rand.Rand
-	fault             func(e []*model.Engine, on bool)
-	arrivals          int
-	sends             int   // attempts that reached a healthy engine
-	answeredPerBucket []int // answered requests, by the bucket of their arrival
-	failed            int
+	fault             func(e []*model.Engine, on bool) // switches the fault on or off
+	arrivals          int                              // requests that arrived
+	sends             int                              // attempts that reached a healthy engine
+	answeredPerBucket []int                            // answered requests, by the bucket of their arrival
+	failed            int                              // requests that failed or were refused
 	arrivalsPerBucket []int
 	start             time.Time
 	inFault           struct{ offered, sends int } // arrivals and sends while the fault was active
@@ -59,8 +59,9 @@
 	return at >= faultStart && at < faultStart+faultDuration
 }
 
-// send makes one attempt and calls done once: with the result, or with failed set after
-// timeout. If cancel is true, the engine drops the attempt from its queue after that.
+// send makes one attempt and calls done once: when the attempt ends, or with failed set
+// after timeout. If cancel is true, the engine drops an attempt that has timed out from its
+// queue.
 func (t *retryTrial) send(vm chooser, timeout time.Duration, cancel bool, done func(failed bool)) {
 	ended := false
 	finish := func(failed bool) {
@@ -93,7 +94,7 @@
 		}
 		finish(failed)
 	}
-	t.site.engines[i].Submit(request, func(a model.Result) { end(a.Failed) })
+	t.site.engines[i].Submit(request, func(result model.Result) { end(result.Failed) })
 	t.site.clock.After(timeout, func() { end(true) })
 }
 
@@ -126,9 +127,11 @@
 
 // retryingVM models one VM with its retry budget and its admission queue.
 type retryingVM struct {
-	vm      chooser
+	chooser chooser
 	budget  *retry.Budget
 	queue   *workspace.Queue
+	// waiting holds, for each queued request, the function to call with true when the
+	// request is admitted, or with false when it expires.
 	waiting map[workspace.ID]func(bool)
 	lastID  workspace.ID
 }
@@ -138,33 +141,33 @@
 func (t *retryTrial) newRetryingVMs() []*retryingVM {
 	var retryingVMs []*retryingVM
 	for _, vm := range t.site.vms {
-		n := &retryingVM{vm: vm, budget: retry.NewBudget(retry.Options{}), queue: workspace.NewQueue(workspace.Options{Capacity: queueCapacity(), TotalWeight: 1}), waiting: make(map[workspace.ID]func(bool))}
+		retrying := &retryingVM{chooser: vm, budget: retry.NewBudget(retry.Options{}), queue: workspace.NewQueue(workspace.Options{Capacity: queueCapacity(), TotalWeight: 1}), waiting: make(map[workspace.ID]func(bool))}
 		t.site.clock.Every(20*time.Millisecond, func() bool {
-			for _, i := range n.queue.Expire(t.site.clock.Now()) {
-				n.resolve(i.ID, false)
+			for _, expired := range retrying.queue.Expire(t.site.clock.Now()) {
+				retrying.resolve(expired.ID, false)
 			}
 			return true
 		})
-		retryingVMs = append(retryingVMs, n)
+		retryingVMs = append(retryingVMs, retrying)
 	}
 	return retryingVMs
 }
 
 // resolve calls the waiting function of a queued request. runs is false when the request
 // expired.
-func (n *retryingVM) resolve(id workspace.ID, runs bool) {
-	do := n.waiting[id]
-	delete(n.waiting, id)
+func (vm *retryingVM) resolve(id workspace.ID, runs bool) {
+	do := vm.waiting[id]
+	delete(vm.waiting, id)
 	do(runs)
 }
 
-// sendWithBudget offers a request to the admission queue of n, and retries it within
+// sendWithBudget offers a request to the admission queue of vm, and retries it within
 // the retry budget.
-func (t *retryTrial) sendWithBudget(n *retryingVM, bucket int) {
+func (t *retryTrial) sendWithBudget(vm *retryingVM, bucket int) {
 	now := t.site.clock.Now()
 	deadline := now.Add(requestDeadline)
-	n.lastID++
-	id := n.lastID
+	vm.lastID++
+	id := vm.lastID
 	const w = contract.WorkspaceID("w")
 	run := func(runs bool) {
 		if !runs {
@@ -172,23 +175,23 @@
 			return
 		}
 		began := t.site.clock.Now()
-		n.budget.RecordFirstAttempt()
-		t.attempt(n, 1, deadline, func(good bool) {
+		vm.budget.RecordFirstAttempt()
+		t.attempt(vm, 1, deadline, func(good bool) {
 			if good {
 				t.answeredPerBucket[bucket]++
 			} else {
 				t.failed++
 			}
-			for _, i := range n.queue.Done(w, t.site.clock.Now().Sub(began)) {
-				n.resolve(i.ID, true)
+			for _, admitted := range vm.queue.Done(w, t.site.clock.Now().Sub(began)) {
+				vm.resolve(admitted.ID, true)
 			}
 		})
 	}
-	switch v, _ := n.queue.Offer(workspace.Request{ID: id, Workspace: w, Deadline: deadline}, now, t.random); v {
+	switch decision, _ := vm.queue.Offer(workspace.Request{ID: id, Workspace: w, Deadline: deadline}, now, t.random); decision {
 	case workspace.Admitted:
 		run(true)
 	case workspace.Queued:
-		n.waiting[id] = run
+		vm.waiting[id] = run
 	case workspace.Rejected:
 		t.failed++
 	}
@@ -196,19 +199,19 @@
 
 // attempt sends a request for the number-th time. After a failure it sends it again if
 // the retry budget allows it.
-func (t *retryTrial) attempt(n *retryingVM, number int, deadline time.Time, done func(good bool)) {
-	t.send(n.vm, deadline.Sub(t.site.clock.Now()), true, func(failed bool) {
+func (t *retryTrial) attempt(vm *retryingVM, number int, deadline time.Time, done func(good bool)) {
+	t.send(vm.chooser, deadline.Sub(t.site.clock.Now()), true, func(failed bool) {
 		if !failed {
 			done(true)
 			return
 		}
 		now := t.site.clock.Now()
-		d := n.budget.TryRetry(retry.Attempt{Number: number, Outcome: contract.OutcomeUnknown, Repeatable: true, Deadline: deadline, ExpectedDuration: uncachedServiceTime}, now, t.random)
+		d := vm.budget.TryRetry(retry.Attempt{Number: number, Outcome: contract.OutcomeUnknown, Repeatable: true, Deadline: deadline, ExpectedDuration: uncachedServiceTime}, now, t.random)
 		if !d.Retry {
 			done(false)
 			return
 		}
-		t.site.clock.After(d.Pause, func() { t.attempt(n, number+1, deadline, done) })
+		t.site.clock.After(d.Pause, func() { t.attempt(vm, number+1, deadline, done) })
 	})
 }
 
@@ -231,6 +234,7 @@
 	return -1
 }
 
+// sum returns the sum of n.
 func sum(n []int) int {
 	total := 0
 	for _, x := range n {
--- a/internal/measure/rollouts.go
+++ b/internal/measure/rollouts.go
@@ -11,10 +11,10 @@
 	"woaddoor/rollout"
 )
 
-// Parameters of the roll-out measurement.
+// Parameters of the rollout measurement.
 const (
 	rolloutRate       = 20.0 // requests a second, over all workspaces
-	rolloutRuns       = 200
+	rolloutRuns       = 200  // simulated rollouts of each version and strategy
 	rolloutTimeLimit  = 4 * time.Hour
 	rolloutVMs        = 6
 	rolloutTick       = time.Second
@@ -23,18 +23,20 @@
 	fixedHaltRate     = 0.10 // a fixed ramp halts when the bad share of a step exceeds this
 )
 
+// rolloutPlan is the plan of the simulated rollouts.
 var rolloutPlan = &config.Rollout{
 	Model: "m", From: "m@1", To: "m@2", Steps: []float64{1, 5, 25, 100},
 	GoodRate: 0.02, BadRate: 0.08, FalseAlarmProbability: 0.01, MissProbability: 0.01, RatingTimeout: 30 * time.Minute,
 }
 
-// versionModel gives the share of bad answers of a new version, by roll-out step and
+// versionModel gives the share of bad answers of a new version, by rollout step and
 // workspace.
 type versionModel struct {
 	name     string
 	badShare func(step, workspace int) float64
 }
 
+// versionModels are the versions that are rolled out.
 var versionModels = []versionModel{
 	{"good", func(int, int) float64 { return 0.02 }},
 	{"bad from the start (30%)", func(int, int) float64 { return 0.3 }},
@@ -53,7 +55,7 @@
 	}},
 }
 
-// rolloutResult describes how one simulated roll-out ended.
+// rolloutResult describes how one simulated rollout ended.
 type rolloutResult struct {
 	badAnswers int // bad answers given by the new version
 	halted     bool
@@ -137,7 +139,8 @@
 	return res
 }
 
-// badAnswersDuring returns the bad answers given in d, while a decision propagates.
+// badAnswersDuring returns how many bad answers the new version gives in d, the time that a
+// decision takes to reach all VMs.
 func badAnswersDuring(r *rand.Rand, v versionModel, step int, d time.Duration) int {
 	bad := 0
 	for range int(rolloutRate * d.Seconds()) {
@@ -149,7 +152,7 @@
 }
 
 // rollouts measures how many bad answers a bad version gives before it is halted, and how
-// long the roll-out of a good version takes.
+// long the rollout of a good version takes.
 func rollouts(seed uint64) []*table {
 	t := &table{
 		title: "Roll-outs",
--- a/internal/measure/stalls.go
+++ b/internal/measure/stalls.go
@@ -14,12 +14,14 @@
 const (
 	streamCount     = 20_000
 	chunksPerStream = 200
-	resumeDelay     = 60 * time.Millisecond
+	resumeDelay     = 60 * time.Millisecond // time that it takes to resume a stream
 )
 
 // stallDetector decides when a stream counts as stalled.
 type stallDetector interface {
+	// RecordChunk records the arrival of a chunk.
 	RecordChunk(now time.Time)
+	// Deadline returns the time by which the next chunk must arrive.
 	Deadline() time.Time
 }
 
@@ -35,8 +37,8 @@
 // Deadline returns the time by which the next chunk must arrive.
 func (f *fixedTimeout) Deadline() time.Time { return f.last.Add(f.timeout) }
 
-// meanGaps are the mean times between chunks of healthy streams: of a fast model, of a
-// loaded model, and of a slow model.
+// meanGaps are the mean times (gaps) between the chunks of healthy streams: of a fast model,
+// of a loaded model, and of a slow model.
 var meanGaps = []time.Duration{30 * time.Millisecond, 200 * time.Millisecond, 1500 * time.Millisecond}
 
 // gapSigma is the standard deviation of the logarithm of a gap.
@@ -70,8 +72,9 @@
 	return []*table{t}
 }
 
-// runStreams returns how long each caller of a stalled stream waited at the stall, how
-// many healthy streams were taken for stalled, and how many streams were healthy.
+// runStreams simulates streams. It returns how long each caller of a stalled stream waited
+// at the stall, how many healthy streams were taken for stalled, and how many streams were
+// healthy.
 func runStreams(seed uint64, make func(now time.Time) stallDetector) (waits []time.Duration, alarms, healthy int) {
 	r := rand.New(rand.NewPCG(seed, 70))
 	for i := range streamCount {
--- a/internal/measure/table.go
+++ b/internal/measure/table.go
@@ -15,6 +15,8 @@
 	rows        [][]string
 }
 
+// addRow adds a row. It prints floating-point numbers with three significant digits, and
+// from 100 on without decimals.
 func (t *table) addRow(cells ...any) {
 	row := make([]string, len(cells))
 	for i, c := range cells {
--- a/internal/rounds/report.go
+++ b/internal/rounds/report.go
@@ -39,8 +39,8 @@
 	taken  float64
 }
 
-// class holds the results of one kind of request: how many were sent, and their worth
-// (score).
+// class holds the results of one kind of request: how many were sent, and
+// their worth (score).
 type class struct {
 	Name  string
 	Count int `json:"n"`
@@ -106,7 +106,7 @@
 }
 
 // printTable prints a row for each day, then the means over all days and over the days
-// with trouble: those that are not quiet.
+// with trouble: those whose names do not begin with "quiet".
 func printTable(w io.Writer, days []string, runs []*dayRun) {
 	columns := []string{"day", "worth", "spread"}
 	for _, p := range firstReport(runs).Parts {
