--- a/internal/fleet/stream_test.go
+++ b/internal/fleet/stream_test.go
@@ -112,7 +112,7 @@
 	resp, _ = openStream(ctx, t, f.VMs[1], "", "Woaddoor-Stream", token+"x", "Last-Event-ID", last)
 	is.Equal(resp.StatusCode, http.StatusForbidden)
 
-	// The engines have lost the stream: the refusal must not say that it did not run.
+	// The engines have lost the stream. The refusal must not have the outcome "not run".
 	for _, e := range f.Engines {
 		e.DropGenerations()
 	}
--- a/internal/rounds/main.go
+++ b/internal/rounds/main.go
@@ -192,7 +192,7 @@
 	if readErr != nil {
 		return nil, cmp.Or(err, readErr, fmt.Errorf("%s", strings.TrimSpace(string(out))))
 	}
-	return r, nil // err is ignored: the bench exits with an error status when a rule is broken
+	return r, nil // err is ignored: the bench also exits with an error status when a rule is broken
 }
 
 // reportsOf returns the reports of those runs of a day that did not fail.
--- a/internal/rounds/report.go
+++ b/internal/rounds/report.go
@@ -25,18 +25,18 @@
 	Classes []class
 }
 
-// part is one component of the worth of a day.
+// part is one component of the worth (score) of a day.
 type part struct {
 	name   string
-	weight float64
+	weight float64 // weight of the value in the worth
 	value  float64
 }
 
-// price is what the bench takes off the worth of a day for the use of a resource.
+// price is what the bench takes off the worth (score) of a day for the use of a resource.
 type price struct {
 	name   string
-	amount float64
-	taken  float64
+	amount float64 // amount of the resource that was used
+	taken  float64 // part of the worth that was taken off
 }
 
 // class holds the results of one kind of request: how many were sent, and
