--- a/internal/fleet/stream_test.go
+++ b/internal/fleet/stream_test.go
@@ -105,14 +105,14 @@
 	first, last, _ := readStream(lines, 10)
 	f.VMs[0].Entry.Kill()
 	_, lines = openStream(ctx, t, f.VMs[1], "", "Woaddoor-Stream", token, "Last-Event-ID", last)
-	rest, _, ended := readStream(lines, 0)
+	remaining, _, ended := readStream(lines, 0)
 	is.True(ended)
-	is.True(strings.Contains(whole.Body, first+rest)) // no token is missing or repeated
+	is.True(strings.Contains(whole.Body, first+remaining)) // no token is missing or repeated
 
 	resp, _ = openStream(ctx, t, f.VMs[1], "", "Woaddoor-Stream", token+"x", "Last-Event-ID", last)
 	is.Equal(resp.StatusCode, http.StatusForbidden)
 
-	// The engines have lost the stream: the refusal must not say that it did not run.
+	// The engines have lost the stream. The refusal must not have the outcome "not run".
 	for _, e := range f.Engines {
 		e.DropGenerations()
 	}
