--- a/daemon/duties.go
+++ b/daemon/duties.go
@@ -46,7 +46,7 @@
 	}
 	v.usage = leader.NewUsageLedger(&leader.UsageLedgerOptions{
 		Self: instance, DataCentre: self.DataCentre, Now: time.Now,
-		Terms: v.usageTerms(), DataCentres: func() []contract.DataCentreID { return v.peers.DataCentres() },
+		Rules: v.usageTerms(), DataCentres: func() []contract.DataCentreID { return v.peers.DataCentres() },
 	})
 }
 
@@ -76,13 +76,13 @@
 	var tasks []leader.Task
 	if v.usage != nil {
 		tasks = append(tasks, leader.NewUsageReporter(&leader.UsageReporterOptions{
-			Lease: v.lease, Ledger: v.usage, Terms: v.usageTerms(), API: calls, Now: time.Now, Log: v.log, Registry: v.registry,
+			Lease: v.lease, Ledger: v.usage, Rules: v.usageTerms(), API: calls, Now: time.Now, Log: v.log, Registry: v.registry,
 		}))
 	}
 	if platform.HasScalingDuty(d.Names) {
 		tasks = append(tasks, leader.NewScaler(&leader.ScalerOptions{
 			Lease: v.lease, API: calls, Services: v.services, Upstreams: func() []upstream.Entry { return v.site.Upstreams() },
-			ListAge: v.listAge, Load: v.peers.TotalWork, ReleaseState: v.relay.RolloutState, ResponseObjective: v.objective, Now: time.Now, Log: v.log, Registry: v.registry,
+			ListAge: v.listAge, Load: v.peers.TotalLoad, ReleaseState: v.relay.RolloutState, ResponseObjective: v.objective, Now: time.Now, Log: v.log, Registry: v.registry,
 		}))
 	}
 	v.log.Info("duties", zap.Strings("names", d.Names), zap.String("address", d.Address), zap.Duration("lease", d.Lease), zap.Int("acts", len(tasks)))
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -241,7 +241,7 @@
 	for _, a := range f.VMs {
 		for _, b := range f.VMs {
 			if a.DataCentre == dc && b.DataCentre != dc {
-				f.Net.SetCut(string(a.Name), string(b.Name), cut)
+				f.Net.SetDisconnected(string(a.Name), string(b.Name), cut)
 			}
 		}
 	}
--- a/internal/standin/wire/wire.go
+++ b/internal/standin/wire/wire.go
@@ -22,8 +22,8 @@
 	return &Net{vmByAddress: make(map[string]string), disconnectedPairs: make(map[[2]string]bool)}
 }
 
-// SetCut disconnects two VMs from each other, or reconnects them.
-func (n *Net) SetCut(a, b string, disconnected bool) {
+// SetDisconnected disconnects two VMs from each other, or reconnects them.
+func (n *Net) SetDisconnected(a, b string, disconnected bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.disconnectedPairs[[2]string{a, b}], n.disconnectedPairs[[2]string{b, a}] = disconnected, disconnected
--- a/leader/reports.go
+++ b/leader/reports.go
@@ -25,7 +25,7 @@
 type UsageReporterOptions struct {
 	Lease  *LeaseClient
 	Ledger *UsageLedger
-	Terms  usage.Rules
+	Rules  usage.Rules
 	API    UsageAPI
 	// Now returns the wall-clock time.
 	Now      func() time.Time
@@ -129,9 +129,9 @@
 
 // expireWindows gives up the windows whose deadline for reporting has passed.
 func (r *UsageReporter) expireWindows(record usage.Record, now time.Time) {
-	for _, w := range r.opts.Terms.Overdue(record, now) {
+	for _, w := range r.opts.Rules.Overdue(record, now) {
 		if !r.finished[w] {
-			r.finish(w, "missed", zap.Duration("after", now.Sub(w.End(r.opts.Terms.Window)).Round(time.Millisecond)))
+			r.finish(w, "missed", zap.Duration("after", now.Sub(w.End(r.opts.Rules.Window)).Round(time.Millisecond)))
 		}
 	}
 }
--- a/leader/reports_test.go
+++ b/leader/reports_test.go
@@ -98,10 +98,10 @@
 		Options: lease.Options{Self: contract.VMInstance{VM: name, Incarnation: 1}, Duration: testLease},
 		Store:   s.store, Clock: s.clock, Timeout: time.Second,
 	})
-	vm.ledger = NewUsageLedger(&UsageLedgerOptions{Self: contract.VMInstance{VM: name}, Terms: testRules, Now: s.clock.Now})
+	vm.ledger = NewUsageLedger(&UsageLedgerOptions{Self: contract.VMInstance{VM: name}, Rules: testRules, Now: s.clock.Now})
 	registry := metrics.NewRegistry()
 	reports := NewUsageReporter(&UsageReporterOptions{
-		Lease: vm.client, Ledger: vm.ledger, Terms: testRules, API: s.platform, Now: s.clock.Now, Log: zap.NewNop(), Registry: registry,
+		Lease: vm.client, Ledger: vm.ledger, Rules: testRules, API: s.platform, Now: s.clock.Now, Log: zap.NewNop(), Registry: registry,
 	})
 	vm.leader = New(&Options{
 		Lease: vm.client, TakeoverDelay: func() (time.Duration, bool) { return 0, true }, OnChange: func() {},
--- a/leader/usage_ledger.go
+++ b/leader/usage_ledger.go
@@ -12,7 +12,7 @@
 type UsageLedgerOptions struct {
 	Self       contract.VMInstance
 	DataCentre contract.DataCentreID
-	Terms      usage.Rules
+	Rules      usage.Rules
 	// Now returns the wall-clock time, which determines the usage window.
 	Now func() time.Time
 	// DataCentres returns the data centres that have VMs. If nil, only the VM's
@@ -60,7 +60,7 @@
 func (l *UsageLedger) CountRequest(w contract.WorkspaceID, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.counter.CountStart(l.opts.Self, usage.WindowOf(at, l.opts.Terms.Window), w)
+	l.counter.CountStart(l.opts.Self, usage.WindowOf(at, l.opts.Rules.Window), w)
 }
 
 // ChangesFor returns the counts to send to a recipient, and the number of the newest change among
@@ -141,12 +141,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.pruneWindows()
-	return l.opts.Terms.Close(r, l.counter, completeUntil, l.opts.Now())
+	return l.opts.Rules.Close(r, l.counter, completeUntil, l.opts.Now())
 }
 
 // pruneWindows drops the windows that cannot be reported any more. The caller holds mu.
 func (l *UsageLedger) pruneWindows() {
-	rules := l.opts.Terms
+	rules := l.opts.Rules
 	oldest := l.opts.Now().Add(-rules.ReportDeadline)
 	l.counter.DropBefore(usage.WindowOf(oldest, rules.Window) - extraWindows)
 }
--- a/quarantine/crashes.go
+++ b/quarantine/crashes.go
@@ -81,9 +81,9 @@
 	return out
 }
 
-// ReplacedLives returns the suspected upstream instances whose address now belongs to another
+// ReplacedInstances returns the suspected upstream instances whose address now belongs to another
 // instance in the upstream list, which confirms their crash.
-func (t *CrashTracker) ReplacedLives(instanceAt func(address string) (contract.UpstreamInstance, bool)) []contract.UpstreamInstance {
+func (t *CrashTracker) ReplacedInstances(instanceAt func(address string) (contract.UpstreamInstance, bool)) []contract.UpstreamInstance {
 	var out []contract.UpstreamInstance
 	for instance, crash := range t.byInstance {
 		if crash.confirmed {
--- a/quarantine/crashes_test.go
+++ b/quarantine/crashes_test.go
@@ -30,9 +30,9 @@
 	crashes.ConnectionBroke(second, "b:1", suspect("4"))
 	listed := contract.UpstreamInstance{Upstream: "u2", Incarnation: 1}
 	at := func(string) (contract.UpstreamInstance, bool) { return listed, true }
-	is.Equal(len(crashes.ReplacedLives(at)), 0) // the same instance is still listed: only its connection broke
+	is.Equal(len(crashes.ReplacedInstances(at)), 0) // the same instance is still listed: only its connection broke
 	listed = contract.UpstreamInstance{Upstream: "u2", Incarnation: 2}
-	is.Equal(crashes.ReplacedLives(at), []contract.UpstreamInstance{second})
+	is.Equal(crashes.ReplacedInstances(at), []contract.UpstreamInstance{second})
 	is.Equal(len(crashes.Confirm(second)), 1)
 	crashes.Expire(now.Add(confirmTimeout))
 	is.True(crashes.Any())
--- a/quarantine/gossip.go
+++ b/quarantine/gossip.go
@@ -14,9 +14,9 @@
 	Fingerprint Fingerprint `cbor:"1,keyasint"`
 	About       Source      `cbor:"2,keyasint"`
 	Epoch       uint32      `cbor:"3,keyasint,omitempty"`
-	// Held is true if the content is quarantined.
-	Held    bool          `cbor:"4,keyasint,omitempty"`
-	Crashes []CrashUpdate `cbor:"5,keyasint,omitempty"`
+	// Quarantined is true if the content is quarantined.
+	Quarantined bool          `cbor:"4,keyasint,omitempty"`
+	Crashes     []CrashUpdate `cbor:"5,keyasint,omitempty"`
 }
 
 // CrashUpdate is an upstream crash in a gossip update.
@@ -31,7 +31,7 @@
 func (t *Table) Updates(now time.Time) []Update {
 	var records []*Record
 	for p, c := range t.gossiping {
-		if now.Sub(c.changedAt) < c.gossipTTL() || c.Held && !c.inStore {
+		if now.Sub(c.changedAt) < c.gossipTTL() || c.Quarantined && !c.inStore {
 			records = append(records, c)
 			continue
 		}
@@ -56,11 +56,11 @@
 // Urgent reports whether a change must be sent to other VMs at once instead of with the
 // next periodic message. Contents with a single crash are not urgent: most of them merely
 // ran on the crashed upstream, about a dozen per crash.
-func (c *Record) Urgent() bool { return c.Held || countSuccessive(c.Crashes) >= CrashLimit-1 }
+func (c *Record) Urgent() bool { return c.Quarantined || countSuccessive(c.Crashes) >= CrashLimit-1 }
 
 // gossipTTL returns how long the last change of the record is repeated in gossip.
 func (c *Record) gossipTTL() time.Duration {
-	if len(c.Crashes) == 1 && !c.Held {
+	if len(c.Crashes) == 1 && !c.Quarantined {
 		return singleCrashGossipTTL
 	}
 	return gossipTTL
@@ -68,7 +68,7 @@
 
 // update returns the gossip update about the record.
 func (c *Record) update(now time.Time) Update {
-	out := Update{Fingerprint: c.Fingerprint, About: c.Source, Epoch: c.Epoch, Held: c.Held}
+	out := Update{Fingerprint: c.Fingerprint, About: c.Source, Epoch: c.Epoch, Quarantined: c.Quarantined}
 	for _, e := range c.Crashes {
 		out.Crashes = append(out.Crashes, CrashUpdate{e.UpstreamInstance, now.Sub(e.SentAt), now.Sub(e.BrokenAt)})
 	}
@@ -79,7 +79,7 @@
 func (t *Table) Merge(updates []Update, now time.Time) []*Record {
 	var changed []*Record
 	for _, u := range updates[:min(len(updates), maxUpdates)] {
-		other := Record{Fingerprint: u.Fingerprint, Source: u.About, Epoch: u.Epoch, Held: u.Held}
+		other := Record{Fingerprint: u.Fingerprint, Source: u.About, Epoch: u.Epoch, Quarantined: u.Quarantined}
 		for _, e := range u.Crashes[:min(len(u.Crashes), maxCrashesKept)] {
 			other.Crashes = append(other.Crashes, Crash{e.Instance, now.Add(-e.SentAge), now.Add(-e.BrokeAge)})
 		}
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -46,17 +46,17 @@
 	t.setQuarantined(c, true)
 }
 
-// SetUnstored records that the store no longer contains a content as of a revision,
+// RemovedFromStore records that the store no longer contains a content as of a revision,
 // because an operator released it or an answer cleared it. It reports whether the
 // content was quarantined on this VM.
-func (t *Table) SetUnstored(p Fingerprint, at contract.Revision, now time.Time) bool {
+func (t *Table) RemovedFromStore(p Fingerprint, at contract.Revision, now time.Time) bool {
 	c := t.records[p]
 	if c == nil || !c.inStore || at < c.storeRevision {
 		return false
 	}
 	c.storeRevision = at
 	t.setInStore(c, false)
-	if !c.Held {
+	if !c.Quarantined {
 		return false // Already cleared: increasing the epoch again on every VM would keep the gossip going forever.
 	}
 	t.resetTo(c, c.Epoch+1, now)
@@ -77,12 +77,12 @@
 
 // ToStore returns the quarantined contents that still have to be written to the store.
 func (t *Table) ToStore() []QuarantinedContent {
-	return t.recordsWhere(func(c *Record) bool { return c.Held && !c.inStore })
+	return t.recordsWhere(func(c *Record) bool { return c.Quarantined && !c.inStore })
 }
 
 // ToDelete returns the cleared contents that still have to be deleted from the store.
 func (t *Table) ToDelete() []QuarantinedContent {
-	return t.recordsWhere(func(c *Record) bool { return !c.Held && c.inStore })
+	return t.recordsWhere(func(c *Record) bool { return !c.Quarantined && c.inStore })
 }
 
 // recordsWhere returns the matching records in the store's representation, sorted by fingerprint.
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -68,8 +68,8 @@
 	Epoch uint32
 	// Crashes holds the newest crashes of upstreams that ran this content, oldest first.
 	Crashes []Crash
-	// Held reports whether the content is quarantined: it is sent to no upstream.
-	Held bool
+	// Quarantined reports whether the content is quarantined: it is sent to no upstream.
+	Quarantined bool
 
 	changedAt time.Time
 	// storeRevision is the revision of the content's object in the store; inStore reports
@@ -129,7 +129,7 @@
 // reports whether the content was under suspicion.
 func (t *Table) RecordAnswer(p Fingerprint, now time.Time) bool {
 	c := t.records[p]
-	if c == nil || len(c.Crashes) == 0 && !c.Held {
+	if c == nil || len(c.Crashes) == 0 && !c.Quarantined {
 		return false
 	}
 	t.resetTo(c, c.Epoch+1, now)
@@ -146,12 +146,12 @@
 // setQuarantined sets Held and keeps quarantinedCount up to date.
 func (t *Table) setQuarantined(c *Record, quarantined bool) {
 	switch {
-	case quarantined && !c.Held:
+	case quarantined && !c.Quarantined:
 		t.quarantinedCount++
-	case !quarantined && c.Held:
+	case !quarantined && c.Quarantined:
 		t.quarantinedCount--
 	}
-	c.Held = quarantined
+	c.Quarantined = quarantined
 }
 
 // setInStore sets inStore and keeps storedCount up to date.
@@ -171,7 +171,7 @@
 func (t *Table) merge(other Record, now time.Time) bool {
 	c := t.records[other.Fingerprint]
 	if c == nil {
-		if len(other.Crashes) == 0 && !other.Held && other.Epoch == 0 {
+		if len(other.Crashes) == 0 && !other.Quarantined && other.Epoch == 0 {
 			return false
 		}
 		t.makeRoom(now)
@@ -186,14 +186,14 @@
 	if changed {
 		t.resetTo(c, other.Epoch, now)
 	}
-	if c.Held && !changed {
+	if c.Quarantined && !changed {
 		return false // further crashes make no difference to a quarantined content
 	}
 	crashes := mergeCrashes(c.Crashes, other.Crashes)
-	quarantined := c.Held || other.Held || countSuccessive(crashes) >= CrashLimit
+	quarantined := c.Quarantined || other.Quarantined || countSuccessive(crashes) >= CrashLimit
 	// Only a longer list counts as a change. Once the list is full, VMs keep different
 	// newest crashes and would otherwise exchange them forever.
-	changed = changed || len(crashes) > len(c.Crashes) || quarantined != c.Held
+	changed = changed || len(crashes) > len(c.Crashes) || quarantined != c.Quarantined
 	c.Crashes = crashes
 	t.setQuarantined(c, quarantined)
 	if changed {
@@ -266,7 +266,7 @@
 	t.Expire(now)
 	var oldest *Record
 	for _, c := range t.records {
-		if oldest == nil || !c.Held && oldest.Held || c.Held == oldest.Held && c.changedAt.Before(oldest.changedAt) {
+		if oldest == nil || !c.Quarantined && oldest.Quarantined || c.Quarantined == oldest.Quarantined && c.changedAt.Before(oldest.changedAt) {
 			oldest = c
 		}
 	}
@@ -279,7 +279,7 @@
 // quarantined or in the store.
 func (t *Table) Expire(now time.Time) {
 	for _, c := range t.records {
-		if !c.Held && !c.inStore && now.Sub(c.changedAt) > suspicionTTL {
+		if !c.Quarantined && !c.inStore && now.Sub(c.changedAt) > suspicionTTL {
 			t.remove(c)
 		}
 	}
@@ -287,7 +287,7 @@
 
 // remove deletes a record and updates the counts.
 func (t *Table) remove(c *Record) {
-	if c.Held {
+	if c.Quarantined {
 		t.quarantinedCount--
 	}
 	t.setInStore(c, false)
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -73,7 +73,7 @@
 
 // randomUpdate generates a gossip update about one content with up to maxCrashesKept crashes.
 func randomUpdate(t *rapid.T, label string) Update {
-	out := Update{Fingerprint: Fingerprint{1}, Epoch: uint32(rapid.IntRange(0, 2).Draw(t, label+"epoch")), Held: rapid.IntRange(0, 9).Draw(t, label+"quarantined") == 0}
+	out := Update{Fingerprint: Fingerprint{1}, Epoch: uint32(rapid.IntRange(0, 2).Draw(t, label+"epoch")), Quarantined: rapid.IntRange(0, 9).Draw(t, label+"quarantined") == 0}
 	for _, incarnation := range rapid.SliceOfNDistinct(rapid.IntRange(0, maxCrashesKept-1), 0, maxCrashesKept, rapid.ID[int]).Draw(t, label+"incarnations") {
 		broke := rapid.IntRange(0, 20).Draw(t, fmt.Sprint(label, "broke", incarnation))
 		out.Crashes = append(out.Crashes, CrashUpdate{
@@ -94,12 +94,12 @@
 		a, b := randomUpdate(t, "a"), randomUpdate(t, "b")
 		first, second := tableAfterUpdates(t, a, b), tableAfterUpdates(t, b, a)
 		x, y := updateOf(first), updateOf(second)
-		if x.Epoch != y.Epoch || !x.Held && !y.Held && !slices.Equal(x.Crashes, y.Crashes) {
+		if x.Epoch != y.Epoch || !x.Quarantined && !y.Quarantined && !slices.Equal(x.Crashes, y.Crashes) {
 			t.Fatalf("%+v in one order, %+v in the other", x, y)
 		}
 		first.Merge([]Update{y}, start)
 		second.Merge([]Update{x}, start)
-		if x, y = updateOf(first), updateOf(second); x.Held != y.Held {
+		if x, y = updateOf(first), updateOf(second); x.Quarantined != y.Quarantined {
 			t.Fatalf("%+v and %+v after the VMs exchanged updates", x, y)
 		}
 	})
@@ -115,13 +115,13 @@
 			t.Fatal("a repeated update changed the table")
 		}
 		after := updateOf(table)
-		if before.Held && before.Epoch == after.Epoch && !after.Held {
+		if before.Quarantined && before.Epoch == after.Epoch && !after.Quarantined {
 			t.Fatal("an update of the same epoch released the content")
 		}
 		if len(after.Crashes) > maxCrashesKept {
 			t.Fatal("more than maxCrashesKept crashes kept")
 		}
-		if quarantined := table.CountQuarantined() == 1; quarantined != after.Held {
+		if quarantined := table.CountQuarantined() == 1; quarantined != after.Quarantined {
 			t.Fatalf("CountQuarantined() = %d, which contradicts the record", table.CountQuarantined())
 		}
 	}
@@ -214,20 +214,20 @@
 	table, p := NewTable(), Fingerprint{1}
 	table.SetStored(QuarantinedContent{Fingerprint: p, Revision: 5}, at(0))
 	is.True(table.Blocks(p, at(1)))
-	is.True(!table.SetUnstored(p, 4, at(1)))
+	is.True(!table.RemovedFromStore(p, 4, at(1)))
 	is.True(table.Blocks(p, at(1)))
 	is.Equal(table.StoredExcept(map[Fingerprint]bool{}), []Fingerprint{p})
-	is.True(table.SetUnstored(p, 6, at(2)))
+	is.True(table.RemovedFromStore(p, 6, at(2)))
 	is.True(!table.Blocks(p, at(3)))
 	table.SetStored(QuarantinedContent{Fingerprint: p, Revision: 5}, at(4)) // outdated notification from the store
 	is.True(!table.Blocks(p, at(5)))
-	table.Merge([]Update{{Fingerprint: p, Held: true}}, at(6)) // outdated gossip from another VM
+	table.Merge([]Update{{Fingerprint: p, Quarantined: true}}, at(6)) // outdated gossip from another VM
 	is.True(!table.Blocks(p, at(7)))
 
 	table.SetStored(QuarantinedContent{Fingerprint: p, Revision: 7}, at(8))
 	is.True(table.RecordAnswer(p, at(9)))
 	is.True(!table.Blocks(p, at(10)))
 	is.Equal(len(table.ToDelete()), 1)
-	is.True(!table.SetUnstored(p, 8, at(11))) // already cleared
+	is.True(!table.RemovedFromStore(p, 8, at(11))) // already cleared
 	is.Equal(len(table.ToDelete()), 0)
 }
--- a/quarantine/trials.go
+++ b/quarantine/trials.go
@@ -45,7 +45,7 @@
 // granted trial, and requests a trial if one is due.
 func (t *Table) Blocks(p Fingerprint, now time.Time) bool {
 	c := t.records[p]
-	if c == nil || !c.Held {
+	if c == nil || !c.Quarantined {
 		return false
 	}
 	if now.Before(c.trials.grantedUntil) {
@@ -58,7 +58,7 @@
 
 // TrialRequests returns the contents for which a trial should be requested from the store.
 func (t *Table) TrialRequests() []QuarantinedContent {
-	out := t.recordsWhere(func(c *Record) bool { return c.Held && c.inStore && c.trials.requested })
+	out := t.recordsWhere(func(c *Record) bool { return c.Quarantined && c.inStore && c.trials.requested })
 	for i := range out {
 		out[i].Trials++
 	}
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -93,7 +93,7 @@
 		instance, ok := incarnations[address]
 		return instance, ok
 	}
-	for _, instance := range r.possibleCrashes.ReplacedLives(incarnationAt) {
+	for _, instance := range r.possibleCrashes.ReplacedInstances(incarnationAt) {
 		r.recordCrash(instance, "another incarnation is listed", r.possibleCrashes.Confirm(instance))
 	}
 }
--- a/relay/notices.go
+++ b/relay/notices.go
@@ -47,7 +47,7 @@
 // back-off binds only the VM from which it is requested, but shows the others that the upstream
 // may reject their requests too.
 type Backoff struct {
-	Life contract.UpstreamInstance `cbor:"1,keyasint"`
+	Instance contract.UpstreamInstance `cbor:"1,keyasint"`
 	// Remaining is the remaining time of the back-off.
 	Remaining time.Duration `cbor:"2,keyasint"`
 }
@@ -60,8 +60,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, backoff := range backoffs {
-		if r.isCurrent(backoff.Life.Upstream, backoff.Life.Incarnation) {
-			r.table.RecordPeerBackoff(backoff.Life.Upstream, min(backoff.Remaining, r.opts.MaxBackoff), r.opts.Now())
+		if r.isCurrent(backoff.Instance.Upstream, backoff.Instance.Incarnation) {
+			r.table.RecordPeerBackoff(backoff.Instance.Upstream, min(backoff.Remaining, r.opts.MaxBackoff), r.opts.Now())
 		}
 	}
 }
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -90,7 +90,7 @@
 // logCase logs the state of content that is suspected of crashing upstreams. The caller holds mu.
 func (r *Relay) logCase(c *quarantine.Record, reporter string) {
 	event := "suspect"
-	if c.Held {
+	if c.Quarantined {
 		event = "request-held"
 	}
 	var crashed []contract.UpstreamID
@@ -136,7 +136,7 @@
 func (r *Relay) RemoveQuarantined(p quarantine.Fingerprint, at contract.Revision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.quarantineCases.SetUnstored(p, at, r.opts.Now()) {
+	if r.quarantineCases.RemovedFromStore(p, at, r.opts.Now()) {
 		r.log.Info("request-released", zap.Stringer("print", p), zap.Int64("revision", int64(at)))
 	}
 }
--- a/relay/send.go
+++ b/relay/send.go
@@ -23,8 +23,8 @@
 	// LastEvent is the id of the event after which a stream is resumed; nil if it starts at
 	// the beginning.
 	LastEvent *int64
-	// Weights is the version of the model weights with which a stream must be resumed.
-	Weights string
+	// WeightsVersion is the version of the model weights with which a stream must be resumed.
+	WeightsVersion string
 }
 
 // UpstreamProtocol implements the protocol of the upstreams.
@@ -113,7 +113,7 @@
 	watchdog := r.watchSilence(j, now.Add(timeout), func() { cancel(errSilent) })
 	send := Send{Upstream: e, Model: j.model, Remaining: j.Deadline.Sub(now), LastEvent: lastEvent}
 	if lastEvent != nil {
-		send.Weights = j.weightsVersion
+		send.WeightsVersion = j.weightsVersion
 	}
 	req := r.opts.Protocol.Encode(j.Request, send)
 	if !j.Route.Repeatable() {
--- a/site/load.go
+++ b/site/load.go
@@ -66,9 +66,9 @@
 	return load
 }
 
-// TotalWork returns the load that all VMs put on the upstreams of each service, as far as
+// TotalLoad returns the load that all VMs put on the upstreams of each service, as far as
 // it was reported to this VM. All hubs report it to the lease holder.
-func (p *Peers) TotalWork() map[contract.ServiceID]scaling.Load {
+func (p *Peers) TotalLoad() map[contract.ServiceID]scaling.Load {
 	load := p.localAndLeafLoad()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/site/reports_test.go
+++ b/site/reports_test.go
@@ -122,7 +122,7 @@
 	is := is.New(t)
 	a, others := fourPeers(t)
 	sent := relay.SentPrompt{Upstream: "u", Model: "m", Tokens: 900, Parts: []prefill.Part{{Key: 7, Tokens: 800}, {Key: 8, Tokens: 100}}, PrefillTime: time.Second}
-	backoff := relay.Backoff{Life: contract.UpstreamInstance{Upstream: "u", Incarnation: 3}, Remaining: time.Second}
+	backoff := relay.Backoff{Instance: contract.UpstreamInstance{Upstream: "u", Incarnation: 3}, Remaining: time.Second}
 	a.ReportConfidence(relay.ConfidenceReport{Model: "m", Largest: "l", Confidence: 0.5})
 	a.ReportBackoff(backoff)
 	a.ReportSent(sent)
--- a/site/site.go
+++ b/site/site.go
@@ -26,7 +26,7 @@
 	FirstStart     bool
 	Configurations Source[*route.Table]
 	Upstreams      Source[upstream.Entry]
-	Orders         Source[rollout.ReleaseOrder]
+	Rollouts       Source[rollout.ReleaseOrder]
 	// Evacuations lists the data centres whose upstreams receive no further requests. It
 	// is nil where the deployment supports no evacuations.
 	Evacuations Source[Evacuation]
@@ -177,10 +177,10 @@
 	configs := newFollower(ctx, s, s.opts.Configurations, s.applyTable, func(bool) {})
 	upstreams := newFollower(ctx, s, s.opts.Upstreams, s.applyUpstreams, s.recordStoreCall)
 	upstreams.applyFirstPage = s.applyFirstUpstreams
-	orders := newFollower(ctx, s, s.opts.Orders, s.applyOrders, func(bool) {})
+	orders := newFollower(ctx, s, s.opts.Rollouts, s.applyOrders, func(bool) {})
 	s.opts.Peers.registerKind(s.opts.Configurations.Name(), configs)
 	s.opts.Peers.registerKind(s.opts.Upstreams.Name(), upstreams)
-	s.opts.Peers.registerKind(s.opts.Orders.Name(), orders)
+	s.opts.Peers.registerKind(s.opts.Rollouts.Name(), orders)
 	s.opts.Peers.attachRelay(s.opts.Relay)
 	runs := []func(context.Context){configs.run, upstreams.run, orders.run, s.tick, s.opts.Peers.Run, s.maintainRegistration}
 	if s.opts.Evacuations != nil {
