--- a/upstream/cold.go
+++ b/upstream/cold.go
@@ -8,20 +8,21 @@
 )
 
 // A cold upstream is one that has recently started: it can handle only little load for a while,
-// and fails if it gets much more. The bound on the requests that it can handle applies to all VMs
-// together, but no VM knows what the others send at the same moment. Each cold upstream therefore
-// has a few owners among the VMs of its data centre. All VMs compute the same owners without
-// communication (rendezvous hashing). Each owner may send a cold upstream a whole number of
-// requests per second; the other VMs send it nothing until it is warm.
+// and fails if it gets much more load. The bound on the requests that it can handle applies to all
+// VMs together, but no VM knows what the others send at the same moment.
+// Each cold upstream therefore has a few owners among the VMs of its data centre.
+// All VMs compute the same owners without communication (rendezvous hashing).
+// Each owner may send a cold upstream a whole number of requests per second;
+// the other VMs send it nothing until it is warm.
 //
-// The owners of a cold upstream together send at most half of its bound, so that two groups of
-// VMs with different views of the membership, and thus without a common owner, together stay
-// within it. Equal shares for all VMs would be less than one request per second each when there
-// are many VMs: 61 VMs that each send one request at the same moment exceed a bound of 20 three
-// times over.
-
-// ColdBound limits the requests to an upstream of a service while the upstream is cold. The
-// zero value means that it is never cold.
+// The owners of a cold upstream together send at most half of its bound,
+// so that two groups of VMs with different views of the membership, and thus without a common
+// owner, together stay within the bound. Equal shares for all VMs would be less than one request
+// per second each when there are many VMs: 61 VMs that each send one request at the same moment
+// send three times as many requests as a bound of 20 allows.
+
+// ColdBound limits the requests to an upstream of a service while the upstream is cold.
+// The zero value means that the upstream is never cold.
 type ColdBound struct {
 	// Duration is how long an upstream stays cold after its start.
 	Duration time.Duration
@@ -30,14 +31,15 @@
 	PerSecond, MaxPerSecond float64
 }
 
-// disjointViews is how many groups of VMs, whose views of the membership have no owner in common,
-// together stay within the bound of a cold upstream, as on the two sides of a network partition
-// or while VMs start.
+// disjointViews is the number of groups of VMs that together stay within the bound of a cold
+// upstream, although the groups know different VMs and therefore have no owner in common.
+// Such groups exist on the two sides of a network partition and while VMs start.
 const disjointViews = 2
 
-// ownerShares returns how many of vms VMs own a cold upstream, and how many requests each
-// owner may send it per second. Together they use as much of the bound as possible, split
-// among as many owners as possible, so that losing one owner costs little.
+// ownerShares returns how many of the given number of VMs own a cold upstream (may send to it),
+// and how many requests each owner may send it per second.
+// The owners together use as much of the bound as possible.
+// The bound is split among as many owners as possible, so that the loss of one owner costs little.
 func (b ColdBound) ownerShares(vms int) (owners, each int) {
 	budget := int(min(b.PerSecond, b.MaxPerSecond/disjointViews))
 	if budget == 0 && b.MaxPerSecond >= 1 {
@@ -51,14 +53,14 @@
 	return owners, each
 }
 
-// coldState is what a VM assumes about whether one upstream is cold.
+// coldState is what this VM assumes about whether one upstream is cold (recently started).
 type coldState struct {
 	bound ColdBound
 	// until is when the upstream is assumed to be warm, derived from its list entry, its
 	// start, or failures of this VM's connections to it.
 	until time.Time
 	// connectionsFailed is set if connections to the upstream have failed since it last
-	// answered; connectionsFailedAt is when the last one failed.
+	// answered. connectionsFailedAt is when the last connection failed.
 	connectionsFailed   bool
 	connectionsFailedAt time.Time
 	// entryRevision is the revision of the list entry that was last applied.
@@ -72,14 +74,15 @@
 	// coldWindow is the window in which an owner's requests are counted: one second plus
 	// the variation in network delay, which can bring two requests closer together.
 	coldWindow = 1100 * time.Millisecond
-	// recoveryMargin extends the cold period of an upstream whose connections failed: the
-	// upstream may return at any moment, and this VM may probe it only after probeBackoffMax.
+	// recoveryMargin extends the cold period of an upstream whose connections failed:
+	// the upstream may return at any moment, and this VM may probe the upstream only after
+	// probeBackoffMax.
 	recoveryMargin = probeBackoffMax
 	// centreFailureDivisor sets which fraction (1/3) of a data centre's upstreams must have
-	// failed connections before all of them are assumed to be cold: they may return
-	// together, and most VMs have tried few of them. Without this rule, when a data centre
-	// returned cold after 2 s, one upstream got 23 requests in a second where 20 were
-	// allowed.
+	// failed connections before all upstreams of the data centre are assumed to be cold:
+	// the upstreams may return together, and most VMs have tried few of them.
+	// Without this rule, when a data centre returned cold after 2 s, one upstream got 23
+	// requests in a second where 20 were allowed.
 	centreFailureDivisor = 3
 	// minCentreFailures is the minimum number of upstreams with failed connections before all
 	// upstreams of their data centre are assumed to be cold.
@@ -127,8 +130,9 @@
 	t.coldTransitions[i].Upstreams = append(t.coldTransitions[i].Upstreams, s.upstream.ID)
 }
 
-// applyEntryColdness updates the cold state from a list entry. An upstream that is new to
-// this VM, after the VM has received a first list, is assumed to have just started.
+// applyEntryColdness updates the cold state from a list entry.
+// An upstream that is new to this VM is assumed to have just started, if the VM has already
+// received a first upstream list.
 func (t *Table) applyEntryColdness(s *state, e Entry, b ColdBound, isNew bool, now time.Time) {
 	s.cold.bound = b
 	if b.MaxPerSecond == 0 {
@@ -164,8 +168,8 @@
 	}
 }
 
-// markCentreCold marks all upstreams in the data centre of reference as cold if connections
-// to many of them failed recently.
+// markCentreCold marks all upstreams in the data centre of the given upstream as cold if
+// connections to many upstreams there failed recently.
 func (t *Table) markCentreCold(reference *state, now time.Time) {
 	total, failed := 0, 0
 	for _, s := range t.byDataCentre[reference.pool.DataCentre] {
--- a/upstream/cost.go
+++ b/upstream/cost.go
@@ -15,7 +15,7 @@
 type Work struct {
 	Prompt prefill.Prompt
 	// Objective is the time from the arrival of the request within which its answer should
-	// begin, and Elapsed how long ago the request arrived.
+	// begin. Elapsed is the time since the arrival of the request.
 	Objective, Elapsed time.Duration
 }
 
@@ -31,16 +31,16 @@
 	// remotePlainCost is the cost of sending a request for a plain service to another data
 	// centre: its answer takes about as long as the round trip there.
 	remotePlainCost = 0.13
-	// fullLoadCost is the cost of an upstream whose slots are all in use.
+	// fullLoadCost is the cost of an upstream whose slots (concurrent requests) are all in use.
 	fullLoadCost = 0.2
 	// failureCost is added for an upstream at which all recent requests failed.
 	failureCost = 1.0
-	// waitCost is the cost of waiting for the whole objective, in addition to the risk of
-	// being late; it decides between upstreams that would all answer in time.
+	// waitCost is the cost of waiting for the whole objective, in addition to the risk of being
+	// late. The cost of waiting decides between upstreams that would all answer in time.
 	waitCost = 0.1
-	// firstHomeBonus and secondHomeBonus reduce the cost of the two home upstreams of a
-	// prompt prefix, so that VMs agree without communication while the prefix is not known to
-	// be cached anywhere.
+	// firstHomeBonus and secondHomeBonus reduce the cost of the two home upstreams of a prompt
+	// prefix, so that all VMs prefer the same upstreams without communication while the prefix
+	// is not known to be cached anywhere.
 	firstHomeBonus, secondHomeBonus = 0.05, 0.03
 )
 
@@ -53,8 +53,8 @@
 	return d.Seconds() / max(objective.Seconds(), minObjectiveSeconds)
 }
 
-// LateRisk returns the probability that an answer is late if it is expected to begin after the
-// given fraction of its objective; 1 is the objective itself.
+// LateRisk returns the probability that an answer is late if the answer is expected to begin after
+// the given fraction of its objective. A fraction of 1 is the objective itself.
 func LateRisk(fraction float64) float64 { return 1 / (1 + math.Exp((1-fraction)/lateRiskSpread)) }
 
 // Estimate is the expected timing of a request at an upstream.
@@ -65,7 +65,8 @@
 	CachedTokens int
 }
 
-// TimeToFirstToken returns the time until the answer is expected to begin; zero for the zero value.
+// TimeToFirstToken returns the time until the answer is expected to begin.
+// The time is zero for the zero value of Estimate.
 func (e Estimate) TimeToFirstToken() time.Duration {
 	if e == (Estimate{}) {
 		return 0
@@ -96,12 +97,12 @@
 	return time.Duration(excess / float64(s.pool.Slots) * float64(t.meanDecodeTime))
 }
 
-// cheapest returns the usable upstream with the lowest cost, or nil if there is none. The cost
-// covers the request itself, by the time at which it is answered, and later requests, by the
-// prefill time. If preferHomes is set, the home upstreams of the prompt prefix are preferred.
-// Other data centres are considered only if the lowest local cost exceeds the minimum cost of a
-// request to another data centre: while the local data centre has free capacity, this saves
-// evaluating four of five engines.
+// cheapest returns the usable upstream with the lowest cost, or nil if there is none.
+// The cost covers the delay of the request itself and, by the prefill price,
+// the delay of later requests. If preferHomes is set, the home upstreams of the prompt prefix are
+// preferred. Other data centres are considered only if the lowest local cost exceeds the minimum
+// cost of a request to another data centre. While the local data centre has free capacity,
+// four of five engines thus need no evaluation.
 func (t *Table) cheapest(q Query, now time.Time, preferHomes bool, random *rand.Rand) *state {
 	best, cost := t.cheapestOf(t.usableUpstreams(q, true, now), q, now, preferHomes, random)
 	if best != nil && cost <= q.remoteCost() {
@@ -181,12 +182,12 @@
 	return cost + loadCost
 }
 
-// minObjectiveSeconds is the shortest objective with which costs are computed. It replaces the
-// objective of a route that has none.
+// minObjectiveSeconds is the shortest objective with which costs are computed.
+// The shortest objective also replaces the objective of a route that sets none.
 const minObjectiveSeconds = 0.1
 
-// prefixHomes returns the first and the second home upstream of a prompt prefix. All VMs compute
-// the same homes (rendezvous hashing). Both are nil without a prefix.
+// prefixHomes returns the first and the second home upstream of a prompt prefix.
+// All VMs compute the same homes (rendezvous hashing). Both upstreams are nil without a prefix.
 func prefixHomes(usable []*state, prefix uint64) (first, second *state) {
 	if prefix == 0 {
 		return nil, nil
@@ -205,7 +206,8 @@
 	return first, second
 }
 
-// EstimateBest returns the estimate for a request at the upstream that it would be sent to now.
+// EstimateBest returns the estimate for a request at the upstream to which the request would be
+// sent now.
 func (t *Table) EstimateBest(q Query, now time.Time, random *rand.Rand) (Estimate, bool) {
 	best := t.cheapest(q, now, false, random)
 	if best == nil {
--- a/upstream/gossip_scope.go
+++ b/upstream/gossip_scope.go
@@ -6,7 +6,7 @@
 	"woaddoor/contract"
 )
 
-// GossipScope defines the upstreams of which this VM learns what requests other VMs send to them.
+// GossipScope defines the upstreams for which this VM learns of the requests that other VMs send.
 // The zero value covers the upstreams of this VM's own data centre.
 type GossipScope struct {
 	// Region means that VMs of other data centres also report their requests.
@@ -16,12 +16,13 @@
 	VMs int
 }
 
-// Assumptions about engines outside the gossip scope: this VM does not learn what requests other
-// VMs send to them.
+// Assumptions about engines outside the gossip scope: this VM does not learn of the requests that
+// other VMs send to such engines.
 const (
-	// outOfScopeWaitFactor is the fraction of the mean queue wait at the engines in the
-	// gossip scope that is assumed as the queue wait at the engines outside it. With a factor
-	// of 1, a data centre with more work than the others would keep all of it.
+	// outOfScopeWaitFactor is the fraction of the mean queue wait at the engines in the gossip
+	// scope that is assumed as the queue wait at the engines outside it.
+	// With a factor of 1, a data centre with more work than the other data centres would keep
+	// all of its work.
 	outOfScopeWaitFactor = 0.7
 )
 
@@ -46,9 +47,10 @@
 	t.meanWait = total / time.Duration(max(n, 1))
 }
 
-// receivesPrompts reports whether an engine currently gets prompts. An engine that gets none,
-// such as one with a release on trial or one that requested a back-off, takes no load off the
-// others.
+// receivesPrompts reports whether an engine currently gets prompts.
+// An engine that gets no prompts takes no load off the other engines.
+// Examples are an engine whose new software release is still on trial,
+// and an engine that requested a back-off (a pause).
 func (s *state) receivesPrompts(now time.Time) bool {
 	return !s.promptSentAt.IsZero() && now.Sub(s.promptSentAt) < demandWindow && s.acceptsWork(now)
 }
--- a/upstream/limit.go
+++ b/upstream/limit.go
@@ -17,16 +17,18 @@
 type LimitStatement uint8
 
 const (
-	// LimitUnknown means that the answer reveals nothing: it is a refusal, a failure, or its
-	// header cannot be parsed.
+	// LimitUnknown means that the answer reveals nothing about a rate limit:
+	// the answer is a refusal or a failure, or its header cannot be parsed.
 	LimitUnknown LimitStatement = iota
-	// LimitNone means that the upstream has no limit: it served a request and stated none.
+	// LimitNone means that the upstream has no rate limit:
+	// the upstream served a request and stated no limit.
 	LimitNone
 	// LimitStated means that the upstream stated a limit.
 	LimitStated
 )
 
-// stricterThan orders two limits of the same version: the stricter one applies.
+// stricterThan reports whether the limit a is stricter than the limit b.
+// Of two limits of the same version, the stricter limit applies.
 func (a RateLimit) stricterThan(b RateLimit) bool {
 	if a.Statement != b.Statement {
 		return a.Statement > b.Statement
@@ -48,14 +50,14 @@
 type limitState struct {
 	RateLimit
 	version uint64
-	// learnedAt is when this VM learned the limit. An answer to a request that was sent
-	// earlier contains nothing newer.
+	// learnedAt is when this VM learned the limit. An answer to a request that was sent before
+	// learnedAt states no newer limit.
 	learnedAt time.Time
-	// confirmedAt is when an answer last stated the limit, to this VM or to a VM that
-	// reported it, or when this VM last sent a request that should return it.
+	// confirmedAt is when an answer last stated the limit, to this VM or to a VM that reported
+	// the limit, or when this VM last sent a request whose answer should state the limit.
 	confirmedAt time.Time
-	// reportedAt and reportedRemoteAt are when any VM last reported the limit within this
-	// data centre, and to all data centres.
+	// reportedAt is when any VM last reported the limit within this data centre.
+	// reportedRemoteAt is when this VM last reported the limit to all data centres.
 	reportedAt, reportedRemoteAt time.Time
 	limiter                      limiter
 }
@@ -64,8 +66,9 @@
 const (
 	// localReportInterval is how often an unchanged limit is reported within the data centre.
 	localReportInterval = 2 * time.Second
-	// remoteReportInterval is how often an unchanged limit is reported to other data centres,
-	// which probe the upstream only if no VM of this data centre does.
+	// remoteReportInterval is how often an unchanged limit is reported to other data centres.
+	// VMs there probe the upstream (send it a request to learn its limit) only if no VM of the
+	// upstream's own data centre does.
 	remoteReportInterval = 10 * time.Second
 	// minChangeInterval is the minimum time between two changes of the rate limit that are
 	// reported immediately: an upstream may state a different rate in each answer.
@@ -76,13 +79,14 @@
 type LimitChange struct {
 	Update LimitUpdate
 	Before RateLimit
-	// Changed means that a different limit applies. Report means that the change should be
-	// reported to other VMs, and ReportRemote that it should be reported to VMs of other data
-	// centres too.
+	// Changed means that a different limit applies. Report means that the limit should be
+	// reported to other VMs. ReportRemote means that the limit should be reported to VMs of
+	// other data centres too.
 	Changed, Report, ReportRemote bool
 }
 
-// applyAnswer applies the statement about the limit in an answer; its request was sent at sentAt.
+// applyAnswer applies what an answer states about the rate limit.
+// The request for that answer was sent at sentAt.
 func (l *limitState) applyAnswer(answered RateLimit, sentAt, now time.Time) (change LimitChange) {
 	if answered.Statement == LimitUnknown || sentAt.Before(l.learnedAt) {
 		return LimitChange{}
@@ -104,9 +108,10 @@
 	return change
 }
 
-// merge applies the limit that another VM knows, and reports whether that changed the limit. The
-// newer version wins and, within a version, the stricter limit, regardless of the order and
-// number of messages. fresh means that the other VM has just received the limit in an answer.
+// merge applies the limit that another VM knows, and reports whether the limit in force changed.
+// The newer version of the limit applies; of two limits of one version, the stricter limit applies,
+// whatever the order and number of messages. fresh means that the other VM has just received the
+// limit in an answer.
 func (l *limitState) merge(update LimitUpdate, fresh bool, now time.Time) (changed bool) {
 	switch {
 	case update.Version < l.version:
@@ -122,8 +127,8 @@
 	return changed
 }
 
-// set replaces the limit. If there was none before, the limiter starts without any burst
-// saved up.
+// set replaces the limit. If no limit was stated before, the limiter starts without unused requests
+// for a burst.
 func (l *limitState) set(next RateLimit, version uint64, now time.Time) {
 	if l.Statement != LimitStated {
 		l.limiter = limiter{startedAt: now}
--- a/upstream/limit_table.go
+++ b/upstream/limit_table.go
@@ -66,9 +66,9 @@
 // CountLimited returns how many of the listed upstreams have a rate limit in force.
 func (t *Table) CountLimited() int { return len(t.limited) }
 
-// Limits returns what is known about the rate limits of listed upstreams, at most maxCount of
-// them. Limits in force come first, then those that were lifted, for VMs that do not know yet
-// that they were lifted.
+// Limits returns what is known about the rate limits of listed upstreams, at most maxCount of them.
+// Limits in force come first. Lifted limits follow, for VMs that do not know yet that these limits
+// were lifted.
 func (t *Table) Limits(maxCount int) []LimitUpdate {
 	var limited, lifted []LimitUpdate
 	for _, s := range t.sortedStates {
@@ -83,8 +83,8 @@
 	return limited[:min(maxCount, len(limited))]
 }
 
-// LimitsDigest returns a hash of the limits in force, equal for two VMs that know the same
-// limits; zero if there are none.
+// LimitsDigest returns a hash of the limits in force, which is equal for two VMs that know the same
+// limits. The hash is zero if no limit is in force.
 func (t *Table) LimitsDigest() uint64 {
 	sum := uint64(0)
 	for _, s := range t.limited {
@@ -97,11 +97,12 @@
 	return sum
 }
 
-// Delays after which VMs that do not own a rate-limited upstream send it a probe request.
+// Delays after which a VM sends a probe request to a rate-limited upstream that it does not own.
+// The owners are the few VMs that divide the rate limit.
 const (
-	// localProbeDelay is how long no answer has stated the rate limit when a VM of the same
-	// data centre that is not an owner sends a probe request: the owners may have no callers.
-	// Each next VM waits probeStagger longer.
+	// localProbeDelay is the delay of a VM of the upstream's own data centre.
+	// The VM sends a probe request if no answer has stated the rate limit for that long:
+	// the owners may have no callers. Each next VM waits probeStagger longer.
 	localProbeDelay = 5 * time.Second
 	// remoteProbeDelay is the delay before VMs of other data centres send a probe request:
 	// the upstream's own data centre may have no VM left.
@@ -111,8 +112,8 @@
 	probeStagger = 2 * time.Second
 )
 
-// vmShare returns this VM's share of an upstream's rate limit, and the time until the VM
-// may use it.
+// vmShare returns this VM's share of an upstream's rate limit, and the time until the VM may use
+// the share.
 func (t *Table) vmShare(s *state, now time.Time) (limitShare, time.Duration) {
 	l := &s.notices.limit
 	owners, share := divideLimit(l.PerSecond, len(t.owners.VMs))
@@ -181,8 +182,8 @@
 	s.notices.limit.confirmedAt = now
 }
 
-// ClaimShare uses one request of this VM's share of a rate limit that the upstream stated only
-// after it was selected for the request. It reports whether the share allowed the request.
+// ClaimShare uses one request of this VM's share of a rate limit that an upstream stated only after
+// the upstream was selected for the request. It reports whether the share allowed the request.
 func (t *Table) ClaimShare(instance contract.UpstreamInstance, now time.Time) bool {
 	s := t.states[instance.Upstream]
 	if s == nil || s.incarnation != instance.Incarnation || !t.withinLimit(s, now) {
@@ -203,8 +204,8 @@
 
 // dueForProbe returns an upstream to which this VM may send a request and whose rate limit no
 // answer has confirmed for probeInterval, or nil. Such an upstream takes precedence over cheaper
-// ones: only an answer reveals that the limit was lifted, and until then almost all requests go
-// elsewhere.
+// upstreams: only an answer reveals that the limit was lifted, and until then almost all requests
+// go to other upstreams.
 func (t *Table) dueForProbe(q Query, now time.Time) *state {
 	i := slices.IndexFunc(t.limited, func(s *state) bool {
 		return now.Sub(s.notices.limit.confirmedAt) >= probeInterval && t.usable(s, q.Version, now) && q.allows(s)
--- a/upstream/limiter.go
+++ b/upstream/limiter.go
@@ -4,20 +4,20 @@
 
 // limitShare is the share of an upstream's rate limit that one VM may use.
 type limitShare struct {
-	// interval is the time between two requests within the limit, and burst how many
-	// requests may be sent together after a pause.
+	// interval is the time between two requests within the limit.
+	// burst is how many requests may be sent together after a pause.
 	interval time.Duration
 	burst    int
-	// maxPerWindow is the maximum number of requests in any limitWindow, and minInterval the
-	// corresponding time between two requests. Both exceed the rate limit but stay within the
-	// tolerance of the upstream.
+	// maxPerWindow is the maximum number of requests in any limitWindow.
+	// minInterval is the corresponding time between two requests.
+	// Both exceed the rate limit but stay within the tolerance of the upstream.
 	maxPerWindow int
 	minInterval  time.Duration
 }
 
-// Tolerance of a rate-limited upstream, by the contract with the platform: in any
-// toleranceWindow (4 s) it accepts toleranceFactor times what its limit allows plus
-// toleranceExtra requests.
+// By the contract with the platform, a rate-limited upstream tolerates some requests beyond its
+// limit: in any toleranceWindow (4 s), the upstream accepts toleranceFactor times the requests that
+// its limit allows, plus toleranceExtra requests.
 const (
 	toleranceWindow = 4 * time.Second
 	toleranceFactor = 1.5
@@ -29,21 +29,24 @@
 	// probeInterval is how often an upstream gets at least one request even if its limit
 	// allows less or nothing: only an answer reveals that the limit was lifted.
 	probeInterval = time.Second
-	// ownerBurst is how many requests an owner may send together after a pause.
+	// ownerBurst is how many requests an owner of an upstream (one of the few VMs that divide
+	// its rate limit) may send together after a pause.
 	ownerBurst = 2
-	// limitWindow is the window in which requests are counted. It exceeds toleranceWindow
-	// because requests may arrive closer together than they were sent, if one waited for a
-	// connection. Requests sent under a higher limit count until they leave the window.
+	// limitWindow is the window in which requests are counted.
+	// It exceeds toleranceWindow because requests may arrive closer together than they were
+	// sent, if the first request waited for a connection.
+	// Requests sent under a higher limit count until they leave the window.
 	limitWindow = toleranceWindow + 400*time.Millisecond
-	// plannedFraction is the fraction of the tolerance that owners plan to use, less
-	// reservedProbes requests. The remainder is reserved for changes of owners and for probe
-	// requests from VMs that learn of no recent answer.
+	// plannedFraction is the fraction of the tolerated requests that the owners of an upstream
+	// plan to send, minus reservedProbes requests. The remaining requests are reserved for
+	// changes of owners and for probe requests from VMs that learn of no recent answer.
 	plannedFraction = 0.9
 	reservedProbes  = 1
 )
 
-// divideLimit returns how many of vms VMs own a rate limit, and the share of each owner. There
-// are as many owners as may each send one request per second, so that losing one costs little.
+// divideLimit returns how many of the given number of VMs own a rate limit (divide it among
+// themselves), and the share of each owner. The number of owners is the largest at which each owner
+// may send at least one request per second: with many owners, the loss of one owner costs little.
 func divideLimit(perSecond float64, vms int) (owners int, s limitShare) {
 	rate := sendRate(perSecond)
 	owners = max(1, min(vms, int(rate)))
@@ -63,20 +66,20 @@
 	return float64(s.maxPerWindow) / limitWindow.Seconds()
 }
 
-// probeShare returns the share of a rate limit for a VM that probes an upstream which it does not
-// own, or that does not know the other owners yet.
+// probeShare returns the share of a rate limit for a VM that does not own the upstream and only
+// probes it, or for a VM that does not know the other owners yet.
 func probeShare() limitShare {
 	return limitShare{interval: probeInterval, burst: 1, maxPerWindow: int(limitWindow / probeInterval), minInterval: probeInterval}
 }
 
-// sendRate returns how many requests per second an upstream with the given limit gets: at
-// least the probe rate.
+// sendRate returns how many requests per second an upstream with the given limit gets:
+// at least one probe request per probeInterval.
 func sendRate(perSecond float64) float64 { return max(perSecond, 1/probeInterval.Seconds()) }
 
-// limiter tracks what one VM has used of its share. The zero value means that it has used
-// nothing for a long time.
+// limiter tracks the requests that one VM has sent of its share of a rate limit.
+// The zero value means that the VM has sent no request for a long time.
 type limiter struct {
-	// startedAt is when the limiter started, with no burst saved up.
+	// startedAt is when the limiter started, without unused requests for a burst.
 	startedAt time.Time
 	// limitTAT and maxTAT are the theoretical arrival times (GCRA) of the next request
 	// under the share's interval and under its minInterval.
@@ -85,8 +88,8 @@
 	sentAt []time.Time
 }
 
-// wait returns the time until one more request stays within the maximum of the share; zero means
-// now.
+// wait returns the time until one more request stays within the maximum of the share.
+// Zero means that the request may be sent now.
 func (l *limiter) wait(s limitShare, now time.Time) time.Duration {
 	l.dropExpired(now)
 	wait := max(earliest(l.maxTAT, s.minInterval, s.burst).Sub(now), l.startedAt.Add(s.minInterval).Sub(now), 0)
@@ -96,8 +99,8 @@
 	return wait
 }
 
-// overLimit reports whether one more request now would exceed the limit, though it may still
-// be within the tolerance.
+// overLimit reports whether one more request now would exceed the rate limit.
+// Such a request may still be within the tolerance of the upstream.
 func (l *limiter) overLimit(s limitShare, now time.Time) bool {
 	return earliest(l.limitTAT, s.interval, s.burst).After(now)
 }
--- a/upstream/list_change.go
+++ b/upstream/list_change.go
@@ -11,9 +11,10 @@
 	"woaddoor/prefill"
 )
 
-// ApplyListChanges applies the entries that changed since the list was last applied, and removes
-// the upstreams that are gone from it. The result equals ApplyList with the whole list, but the
-// cost depends only on the size of the change.
+// ApplyListChanges applies the entries that changed since the list was last applied,
+// and removes the upstreams that are gone from the list.
+// The result equals the result of ApplyList with the whole list, but the cost depends only on the
+// size of the change.
 func (t *Table) ApplyListChanges(changed List, gone []contract.UpstreamID) {
 	for _, id := range gone {
 		if s := t.states[id]; s != nil {
--- a/upstream/listed.go
+++ b/upstream/listed.go
@@ -7,7 +7,7 @@
 	"woaddoor/contract"
 )
 
-// Entry is one upstream in the platform's list.
+// Entry is one upstream in the platform's list of upstreams.
 type Entry struct {
 	ID      contract.UpstreamID
 	Service contract.ServiceID
@@ -20,9 +20,10 @@
 	// CacheTokens is the capacity of the engine's prompt cache in tokens; zero if unknown or for
 	// a plain service.
 	CacheTokens int
-	// Leaving upstreams get no new work.
+	// Leaving means that the upstream is about to stop and gets no new work.
 	Leaving bool
-	// Preemptible upstreams cost less, but the platform may remove them at any moment.
+	// Preemptible means that the upstream costs less, but that the platform may remove it at
+	// any moment.
 	Preemptible bool
 	// Cold is how long the upstream stays cold (still warming up), counted from when the
 	// upstream wrote the entry.
@@ -32,15 +33,15 @@
 	// provide it. Since that clock may jump, a higher Incarnation is not necessarily the
 	// later instance.
 	Incarnation int64
-	// Revision is the revision of the entry in the store.
+	// Revision is the revision of the entry in the platform's object store.
 	Revision contract.Revision
 }
 
 // List is a set of list entries together with the settings that apply to them.
 type List struct {
 	Entries []Entry
-	// Connections returns how many concurrent requests this VM may have at one upstream of
-	// a service. Cold returns the bound for a cold upstream of a service; it may be nil.
+	// Connections returns how many concurrent requests this VM may have at one upstream of a
+	// service. Cold returns the bound for a cold upstream of a service. Cold may be nil.
 	Connections func(contract.ServiceID) int
 	Cold        func(contract.ServiceID) ColdBound
 	Now         time.Time
@@ -149,8 +150,8 @@
 	return best.upstream.ID, nil
 }
 
-// leastFailed returns the upstream with the lowest failure rate among those that the query
-// allows and that accept work, regardless of their health; nil if there is none.
+// leastFailed returns the upstream with the lowest failure rate among those that the query allows
+// and that accept work, regardless of their health. It returns nil if there is no such upstream.
 func (t *Table) leastFailed(q Query, now time.Time) *state {
 	var best *state
 	for _, s := range t.states {
@@ -200,42 +201,46 @@
 	// failureRate is the exponentially weighted fraction of recent requests that failed.
 	failureRate float64
 	backoff     time.Duration
-	skipUntil   time.Time // no new work until then, apart from the last resort
-	// rejectedSkip is how long the upstream was skipped after it last rejected a request;
-	// zero once it has begun to answer a request since.
+	skipUntil   time.Time // until then, the upstream gets no new work except as a last resort
+	// rejectedSkip is how long the upstream was skipped after it last rejected a request.
+	// The duration is zero once the upstream has begun to answer a later request.
 	rejectedSkip time.Duration
 	// connectFailed is set if no connection could be established at the last attempt.
 	connectFailed         bool
 	firstAnswerTime       time.Duration
 	othersFirstAnswerTime time.Duration // mean firstAnswerTime of the other upstreams in the pool
-	// firstAnswerRatio is the time until answers to prompts began relative to the estimate;
-	// zero before the first answer.
+	// firstAnswerRatio is the mean ratio of the time until the answer to a prompt began to the
+	// estimate of that time. The ratio is zero before the first answer.
 	firstAnswerRatio float64
 }
 
 // Parameters of health.
 const (
-	// With failureWeight, three failures in a row, or two after an earlier one, reach
-	// suspectThreshold; if one in seven answers of a service fails by itself, an upstream
-	// reaches the threshold about once in 400 requests.
+	// failureWeight is the weight of the newest result in the failure rate.
+	// Three failures in a row, or two failures soon after an earlier failure,
+	// raise the failure rate to suspectThreshold. If one in seven answers of a service fails
+	// whichever upstream answers, an upstream reaches suspectThreshold about once in 400
+	// requests.
 	failureWeight    = 0.2
 	suspectThreshold = 0.45
-	// A suspected upstream gets one probe request after each back-off.
+	// An upstream that is suspected of failing gets one probe request after each back-off
+	// (pause) of probeBackoffBase to probeBackoffMax.
 	probeBackoffBase = 300 * time.Millisecond
 	probeBackoffMax  = 2 * time.Second
 	// fullSkip is how long a full upstream is skipped: about the time until one of its slots
 	// becomes free.
 	fullSkip = 60 * time.Millisecond
-	// maxRejectedSkip limits how long an upstream that rejects consecutive requests is
-	// skipped; the time doubles with each of them. Compared with a constant fullSkip, the
-	// value of the answers was 0.011 higher (mean of 12 paired days) when half of the
-	// upstreams rejected 0.4 of their requests, and a third rejected 0.9 in a burst.
+	// maxRejectedSkip limits how long an upstream that rejects consecutive requests is skipped.
+	// The time doubles with each rejected request. Compared with a constant fullSkip,
+	// the value of the answers was 0.011 higher (mean of 12 pairs of simulated days) when half
+	// of the upstreams rejected a fraction of 0.4 of their requests, and a third of the
+	// upstreams rejected 0.9 of their requests in a burst.
 	maxRejectedSkip = 960 * time.Millisecond
 	// firstAnswerWeight is the weight of the newest sample of the time until an answer begins.
 	firstAnswerWeight = 0.1
-	// slowThreshold is the factor over the mean of the other upstreams, or over the
-	// estimate, from which an upstream counts as slow; maxFirstAnswerRatio limits the
-	// effect of a single answer.
+	// An upstream counts as slow if its answers take slowThreshold times as long to begin as
+	// the mean of the other upstreams, or as the estimate.
+	// maxFirstAnswerRatio limits the effect of a single answer.
 	slowThreshold       = 2.5
 	maxFirstAnswerRatio = 10
 )
@@ -243,15 +248,17 @@
 // available reports whether the upstream may get new work as far as its health is concerned.
 func (h *health) available(now time.Time) bool { return !now.Before(h.skipUntil) }
 
-// recordPick records that a request goes to the upstream. A suspected upstream gets one request
-// per back-off.
+// recordPick records that a request goes to the upstream.
+// An upstream that is suspected of failing gets one request per back-off (pause).
 func (h *health) recordPick(now time.Time) {
 	if h.failureRate >= suspectThreshold {
 		h.startBackoff(now)
 	}
 }
 
-// startBackoff skips the upstream for twice the previous back-off, within bounds.
+// startBackoff starts a back-off, in which the upstream is skipped.
+// The back-off lasts twice as long as the previous back-off, from probeBackoffBase to
+// probeBackoffMax.
 func (h *health) startBackoff(now time.Time) {
 	h.backoff = min(max(2*h.backoff, probeBackoffBase), probeBackoffMax)
 	h.skipUntil = now.Add(h.backoff)
@@ -264,8 +271,8 @@
 	}
 }
 
-// recordResult applies the outcome of a request to a listed upstream; took is the time until
-// the answer began.
+// recordResult applies the outcome of a request to a listed upstream.
+// took is the time until the answer began.
 func (s *state) recordResult(r Result, took time.Duration, now time.Time) {
 	h := &s.health
 	h.connectFailed = r == Unreachable || r == ConnectionRefused || h.connectFailed && r == Abandoned
@@ -298,8 +305,8 @@
 	}
 }
 
-// CompareUpstreams compares the upstreams of each pool with each other, so that slow ones are
-// detected. The caller invokes it periodically.
+// CompareUpstreams compares the upstreams of each pool with each other,
+// so that slow ones are detected. The caller invokes CompareUpstreams periodically.
 func (t *Table) CompareUpstreams(dc contract.DataCentreID, now time.Time) {
 	t.countActiveEngines(now)
 	t.updateMeanWait(dc, now)
@@ -321,8 +328,8 @@
 	}
 }
 
-// slownessVsPool returns how many times slower an upstream is than the others of its pool, or
-// 1 below slowThreshold.
+// slownessVsPool returns how many times slower an upstream is than the other upstreams of its pool,
+// or 1 if that factor is below slowThreshold.
 func (h *health) slownessVsPool() float64 {
 	if h.othersFirstAnswerTime == 0 || float64(h.firstAnswerTime) < slowThreshold*float64(h.othersFirstAnswerTime) {
 		return 1
@@ -345,7 +352,8 @@
 // decodeTimeWeight is the weight of the newest sample in Table.meanDecodeTime.
 const decodeTimeWeight = 0.05
 
-// recordFirstAnswer records the time until the answer to a prompt began and the estimate of it.
+// recordFirstAnswer updates firstAnswerRatio with the time until the answer to a prompt began,
+// and with the estimate of that time.
 func (h *health) recordFirstAnswer(took, expected time.Duration) {
 	ratio := min(float64(took)/float64(expected), maxFirstAnswerRatio)
 	if h.firstAnswerRatio == 0 {
@@ -354,8 +362,8 @@
 	h.firstAnswerRatio += firstAnswerWeight * (ratio - h.firstAnswerRatio)
 }
 
-// slownessVsEstimate returns how many times slower a model engine is than estimated from its
-// queue and its prompts, or 1 below slowThreshold.
+// slownessVsEstimate returns how many times slower a model engine is than estimated from its queue
+// and its prompts, or 1 if that factor is below slowThreshold.
 func (h *health) slownessVsEstimate() float64 {
 	if h.firstAnswerRatio < slowThreshold {
 		return 1
--- a/upstream/notices.go
+++ b/upstream/notices.go
@@ -22,14 +22,15 @@
 // longer pause can request another back-off.
 const DefaultMaxBackoff = 10 * time.Minute
 
-// instanceNotices holds the notices from all answers of an instance. They stay in force until the
-// upstream restarts. No upstream list clears them: the store may be unavailable or lag, and a
-// list entry may be missing for a while.
+// instanceNotices holds the notices from all answers of an instance.
+// The notices stay in force until the upstream restarts. No list of upstreams clears the notices:
+// the platform's object store may be unavailable or lag, and a list entry may be missing for a
+// while.
 type instanceNotices struct {
 	leaving bool
-	// backoffUntil is when the longest of the requested back-offs ends, and backoff the
-	// length of that one. Nothing shortens a back-off, because an earlier answer may arrive
-	// later.
+	// backoffUntil is when the last of the requested back-offs ends.
+	// backoff is the length of that back-off. Nothing shortens a back-off,
+	// because an earlier answer may arrive after a later answer.
 	backoffUntil time.Time
 	backoff      time.Duration
 	limit        limitState
@@ -37,12 +38,14 @@
 	lastSeenAt time.Time
 }
 
-// noticesTTL is how long the notices of an instance that is not listed are kept: an entry that
-// expired is back within seconds of the store's recovery.
+// noticesTTL is how long the notices of an instance that is not listed are kept:
+// a list entry that expired because the platform's object store failed is back within seconds of
+// the recovery of the store.
 const noticesTTL = 10 * time.Minute
 
-// ApplyNotices applies the notices in an answer of an instance. It returns those that are new:
-// that the upstream is leaving, or a back-off that ends later than the previous ones.
+// ApplyNotices applies the notices in an answer of an instance.
+// ApplyNotices returns the notices that are new: that the upstream is leaving,
+// or a back-off that ends later than the previous back-offs.
 func (t *Table) ApplyNotices(instance contract.UpstreamInstance, stated Notices, now time.Time) (added Notices) {
 	if !stated.Leaving && stated.Backoff == 0 {
 		return Notices{}
@@ -57,7 +60,8 @@
 	return added
 }
 
-// ensureNotices returns the notices of an instance, which it creates if there are none.
+// ensureNotices returns the notices of an instance. If there are no notices,
+// ensureNotices creates them.
 func (t *Table) ensureNotices(instance contract.UpstreamInstance, now time.Time) *instanceNotices {
 	a := t.notices[instance]
 	if a == nil {
@@ -73,9 +77,9 @@
 }
 
 // othersBackoffCost is the additional cost of an upstream that requested a back-off from another
-// VM. It equals the cost of an upstream for which half of the recent requests failed: the
-// upstream gets fewer requests, but still gets some if no other is better, since a back-off
-// requested from one VM does not bind the others.
+// VM. It equals the cost of an upstream for which half of the recent requests failed:
+// the upstream gets fewer requests, but still gets some requests if no other upstream is better,
+// since a back-off requested from one VM does not bind the other VMs.
 const othersBackoffCost = failureCost / 2
 
 // RecordPeerBackoff records that an upstream requested a back-off from another VM, with the
@@ -129,9 +133,9 @@
 	return ok && s.notices.inBackoff(now), ok && s.notices.isLeaving()
 }
 
-// acceptsWork reports whether an upstream accepts new work according to the store's list, its
-// load reports and its answers. Every selection checks this, even the last resort, since it
-// does not depend on the upstream's health.
+// acceptsWork reports whether an upstream accepts new work according to the platform's list of
+// upstreams, its load reports and its answers. Every selection checks acceptsWork,
+// even the selection of a last resort, since acceptsWork does not depend on the upstream's health.
 func (s *state) acceptsWork(now time.Time) bool { return !s.isLeaving() && !s.notices.inBackoff(now) }
 
 // isLeaving reports whether an upstream is about to stop.
@@ -144,11 +148,12 @@
 	if s := t.states[instance.Upstream]; s != nil && s.incarnation == instance.Incarnation {
 		return s.acceptsWork(now)
 	}
-	a := t.notices[instance] // no longer listed, but may have been selected before
+	a := t.notices[instance] // the instance is no longer listed, but may have been selected before
 	return !a.isLeaving() && !a.inBackoff(now)
 }
 
-// IsLeaving reports whether an upstream is about to stop, according to the list or its answers.
+// IsLeaving reports whether an upstream is about to stop, according to the list of upstreams or to
+// its answers.
 func (t *Table) IsLeaving(id contract.UpstreamID) bool {
 	s, ok := t.states[id]
 	return ok && s.isLeaving()
--- a/upstream/outlook.go
+++ b/upstream/outlook.go
@@ -4,15 +4,17 @@
 
 // Outlook summarizes when the upstreams that could serve a request will accept requests again.
 type Outlook struct {
-	// Listed is the number of upstreams that could serve the request. BackedOff, Leaving and
-	// AtLimit count those that requested a back-off, that are leaving, and that have used up
-	// their rate limit.
+	// Listed is the number of upstreams that could serve the request.
+	// BackedOff counts the upstreams that requested a back-off (a time without requests),
+	// Leaving counts the upstreams that are about to stop, and AtLimit counts the upstreams
+	// whose rate limit allows this VM no request now.
 	Listed, BackedOff, Leaving, AtLimit int
 	// PerSecond is the total request rate that the upstreams counted in AtLimit accept from
 	// all VMs.
 	PerSecond float64
-	// NextBackoffEnd is the time until the first back-off ends, and NextBackoffLength the
-	// whole length of that back-off: callers have been refused for about that long.
+	// NextBackoffEnd is the time until the first back-off ends.
+	// NextBackoffLength is the whole length of that back-off:
+	// callers are refused for about that length of time.
 	NextBackoffEnd, NextBackoffLength time.Duration
 }
 
--- a/upstream/owners.go
+++ b/upstream/owners.go
@@ -8,21 +8,24 @@
 	"woaddoor/contract"
 )
 
-// Cold bounds and rate limits apply to the requests of all VMs together, but no VM knows what the
-// others send at the same moment. The VMs of a data centre are therefore ranked for each of its
-// upstreams. All VMs compute the same ranking without communication (rendezvous hashing), and the
-// highest-ranked VMs are the owners of the upstream: they divide its bound among themselves.
+// Cold bounds and rate limits apply to the requests of all VMs together,
+// but no VM knows what the other VMs send at the same moment.
+// The VMs of a data centre are therefore ranked for each of its upstreams.
+// All VMs compute the same ranking without communication (rendezvous hashing),
+// and the highest-ranked VMs are the owners of the upstream:
+// the owners divide the bound of the upstream among themselves.
 
-// Owners are the VMs of this data centre that divide the bounds of cold and rate-limited
-// upstreams. The zero value means that this VM does not know them yet; it then sends nothing
-// to such upstreams.
+// Owners are the VMs of this data centre that divide the bounds of cold and rate-limited upstreams.
+// The zero value means that this VM does not know the owners yet.
+// Such a VM sends nothing to cold or rate-limited upstreams.
 type Owners struct {
 	Self contract.VMID
-	// VMs are all VMs of the data centre including this one, in any order. It includes VMs
-	// that became silent recently, because they may only be disconnected from this VM.
+	// VMs are all VMs of the data centre including this one, in any order.
+	// VMs that became silent recently are included, because a silent VM may only be
+	// disconnected from this VM.
 	VMs []contract.VMID
-	// Incomplete means that there may be many more VMs: this VM then sends at most one request
-	// per second to each upstream that it owns.
+	// Incomplete means that the data centre may have many more VMs:
+	// this VM then sends at most one request per second to each upstream that it owns.
 	Incomplete bool
 }
 
@@ -41,18 +44,19 @@
 	t.owners.selfHash = xxhash.Sum64String(string(o.Self))
 }
 
-// ownership is the Owners with the values that a Table derives from them.
+// ownership holds the Owners, together with the values that a Table derives from the Owners.
 type ownership struct {
 	Owners
 	dc contract.DataCentreID
-	// version increases with each change of the owners; selfHash and otherHashes are the
-	// hashes of the IDs of this VM and of the other VMs.
+	// version increases with each change of the owners.
+	// selfHash and otherHashes are the hashes of the IDs of this VM and of the other VMs.
 	version     int
 	selfHash    uint64
 	otherHashes []uint64
 }
 
-// ownerRank returns the rank of this VM among the owners of an upstream, starting at 0.
+// ownerRank returns the rank of this VM among the VMs that may own an upstream (divide its cold
+// bound and its rate limit). The highest rank is 0.
 func (t *Table) ownerRank(s *state) int {
 	if s.cachedRankVersion != t.owners.version {
 		selfRank := s.rendezvousHash(t.owners.selfHash)
--- a/upstream/pick.go
+++ b/upstream/pick.go
@@ -16,7 +16,8 @@
 	Kind config.PoolKind
 	// Pools restricts the selection; empty means all pools of the kind.
 	Pools []contract.PoolID
-	// DataCentre is preferred; others are used if it has no suitable upstream.
+	// DataCentre is the preferred data centre. Other data centres are used if the preferred
+	// data centre has no suitable upstream.
 	DataCentre contract.DataCentreID
 	// Version is the model version that must be loaded; empty for plain services.
 	Version contract.VersionID
@@ -31,10 +32,10 @@
 // Pick returns the upstream for a request, or ErrNone.
 //
 // Each prompt prefix has two upstreams as its homes, which all VMs compute without communication
-// (rendezvous hashing), so that the prefix is cached there and not everywhere. Without the
-// platform's list, a home is selected if its load is low enough, else the upstream with the least
-// expected wait. With the list, the upstream with the lowest cost is selected, and homes cost
-// less.
+// (rendezvous hashing), so that the prefix is cached there and not everywhere.
+// Without the platform's list of upstreams, a home is selected if its load is low enough,
+// else the upstream with the least expected wait. With the list of upstreams,
+// the upstream with the lowest cost is selected, and homes cost less.
 func (t *Table) Pick(q Query, now time.Time, random *rand.Rand) (contract.UpstreamID, error) {
 	if t.opts.Listed {
 		best := t.dueForProbe(q, now)
@@ -62,8 +63,9 @@
 	return best.upstream.ID, nil
 }
 
-// candidates returns the usable upstreams that send load reports: those of the preferred data
-// centre, unless it has none or only others have free slots.
+// candidates returns usable upstreams that send load reports.
+// They are in the preferred data centre, unless that data centre has no usable upstream or only
+// other data centres have free slots.
 func (t *Table) candidates(q Query, now time.Time) []*state {
 	local, remote := make([]*state, 0, len(t.sortedStates)), []*state(nil)
 	for _, s := range t.sortedStates {
@@ -113,9 +115,9 @@
 	return nil
 }
 
-// maxHomeLoadRatio is the load that a home upstream of a prompt prefix may have, relative to the
-// mean load, when every upstream is full: sending a prompt to another upstream would then only
-// add the work of prefilling its prefix again.
+// maxHomeLoadRatio bounds the load of a home upstream of a prompt prefix when every upstream is
+// full, as a multiple of the mean load. Below that bound, sending a prompt to another upstream
+// would only add the work of prefilling its prefix again.
 const maxHomeLoadRatio = 1.25
 
 // meanLoad returns the mean of the expected load of upstreams.
@@ -127,8 +129,9 @@
 	return total / float64(len(usable))
 }
 
-// rendezvousHash ranks upstreams for a prefix (or VMs for an upstream). The key and the state's
-// hash are hashes already; the steps mix their bits (the finalizer of splitmix64).
+// rendezvousHash ranks upstreams for a prefix (or VMs for an upstream).
+// The key and the state's hash are hashes already. Shifts and multiplications mix the bits of both
+// (the finalizer of splitmix64).
 func (s *state) rendezvousHash(key uint64) uint64 {
 	x := s.idHash ^ key
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -136,11 +139,12 @@
 	return x ^ x>>31
 }
 
-// slowFactor is how many times longer than the mean of the others an upstream's requests take
-// before it counts as slow.
+// An upstream counts as slow if its requests take more than slowFactor times as long as the mean of
+// the other upstreams.
 const slowFactor = 2
 
-// isSlow reports whether the requests of an upstream take much longer than those of the others.
+// isSlow reports whether the requests of an upstream take much longer than the requests of the
+// other upstreams.
 func isSlow(s *state, usable []*state, now time.Time) bool {
 	others := meanServiceTime(usable, s, now)
 	return others > 0 && s.recentServiceTime(now) > slowFactor*others
@@ -162,8 +166,9 @@
 	return total / time.Duration(n)
 }
 
-// serviceTimeTTL is how long the last service time of an idle upstream stays valid. Only answers
-// update it, and an upstream that counts as slow gets no requests whose answers could update it.
+// serviceTimeTTL is how long the last service time of an idle upstream stays valid.
+// Only answers update the service time, and an upstream that counts as slow gets no requests whose
+// answers could update the service time.
 const serviceTimeTTL = 2 * time.Second
 
 // recentServiceTime returns the service time of an upstream, or zero if it is not known.
@@ -213,13 +218,14 @@
 // defaultServiceTime is used if no service time is known.
 const defaultServiceTime = 100 * time.Millisecond
 
-// expectedLoad returns how many requests an upstream is expected to have: those of this VM,
-// which are known, and those of other VMs, estimated from load reports averaged over time.
+// expectedLoad returns how many requests an upstream is expected to have:
+// the requests of this VM, which are known, and the requests of other VMs,
+// which are estimated from load reports averaged over time.
 func (s *state) expectedLoad() float64 { return float64(s.inFlight) + s.othersInFlight }
 
 // ownRequestWeight is how much more this VM's own requests count than the expected requests of
-// other VMs. The latter are known late and equally to all VMs; relying on them makes all VMs move
-// to the same upstream. See docs/MEASURES.md.
+// other VMs. The requests of other VMs are known late, and equally to all VMs:
+// a selection that relies on them makes all VMs move to the same upstream. See docs/MEASURES.md.
 const ownRequestWeight = 4.0
 
 // waitScore returns a score that is proportional to the expected wait (seconds times a constant),
--- a/upstream/policy.go
+++ b/upstream/policy.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// Mechanism names a mechanism of the selection policy that can be disabled to measure its
-// benefit. Each one is enabled by default.
+// Mechanism names a mechanism of the selection policy that can be disabled to measure its benefit.
+// Each mechanism is enabled by default.
 type Mechanism string
 
-// The mechanisms.
+// The mechanisms of the selection policy.
 const (
 	// PrefillPrice is the cost that a prefill imposes on the requests queued behind it.
 	PrefillPrice Mechanism = "price"
@@ -19,7 +19,8 @@
 	// Gossip is the reporting of requests, back-offs and the confidence of answers to other
 	// VMs.
 	Gossip Mechanism = "telling"
-	// HomeUpstreams lets VMs agree without communication where to prefill a prefix.
+	// HomeUpstreams lets VMs agree without communication which upstream prefills a prompt
+	// prefix.
 	HomeUpstreams Mechanism = "homes"
 	// PrefillRates is the learning of how long engines take to prefill a token.
 	PrefillRates Mechanism = "pace"
@@ -39,8 +40,8 @@
 // Policy is the set of disabled mechanisms. The zero value disables none.
 type Policy struct{ disabled []Mechanism }
 
-// NewPolicy returns the policy with the given mechanisms disabled. It fails if a name is not
-// that of a mechanism.
+// NewPolicy returns the policy with the given mechanisms disabled.
+// NewPolicy fails if a name is not the name of a mechanism.
 func NewPolicy(disabled []string) (Policy, error) {
 	var p Policy
 	for _, name := range disabled {
--- a/upstream/prefill.go
+++ b/upstream/prefill.go
@@ -41,7 +41,7 @@
 }
 
 // minPrefillSpan is the shortest prefill from which the prefill rate of a busy engine is learned.
-// In a shorter prefill, the engine's steps for other requests take as long as the prefill.
+// During a shorter prefill, the engine works on other requests for as long as on the prefill.
 const minPrefillSpan = 40 * time.Millisecond
 
 // RecordDropped records that a prompt's request ended before its answer began.
@@ -61,9 +61,9 @@
 // maxReportedPrefill limits the prefill time that another VM can report for a prompt.
 const maxReportedPrefill = 30 * time.Second
 
-// RecordPeerPrompt records a prompt that another VM has sent to an upstream, with its expected
-// prefill time and the prefill time per token that the other VM measured, which is zero if it has
-// too few measurements.
+// RecordPeerPrompt records a prompt that another VM has sent to an upstream,
+// with its expected prefill time and the prefill time per token that the other VM measured.
+// tokenTime is zero if the other VM has too few measurements.
 func (t *Table) RecordPeerPrompt(id contract.UpstreamID, p prefill.Prompt, prefillTime, tokenTime time.Duration, now time.Time) {
 	t.prefillRates.SetRemoteRate(p.Model, tokenTime)
 	prefillTime = min(max(prefillTime, 0), maxReportedPrefill)
--- a/upstream/prefill_price.go
+++ b/upstream/prefill_price.go
@@ -7,12 +7,12 @@
 	"woaddoor/cascade"
 )
 
-// PrefillPrice returns the cost that the prefill of a prompt imposes on later requests, relative
-// to the value of a mean request. Requests that arrive while the engine has a queue wait longer
-// by the duration of this prefill; the queue that the prefill itself creates counts half. Each
-// second of waiting brings a request closer to being late, which costs cascade.LatePenalty. The
-// price applies even while all requests are in time, because the capacity saved then is available
-// for the next burst.
+// PrefillPrice returns the cost that the prefill of a prompt imposes on later requests,
+// relative to the value of a mean request. A request that arrives while the engine has a queue
+// waits longer, by the duration of this prefill. The queue that the prefill itself creates counts
+// half. Each second of waiting brings a request closer to being late, which costs
+// cascade.LatePenalty. The price applies even while all requests are in time,
+// because the capacity that is saved is available for the next burst of requests.
 func (t *Table) PrefillPrice(e Estimate) float64 {
 	if !t.opts.Policy.Has(PrefillPrice) {
 		return 0
@@ -35,14 +35,15 @@
 
 // Parameters of demand.
 const (
-	// demandWindow is the time over which the rate is averaged: short enough to detect a
-	// burst, and longer than the fluctuation from a few requests of one VM.
+	// demandWindow is the time over which the rate of prompts is averaged:
+	// short enough to detect a burst, and longer than the fluctuation from a few requests of
+	// one VM.
 	demandWindow = 4 * time.Second
-	// demandMeanWeight is the weight of the newest prompt in the means.
+	// demandMeanWeight is the weight of the newest prompt in meanObjective and meanValue.
 	demandMeanWeight = 0.05
 )
 
-// decay reduces the weight of prompts that were counted earlier.
+// decay reduces the weight of earlier prompts in promptRate.
 func (d *demand) decay(now time.Time) {
 	remaining := math.Exp(-now.Sub(d.updatedAt).Seconds() / demandWindow.Seconds())
 	d.promptRate *= remaining
@@ -60,8 +61,8 @@
 	d.meanValue += demandMeanWeight * (value - d.meanValue)
 }
 
-// RecordPrompt records a prompt that arrived at this VM, which is one of vms VMs. It returns the
-// value of the prompt relative to the mean.
+// RecordPrompt records a prompt that arrived at this VM, which is one of the given number of VMs.
+// RecordPrompt returns the value of the prompt relative to the mean value of the prompts.
 func (t *Table) RecordPrompt(objective time.Duration, value float64, vms int, now time.Time) float64 {
 	t.demand.recordPrompt(objective, value, max(vms, 1), now)
 	if t.demand.meanValue <= 0 {
--- a/upstream/reachability.go
+++ b/upstream/reachability.go
@@ -8,12 +8,12 @@
 )
 
 // unreachableFor is how long a data centre counts as unreachable after a connection to one of its
-// upstreams could not be established. Its other upstreams are avoided in the meantime, unless
-// there is no alternative.
+// upstreams could not be established. The other upstreams of that data centre are avoided in the
+// meantime, unless there is no alternative.
 const unreachableFor = 1500 * time.Millisecond
 
-// recordReachability updates from the outcome of a request whether a data centre is reachable. A
-// refused connection (ConnectionRefused) proves that a machine there is reachable.
+// recordReachability updates from the outcome of a request whether a data centre is reachable.
+// A refused connection (ConnectionRefused) proves that a machine in that data centre is reachable.
 func (t *Table) recordReachability(s *state, r Result, now time.Time) {
 	switch r {
 	case Unreachable:
@@ -25,8 +25,8 @@
 }
 
 // inUnreachableCentre reports whether an upstream is in a data centre that appears to be
-// unreachable. This VM's own data centre never counts as unreachable: a VM that cannot reach the
-// others has no alternative to it.
+// unreachable. This VM's own data centre never counts as unreachable:
+// a VM that cannot reach the other data centres has no alternative to its own.
 func (t *Table) inUnreachableCentre(s *state, q Query, now time.Time) bool {
 	return s.pool.DataCentre != q.DataCentre && now.Before(t.unreachableUntil[s.pool.DataCentre])
 }
@@ -64,9 +64,9 @@
 	t.unreachableUntil[dc] = now.Add(unreachableFor)
 }
 
-// Isolated reports whether a VM of data centre dc can reach no other data centre, and none of the
-// given pools has a working upstream in its own data centre. No request for these pools can then
-// be served.
+// Isolated reports whether a VM of data centre dc can reach no other data centre,
+// and none of the given pools has a working upstream in dc.
+// No request for these pools can then be served.
 func (t *Table) Isolated(dc contract.DataCentreID, pools []contract.PoolID, now time.Time) bool {
 	others := false
 	for _, s := range t.sortedStates {
--- a/upstream/table.go
+++ b/upstream/table.go
@@ -32,11 +32,11 @@
 	// HomeLoadLimit is the fraction of an upstream's slots up to which the upstream gets
 	// requests because it is a home of their prompt prefix. Zero means 0.9.
 	HomeLoadLimit float64
-	// Listed means that upstreams come from the platform's list: an upstream needs no load
-	// report before it gets work, and its load is read from its answers. False means that
-	// each upstream has to send load reports.
+	// Listed means that upstreams come from the platform's list:
+	// an upstream needs no load report before it gets work, and its load is read from its
+	// answers. If Listed is false, each upstream has to send load reports.
 	Listed bool
-	// Policy contains the mechanisms that are disabled.
+	// Policy contains the mechanisms of the selection that are disabled.
 	Policy Policy
 }
 
@@ -77,8 +77,8 @@
 	prefillRates  *prefill.Rates
 	demand        demand
 	activeEngines int
-	// gossipScope defines for which upstreams this VM learns of other VMs' requests;
-	// meanWait is the mean prefill queue wait at those upstreams.
+	// gossipScope defines the upstreams for which this VM learns of other VMs' requests.
+	// meanWait is the mean time that a prompt waits in the prefill queue of such an upstream.
 	gossipScope GossipScope
 	meanWait    time.Duration
 	// meanDecodeTime is the mean time that a listed upstream works on a prompt after its
@@ -102,13 +102,15 @@
 	pool     *config.Pool
 	idHash   uint64 // hash of the upstream ID, for rendezvous hashing
 
-	// reportedIncarnation and load come from the last load report; zero without one.
+	// reportedIncarnation and load come from the last load report.
+	// Both are zero without a load report.
 	reportedIncarnation contract.Incarnation
 	load                contract.LoadReport
-	// reportedAt is when the last load report was requested; zero means never.
+	// reportedAt is when the last load report was requested.
+	// Zero means that no report was ever requested.
 	reportedAt time.Time
-	// leavingIncarnation is the incarnation that is known to be leaving. A later incarnation
-	// is a new instance, which is not leaving.
+	// leavingIncarnation is the incarnation that is known to be leaving.
+	// A later incarnation is a new instance of the upstream, and a new instance is not leaving.
 	leavingIncarnation contract.Incarnation
 	inFlight           int
 	sentSinceReport    int     // requests sent since the last report was requested
@@ -126,17 +128,19 @@
 	prefixCache *prefill.PrefixCache
 	// promptSentAt is when any VM was last known to send a prompt to the upstream.
 	promptSentAt time.Time
-	// cachedRank is this VM's rank among the owners of this upstream, computed for version
-	// cachedRankVersion of the owners.
+	// cachedRank is this VM's rank among the owners of this upstream (the VMs that divide its
+	// cold bound and its rate limit). cachedRankVersion is the version of the owners for which
+	// cachedRank was computed.
 	cachedRank, cachedRankVersion int
-	// incarnation and slots are copied from the list entry, or incarnation from a load report
-	// of an upstream that sends them. cold is the estimated cold state.
+	// incarnation and slots are copied from the list entry.
+	// If the upstream sends load reports, incarnation is copied from a load report.
+	// cold is the estimated cold state.
 	incarnation int64
 	slots       int
 	cold        coldState
-	// notices is what the current instance stated about itself in answers; nil if nothing.
-	// othersBackoffUntil is when the last of the back-offs ends that the upstream requested
-	// from other VMs.
+	// notices is what the current instance stated about itself in answers.
+	// notices is nil if the instance stated nothing. The upstream may have requested back-offs
+	// (pauses) from other VMs: othersBackoffUntil is when the last of them ends.
 	notices            *instanceNotices
 	othersBackoffUntil time.Time
 }
@@ -175,8 +179,9 @@
 	}
 }
 
-// ApplyReport applies a load report that was requested at askedAt. It ignores a report that is
-// older than the last one or that comes from an earlier instance.
+// ApplyReport applies a load report that was requested at askedAt.
+// ApplyReport ignores a report that is older than the last report or that comes from an earlier
+// instance.
 func (t *Table) ApplyReport(id contract.UpstreamID, l contract.LoadReport, askedAt time.Time) {
 	s, ok := t.states[id]
 	if !ok || askedAt.Before(s.reportedAt) || l.Incarnation < s.reportedIncarnation {
@@ -197,8 +202,9 @@
 	s.sentSinceReport, s.doneSinceReport = 0, 0
 }
 
-// MarkLeaving marks upstreams as leaving: those that the platform's list reports as leaving or no
-// longer contains as live. The list may lag.
+// MarkLeaving marks the given upstreams as leaving (about to stop):
+// the platform's list of upstreams reports them as leaving or no longer contains them as live.
+// The list of upstreams may lag.
 func (t *Table) MarkLeaving(leaving map[contract.UpstreamID]bool) {
 	for id, s := range t.states {
 		if leaving[id] {
@@ -307,8 +313,9 @@
 	return upstreams
 }
 
-// UsableSlots returns the total number of slots (concurrent requests) of the usable upstreams of a
-// kind: those in the data centre dc or, if it has none, those in all data centres.
+// UsableSlots returns the total number of slots (concurrent requests) of the usable upstreams of
+// one kind of pool. It counts the upstreams in the data centre dc or, if no upstream there is
+// usable, the upstreams in all data centres.
 func (t *Table) UsableSlots(kind config.PoolKind, dc contract.DataCentreID, now time.Time) int {
 	local, all := 0, 0
 	for _, s := range t.states {
@@ -326,8 +333,8 @@
 	return all
 }
 
-// HasReport reports whether any upstream has ever sent a load report or, if listed, its load
-// in an answer.
+// HasReport reports whether any upstream has ever sent a load report or, for a listed upstream,
+// has stated its load in an answer.
 func (t *Table) HasReport() bool {
 	for _, s := range t.states {
 		if !s.reportedAt.IsZero() {
