--- a/contract/errors.go
+++ b/contract/errors.go
@@ -9,8 +9,8 @@
 )
 
 // Step names the step of request processing, or of a daemon's background work,
-// in which an error occurred. Clients see it in problem documents, so existing
-// values must not change.
+// in which an error occurred. Clients see the step in problem documents,
+// so existing values must not change.
 type Step string
 
 // The steps in which an error can occur.
@@ -44,8 +44,8 @@
 // StepError adds to an error the step in which it occurred and the peer involved.
 type StepError struct {
 	Step Step
-	// Peer is the VM, the upstream or the address that was being contacted. It
-	// is empty if no peer was involved.
+	// Peer is the VM, the upstream or the address that was being contacted.
+	// Peer is empty if no peer was involved.
 	Peer string
 	Err  error
 }
@@ -70,11 +70,11 @@
 	return &StepError{Step: step, Peer: peer, Err: eris.Wrap(err, "failed")}
 }
 
-// RefusalKind is the reason for refusing a request. Clients see it as the last
-// part of the type URI of a problem document, so existing values must not change.
+// RefusalKind is the reason for refusing a request. Clients see the reason as the last part of the
+// type URI of a problem document, so existing values must not change.
 type RefusalKind string
 
-// The kinds of refusals. docs/OPERATIONS.md describes what to do about each.
+// The kinds of refusals. docs/OPERATIONS.md describes what to do about each kind of refusal.
 const (
 	RefusedUnknownKey          RefusalKind = "key-unknown"
 	RefusedInvalidRequest      RefusalKind = "request-invalid"
@@ -126,7 +126,7 @@
 	return r
 }
 
-// AsRefusal returns the refusal that err is or wraps, and whether there is one.
+// AsRefusal returns the refusal that err is or wraps, and reports whether err contains a refusal.
 func AsRefusal(err error) (*Refusal, bool) {
 	var r *Refusal
 	ok := errors.As(err, &r)
--- a/contract/ids.go
+++ b/contract/ids.go
@@ -69,12 +69,12 @@
 // that no configuration has been accepted yet.
 type Revision uint64
 
-// Incarnation distinguishes the runs of a process that restarts under the same
-// name. Each start gets a new one, and a later start gets a higher one.
+// Incarnation distinguishes the runs of a process that restarts under the same name.
+// Each start gets a new incarnation, and a later start gets a higher incarnation.
 type Incarnation uint64
 
-// FencingToken is the fencing token of a lease: each new holder gets a higher
-// one, so that a request from a previous holder can be rejected.
+// FencingToken is the fencing token of a lease: each new holder of the lease gets a higher token,
+// so that a request from a previous holder can be rejected.
 type FencingToken uint64
 
 // Tokens is a number of model tokens.
--- a/contract/outcome.go
+++ b/contract/outcome.go
@@ -1,12 +1,12 @@
 package contract
 
 // Outcome records what is known about whether an upstream executed a request.
-// Clients decide by it whether a retry is safe, so NotRun is only set when it is
-// proven.
+// Clients decide by the outcome whether a retry is safe, so OutcomeNotRun is only set if it is
+// proven that no upstream executed the request.
 type Outcome uint8
 
-// The three outcomes. Unknown is the zero value, so that an outcome that is
-// never set claims nothing.
+// The three outcomes. OutcomeUnknown is the zero value, so that an outcome that is never set claims
+// nothing.
 const (
 	// OutcomeUnknown means that bytes of the request may have reached an upstream.
 	OutcomeUnknown Outcome = iota
@@ -28,8 +28,9 @@
 	}
 }
 
-// Combine combines the outcomes of two attempts at the same request: Ran if either
-// attempt ran, NotRun only if neither ran, and Unknown otherwise.
+// Combine combines the outcomes of two attempts at the same request.
+// The result is OutcomeRan if either attempt ran, OutcomeNotRun only if neither attempt ran,
+// and OutcomeUnknown otherwise.
 func (o Outcome) Combine(other Outcome) Outcome {
 	if o == other {
 		return o
--- a/contract/reports.go
+++ b/contract/reports.go
@@ -1,22 +1,23 @@
 package contract
 
-// LoadReport is the load report of an engine. Its figures are slightly out of date:
-// see AgeMillis.
+// LoadReport is the load report of an engine. The figures of a load report are slightly out of
+// date: AgeMillis is their age.
 type LoadReport struct {
 	// Incarnation distinguishes the runs of an upstream at the same address.
 	Incarnation Incarnation `json:"incarnation"`
 	Draining    bool        `json:"draining"`
 	Running     int         `json:"running"`
 	Waiting     int         `json:"waiting"`
-	// Versions are the model versions that the engine has loaded. Routing relies
-	// on this list, not on the orders that were sent to the engine.
+	// Versions are the model versions that the engine has loaded.
+	// Routing relies on these versions, not on the orders (to load or unload a version) that
+	// were sent to the engine.
 	Versions []VersionID `json:"versions"`
 	// AgeMillis is how old the figures were when the engine sent the report.
 	AgeMillis int64 `json:"age_ms"`
 }
 
-// ObjectVersion is the version of an object in the platform's store. It increases
-// with each update of the object.
+// ObjectVersion is the version of an object in the platform's object store.
+// The version increases with each update of the object.
 type ObjectVersion uint64
 
 // VMState is the state of a VM in the platform's VM list.
--- a/engine/call.go
+++ b/engine/call.go
@@ -28,18 +28,18 @@
 	Body    []byte
 	// ContentType is the media type of the body. Empty means application/json.
 	ContentType string
-	// AcceptAnyStatus makes a response with any status count as the upstream's own
-	// response. Otherwise a status other than 200 fails the call. CallPlain sets it.
+	// AcceptAnyStatus makes a response with any status count as the upstream's own response.
+	// Otherwise a status other than 200 fails the call. CallPlain sets AcceptAnyStatus.
 	AcceptAnyStatus bool
 	// CheckPermission is called immediately before the first byte of the body is sent, and
 	// again after the last byte was written. An error cancels the call. A nil
 	// function permits every call.
 	CheckPermission func() error
-	// NotAfter is the time until which the upstream may start the request. It is
-	// sent as a header. A zero time sends no limit.
+	// NotAfter is the time until which the upstream may start the request.
+	// NotAfter is sent as a header. If NotAfter is zero, no such header is sent.
 	NotAfter time.Time
-	// LastEventID is the id of the event after which the stream is resumed. Empty
-	// starts a new stream.
+	// LastEventID is the id of the event after which the stream is resumed.
+	// An empty id starts a new stream.
 	LastEventID string
 }
 
@@ -49,7 +49,7 @@
 	Outcome contract.Outcome
 	Err     error
 	// RetryAfter is how long the upstream asked clients to wait before the next request.
-	// Zero means that it did not ask for a pause.
+	// Zero means that the upstream did not ask for a pause.
 	RetryAfter time.Duration
 	// RetryAfterErr is the error if the Retry-After header could not be parsed.
 	RetryAfterErr error
@@ -85,8 +85,8 @@
 
 // NewClient returns a client with a connection pool of its own.
 //
-// The client never sends an Idempotency-Key header to an upstream: net/http treats
-// a request with one as safe to repeat and may send it twice.
+// The client never sends an Idempotency-Key header to an upstream:
+// net/http treats a request with that header as safe to repeat and may send the request twice.
 func NewClient() *Client {
 	transport := &http.Transport{
 		MaxIdleConnsPerHost: maxIdleConnsPerHost,
@@ -100,9 +100,9 @@
 // a request must not leave the upstream that was selected for it.
 func stopAtRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// permittedBody is a request body that can be read once, and only if checkPermission
-// allows it. net/http cannot send a complete request before it has read the body, so
-// if no byte of the body was read, the request provably did not run.
+// permittedBody is a request body that can be read once, and only if checkPermission allows it.
+// net/http cannot send a complete request before it has read the body,
+// so the request provably did not run if no byte of the body was read.
 type permittedBody struct {
 	checkPermission func() error
 	reader          *bytes.Reader
@@ -169,8 +169,8 @@
 		cancel(nil)
 		return nil, callErr
 	}
-	// The response may arrive before WroteRequest has run. Wait for its check before
-	// using the response.
+	// The response may arrive before WroteRequest has run.
+	// Wait for the permission check in WroteRequest before using the response.
 	select {
 	case err := <-writeChecked:
 		if err == nil {
@@ -191,8 +191,8 @@
 	}
 	req.ContentLength = int64(len(call.Body))
 	if len(call.Body) == 0 {
-		// A request without a body is complete once its headers are sent, so the
-		// permission is checked before.
+		// A request without a body is complete once its headers are sent,
+		// so the permission is checked before the headers are sent.
 		req.Body = nil
 		if _, err := body.Read(nil); err != nil && err != io.EOF {
 			return nil, &CallError{Outcome: contract.OutcomeNotRun, Err: err}
@@ -226,12 +226,13 @@
 	}
 }
 
-// checkResponseHead checks the status of the response and that it belongs to this
-// request.
+// checkResponseHead checks the status of the response, and checks that the response belongs to the
+// request of this call.
 //
-// By the engine protocol, 429 and 503 mean that the request was refused before it was
-// queued, so they prove that it did not run. So do 404 and 400. Any other error
-// status proves nothing.
+// By the engine protocol, 429 and 503 mean that the engine refused the request before it was
+// queued, so these statuses prove that the request did not run.
+// The statuses 404 and 400 prove the same. Any other error status proves nothing about whether the
+// request ran.
 func checkResponseHead(call Call, resp *http.Response) *CallError {
 	fail := func(o contract.Outcome, err error) *CallError {
 		retryAfter, parseErr := exchange.RetryAfter(resp.Header, time.Now())
--- a/engine/control.go
+++ b/engine/control.go
@@ -28,8 +28,8 @@
 	return load, contract.WrapStep(contract.StepLoad, url, json.Unmarshal(raw, &load))
 }
 
-// Order sends an order to an engine. If it fails, the engine may still have carried
-// out the order: Load returns the versions that the engine has loaded.
+// Order sends an order to an engine. If Order fails, the engine may still have carried out the
+// order: Load returns the versions that the engine has loaded.
 func (c *Client) Order(ctx context.Context, url string, order Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -43,9 +43,9 @@
 	return contract.WrapStep(contract.StepOrder, url, err)
 }
 
-// Cancel asks an engine to stop working on a request that no client waits for. The
-// engine may have finished the request by then, so success does not prove that the
-// request did not run.
+// Cancel asks an engine to stop working on a request that no client waits for.
+// The engine may have finished the request before Cancel arrives, so the success of Cancel does not
+// prove that the request did not run.
 func (c *Client) Cancel(ctx context.Context, url string, id contract.RequestID) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url+PathCancel, nil)
 	if err != nil {
--- a/engine/plain.go
+++ b/engine/plain.go
@@ -15,9 +15,9 @@
 	Body        []byte
 }
 
-// CallPlain sends a call to a plain HTTP service and returns its complete response,
-// whatever its status. A service need not echo the request id, but an id that it
-// echoes must match.
+// CallPlain sends a call to a plain HTTP service and returns the complete response of the service,
+// whatever the status of the response. A plain HTTP service need not echo the request id,
+// but an echoed id must match the id of the request.
 func (c *Client) CallPlain(ctx context.Context, call Call, method, path string) (*PlainResponse, error) {
 	call.AcceptAnyStatus = true
 	open, callErr := c.send(ctx, call, method, path)
--- a/engine/protocol.go
+++ b/engine/protocol.go
@@ -20,11 +20,11 @@
 
 // HTTP headers of a call.
 const (
-	// HeaderRequestID carries the request id. The engine echoes it, so that a
-	// response to another request is detected.
+	// HeaderRequestID carries the request id. The engine echoes the request id,
+	// so that a response to another request is detected.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderNotAfter carries the time, in RFC 3339 format, until which the engine
-	// may start the request. Not every engine checks it.
+	// HeaderNotAfter carries the time, in RFC 3339 format, until which the engine may start the
+	// request. Not every engine checks this header.
 	HeaderNotAfter = "X-Not-After"
 	// HeaderLastEventID resumes a stream after the event with the given id, as
 	// defined for server-sent events.
@@ -111,17 +111,19 @@
 	OrderUnload OrderKind = "unload"
 )
 
-// Order asks an engine to load or unload a model version. Late and repeated orders
-// do not affect routing, which relies only on the load reports of engines.
+// Order asks an engine to load or unload a model version.
+// Late and repeated orders do not affect routing, since routing relies only on the load reports of
+// engines.
 type Order struct {
 	Kind    OrderKind             `json:"kind"`
 	Version contract.VersionID    `json:"version"`
 	Fencing contract.FencingToken `json:"fencing"`
 }
 
-// CacheEvent reports that an engine has cached a prompt prefix, or, if Cached is
-// false, that it has evicted it. Prefix is the key of the prompt prefix. Events
-// arrive late, and a gap in Seq means that some were lost.
+// CacheEvent reports that an engine has cached a prompt prefix or, if Cached is false,
+// that the engine has evicted the prompt prefix from its cache.
+// Prefix is the key of the prompt prefix. Cache events arrive late, and a gap in the numbers Seq
+// means that some cache events were lost.
 type CacheEvent struct {
 	Seq    uint64 `json:"seq"`
 	Prefix uint64 `json:"prefix"`
--- a/engine/stream.go
+++ b/engine/stream.go
@@ -17,16 +17,16 @@
 type Event struct {
 	// ID is the event id that the engine assigned. A stream can be resumed after it.
 	ID string
-	// Data is the raw data of the event. It is valid until the next call of Next.
+	// Data is the raw data of the event. Data is valid until the next call of Next.
 	Data []byte
-	// Chunk is the decoded and checked data. It is empty if End is set.
+	// Chunk is the decoded and checked data. Chunk is empty if End is set.
 	Chunk Chunk
 	// End is true for the event that marks the end of a complete stream.
 	End bool
 }
 
-// Stream is a streamed response. It is complete only if Next has returned an event
-// with End set.
+// Stream is a streamed response. The response is complete only if Next has returned an event with
+// End set.
 type Stream struct {
 	call            Call
 	open            *openResponse
@@ -61,8 +61,8 @@
 // been read to its end, the engine sees the connection close.
 func (s *Stream) Close() { s.open.close() }
 
-// Usage returns the most recent token counts in the stream. They are zero until a
-// chunk carries them.
+// Usage returns the most recent token counts in the stream.
+// The counts are zero until a chunk carries token counts.
 func (s *Stream) Usage() Usage { return s.usage }
 
 // Next returns the next event. It returns a *CallError if the stream ends early or is
@@ -125,7 +125,7 @@
 }
 
 // readLongLine reads the rest of a line that does not fit into the reader's buffer.
-// start is the part that was read already.
+// start is the part of the line that was read already.
 func (s *Stream) readLongLine(start []byte) ([]byte, error) {
 	line := bytes.Clone(start)
 	for {
--- a/route/route.go
+++ b/route/route.go
@@ -40,13 +40,13 @@
 	Timeout time.Duration
 	// Objective is the target for the time to the answer, or to its first event.
 	Objective time.Duration
-	// TargetGap is the target for the longest pause between two events; zero if the route
-	// sets none.
+	// TargetGap is the target for the longest pause between two events of a stream.
+	// TargetGap is zero if the route sets no such target.
 	TargetGap time.Duration
-	// MaxAttempts is the largest number of upstreams to which one attempt of the caller may be
-	// sent.
+	// MaxAttempts is the largest number of upstreams to which the request of one attempt of the
+	// caller may be sent.
 	MaxAttempts int
-	// Priority of the route's requests; 0 is the most urgent.
+	// Priority is the priority of the route's requests; 0 is the most urgent.
 	Priority int
 	Shares   []Share
 	// Models are the models from which the router may choose, smallest first; empty if the
@@ -62,7 +62,8 @@
 // Repeatable reports whether a request of the route may be executed more than once.
 func (r *Route) Repeatable() bool { return r.Kind == Safe || r.Kind == Stream && r.Resumable }
 
-// Share is the relative share of a route's requests that a service receives.
+// Share is the part of a route's requests that a service receives, as a weight relative to the
+// other shares of the route.
 type Share struct {
 	Service contract.ServiceID
 	Weight  int
@@ -80,15 +81,16 @@
 	// CacheTokens is the number of tokens that one engine of the service can cache; zero for a
 	// service without models.
 	CacheTokens int
-	// Cold is the load that an upstream of the service can handle while it is cold.
+	// Cold is the load that an upstream of the service can handle while the upstream is cold
+	// (recently started).
 	Cold ColdCapacity
-	// Scaling limits the upstreams that may be ordered for the service; nil if none may be
-	// ordered.
+	// Scaling limits how many upstreams may be ordered for the service.
+	// Scaling is nil if no upstreams may be ordered.
 	Scaling *scaling.Limits
 }
 
-// ColdCapacity is the load that a cold upstream can handle. The zero value describes an upstream that
-// can handle its full load from the start.
+// ColdCapacity is the load that a cold (recently started) upstream can handle.
+// The zero value describes an upstream that can handle its full load from the start.
 type ColdCapacity struct {
 	// Duration is how long an upstream stays cold after a start while its service receives
 	// traffic.
@@ -130,8 +132,8 @@
 	byKey  map[string]*Workspace
 }
 
-// NewTable returns a table with the given routes, and with workspaces by API key. A nil map means
-// that requests need no key.
+// NewTable returns a table with the given routes and with the workspaces by API key.
+// A nil map of workspaces means that requests need no API key.
 func NewTable(routes []*Route, keys map[string]*Workspace) *Table {
 	t := &Table{byHost: make(map[string][]*Route), byKey: keys, KeyRequired: keys != nil}
 	for _, r := range routes {
@@ -175,9 +177,10 @@
 	return w, ok
 }
 
-// PickService returns the service for a request, in proportion to the weights of the shares of
-// the route. The point in [0, 1) determines the choice and is usually random. A share with weight
-// zero is picked only if all weights are zero; the first share is then picked.
+// PickService returns the service for a request, in proportion to the weights of the shares of the
+// route. The point in [0, 1) determines the choice and is usually random.
+// A share with weight zero is picked only if all weights are zero:
+// PickService then picks the first share of the route.
 func (r *Route) PickService(point float64) contract.ServiceID {
 	total := 0
 	for _, s := range r.Shares {
@@ -196,8 +199,8 @@
 	return r.Shares[0].Service
 }
 
-// ShortestObjective returns the shortest objective of all routes to a service, or zero if none
-// sets an objective.
+// ShortestObjective returns the shortest objective of all routes to a service,
+// or zero if no such route sets an objective.
 func (t *Table) ShortestObjective(s contract.ServiceID) time.Duration {
 	shortest := time.Duration(0)
 	for _, routes := range t.byHost {
--- a/upstream/notices.go
+++ b/upstream/notices.go
@@ -148,7 +148,7 @@
 	if s := t.states[instance.Upstream]; s != nil && s.incarnation == instance.Incarnation {
 		return s.acceptsWork(now)
 	}
-	a := t.notices[instance] // the instance is no longer listed, but may have been selected before
+	a := t.notices[instance] // the instance left the list, but may have been selected before
 	return !a.isLeaving() && !a.inBackoff(now)
 }
 
