--- a/contract/doc.go
+++ b/contract/doc.go
@@ -2,5 +2,5 @@
 // share: ids, the outcome of a request, refusals, and errors that record the
 // processing step and the peer that failed.
 //
-// It imports no other package of woaddoor, so every package may import it.
+// Package contract imports no other package of woaddoor, so every package may import contract.
 package contract
--- a/contract/ids.go
+++ b/contract/ids.go
@@ -46,9 +46,9 @@
 // HTTP service.
 type UpstreamID string
 
-// UpstreamInstance identifies one run of an upstream. An upstream that restarts under the same id is
-// a new instance: load, limits and failures that were recorded for the previous instance do not
-// apply to it.
+// UpstreamInstance identifies one run of an upstream. An upstream that restarts under the same id
+// is a new instance: load, limits and failures that were recorded for the previous instance do not
+// apply to the new instance.
 type UpstreamInstance struct {
 	Upstream UpstreamID `cbor:"1,keyasint"`
 	// Incarnation distinguishes the runs of an upstream that restarts under the same id. It is
--- a/contract/reports.go
+++ b/contract/reports.go
@@ -33,8 +33,8 @@
 type VMEntry struct {
 	ID         VMID         `json:"id"`
 	DataCentre DataCentreID `json:"data_centre"`
-	// Address is the IP address and port at which the VM serves. For a VM that
-	// runs the router it is the link address of the control process.
+	// Address is the IP address and port at which the VM serves.
+	// For a VM that runs the router, Address is the link address of the VM's control process.
 	Address string  `json:"address"`
 	State   VMState `json:"state"`
 	// Upstream is true for a VM that runs an upstream.
--- a/engine/stream.go
+++ b/engine/stream.go
@@ -15,7 +15,8 @@
 
 // Event is one event of a stream.
 type Event struct {
-	// ID is the event id that the engine assigned. A stream can be resumed after it.
+	// ID is the event id that the engine assigned. A stream can be resumed after the event with
+	// a given id.
 	ID string
 	// Data is the raw data of the event. Data is valid until the next call of Next.
 	Data []byte
@@ -90,7 +91,7 @@
 	return &CallError{Outcome: contract.OutcomeRan, Err: contract.WrapStep(contract.StepStream, string(s.call.Upstream), err)}
 }
 
-// readEvent reads the lines of one event. It ignores fields other than "data" and "id".
+// readEvent reads the lines of one event. readEvent ignores fields other than "data" and "id".
 func (s *Stream) readEvent() (Event, error) {
 	e := Event{}
 	s.data = s.data[:0]
--- a/upstream/cold.go
+++ b/upstream/cold.go
@@ -7,13 +7,14 @@
 	"woaddoor/contract"
 )
 
-// A cold upstream is one that has recently started: it can handle only little load for a while,
-// and fails if it gets much more load. The bound on the requests that it can handle applies to all
-// VMs together, but no VM knows what the others send at the same moment.
-// Each cold upstream therefore has a few owners among the VMs of its data centre.
-// All VMs compute the same owners without communication (rendezvous hashing).
-// Each owner may send a cold upstream a whole number of requests per second;
-// the other VMs send it nothing until it is warm.
+// A cold upstream is an upstream that has recently started:
+// it can handle only little load for a while, and fails if it gets much more load.
+// The bound on the requests that a cold upstream can handle applies to all VMs together,
+// but no VM knows what the other VMs send at the same moment.
+// Each cold upstream therefore has a few owners among the VMs of its data centre:
+// the VMs that may send requests to the upstream. All VMs compute the same owners without
+// communication (rendezvous hashing). Each owner may send a cold upstream a whole number of
+// requests per second; the other VMs send nothing to the upstream until it is warm.
 //
 // The owners of a cold upstream together send at most half of its bound,
 // so that two groups of VMs with different views of the membership, and thus without a common
@@ -56,8 +57,9 @@
 // coldState is what this VM assumes about whether one upstream is cold (recently started).
 type coldState struct {
 	bound ColdBound
-	// until is when the upstream is assumed to be warm, derived from its list entry, its
-	// start, or failures of this VM's connections to it.
+	// until is when the upstream is assumed to be warm.
+	// It is derived from the list entry or the start of the upstream,
+	// or from failures of this VM's connections to the upstream.
 	until time.Time
 	// connectionsFailed is set if connections to the upstream have failed since it last
 	// answered. connectionsFailedAt is when the last connection failed.
@@ -81,8 +83,8 @@
 	// centreFailureDivisor sets which fraction (1/3) of a data centre's upstreams must have
 	// failed connections before all upstreams of the data centre are assumed to be cold:
 	// the upstreams may return together, and most VMs have tried few of them.
-	// Without this rule, when a data centre returned cold after 2 s, one upstream got 23
-	// requests in a second where 20 were allowed.
+	// Without centreFailureDivisor, when a data centre returned cold after 2 s,
+	// one upstream got 23 requests in a second where 20 were allowed.
 	centreFailureDivisor = 3
 	// minCentreFailures is the minimum number of upstreams with failed connections before all
 	// upstreams of their data centre are assumed to be cold.
--- a/upstream/cost.go
+++ b/upstream/cost.go
@@ -59,7 +59,8 @@
 
 // Estimate is the expected timing of a request at an upstream.
 type Estimate struct {
-	// Wait is the time until the prefill of the prompt starts, and Prefill its duration.
+	// Wait is the time until the prefill of the prompt starts.
+	// Prefill is the duration of the prefill.
 	Wait, Prefill time.Duration
 	// CachedTokens is the number of prompt tokens that are cached and need no prefill.
 	CachedTokens int
@@ -115,8 +116,8 @@
 	return best
 }
 
-// usableUpstreams returns the upstreams that could accept the request, either in its own data
-// centre or in the others.
+// usableUpstreams returns the upstreams that could accept the request,
+// either in the data centre of the query or in the other data centres.
 func (t *Table) usableUpstreams(q Query, local bool, now time.Time) []*state {
 	states := t.sortedStates
 	if local {
--- a/upstream/gossip_scope.go
+++ b/upstream/gossip_scope.go
@@ -19,8 +19,8 @@
 // Assumptions about engines outside the gossip scope: this VM does not learn of the requests that
 // other VMs send to such engines.
 const (
-	// outOfScopeWaitFactor is the fraction of the mean queue wait at the engines in the gossip
-	// scope that is assumed as the queue wait at the engines outside it.
+	// outOfScopeWaitFactor is the assumed queue wait at an engine outside the gossip scope,
+	// as a fraction of the mean queue wait at the engines in the gossip scope.
 	// With a factor of 1, a data centre with more work than the other data centres would keep
 	// all of its work.
 	outOfScopeWaitFactor = 0.7
--- a/upstream/limit.go
+++ b/upstream/limit.go
@@ -136,8 +136,9 @@
 	l.RateLimit, l.version, l.learnedAt = next, version, now
 }
 
-// recordReported records that the limit is reported now: local means to the VMs of this data
-// centre, and remote to those of all data centres.
+// recordReported records that the limit is reported now.
+// local means that the limit is reported to the VMs of this data centre,
+// remote that it is reported to the VMs of all data centres.
 func (l *limitState) recordReported(local, remote bool, now time.Time) {
 	if local {
 		l.reportedAt = now
--- a/upstream/limit_table.go
+++ b/upstream/limit_table.go
@@ -27,9 +27,9 @@
 	return change
 }
 
-// MergeLimit applies what another VM knows about the rate limit of an instance; fresh means that
-// the other VM has just received the limit in an answer. MergeLimit returns the limit that
-// applied before, and whether it changed.
+// MergeLimit applies what another VM knows about the rate limit of an instance;
+// fresh means that the other VM has just received the limit in an answer.
+// MergeLimit returns the limit that applied before, and whether the limit changed.
 func (t *Table) MergeLimit(update LimitUpdate, fresh bool, now time.Time) (before RateLimit, changed bool) {
 	a := t.ensureNotices(update.Instance, now)
 	before = a.limit.RateLimit
--- a/upstream/limiter.go
+++ b/upstream/limiter.go
@@ -10,7 +10,8 @@
 	burst    int
 	// maxPerWindow is the maximum number of requests in any limitWindow.
 	// minInterval is the corresponding time between two requests.
-	// Both exceed the rate limit but stay within the tolerance of the upstream.
+	// maxPerWindow and minInterval allow more requests than the rate limit,
+	// but no more than the upstream tolerates.
 	maxPerWindow int
 	minInterval  time.Duration
 }
@@ -33,8 +34,8 @@
 	// its rate limit) may send together after a pause.
 	ownerBurst = 2
 	// limitWindow is the window in which requests are counted.
-	// It exceeds toleranceWindow because requests may arrive closer together than they were
-	// sent, if the first request waited for a connection.
+	// limitWindow exceeds toleranceWindow because requests may arrive closer together than they
+	// were sent, if the first request waited for a connection.
 	// Requests sent under a higher limit count until they leave the window.
 	limitWindow = toleranceWindow + 400*time.Millisecond
 	// plannedFraction is the fraction of the tolerated requests that the owners of an upstream
@@ -81,8 +82,8 @@
 type limiter struct {
 	// startedAt is when the limiter started, without unused requests for a burst.
 	startedAt time.Time
-	// limitTAT and maxTAT are the theoretical arrival times (GCRA) of the next request
-	// under the share's interval and under its minInterval.
+	// limitTAT is the theoretical arrival time (GCRA) of the next request under the interval of
+	// the share, and maxTAT the theoretical arrival time under the minInterval of the share.
 	limitTAT, maxTAT time.Time
 	// sentAt holds when requests were sent within limitWindow, in order.
 	sentAt []time.Time
@@ -100,7 +101,7 @@
 }
 
 // overLimit reports whether one more request now would exceed the rate limit.
-// Such a request may still be within the tolerance of the upstream.
+// A request beyond the rate limit may still be within the tolerance of the upstream.
 func (l *limiter) overLimit(s limitShare, now time.Time) bool {
 	return earliest(l.limitTAT, s.interval, s.burst).After(now)
 }
--- a/upstream/listed.go
+++ b/upstream/listed.go
@@ -11,7 +11,8 @@
 type Entry struct {
 	ID      contract.UpstreamID
 	Service contract.ServiceID
-	// Address is the upstream's IP address and port. Another upstream may use it later.
+	// Address is the upstream's IP address and port. Another upstream may use the same address
+	// later.
 	Address    string
 	DataCentre contract.DataCentreID
 	// Release is the software version of the upstream.
@@ -63,8 +64,9 @@
 	return contract.PoolID(string(s) + "|" + release + "|" + string(dc))
 }
 
-// ApplyList replaces the known upstreams with those of a list. An upstream that restarted
-// under the same ID is a new instance: the state of the previous instance is discarded.
+// ApplyList replaces the known upstreams with the upstreams of a list.
+// An upstream that restarted under the same ID is a new instance:
+// the state of the previous instance is discarded.
 func (t *Table) ApplyList(l List) {
 	pools := make(map[contract.PoolID]*config.Pool)
 	for _, e := range l.Entries {
@@ -122,8 +124,8 @@
 	s.reportedAt = now
 }
 
-// RecordAccepted records that an upstream has begun to answer a request, so it no longer rejects
-// requests.
+// RecordAccepted records that an upstream has begun to answer a request,
+// so the upstream no longer rejects requests.
 func (t *Table) RecordAccepted(id contract.UpstreamID) {
 	if s, ok := t.states[id]; ok {
 		s.health.rejectedSkip = 0
@@ -135,8 +137,8 @@
 	return s.pool.MaxConnections == 0 || s.inFlight < s.pool.MaxConnections
 }
 
-// lastResort returns the upstream with the lowest failure rate if none is healthy enough for a
-// normal selection: trying an upstream that may have recovered is better than refusing the
+// lastResort returns the upstream with the lowest failure rate if no upstream is healthy enough for
+// a normal selection: trying an upstream that may have recovered is better than refusing the
 // request without a try.
 func (t *Table) lastResort(q Query, now time.Time) (contract.UpstreamID, error) {
 	if !t.opts.Listed {
@@ -150,8 +152,9 @@
 	return best.upstream.ID, nil
 }
 
-// leastFailed returns the upstream with the lowest failure rate among those that the query allows
-// and that accept work, regardless of their health. It returns nil if there is no such upstream.
+// leastFailed returns the upstream with the lowest failure rate among the upstreams that the query
+// allows and that accept work, regardless of their health.
+// It returns nil if there is no such upstream.
 func (t *Table) leastFailed(q Query, now time.Time) *state {
 	var best *state
 	for _, s := range t.states {
@@ -306,7 +309,7 @@
 }
 
 // CompareUpstreams compares the upstreams of each pool with each other,
-// so that slow ones are detected. The caller invokes CompareUpstreams periodically.
+// so that slow upstreams are detected. The caller invokes CompareUpstreams periodically.
 func (t *Table) CompareUpstreams(dc contract.DataCentreID, now time.Time) {
 	t.countActiveEngines(now)
 	t.updateMeanWait(dc, now)
--- a/upstream/notices.go
+++ b/upstream/notices.go
@@ -17,9 +17,9 @@
 	Limit RateLimit
 }
 
-// DefaultMaxBackoff limits how long the back-off requested by an upstream is obeyed. An upstream
-// that requests weeks by mistake gets requests again without manual action, and one that needs a
-// longer pause can request another back-off.
+// DefaultMaxBackoff limits how long the back-off requested by an upstream is obeyed.
+// An upstream that requests weeks by mistake gets requests again without manual action,
+// and an upstream that needs a longer pause can request another back-off.
 const DefaultMaxBackoff = 10 * time.Minute
 
 // instanceNotices holds the notices from all answers of an instance.
--- a/upstream/outlook.go
+++ b/upstream/outlook.go
@@ -18,7 +18,8 @@
 	NextBackoffEnd, NextBackoffLength time.Duration
 }
 
-// NoneAccepting reports whether no upstream accepts requests now but at least one will later.
+// NoneAccepting reports whether no upstream accepts requests now but at least one upstream will
+// accept requests later.
 func (o Outlook) NoneAccepting() bool {
 	return o.BackedOff+o.AtLimit > 0 && o.BackedOff+o.AtLimit+o.Leaving == o.Listed
 }
--- a/upstream/owners.go
+++ b/upstream/owners.go
@@ -20,7 +20,7 @@
 // Such a VM sends nothing to cold or rate-limited upstreams.
 type Owners struct {
 	Self contract.VMID
-	// VMs are all VMs of the data centre including this one, in any order.
+	// VMs are all VMs of the data centre including this VM, in any order.
 	// VMs that became silent recently are included, because a silent VM may only be
 	// disconnected from this VM.
 	VMs []contract.VMID
--- a/upstream/pick.go
+++ b/upstream/pick.go
@@ -64,8 +64,8 @@
 }
 
 // candidates returns usable upstreams that send load reports.
-// They are in the preferred data centre, unless that data centre has no usable upstream or only
-// other data centres have free slots.
+// The returned upstreams are in the preferred data centre, unless that data centre has no usable
+// upstream or only other data centres have free slots.
 func (t *Table) candidates(q Query, now time.Time) []*state {
 	local, remote := make([]*state, 0, len(t.sortedStates)), []*state(nil)
 	for _, s := range t.sortedStates {
@@ -171,7 +171,8 @@
 // answers could update the service time.
 const serviceTimeTTL = 2 * time.Second
 
-// recentServiceTime returns the service time of an upstream, or zero if it is not known.
+// recentServiceTime returns the service time of an upstream, or zero if the service time is not
+// known.
 func (s *state) recentServiceTime(now time.Time) time.Duration {
 	if s.inFlight == 0 && now.Sub(s.serviceTimeAt) >= serviceTimeTTL {
 		return 0
@@ -188,16 +189,16 @@
 	s.serviceTimeAt = now
 }
 
-// shortestWait returns the upstream with the shortest expected wait, at random among equals. An
-// upstream without a known service time is assumed to be like the others.
+// shortestWait returns the upstream with the shortest expected wait, at random among equals.
+// An upstream without a known service time is assumed to be like the other upstreams.
 func shortestWait(usable []*state, random *rand.Rand, now time.Time) *state {
 	assumed := cmp.Or(meanServiceTime(usable, nil, now), defaultServiceTime)
 	best, _ := lowestCost(usable, func(s *state) float64 { return s.waitScore(cmp.Or(s.recentServiceTime(now), assumed)) }, random)
 	return best
 }
 
-// lowestCost returns the upstream with the lowest cost and that cost, at random among equals,
-// or nil if there is none.
+// lowestCost returns the upstream with the lowest cost and that cost, at random among equals.
+// It returns nil if there is no usable upstream.
 func lowestCost(usable []*state, cost func(*state) float64, random *rand.Rand) (best *state, bestCost float64) {
 	ties := 0
 	for _, s := range usable {
--- a/upstream/policy.go
+++ b/upstream/policy.go
@@ -24,7 +24,7 @@
 	HomeUpstreams Mechanism = "homes"
 	// PrefillRates is the learning of how long engines take to prefill a token.
 	PrefillRates Mechanism = "pace"
-	// Escalation replaces poor answers with those of a larger model.
+	// Escalation replaces poor answers with answers of a larger model.
 	Escalation Mechanism = "escalation"
 	// LargestAlone allows the largest model to answer first.
 	LargestAlone Mechanism = "largest-alone"
@@ -37,7 +37,7 @@
 // Mechanisms lists all mechanisms, sorted by name.
 var Mechanisms = []Mechanism{EarlyRefusal, Escalation, HomeUpstreams, PrefixCaching, LargestAlone, PrefillRates, PrefillPrice, Gossip, Exploration}
 
-// Policy is the set of disabled mechanisms. The zero value disables none.
+// Policy is the set of disabled mechanisms. The zero value disables no mechanism.
 type Policy struct{ disabled []Mechanism }
 
 // NewPolicy returns the policy with the given mechanisms disabled.
--- a/upstream/table.go
+++ b/upstream/table.go
@@ -55,13 +55,13 @@
 	}
 }
 
-// Table holds what one VM knows about the upstreams. It is not safe for concurrent use:
+// Table holds what one VM knows about the upstreams. A Table is not safe for concurrent use:
 // callers synchronize access.
 type Table struct {
 	opts   Options
 	states map[contract.UpstreamID]*state
-	// unreachableUntil holds, for each data centre that appears to be unreachable, the time
-	// until which it counts as unreachable.
+	// unreachableUntil holds, for each data centre that appears to be unreachable,
+	// the time until which the data centre counts as unreachable.
 	unreachableUntil map[contract.DataCentreID]time.Time
 	// suspectedCentres holds the data centres with an upstream that stopped responding.
 	suspectedCentres map[contract.DataCentreID]bool
@@ -103,7 +103,7 @@
 	idHash   uint64 // hash of the upstream ID, for rendezvous hashing
 
 	// reportedIncarnation and load come from the last load report.
-	// Both are zero without a load report.
+	// reportedIncarnation and load are zero without a load report.
 	reportedIncarnation contract.Incarnation
 	load                contract.LoadReport
 	// reportedAt is when the last load report was requested.
@@ -140,7 +140,7 @@
 	cold        coldState
 	// notices is what the current instance stated about itself in answers.
 	// notices is nil if the instance stated nothing. The upstream may have requested back-offs
-	// (pauses) from other VMs: othersBackoffUntil is when the last of them ends.
+	// (pauses) from other VMs: othersBackoffUntil is when the last of these back-offs ends.
 	notices            *instanceNotices
 	othersBackoffUntil time.Time
 }
@@ -237,7 +237,8 @@
 const (
 	// Succeeded means that a complete answer arrived.
 	Succeeded Result = iota
-	// Failed means that the upstream failed; it counts towards the circuit breaker.
+	// Failed means that the upstream failed. A failure counts towards the circuit breaker
+	// (which stops requests to the upstream for a while).
 	Failed
 	// Abandoned means that the caller cancelled; the result shows nothing about the upstream.
 	Abandoned
@@ -314,8 +315,8 @@
 }
 
 // UsableSlots returns the total number of slots (concurrent requests) of the usable upstreams of
-// one kind of pool. It counts the upstreams in the data centre dc or, if no upstream there is
-// usable, the upstreams in all data centres.
+// one kind of pool. UsableSlots counts the upstreams in the data centre dc or,
+// if no upstream there is usable, the upstreams in all data centres.
 func (t *Table) UsableSlots(kind config.PoolKind, dc contract.DataCentreID, now time.Time) int {
 	local, all := 0, 0
 	for _, s := range t.states {
