--- a/contract/reports.go
+++ b/contract/reports.go
@@ -1,22 +1,23 @@
 package contract
 
-// LoadReport is the load report of an engine. Its figures are slightly out of date:
-// see AgeMillis.
+// LoadReport is the load report of an engine. The figures of a load report are slightly out of
+// date: AgeMillis is their age.
 type LoadReport struct {
 	// Incarnation distinguishes the runs of an upstream at the same address.
 	Incarnation Incarnation `json:"incarnation"`
 	Draining    bool        `json:"draining"`
 	Running     int         `json:"running"`
 	Waiting     int         `json:"waiting"`
-	// Versions are the model versions that the engine has loaded. Routing relies
-	// on this list, not on the orders that were sent to the engine.
+	// Versions are the model versions that the engine has loaded.
+	// Routing relies on these versions, not on the orders (to load or unload a version) that
+	// were sent to the engine.
 	Versions []VersionID `json:"versions"`
 	// AgeMillis is how old the figures were when the engine sent the report.
 	AgeMillis int64 `json:"age_ms"`
 }
 
-// ObjectVersion is the version of an object in the platform's store. It increases
-// with each update of the object.
+// ObjectVersion is the version of an object in the platform's object store.
+// The version increases with each update of the object.
 type ObjectVersion uint64
 
 // VMState is the state of a VM in the platform's VM list.
@@ -32,8 +33,8 @@
 type VMEntry struct {
 	ID         VMID         `json:"id"`
 	DataCentre DataCentreID `json:"data_centre"`
-	// Address is the IP address and port at which the VM serves. For a VM that
-	// runs the router it is the link address of the control process.
+	// Address is the IP address and port at which the VM serves.
+	// For a VM that runs the router, Address is the link address of the VM's control process.
 	Address string  `json:"address"`
 	State   VMState `json:"state"`
 	// Upstream is true for a VM that runs an upstream.
