--- a/site/broadcast.go
+++ b/site/broadcast.go
@@ -12,22 +12,27 @@
 	"woaddoor/vm"
 )
 
-// How a change reaches all VMs: the VM that receives it from the store sends it to the
-// hubs of its data centre, to its own leaves and to one VM of each other data centre.
-// That VM sends it to the hubs there, and each hub to its leaves. A VM that misses
-// a message receives the change with the next heartbeat.
+// How a change of an object in the store reaches all VMs:
+// the VM that receives the change from the store sends the change
+// to the hubs of its data centre (the few VMs that forward messages there),
+// to its own leaves (the VMs that use it as their hub) and to one VM of each other data centre.
+// The VM in the other data centre sends the change to the hubs there,
+// and each hub sends the change to its leaves.
+// A VM that misses a message receives the change with the next heartbeat.
 
 // Timings and limits of broadcasts.
 const (
-	// nextMemberDelay is how long a VM of a data centre may take to reply before the next
-	// one is contacted too. Replies take milliseconds, and the first VM may be frozen.
+	// nextMemberDelay is how long a VM of a data centre may take to reply
+	// before the next VM of the same data centre is contacted too.
+	// Replies take milliseconds, and a VM that does not reply may be frozen.
 	nextMemberDelay = 250 * time.Millisecond
-	// maxPushBytes limits the changes that a gossip message carries. A VM that lacks more
-	// requests them, once for all changes that have come meanwhile.
+	// maxPushBytes limits the bytes
+	// of the changes of one kind of objects that a gossip message carries.
+	// A VM that lacks larger changes requests them, once for all changes that have come meanwhile.
 	maxPushBytes = 16 << 10
 )
 
-// AnnounceChange informs other VMs at once of a change from the store.
+// AnnounceChange informs other VMs at once of a change of an object in the store.
 func (p *Peers) AnnounceChange(ctx context.Context) {
 	p.changeRounds.run(func() {
 		deltas := p.unannouncedDeltas()
@@ -45,15 +50,16 @@
 	})
 }
 
-// AnnounceUrgent informs the hubs at once of a harmful event: the failure of a release on trial,
-// or a request content that has crashed an upstream.
+// AnnounceUrgent informs the hubs at once of a harmful event:
+// the failure of a release on trial, or a request content that has crashed an upstream.
 func (p *Peers) AnnounceUrgent(ctx context.Context) {
 	p.urgentRounds.run(func() { p.forwardUrgent(ctx, false) })
 }
 
-// forwardUrgent forwards news of a harmful event. A delegate of this data centre
-// informs the others. News from another data centre, or of an event on this VM, also goes
-// to the hubs here. Leaves receive it with the next heartbeat.
+// forwardUrgent forwards news of a harmful event. A delegate (one
+// of the VMs that exchange messages between data centres) informs the other data centres.
+// News from another data centre, or of an event on this VM,
+// also goes to the hubs of this data centre. Leaves receive it with the next heartbeat.
 func (p *Peers) forwardUrgent(ctx context.Context, fromLocal bool) {
 	if !fromLocal {
 		p.gossipToHubs(ctx, nil)
@@ -63,8 +69,9 @@
 	}
 }
 
-// forwardChanges forwards changes from another VM. A VM of this data centre has already
-// informed the other hubs itself, so its changes go to the leaves only.
+// forwardChanges forwards changes from another VM.
+// A VM of this data centre has already informed the other hubs itself,
+// so its changes go to the leaves only.
 func (p *Peers) forwardChanges(ctx context.Context, fromLocal bool) {
 	deltas := p.unannouncedDeltas()
 	if !fromLocal {
@@ -73,8 +80,9 @@
 	p.gossipToLeaves(ctx, deltas)
 }
 
-// unannouncedDeltas returns the changes since the last announcement, except those of
-// kinds where they are too large for a message.
+// unannouncedDeltas returns the changes of each kind of objects (such as upstreams
+// or rollout orders) since the last announcement.
+// Changes that are too large for a message are left out.
 func (p *Peers) unannouncedDeltas() []PushedDelta {
 	p.mu.Lock()
 	kinds := maps.Clone(p.kinds)
@@ -145,8 +153,8 @@
 	}
 }
 
-// gossipToRemote sends gossip to one VM of each other data centre for which include
-// returns true, and to further ones while there is no reply.
+// gossipToRemote sends gossip to one VM of each other data centre for which include returns true,
+// and to further ones while there is no reply.
 func (p *Peers) gossipToRemote(ctx context.Context, deltas []PushedDelta, include func(contract.DataCentreID) bool) {
 	msg := p.gossipFor(audienceRemote)
 	msg.Deltas = deltas
--- a/site/coalescer.go
+++ b/site/coalescer.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// coalescer runs a function at once, but at most once per interval. Further calls during
-// an interval lead to a single run at its end.
+// coalescer runs a function at once, but at most once per interval.
+// Further calls during an interval lead to a single run at the end of the interval.
 type coalescer struct {
 	interval time.Duration
 
--- a/site/election.go
+++ b/site/election.go
@@ -13,27 +13,28 @@
 type Timing struct {
 	// WatchDuration is how long one watch call stays open.
 	WatchDuration time.Duration
-	// StaleAfter is the age of the last store confirmation at which a VM that relies on
-	// its peers starts to watch the store itself. RankStep is added once or more per
-	// rank, so that normally only the next VM in order starts to watch.
+	// StaleAfter is the age of the store's last confirmation that there are no newer changes
+	// at which a VM that relies on its peers starts to watch the store itself.
+	// RankStep is added to StaleAfter once or more per rank of the VM,
+	// so that normally only the next VM in order starts to watch the store.
 	StaleAfter, RankStep time.Duration
 }
 
-// Timing fractions of the bound within which a change must be known. All watches may
-// break at once without an error, so half of the bound remains for the next watch. If the
-// active watcher fails, a VM has a quarter of the bound left to call the store and inform
-// its peers.
+// These fractions divide the bound,
+// which is the time within which every VM must know a change in the store.
+// All watches (open store calls that wait for changes) may break at once without an error,
+// so half of the bound remains for the next watch. If the active watcher fails,
+// a VM has a quarter of the bound left to call the store and inform its peers.
 const (
-	watchDivisor    = 2 // the bound is divided by it
+	watchDivisor    = 2 // the bound is divided by watchDivisor
 	staleFraction   = 0.75
-	rankStepDivisor = 8 // the bound is divided by it
-	// maxWatchDuration limits how long a missed change can go unnoticed when the bound is
-	// long.
+	rankStepDivisor = 8 // the bound is divided by rankStepDivisor
+	// maxWatchDuration limits how long a missed change can go unnoticed when the bound is long.
 	maxWatchDuration = 5 * time.Second
 )
 
-// TimingFor returns the timing for a kind whose changes must be in force on every VM
-// within bound after the store accepted them.
+// TimingFor returns the timing for a kind whose changes must be in force on every VM within bound
+// after the store accepted them.
 func TimingFor(bound time.Duration) Timing {
 	bound = min(bound, watchDivisor*maxWatchDuration)
 	return Timing{WatchDuration: bound / watchDivisor, StaleAfter: time.Duration(staleFraction * float64(bound)), RankStep: bound / rankStepDivisor}
@@ -47,42 +48,46 @@
 
 // Rank is the position of a VM in the order in which VMs start to watch the store.
 type Rank struct {
-	// Local is the rank of the VM in its data centre. DataCentre is the rank of the data
-	// centre among those that share a watcher. Both start at 0.
+	// Local is the rank of the VM in its data centre.
+	// DataCentre is the rank of the data centre among the data centres
+	// that share a watcher (a VM that watches the store for them). Both ranks start at 0.
 	Local, DataCentre int
 	// NoLocalPeers is set until another VM of the same data centre has replied to this VM.
 	NoLocalPeers bool
 }
 
 const (
-	// unknownRank is the minimum local rank, at the first start of the deployment, of a
-	// VM that does not know the other VMs yet.
+	// unknownRank is the minimum local rank,
+	// at the first start of the deployment, of a VM that does not know the other VMs yet.
 	unknownRank = 4
-	// linearRanks is the number of ranks whose delay grows by about one RankStep per
-	// rank. The delay of higher ranks grows quadratically.
+	// linearRanks is the number of ranks whose delay grows by about one RankStep per rank.
+	// The delay of higher ranks grows quadratically.
 	linearRanks = 4
-	// dataCentreStep gives one data centre time to query the store and inform the others,
+	// dataCentreStep is the delay per rank of a data centre.
+	// The delay gives one data centre time to query the store and inform the others,
 	// which takes a few milliseconds.
 	dataCentreStep = 50 * time.Millisecond
-	// firstStartListDelay is how long a VM waits, at the first start of the deployment,
-	// for another VM to list the store. All VMs start at once then and no client is
-	// waiting.
+	// firstStartListDelay is how long a VM waits,
+	// at the first start of the deployment, for another VM to list the store.
+	// At the first start all VMs start at once and no client is waiting.
 	firstStartListDelay = 3 * time.Second
-	// restartListDelay is the corresponding delay at a later start, when clients are
-	// waiting. It is as long as a reply from another VM takes. A VM without a reply by
-	// then lists the store itself, because the other VMs may all have restarted too. With
-	// 0.4 s and a further delay by rank, a fleet of six served 0.5 s later after all VMs
-	// were lost.
+	// restartListDelay is how long a VM waits, at a later start of the deployment,
+	// for another VM to list the store. Clients are waiting at a later start,
+	// so the delay is only as long as a reply from another VM takes.
+	// A VM that has no reply after this delay lists the store itself,
+	// because the other VMs may all have restarted too.
+	// With a delay of 0.4 s and a further delay by rank,
+	// a fleet of six VMs served requests 0.5 s later after all six VMs were lost.
 	restartListDelay = 200 * time.Millisecond
 )
 
-// delay returns how long a VM of this rank waits beyond StaleAfter before it watches the
-// store. The first ranks of a data centre follow each other closely, so that a VM that
-// the store accepts is found within the bound. Later ranks are spread ever wider: a store
-// that has rejected several VMs in several data centres is unavailable to all. When all
-// ranks beyond the eighth had the same delay, each of 295 VMs called a store that was
-// unavailable for 7 s, which made 2,324 calls a day. A VM without local
-// peers is the first in order.
+// delay returns how long a VM of this rank waits beyond StaleAfter before it watches the store.
+// The first ranks of a data centre follow each other closely,
+// so that a VM that the store accepts is found within the bound. Later ranks are spread ever wider:
+// a store that has rejected several VMs in several data centres is unavailable to all.
+// When all ranks beyond the eighth had the same delay,
+// each of 295 VMs called a store that was unavailable for 7 s, which made 2,324 calls a day.
+// A VM without local peers is the first in order.
 func (r Rank) delay(t Timing) time.Duration {
 	steps := r.Local + r.Local*r.Local/linearRanks
 	return t.RankStep*time.Duration(steps) + dataCentreStep*time.Duration(r.DataCentre)
@@ -90,20 +95,22 @@
 
 // Delays by rank among VMs that start together while client requests wait.
 const (
-	// requestRankStep is the delay per rank. Within it, the VM before can read a short
-	// list and send it to its peers. A store served 80 pages of 500 objects a second:
-	// when 281 VMs each read 3,000 upstreams at once, it took them 4 s and more.
+	// requestRankStep is the delay per rank. Within this delay,
+	// the VM of the preceding rank can read a short list of objects and send the list to its peers.
+	// A store that served 80 pages of 500 objects a second took 4 s
+	// and more when 281 VMs each read 3,000 upstreams at once.
 	requestRankStep = 100 * time.Millisecond
-	// requestRanks is the number of ranks that wait for each other, and the number of
-	// ranks from which a VM that knows no other VM picks its own at random.
+	// requestRanks is the number of ranks that wait for each other,
+	// and the number of ranks from which a VM that knows no other VM picks its own rank at random.
 	requestRanks = 10
-	// noPeersRankStep replaces requestRankStep for a VM that knows no other VM yet, so
-	// that its first client request is served within startupWait.
+	// noPeersRankStep replaces requestRankStep for a VM that knows no other VM yet,
+	// so that its first client request is served within startupWait,
+	// the time that a request may wait for a VM to become ready.
 	noPeersRankStep = 5 * time.Millisecond
 )
 
-// requestDelay returns how long a VM with waiting client requests lets the other VMs of
-// its data centre go first before it lists the store.
+// requestDelay returns how long a VM with waiting client requests lets the other VMs
+// of its data centre go first before it lists the store.
 func (r Rank) requestDelay(randomRank int) time.Duration {
 	if r.NoLocalPeers {
 		return noPeersRankStep * time.Duration(randomRank)
@@ -111,53 +118,55 @@
 	return requestRankStep * time.Duration(min(r.Local, requestRanks))
 }
 
-// WatcherElection decides whether this VM watches one kind of objects in the store on
-// behalf of its peers, or relies on what they send. It is a pure state machine and not
-// safe for concurrent use.
+// WatcherElection decides whether this VM watches one kind
+// of objects in the store on behalf of its peers, or relies on what the peers send.
+// WatcherElection is a pure state machine and not safe for concurrent use.
 //
-// A VM that finds the last store confirmation stale begins to watch. It stops when it
-// learns of another active watcher that precedes it. So one VM watches where all VMs can
-// communicate, and one on each side of a network partition. The VMs need not agree on
-// which of them are alive.
+// A VM that finds the last store confirmation stale begins to watch. A watching VM stops
+// when it learns of another active watcher that precedes it in the order of watchers.
+// So one VM watches where all VMs can communicate, and one on each side of a network partition.
+// The VMs need not agree on which of them are alive.
 type WatcherElection struct {
 	self   Watcher
 	timing Timing
-	// listNotBefore is the earliest time, before the delay by rank, at which a VM without
-	// any state lists the store. It is zero for a VM that expects no state from peers.
+	// listNotBefore is the earliest time,
+	// before the delay by rank, at which a VM without any state lists the store.
+	// listNotBefore is zero for a VM that expects no state from peers.
 	listNotBefore time.Time
-	// requestsWaitingSince is the time since which client requests have been waiting for
-	// state that this VM lacks. It is zero while none wait. randomRank replaces the rank
-	// while this VM does not know the other VMs.
+	// requestsWaitingSince is the time
+	// since which client requests have been waiting for state that this VM lacks.
+	// requestsWaitingSince is zero while no request waits.
+	// randomRank replaces the rank of this VM while this VM does not know the other VMs.
 	requestsWaitingSince time.Time
 	randomRank           int
-	// confirmedAt is the last time at which the store confirmed to any VM that there are
-	// no newer changes.
+	// confirmedAt is the last time
+	// at which the store confirmed to any VM that there are no newer changes.
 	confirmedAt time.Time
-	// activeWatcher is the first in order of the VMs known to watch, and activeWatcherAt
-	// the time at which the store last responded to it.
+	// activeWatcher is the first, in the order of watchers, of the VMs known to watch the store.
+	// activeWatcherAt is the time at which the store last responded to the active watcher.
 	activeWatcher   Watcher
 	activeWatcherAt time.Time
-	// watching is set while this VM watches the store, and failing while the last of its
-	// own store calls failed.
+	// watching is set while this VM watches the store.
+	// failing is set if the last store call of this VM has failed.
 	watching bool
 	failing  bool
 }
 
-// NewWatcherElection returns the election state of a VM that has no state yet and lists
-// the store from listNotBefore on.
+// NewWatcherElection returns the election state of a VM that has no state yet
+// and lists the store from listNotBefore on.
 func NewWatcherElection(self Watcher, t Timing, listNotBefore time.Time) *WatcherElection {
 	return &WatcherElection{self: self, timing: t, listNotBefore: listNotBefore}
 }
 
-// ShouldWatch reports whether this VM should call the store now. known means that it has
-// already received the kind once.
+// ShouldWatch reports whether this VM should call the store now.
+// known means that this VM has already received all objects of this kind once.
 func (e *WatcherElection) ShouldWatch(known bool, rank Rank, now time.Time) bool {
 	e.watching = e.watching || now.After(e.WatchDueAt(known, rank))
 	return e.watching
 }
 
-// WatchDueAt returns the time after which this VM calls the store unless a peer confirms
-// the state before.
+// WatchDueAt returns the time after which this VM calls the store
+// unless a peer confirms before that time that the state is up to date.
 func (e *WatcherElection) WatchDueAt(known bool, rank Rank) time.Time {
 	switch {
 	case !known && !e.requestsWaitingSince.IsZero():
@@ -169,7 +178,7 @@
 }
 
 // RecordWaitingRequest notes that client requests wait for state that this VM may lack.
-// randomRank is its rank as long as it does not know the other VMs.
+// randomRank is the rank of this VM as long as this VM does not know the other VMs.
 func (e *WatcherElection) RecordWaitingRequest(randomRank int, now time.Time) {
 	e.requestsWaitingSince, e.randomRank = now, randomRank
 }
@@ -183,10 +192,12 @@
 	}
 }
 
-// RecordPeerStatus records a status from a peer: the store responded to some VM at
-// storeConfirmedAt, and watcher is the first in order of the active watchers, to which
-// the store responded at watcherAt. It reports whether the confirmation became newer by
-// more than the usual difference between two messages, or the active watcher changed.
+// RecordPeerStatus records a status from a peer.
+// The store responded to some VM at storeConfirmedAt.
+// watcher is the first of the active watchers in the order of watchers,
+// and the store responded to watcher at watcherAt.
+// RecordPeerStatus reports whether the confirmation became newer
+// by more than the usual difference between two messages, or the active watcher changed.
 func (e *WatcherElection) RecordPeerStatus(storeConfirmedAt time.Time, watcher Watcher, watcherAt, now time.Time) bool {
 	previous := e.activeWatcher
 	e.observeWatcher(watcher, watcherAt, now)
@@ -215,8 +226,8 @@
 // Age returns the time since the last confirmation by the store.
 func (e *WatcherElection) Age(now time.Time) time.Duration { return now.Sub(e.confirmedAt) }
 
-// precedes defines an order of watchers that is the same on all VMs. A watcher with
-// more CapacityUnits comes first.
+// precedes defines an order of watchers that is the same on all VMs.
+// A watcher with more CapacityUnits comes first.
 func (w Watcher) precedes(o Watcher) bool {
 	if w.CapacityUnits != o.CapacityUnits {
 		return w.CapacityUnits > o.CapacityUnits
--- a/site/follow.go
+++ b/site/follow.go
@@ -16,34 +16,34 @@
 	"woaddoor/logs"
 )
 
-// Timings of a follower.
+// Timings of a follower, which keeps one kind of objects up to date.
 const (
-	// watchDurationAfterFailure is how long a watch stays open after a failed call. A
-	// call that the store does not answer is abandoned only after this time, and changes
-	// must be known within seconds of the store's recovery.
+	// watchDurationAfterFailure is how long a watch stays open after a failed call.
+	// A call that the store does not answer is abandoned only after this time,
+	// and changes must be known within seconds of the store's recovery.
 	watchDurationAfterFailure = 200 * time.Millisecond
-	// storeReachableWithin is the maximum age of a store confirmation from a peer that
-	// shows that the store is reachable.
+	// storeReachableWithin is the maximum age
+	// of a store confirmation from a peer that shows that the store is reachable.
 	storeReachableWithin = time.Second
-	// changeBatchPause is the pause between a change and the next watch. Changes come in
-	// bursts, so one call then returns several.
+	// changeBatchPause is the pause between a change and the next watch.
+	// Changes come in bursts, so one call then returns several.
 	changeBatchPause = 80 * time.Millisecond
-	// idleCheckInterval and maxIdleInterval bound the time between two checks whether a
-	// VM that does not watch should start to. An idle VM checks about once per watch. A
-	// VM that was frozen checks soon after it resumes.
+	// idleCheckInterval and maxIdleInterval bound the time between two checks
+	// whether a VM that does not watch the store should start to watch.
+	// An idle VM checks about once per watch. A VM that was frozen checks soon after it resumes.
 	idleCheckInterval = 50 * time.Millisecond
 	maxIdleInterval   = 500 * time.Millisecond
-	// minIdleInterval keeps a VM that is due to call the store within milliseconds from
-	// polling without a pause.
+	// minIdleInterval keeps a VM
+	// that is due to call the store within milliseconds from polling without a pause.
 	minIdleInterval = 2 * time.Millisecond
-	// minRetryPause and maxRetryPause bound the pause after a failed call. Rejected calls
-	// are billed too, and a configuration must be known within seconds of the store's
-	// recovery.
+	// minRetryPause and maxRetryPause bound the pause after a failed call.
+	// Rejected calls are billed too,
+	// and a configuration must be known within seconds of the store's recovery.
 	minRetryPause = 150 * time.Millisecond
 	maxRetryPause = 800 * time.Millisecond
 	// maxRetryRanks is the highest local rank that lengthens the pause after a failed call:
-	// a VM of rank n pauses n+1 times as long as the first VM of its data centre, whose
-	// calls mostly fail for the same reason.
+	// a VM of rank n pauses n+1 times as long as the first VM of its data centre,
+	// whose calls mostly fail for the same reason.
 	maxRetryRanks = 4
 )
 
@@ -52,40 +52,39 @@
 	source   Source[T]
 	log      *zap.Logger
 	registry metrics.Registry
-	// apply applies changes. full means that they are all existing objects.
+	// apply applies changes. full means that the changes hold all existing objects.
 	apply func(c Changes[T], full bool)
-	// applyFirstPage applies the first page of the first list before the rest has
-	// arrived.
+	// applyFirstPage applies the first page of the first list
+	// before the rest of the list has arrived.
 	applyFirstPage func(c Changes[T])
-	// onStoreCall is called after each store call and reports whether the store
-	// responded.
+	// onStoreCall is called after each store call and reports whether the store responded.
 	onStoreCall func(ok bool)
 
-	// rank returns the rank of this VM among those that may watch.
+	// rank returns the rank of this VM among the VMs that may watch the store.
 	rank func() Rank
-	// announceChange is called when the store has returned a change, and announceNoChange
-	// when it has confirmed that there is none.
+	// announceChange is called when the store has returned a change,
+	// and announceNoChange is called when the store has confirmed that there is no change.
 	announceChange, announceNoChange func()
 	now                              func() time.Time
 	// requestWaiting is closed when client requests wait for state that this VM lacks.
 	requestWaiting <-chan struct{}
-	// randomRank is the rank of this VM while client requests wait and it knows no other
-	// VM. It is the same for all kinds.
+	// randomRank is the rank of this VM while client requests wait and this VM knows no other VM.
+	// randomRank is the same for all kinds of objects.
 	randomRank int
 
-	// failedCalls is the number of consecutive failed calls. Only run uses it.
+	// failedCalls is the number of consecutive failed calls. Only run uses failedCalls.
 	failedCalls int
-	// relist is set when the store no longer has the change history, so that all objects
-	// must be listed again. Only run and the functions that it calls use it.
+	// relist is set when the store no longer has the change history,
+	// so that all objects must be listed again.
+	// Only run and the functions that run calls use relist.
 	relist bool
 
-	// mu guards the fields below. It is held while changes are applied, so that changes
-	// from the store and from peers take effect one after the other.
+	// mu guards the fields below. mu is held while changes are applied,
+	// so that changes from the store and from peers take effect one after the other.
 	mu       sync.Mutex
 	cache    *ObjectCache
 	election *WatcherElection
-	// decodeErrors holds the last logged decoding error of each object that cannot be
-	// decoded.
+	// decodeErrors holds the last logged decoding error of each object that cannot be decoded.
 	decodeErrors map[string]string
 }
 
@@ -135,8 +134,8 @@
 	}
 }
 
-// shouldWatch reports whether this VM should call the store now, and logs when it begins
-// to.
+// shouldWatch reports whether this VM should call the store now,
+// and logs when this VM begins to call the store.
 func (f *follower[T]) shouldWatch() bool {
 	rank := f.rank()
 	f.mu.Lock()
@@ -153,8 +152,8 @@
 	return true
 }
 
-// watchReason returns why a VM calls the store: either it has no state of the kind, or
-// the last confirmation is too old.
+// watchReason returns why a VM calls the store:
+// either the VM has no objects of this kind, or the store's last confirmation is too old.
 func watchReason(known bool) string {
 	if known {
 		return "stale"
@@ -167,8 +166,7 @@
 	metrics.GetOrRegisterCounter(fmt.Sprintf("%s{kind=%q,by=%q}", name, f.source.Name(), label), f.registry).Inc(1)
 }
 
-// idleInterval returns how long this VM, which does not watch, may wait until the next
-// check.
+// idleInterval returns how long this VM, which does not watch, may wait until the next check.
 func (f *follower[T]) idleInterval() time.Duration {
 	rank := f.rank()
 	f.mu.Lock()
@@ -181,15 +179,17 @@
 	return min(max(due, idleCheckInterval), maxIdleInterval)
 }
 
-// retryPause returns the pause after n failed calls. It is randomised so that VMs do not
-// retry together, and is longer for higher ranks.
+// retryPause returns the pause after n failed calls.
+// The pause is randomised so that VMs do not retry together,
+// and the pause is longer for higher ranks.
 func retryPause(failures int, rank Rank) time.Duration {
 	pause := min(minRetryPause<<min(failures-1, 4), maxRetryPause) * time.Duration(1+min(rank.Local, maxRetryRanks))
 	return time.Duration((0.5 + rand.Float64()) * float64(pause))
 }
 
-// syncOnce lists all objects if none are known or the change history is gone. Otherwise
-// it watches for changes.
+// syncOnce lists all objects of this kind
+// if no objects are known or if the store no longer has the change history.
+// Otherwise syncOnce watches the store for changes.
 func (f *follower[T]) syncOnce(ctx context.Context) error {
 	revision, known := f.revision()
 	if !known || f.relist {
@@ -223,7 +223,7 @@
 }
 
 // acceptPage applies a page of the first list and reports whether more pages are needed.
-// They are not if a peer has sent the whole list meanwhile.
+// No more pages are needed if a peer has sent the whole list meanwhile.
 func (f *follower[T]) acceptPage(c Changes[T], more bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -260,8 +260,8 @@
 	f.election.RecordStoreCall(false, f.now())
 }
 
-// age returns the time since the last confirmation by the store, or zero before the first
-// one. The caller holds mu.
+// age returns the time since the last confirmation by the store,
+// or zero before the first confirmation. The caller holds mu.
 func (f *follower[T]) age(now time.Time) time.Duration {
 	if _, known := f.cache.Revision(); !known {
 		return 0
@@ -277,16 +277,14 @@
 	return f.source.Timing().WatchDuration
 }
 
-// revision returns the revision up to which this VM is up to date, and whether it has any
-// state.
+// revision returns the revision up to which this VM is up to date, and whether it has any state.
 func (f *follower[T]) revision() (contract.Revision, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.cache.Revision()
 }
 
-// lastChange returns the revision of the newest known change, and whether this VM has any
-// state.
+// lastChange returns the revision of the newest known change, and whether this VM has any state.
 func (f *follower[T]) lastChange() (contract.Revision, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -294,8 +292,8 @@
 	return f.cache.LastChange(), known
 }
 
-// applyChanges applies the changes that are newer than the known state, from the store or
-// from a peer.
+// applyChanges applies the changes that are newer than the known state,
+// from the store or from a peer.
 func (f *follower[T]) applyChanges(c Changes[T], full bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -315,8 +313,8 @@
 	}
 }
 
-// recordDecodeResult logs and counts when an object can no longer be decoded, when the
-// reason changes and when the object can be decoded again. The caller holds mu.
+// recordDecodeResult logs and counts when an object can no longer be decoded,
+// when the reason changes and when the object can be decoded again. The caller holds mu.
 func (f *follower[T]) recordDecodeResult(i Item[T]) {
 	reason := ""
 	if i.Err != nil && !i.Deleted {
--- a/site/gossip.go
+++ b/site/gossip.go
@@ -18,54 +18,55 @@
 	"woaddoor/vm"
 )
 
-// GossipMessage is exchanged between two VMs in both directions. It reports the live VMs
-// and the newest known change of each kind of objects. A lost or late message does no
-// harm, because the next one contains the same or more.
+// GossipMessage is exchanged between two VMs in both directions.
+// It reports the live VMs and the newest known change of each kind of objects.
+// A lost or late message does no harm, because the next message contains the same or more.
 type GossipMessage struct {
 	Self vm.Member `cbor:"1,keyasint"`
-	// Members are other live VMs. Which ones depends on the recipient, see gossipFor.
+	// Members are other live VMs. gossipFor selects these VMs for the recipient.
 	Members []vm.Member  `cbor:"2,keyasint,omitempty"`
 	Kinds   []KindStatus `cbor:"3,keyasint"`
-	// Evidence is the sender's evidence on the releases on trial.
+	// Evidence holds the sender's counts of good and bad responses of the releases on trial.
 	Evidence rollout.Evidence `cbor:"4,keyasint,omitempty"`
 	// OrderAges are the ages of the rollout orders by the sender's clock.
 	OrderAges []relay.OrderAge `cbor:"5,keyasint,omitempty"`
-	// FromLeaf means that the sender uses the recipient as its hub. Joining means that
-	// the sender knows no hub yet and asks for the VMs of its data centre.
+	// FromLeaf means that the sender uses the recipient
+	// as its hub (the VM that forwards messages for it).
+	// Joining means that the sender knows no hub yet and asks for the VMs of its data centre.
 	FromLeaf bool `cbor:"6,keyasint,omitempty"`
 	Joining  bool `cbor:"7,keyasint,omitempty"`
-	// MembersDigest identifies the set of VMs of its data centre that a leaf knows. Its
-	// hub replies with DigestMatches, or with LocalMembers, which includes VMs that
-	// recently fell silent.
+	// MembersDigest identifies the set of VMs of its data centre that a leaf (a VM
+	// that uses a hub) knows. The leaf's hub replies with DigestMatches, or with LocalMembers.
+	// LocalMembers includes VMs that recently fell silent.
 	MembersDigest uint64      `cbor:"8,keyasint,omitempty"`
 	DigestMatches bool        `cbor:"13,keyasint,omitempty"`
 	LocalMembers  []vm.Member `cbor:"9,keyasint,omitempty"`
-	// UnknownToHub holds the link addresses of VMs that a leaf knows and its hub does
-	// not.
+	// UnknownToHub holds the link addresses of VMs that a leaf knows and its hub does not.
 	UnknownToHub []string `cbor:"10,keyasint,omitempty"`
 	// VMCounts holds the number of VMs per data centre.
 	VMCounts []VMCount `cbor:"11,keyasint,omitempty"`
-	// Deltas are the changes since the sender's last announcement. A recipient that is up
-	// to date with that announcement need not request them.
+	// Deltas are the changes since the sender's last announcement. A recipient
+	// that is up to date with the last announcement need not request the changes in Deltas.
 	Deltas []PushedDelta `cbor:"12,keyasint,omitempty"`
-	// Suspects are request contents that crash upstreams and whose state has recently
-	// changed.
+	// Suspects are request contents that crash upstreams and whose state has recently changed.
 	Suspects []quarantine.Update `cbor:"14,keyasint,omitempty"`
-	// LimitsDigest identifies the rate limits of upstreams that the sender considers valid. A
-	// recipient that knows others replies with Limits, because reports of limits may have
-	// been lost and a VM that has just started did not receive them.
+	// LimitsDigest identifies the rate limits of upstreams that the sender considers valid.
+	// A recipient that knows other rate limits replies with Limits,
+	// because reports of rate limits may have been lost,
+	// and a VM that has just started has not received earlier reports.
 	LimitsDigest uint64                 `cbor:"15,keyasint,omitempty"`
 	Limits       []upstream.LimitUpdate `cbor:"16,keyasint,omitempty"`
 	// Usage is the usage that a leaf has counted since its hub last replied.
 	Usage []usage.Part `cbor:"17,keyasint,omitempty"`
 	// Load is the load that a leaf puts on the upstreams of each service.
 	Load map[contract.ServiceID]scaling.Load `cbor:"19,keyasint,omitempty"`
-	// Lease is what the sender knows of the lease whose holder makes the platform's calls
-	// for all VMs. It is nil if the sender knows nothing.
+	// Lease is what the sender knows of the lease whose holder makes the calls
+	// to the platform for all VMs. Lease is nil if the sender knows nothing of the lease.
 	Lease *LeaseStatus `cbor:"18,keyasint,omitempty"`
 }
 
-// VMCount is the number of VMs in a data centre, as counted there Age ago.
+// VMCount is the number of VMs in a data centre.
+// Age is the time since a VM of that data centre counted them.
 type VMCount struct {
 	DataCentre contract.DataCentreID `cbor:"1,keyasint"`
 	VMs        int                   `cbor:"2,keyasint"`
@@ -83,23 +84,25 @@
 	Kind string `cbor:"1,keyasint"`
 	// LastChange is the revision of the newest known change.
 	LastChange contract.Revision `cbor:"2,keyasint"`
-	// Revision is the store revision up to which the state is complete. Age is the time
-	// since the store confirmed that.
+	// Revision is the store revision up to which the state is complete.
+	// Age is the time since the store confirmed that the state is complete.
 	Revision contract.Revision `cbor:"3,keyasint"`
 	Age      time.Duration     `cbor:"4,keyasint"`
-	// ActiveWatcher is the first in order of the VMs that are known to watch the kind.
-	// ActiveWatcherAge is the time since the store last responded to it.
+	// ActiveWatcher is the first, in the order of watchers,
+	// of the VMs that are known to watch the store for this kind of objects.
+	// ActiveWatcherAge is the time since the store last responded to ActiveWatcher.
 	ActiveWatcher    Watcher       `cbor:"5,keyasint"`
 	ActiveWatcherAge time.Duration `cbor:"6,keyasint"`
 }
 
 // Comparison is the result of comparing a peer's status of a kind with this VM's state.
 type Comparison struct {
-	// Behind means that the peer has newer changes, which Request asks for.
+	// Behind means that the peer has newer changes than this VM.
+	// Request asks the peer for the newer changes.
 	Behind  bool
 	Request ChangesRequest
-	// ConfirmedLater means that the peer's status confirms this VM's state at a later
-	// time than known before, or names another active watcher.
+	// ConfirmedLater means that the peer's status confirms this VM's state
+	// at a later time than this VM knew before, or that the status names another active watcher.
 	ConfirmedLater bool
 }
 
@@ -107,7 +110,7 @@
 type ChangesRequest struct {
 	Kind  string            `cbor:"1,keyasint"`
 	After contract.Revision `cbor:"2,keyasint"`
-	// Known means that the sender has the state of the kind up to After.
+	// Known means that the sender has all changes of this kind of objects up to After.
 	Known bool `cbor:"3,keyasint,omitempty"`
 }
 
@@ -123,8 +126,8 @@
 	audienceRemote
 )
 
-// evidenceAudience maps each audience to the matching audience of the evidence on
-// releases.
+// evidenceAudience maps each audience to the recipient in package rollout that selects
+// which counts of good and bad responses of releases are sent.
 var evidenceAudience = map[audience]rollout.Recipient{audienceLocal: rollout.RecipientLocal, audienceHub: rollout.RecipientHub, audienceRemote: rollout.RecipientRemote}
 
 // gossipFor returns this VM's gossip message for an audience.
@@ -168,8 +171,8 @@
 	return out
 }
 
-// remoteDelegatesLocked returns the delegates of other data centres. The
-// caller holds mu.
+// remoteDelegatesLocked returns the delegates of other data centres (the VMs there
+// that exchange messages with this data centre). The caller holds mu.
 func (p *Peers) remoteDelegatesLocked(v *view) []vm.Member {
 	var out []vm.Member
 	for _, members := range v.remote {
@@ -178,8 +181,7 @@
 	return out
 }
 
-// localDelegatesLocked returns the delegates of this data centre. The caller
-// holds mu.
+// localDelegatesLocked returns the delegates of this data centre. The caller holds mu.
 func (p *Peers) localDelegatesLocked(v *view) []vm.Member {
 	return slices.Clone(v.ranked[:min(delegates, len(v.ranked))])
 }
@@ -194,7 +196,7 @@
 	return msg
 }
 
-// exchangeGossip sends a message, applies the reply and reports whether there was one.
+// exchangeGossip sends a message, applies the reply and reports whether a reply came.
 func (p *Peers) exchangeGossip(ctx context.Context, address string, timeout time.Duration, msg GossipMessage) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -239,8 +241,8 @@
 	return p.gossipFor(audienceLocal)
 }
 
-// reconcileLimits applies the rate limits of upstreams in a reply, and reports to the
-// replying VM the limits that it lacks.
+// reconcileLimits applies the rate limits of upstreams in a reply,
+// and reports to the replying VM the limits that it lacks.
 func (p *Peers) reconcileLimits(reply GossipMessage) {
 	exchange := p.relayOrNil()
 	if exchange == nil {
@@ -253,8 +255,8 @@
 	p.sendReportMessages(reply.Self, limitsToSend(exchange.Limits(), reply.Limits), false)
 }
 
-// limitsToSend returns the rate limits that another VM does not know or knows in an older
-// version. A limit that has ended is left out if the other VM does not know it.
+// limitsToSend returns the rate limits that another VM does not know or knows in an older version.
+// A rate limit that has ended is left out if the other VM does not know it.
 func limitsToSend(ours, theirs []upstream.LimitUpdate) []report {
 	versions := make(map[contract.UpstreamInstance]uint64, len(theirs))
 	for _, limit := range theirs {
@@ -270,20 +272,20 @@
 	return missing
 }
 
-// relayOrNil returns the attached relay, or nil before there is one.
+// relayOrNil returns the attached relay, or nil before a relay is attached.
 func (p *Peers) relayOrNil() relayExchange {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.relay
 }
 
-// remoteMembersOneIn is the average number of replies to a leaf per reply that includes
-// the delegates of other data centres. A leaf needs them only when it becomes a
-// hub.
+// remoteMembersOneIn is how many replies to leaves are sent,
+// on average, for each reply that includes the delegates of other data centres.
+// A leaf needs these delegates only when it becomes a hub.
 const remoteMembersOneIn = 10
 
-// replyToLeaf returns the reply to a leaf. It includes all VMs of the data centre if the
-// leaf's digest differs.
+// replyToLeaf returns the reply to a leaf.
+// The reply includes all VMs of the data centre if the leaf's digest differs.
 func (p *Peers) replyToLeaf(request GossipMessage) GossipMessage {
 	reply := p.gossipFor(audienceLocal)
 	v := p.currentView()
@@ -302,7 +304,8 @@
 	return reply
 }
 
-// replyToJoining returns the known VMs of its data centre to a VM that looks for peers.
+// replyToJoining returns,
+// to a VM that looks for peers, the known VMs of the data centre of that VM.
 func (p *Peers) replyToJoining(dc contract.DataCentreID) GossipMessage {
 	reply := p.gossipFor(audienceRemote)
 	p.mu.Lock()
--- a/site/hubs.go
+++ b/site/hubs.go
@@ -14,7 +14,7 @@
 	"woaddoor/vm"
 )
 
-// leaf is a VM that uses this one as its hub.
+// leaf is a VM that uses this VM as its hub (the VM that forwards messages for it).
 type leaf struct {
 	member   vm.Member
 	lastSeen time.Time // time of its last message as a leaf
@@ -22,21 +22,21 @@
 
 // Timings and limits of hubs and leaves.
 const (
-	// leafExpiry is how long a VM counts as a leaf of this one after its last message as
-	// a leaf. It allows for the loss of a message or two.
+	// leafExpiry is how long a VM counts as a leaf of this VM after its last message as a leaf.
+	// The period allows for the loss of a message or two.
 	leafExpiry = 3 * time.Second
 	// unresponsivePeriod is how long a VM that did not reply is skipped.
 	unresponsivePeriod = 5 * time.Second
-	// urgentInterval is the minimum time between two rounds of urgent gossip, such as
-	// failed responses of a release on trial. All VMs must stop using a bad release
-	// within seconds of its last failure.
+	// urgentInterval is the minimum time between two rounds of urgent gossip,
+	// which reports harmful events to several VMs at once,
+	// such as failed responses of a release on trial.
+	// All VMs must stop using a bad release within seconds of its last failure.
 	urgentInterval = 300 * time.Millisecond
-	// maxHubAttempts is the number of hubs that a leaf tries per heartbeat until one
-	// replies.
+	// maxHubAttempts is the number of hubs that a leaf tries per heartbeat until one replies.
 	maxHubAttempts = 3
 )
 
-// dataCentreCount is the number of VMs in a data centre, as counted by one of them.
+// dataCentreCount is the number of VMs in a data centre, as counted by one VM of that data centre.
 type dataCentreCount struct {
 	vms int
 	at  time.Time
@@ -45,9 +45,9 @@
 	recentMaxAt time.Time
 }
 
-// recentMaxPeriod is how long a count takes precedence over later, smaller ones. A budget
-// that is divided by too few VMs is overspent, and most VMs that disappear are back
-// within a minute.
+// recentMaxPeriod is how long a count of VMs takes precedence over later, smaller counts.
+// A budget that is divided by too few VMs is overspent,
+// and most VMs that disappear are back within a minute.
 const recentMaxPeriod = time.Minute
 
 // recordCount records the number of VMs in a data centre. The caller holds mu.
@@ -63,8 +63,8 @@
 	p.counts[dc] = c
 }
 
-// totalVMs returns the number of VMs in all data centres, of which local are in this one.
-// The caller holds mu.
+// totalVMs returns the number of VMs in all data centres,
+// of which local VMs are in this data centre. The caller holds mu.
 func (p *Peers) totalVMs(local int, now time.Time) int {
 	p.recordCount(p.dc, local, now, now)
 	total := 0
@@ -79,7 +79,7 @@
 	return now.Before(p.unresponsiveUntil[address])
 }
 
-// recordReply records whether a VM has replied, and logs when that changes.
+// recordReply records whether a VM has replied, and logs when a VM stops or resumes replying.
 func (p *Peers) recordReply(address string, err error) {
 	p.mu.Lock()
 	now := p.now()
@@ -100,9 +100,9 @@
 	}
 }
 
-// hubsToContact returns the hubs that this hub contacts at a heartbeat. A message and its
-// reply inform both hubs, so only one of two hubs initiates the exchange. The other one
-// does if it has received nothing for a while.
+// hubsToContact returns the hubs that this hub contacts at a heartbeat.
+// A message and its reply inform both hubs, so only one of two hubs initiates the exchange.
+// The other hub initiates the exchange if it has received nothing for a while.
 func (p *Peers) hubsToContact(v *view) []vm.Member {
 	self := p.AsWatcher().VM
 	return slices.DeleteFunc(p.otherHubs(v), func(m vm.Member) bool { return self > m.VM && m.Age < 3*heartbeatInterval })
@@ -120,8 +120,8 @@
 	return hubs[:min(maxHubAttempts, len(hubs))]
 }
 
-// heartbeatHub exchanges gossip with the hub of this leaf, or with the next hub if that
-// one does not reply.
+// heartbeatHub exchanges gossip with the hub of this leaf,
+// or with the next hub if the first hub does not reply.
 func (p *Peers) heartbeatHub(ctx context.Context, v *view) {
 	load := p.localLoad()
 	for _, m := range p.hubsForLeaf(v) {
@@ -136,7 +136,8 @@
 	}
 }
 
-// joining reports whether this VM is still looking for peers through the seeds.
+// joining reports whether this VM is still looking
+// for peers through the seeds (the VMs that starting VMs contact first).
 func (p *Peers) joining(now time.Time) bool {
 	if !p.HasSeeds() {
 		return false
@@ -152,14 +153,14 @@
 	msg.Joining = true
 	go func() {
 		if p.exchangeGossip(ctx, p.pickSeed(), remoteTimeout, msg) && !p.RankKnown() {
-			notify(p.discoverNow) // its hub is now known
+			notify(p.discoverNow) // the hub of this VM is now known
 		}
 	}()
 }
 
-// pickSeed returns a random seed. It prefers seeds that are known to be in this data
-// centre, since a reply lists all known VMs of this data centre. With any seed, 281 VMs
-// that started together sent 2 MB of such replies between data centres in 3 s.
+// pickSeed returns a random seed. It prefers seeds that are known to be in this data centre,
+// since a reply lists all known VMs of this data centre. When VMs picked any seed,
+// 281 VMs that started together sent 2 MB of such replies between data centres in 3 s.
 func (p *Peers) pickSeed() string {
 	seeds := p.seeds
 	if local := p.localAddresses(seeds); len(local) > 0 {
@@ -168,8 +169,8 @@
 	return seeds[rand.IntN(len(seeds))]
 }
 
-// localAddresses returns those of the given link addresses that belong to a live VM of
-// this data centre.
+// localAddresses returns those
+// of the given link addresses that belong to a live VM of this data centre.
 func (p *Peers) localAddresses(addresses []string) []string {
 	v := p.currentView()
 	var local []string
@@ -188,9 +189,10 @@
 	return p.rankKnown
 }
 
-// discoveryTargets returns the addresses of a few VMs, picked at random, from which
-// nothing has been received. It returns none unless this VM is a hub or knows no other
-// VM. Seeds come first, because VMs that start contact the seeds.
+// discoveryTargets returns the addresses of a few VMs,
+// picked at random, from which nothing has been received.
+// discoveryTargets returns no address unless this VM is a hub or knows no other VM.
+// Seeds come first, because VMs that start contact the seeds.
 func (p *Peers) discoveryTargets() []string {
 	v := p.currentView()
 	if !v.isHub && v.live > 1 {
@@ -230,23 +232,25 @@
 	return append(seeds[:min(1, len(seeds))], candidates[:min(maxDiscoveryTargets, len(candidates))]...)
 }
 
-// discoveryPeriod is how long a hub tries to reach a VM from which it received messages
-// before. After that, the VM has either found a peer itself or is gone for good. Hubs
-// also try VMs that only the store lists, as long as the deployment has at most
-// maxVMsForListedDiscovery VMs. In larger deployments each hub would try all VMs of the
-// other data centres, from which it never receives anything.
+// discoveryPeriod is how long a hub tries
+// to reach a VM from which the hub received messages before.
+// After this period, the silent VM has either found a peer itself or is gone for good.
+// Hubs also try VMs that only the store lists,
+// as long as the deployment has at most maxVMsForListedDiscovery VMs.
+// In larger deployments each hub would try all VMs of the other data centres,
+// from which it never receives anything.
 const (
 	discoveryPeriod          = time.Minute
 	maxVMsForListedDiscovery = maxVMsForRegionalReports
 )
 
-// silentLocal returns the VMs of this data centre that count as dead and were last heard
-// from within maxAge. The caller holds mu.
+// silentLocal returns the VMs of this data centre that count as dead
+// and were last heard from within maxAge. The caller holds mu.
 func (p *Peers) silentLocal(maxAge time.Duration, now time.Time) []vm.Member {
 	return slices.DeleteFunc(p.table.RecentlyDead(maxAge, now), func(m vm.Member) bool { return m.DataCentre != p.dc })
 }
 
-// hasLeaves reports whether any VM uses this one as its hub.
+// hasLeaves reports whether any VM uses this VM as its hub.
 func (p *Peers) hasLeaves() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
