--- a/leader/leader.go
+++ b/leader/leader.go
@@ -1,10 +1,11 @@
-// Package leader lets one VM at a time, the leader, make the calls to the platform for all VMs,
+// Package leader lets one VM at a time (the leader) make the calls to the platform for all VMs,
 // under a lease in the platform's store.
 //
-// The platform does not check the fencing token of a call. A call is therefore made only
-// while the lease lasts at least as long as the call may take, and a VM that takes the lease
-// over waits that long before its first call. VMs that may take the lease learn of renewals
-// from other VMs: while the holder is alive, it alone accesses the store.
+// The platform does not check the fencing token of a call.
+// A call is therefore made only while the lease lasts at least as long as the call may take,
+// and a VM that takes the lease over waits as long as a call may take before its first call.
+// VMs that may take the lease learn of renewals from other VMs:
+// while the holder is alive, the holder alone accesses the lease in the store.
 package leader
 
 import (
@@ -20,8 +21,8 @@
 	"woaddoor/logs"
 )
 
-// Task is a task that the lease holder runs for all VMs. It runs often and makes at most one
-// call to the platform each time, under the fencing token n.
+// Task is a task that the lease holder runs for all VMs. A task runs often
+// and makes at most one call to the platform each time, under the fencing token n.
 type Task interface {
 	Run(ctx context.Context, n contract.FencingToken)
 }
@@ -39,11 +40,11 @@
 type Options struct {
 	Lease *LeaseClient
 	// TakeoverDelay returns how long this VM waits before it takes an available lease,
-	// and whether it may take the lease at all. Only a few VMs of each data centre
-	// may, each after a different delay.
+	// and whether it may take the lease at all.
+	// Only a few VMs of each data centre may take the lease, each after a different delay.
 	TakeoverDelay func() (time.Duration, bool)
-	// OnChange is called when other VMs have to learn of a change of the
-	// lease at once. It must not block.
+	// OnChange is called when other VMs have to learn of a change of the lease at once.
+	// OnChange must not block.
 	OnChange func()
 	Tasks    []Task
 	Log      *zap.Logger
@@ -55,11 +56,11 @@
 type Leader struct {
 	opts *Options
 
-	// mu is held while the lease is read or written and while tasks run, so that the lease
-	// is resigned only when no call is in progress.
+	// mu is held while the lease is read or written and while tasks run,
+	// so that the lease is resigned only when no call is in progress.
 	mu sync.Mutex
-	// mu guards the fields below. loggedHolder and loggedFencing are the lease holder and the
-	// fencing token that were logged last.
+	// mu guards the fields below. loggedHolder and loggedFencing are the lease holder
+	// and the fencing token that were logged last.
 	loggedHolder  contract.VMInstance
 	loggedFencing contract.FencingToken
 	resigned      bool // whether this VM gave the lease up and takes it no more
@@ -77,9 +78,9 @@
 const (
 	// tickInterval is the time between two checks for work that is due.
 	tickInterval = 100 * time.Millisecond
-	// minLeaseBackoff and maxLeaseBackoff limit the delay after a failed call, because every
-	// call costs money. The holder would lose the lease within seconds, so it makes its first
-	// holderFastRetries retries with the minimum delay.
+	// minLeaseBackoff and maxLeaseBackoff limit the delay after a failed call,
+	// because every call costs money. The lease holder would lose the lease within seconds,
+	// so the holder makes its first holderFastRetries retries with the minimum delay.
 	minLeaseBackoff   = 200 * time.Millisecond
 	maxLeaseBackoff   = 3200 * time.Millisecond
 	holderFastRetries = 8
@@ -108,7 +109,8 @@
 	l.logChange()
 }
 
-// tick reads or writes the lease if that is due, and runs the tasks if this VM may make calls.
+// tick reads or writes the lease if a read or write is due,
+// and runs the tasks if this VM may make calls.
 func (l *Leader) tick(ctx context.Context) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -149,7 +151,7 @@
 	return now.Sub(l.eligibleSince) >= delay
 }
 
-// syncLease reads or writes the lease object if that is due.
+// syncLease reads or writes the lease object if a read or write is due.
 func (l *Leader) syncLease(ctx context.Context) {
 	err := l.opts.Lease.Sync(ctx)
 	if err == nil {
@@ -171,14 +173,14 @@
 	l.incrementCounter("lease_calls_failed_total")
 }
 
-// backoff returns the delay after a failed call that follows a number of earlier failures: the
-// minimum, doubled for each earlier failure, up to the maximum.
+// backoff returns the delay after a failed call that follows a number of earlier failures.
+// The delay is the minimum, doubled for each earlier failure, up to the maximum.
 func backoff(failures int, minimum, maximum time.Duration) time.Duration {
 	const maxDoublings = 8 // prevents an overflow of the shift
 	return min(minimum<<min(failures, maxDoublings), maximum)
 }
 
-// logChange logs a change of the holder and notifies other VMs of it.
+// logChange logs a change of the lease holder and notifies other VMs of the change.
 func (l *Leader) logChange() {
 	latest, age, known := l.opts.Lease.Latest()
 	if !known || latest.Object.Holder == l.loggedHolder && latest.Object.Fencing == l.loggedFencing {
--- a/leader/lease_client.go
+++ b/leader/lease_client.go
@@ -12,21 +12,22 @@
 	"woaddoor/lease"
 )
 
-// Errors of a LeaseStore. After any other error a write may have taken effect, or may still
-// take effect while its condition holds.
+// Errors of a LeaseStore. After any other error a write may have taken effect,
+// or may still take effect while the condition of the write holds.
 var (
 	// ErrConflict means that the stored object has another version than the write requires.
 	ErrConflict = errors.New("lease object has another version")
-	// ErrNotFound means that the store has no object.
+	// ErrNotFound means that the store has no lease object.
 	ErrNotFound = errors.New("lease object does not exist")
 )
 
 // LeaseStore reads and writes the object of one lease.
 type LeaseStore interface {
-	// Read returns the object, or ErrNotFound.
+	// Read returns the lease object, or ErrNotFound.
 	Read(ctx context.Context) (lease.VersionedObject, error)
-	// Write makes the write of a proposal and returns the object with its new version. With
-	// ErrConflict it may return the stored object; version zero means that it does not.
+	// Write makes the write of a proposal and returns the lease object with its new version.
+	// With ErrConflict, Write may return the stored object;
+	// version zero means that Write does not return it.
 	Write(ctx context.Context, p lease.Proposal) (lease.VersionedObject, error)
 }
 
@@ -35,16 +36,17 @@
 	lease.Options
 	Store LeaseStore
 	Clock clock.Clock
-	// Timeout limits each call to the store. It must be less than Margin.
+	// Timeout limits each call to the store. Timeout must be less than Margin.
 	Timeout time.Duration
 }
 
-// LeaseClient acquires, renews and resigns a lease in a store on behalf of one process. It is safe
-// for concurrent use, except that Read, Sync and Resign must be called by one goroutine.
+// LeaseClient acquires, renews and resigns a lease in a store on behalf of one process.
+// LeaseClient is safe for concurrent use, except that Read,
+// Sync and Resign must be called by one goroutine.
 type LeaseClient struct {
 	opts *LeaseClientOptions
 
-	// mu guards handle. It is not held during calls to the store.
+	// mu guards handle. mu is not held during calls to the store.
 	mu     sync.Mutex
 	handle *lease.Handle
 }
@@ -54,7 +56,7 @@
 	return &LeaseClient{opts: opts, handle: lease.NewHandle(opts.Options)}
 }
 
-// withHandle calls f with the handle and the current time while it holds mu.
+// withHandle calls f with the lease handle and the current time while withHandle holds mu.
 func (c *LeaseClient) withHandle(f func(h *lease.Handle, now time.Time)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,7 +91,7 @@
 	return c.write(ctx, (*lease.Handle).Propose)
 }
 
-// Resign gives the lease up if this process holds it.
+// Resign gives the lease up if this process holds the lease.
 func (c *LeaseClient) Resign(ctx context.Context) error { return c.write(ctx, (*lease.Handle).Resign) }
 
 // write makes the write that decide returns, if any.
@@ -122,15 +124,15 @@
 	return nil
 }
 
-// ActiveFencing returns the fencing token under which a call may be made now; see
-// lease.Handle.ActiveFencing.
+// ActiveFencing returns the fencing token under which a call may be made now;
+// see lease.Handle.ActiveFencing.
 func (c *LeaseClient) ActiveFencing(ignoresFencing bool) (n contract.FencingToken, ok bool) {
 	c.withHandle(func(h *lease.Handle, now time.Time) { n, ok = h.ActiveFencing(now, ignoresFencing) })
 	return n, ok
 }
 
-// UpdateRecord applies change to the record and stores the result with the next write,
-// immediately if urgent is true. change gets the record to be written next, or else the stored one.
+// UpdateRecord applies change to the record and stores the result with the next write, immediately
+// if urgent is true. change gets the record to be written next, or else the stored record.
 func (c *LeaseClient) UpdateRecord(change func(record json.RawMessage) (json.RawMessage, error), urgent bool) error {
 	var err error
 	c.withHandle(func(h *lease.Handle, _ time.Time) {
@@ -142,8 +144,8 @@
 	return err
 }
 
-// Latest returns the newest known object and how long it has been unchanged. ok
-// is false if no object is known.
+// Latest returns the newest known lease object and how long that object has been unchanged.
+// ok is false if no lease object is known.
 func (c *LeaseClient) Latest() (object lease.VersionedObject, age time.Duration, ok bool) {
 	c.withHandle(func(h *lease.Handle, now time.Time) {
 		object, age, ok = h.Latest(), h.Age(now), h.Latest().Version != 0
@@ -151,19 +153,20 @@
 	return object, age, ok
 }
 
-// ObservePeer records a version that another VM knows and that has been unchanged for age.
+// ObservePeer records a version of the lease object
+// that another VM knows and that has been unchanged for age.
 func (c *LeaseClient) ObservePeer(s lease.VersionedObject, age time.Duration) {
 	c.withHandle(func(h *lease.Handle, now time.Time) { h.ObservePeer(s, now.Add(-max(age, 0))) })
 }
 
-// HeldBySelf reports whether the newest known object names this process as the holder.
+// HeldBySelf reports whether the newest known lease object names this process as the holder.
 func (c *LeaseClient) HeldBySelf() (mine bool) {
 	c.withHandle(func(h *lease.Handle, _ time.Time) { mine = h.HeldBySelf() })
 	return mine
 }
 
-// AvailableIn returns the time until this process may acquire the lease. It is zero or
-// negative if it may do so now or already holds it.
+// AvailableIn returns the time until this process may acquire the lease. The time is zero
+// or negative if this process may acquire the lease now or already holds the lease.
 func (c *LeaseClient) AvailableIn() (in time.Duration) {
 	c.withHandle(func(h *lease.Handle, now time.Time) { in = h.AvailableAt().Sub(now) })
 	return in
--- a/leader/reports.go
+++ b/leader/reports.go
@@ -15,8 +15,8 @@
 	"woaddoor/usage"
 )
 
-// UsageAPI is the part of the platform's API that takes usage reports. The counts of a window
-// may be reported repeatedly if they are the same.
+// UsageAPI is the part of the platform's API that takes usage reports.
+// The counts of a usage window may be reported repeatedly if the counts are the same.
 type UsageAPI interface {
 	Report(ctx context.Context, n contract.FencingToken, f usage.ClosedWindow) error
 }
@@ -33,15 +33,16 @@
 	Registry metrics.Registry
 }
 
-// UsageReporter reports the usage of each window once. It is a Task.
+// UsageReporter reports the usage of each window (span of wall-clock time) once.
+// UsageReporter is a Task.
 type UsageReporter struct {
 	opts *UsageReporterOptions
-	// fencing is the fencing token of the last run, and fencingSince the
-	// time of the first run under it.
+	// fencing is the fencing token of the last run,
+	// and fencingSince is the time of the first run under this token.
 	fencing      contract.FencingToken
 	fencingSince time.Time
-	// finished are the windows that this VM has reported or given up, until the stored
-	// record no longer contains them.
+	// finished are the usage windows that this VM has reported or given up,
+	// until the stored record no longer contains them.
 	finished map[usage.Window]bool
 	// failedCalls counts consecutive failed reports. No report is sent before retryAt.
 	failedCalls int
@@ -59,13 +60,15 @@
 	maxReportBackoff = 1600 * time.Millisecond
 )
 
-// collectionDelay is how long a new lease holder collects counts before it closes any window.
-// Other VMs first have to learn that it holds the lease.
+// collectionDelay is how long a new lease holder collects usage counts
+// before it closes any usage window.
+// Other VMs first have to learn that the new holder holds the lease.
 const collectionDelay = 700 * time.Millisecond
 
-// Run closes windows that are over, or reports the first closed window that is not finished.
-// Counts are reported only once the store contains them; otherwise another VM could close the
-// window with different counts and report those.
+// Run closes usage windows that are over, or reports the first closed window that is not finished.
+// Counts are reported only once the store contains them;
+// otherwise another VM could close the window
+// with different counts and report the different counts.
 func (r *UsageReporter) Run(ctx context.Context, n contract.FencingToken) {
 	now := r.opts.Now()
 	if n != r.fencing {
@@ -85,7 +88,7 @@
 	case open && !now.Before(r.retryAt):
 		r.report(ctx, n, f)
 	case !open && len(record.Unreported) > 0:
-		r.writeRecord(record, false) // with the next renewal, so that a later holder does not repeat the reports
+		r.writeRecord(record, false) // written with the next renewal, so that a later holder does not repeat the reports
 	}
 }
 
@@ -98,7 +101,7 @@
 	return record.Usage
 }
 
-// writeRecord stores a usage record without the finished windows.
+// writeRecord stores a usage record without the finished windows (reported or given up).
 func (r *UsageReporter) writeRecord(next usage.Record, urgent bool) {
 	for w := range r.finished {
 		next = next.Without(w)
@@ -108,7 +111,7 @@
 	}
 }
 
-// firstOpen returns the first closed window that is not finished.
+// firstOpen returns the first closed window that is not finished (neither reported nor given up).
 func (r *UsageReporter) firstOpen(record usage.Record) (usage.ClosedWindow, bool) {
 	for _, f := range record.Unreported {
 		if !r.finished[f.Window] {
@@ -118,7 +121,7 @@
 	return usage.ClosedWindow{}, false
 }
 
-// pruneFinished forgets finished windows that the stored record no longer contains.
+// pruneFinished forgets finished usage windows that the stored record no longer contains.
 func (r *UsageReporter) pruneFinished(record usage.Record) {
 	closed := make(map[usage.Window]bool, len(record.Unreported))
 	for _, f := range record.Unreported {
@@ -127,7 +130,7 @@
 	maps.DeleteFunc(r.finished, func(w usage.Window, _ bool) bool { return !closed[w] })
 }
 
-// expireWindows gives up the windows whose deadline for reporting has passed.
+// expireWindows gives up the usage windows whose deadline for reporting has passed.
 func (r *UsageReporter) expireWindows(record usage.Record, now time.Time) {
 	for _, w := range r.opts.Rules.Overdue(record, now) {
 		if !r.finished[w] {
@@ -136,7 +139,7 @@
 	}
 }
 
-// report sends the report of one window.
+// report sends the report of one usage window.
 func (r *UsageReporter) report(ctx context.Context, n contract.FencingToken, f usage.ClosedWindow) {
 	err := r.opts.API.Report(ctx, n, f)
 	var refused *RefusedError
@@ -157,7 +160,7 @@
 	}
 }
 
-// finish records that a window is reported or given up, and logs the outcome.
+// finish records that a usage window is reported or given up, and logs the outcome.
 func (r *UsageReporter) finish(w usage.Window, outcome string, fields ...zap.Field) {
 	r.finished[w] = true
 	metrics.GetOrRegisterCounter(fmt.Sprintf("usage_windows_total{end=%q}", outcome), r.opts.Registry).Inc(1)
--- a/leader/scaler.go
+++ b/leader/scaler.go
@@ -18,8 +18,8 @@
 	"woaddoor/upstream"
 )
 
-// ScalingAPI is the part of the platform's API that sets the number of upstreams. Scale returns a
-// *RefusedError if the platform has no upstreams to give at the moment.
+// ScalingAPI is the part of the platform's API that sets the number of upstreams.
+// Scale returns a *RefusedError if the platform has no upstreams to give at the moment.
 type ScalingAPI interface {
 	Scale(ctx context.Context, n contract.FencingToken, o scaling.Order) error
 }
@@ -28,15 +28,16 @@
 type ScalerOptions struct {
 	Lease *LeaseClient
 	API   ScalingAPI
-	// Services returns the configured services, and Upstreams the upstreams on the store's
-	// list. ListAge returns the age of that list.
+	// Services returns the configured services, and Upstreams the upstreams on the store's list.
+	// ListAge returns the age of the upstream list.
 	Services  func() map[contract.ServiceID]*route.Service
 	Upstreams func() []upstream.Entry
 	ListAge   func() time.Duration
 	// Load returns the load of all VMs on the upstreams of each service.
 	Load func() map[contract.ServiceID]scaling.Load
-	// ReleaseState reports whether a service has a release rollout in progress, and whether it
-	// has completed one. ResponseObjective is the time within which responses should begin.
+	// ReleaseState reports whether a service has a release rollout in progress,
+	// and whether the service has completed a release rollout.
+	// ResponseObjective is the time within which responses should begin.
 	ReleaseState      func(contract.ServiceID) (inProgress, done bool)
 	ResponseObjective func(contract.ServiceID) time.Duration
 	Now               func() time.Time
@@ -44,15 +45,15 @@
 	Registry          metrics.Registry
 }
 
-// Scaler orders as many upstreams as the load requires. It is a Task.
+// Scaler orders as many upstreams as the load requires. Scaler is a Task.
 type Scaler struct {
 	opts *ScalerOptions
 	// peaks are the recent peak requirements of each service.
 	peaks map[contract.ServiceID]*scaling.Peak
 	// listedSince is when each listed upstream first appeared on the list.
 	listedSince map[contract.UpstreamInstance]time.Time
-	// lastRun is when this VM last checked all services. A failed scaling order for a
-	// group is not repeated before retryAt.
+	// lastRun is when this VM last checked all services.
+	// A failed scaling order for a group is not repeated before retryAt.
 	lastRun time.Time
 	retryAt map[scaling.Group]time.Time
 	// lastOrders are the last scaling orders for each group, by this VM or an earlier lease holder.
@@ -61,14 +62,15 @@
 	listedCounts map[contract.ServiceID]listedCount
 }
 
-// sentOrder is the number of upstreams in a scaling order, and when this
-// VM sent or first saw the order.
+// sentOrder is the number of upstreams in a scaling order,
+// and when this VM sent or first saw the order.
 type sentOrder struct {
 	count  int
 	sentAt time.Time
 }
 
-// listedCount is a number of listed upstreams and since when it has been unchanged.
+// listedCount is a number of listed upstreams and the time
+// since which this number has been unchanged.
 type listedCount struct {
 	count int
 	since time.Time
@@ -86,17 +88,20 @@
 const (
 	// scaleInterval is the time between two checks of all services.
 	scaleInterval = 500 * time.Millisecond
-	// maxListAge is the maximum age of the upstream list. Nothing is ordered from an older one.
+	// maxListAge is the maximum age of the upstream list.
+	// Nothing is ordered on the basis of an older list.
 	maxListAge = 5 * time.Second
-	// failedOrderBackoff is the delay after a scaling order that failed. refusedOrderBackoff is
-	// the delay after an order that the platform refused because it has no upstreams to give.
+	// failedOrderBackoff is the delay after a scaling order that failed.
+	// refusedOrderBackoff is the delay after an order
+	// that the platform refused because it has no upstreams to give.
 	failedOrderBackoff  = time.Second
 	refusedOrderBackoff = 4 * time.Second
-	// listLag is how far the upstream list is behind: a new upstream appears on it that long
-	// after it starts to serve, and a removed upstream stays on it that long after it stops.
+	// listLag is how far the upstream list is behind:
+	// a new upstream appears on the list listLag after it starts to serve,
+	// and a removed upstream stays on the list for listLag after it stops.
 	listLag = 3 * time.Second
-	// stableListDelay is how long the number of listed upstreams must be unchanged before it
-	// is taken as the number that the operator has assigned to the service.
+	// stableListDelay is how long the number of listed upstreams must be unchanged
+	// before that number is taken as the number that the operator has assigned to the service.
 	stableListDelay = time.Second
 )
 
@@ -129,7 +134,8 @@
 	}
 }
 
-// trackListed records when upstreams first appear on the list, and forgets those that left it.
+// trackListed records when upstreams first appear on the list,
+// and forgets upstreams that left the list.
 func (s *Scaler) trackListed(entries []upstream.Entry, now time.Time) {
 	listed := make(map[contract.UpstreamInstance]bool, len(entries))
 	for _, e := range entries {
@@ -146,8 +152,8 @@
 	return slices.DeleteFunc(slices.Clone(entries), func(e upstream.Entry) bool { return e.Service != id })
 }
 
-// scaleService decides how many upstreams one service needs and sends the first order that is
-// due. It reports whether it sent one.
+// scaleService decides how many upstreams one service needs and sends the first scaling order
+// that is due. scaleService reports whether it sent an order.
 func (s *Scaler) scaleService(ctx context.Context, n contract.FencingToken, id contract.ServiceID, limits scaling.Limits, record scaling.State, entries []upstream.Entry, load scaling.Load, now time.Time) bool {
 	running := s.countUpstreams(entries, now)
 	baseline := record.Baseline[id]
@@ -171,8 +177,8 @@
 	return false
 }
 
-// pendingOrders returns the scaling orders that the upstream list may not reflect yet. An order
-// of an earlier lease holder counts as sent at the time when this VM first sees it.
+// pendingOrders returns the scaling orders that the upstream list may not reflect yet.
+// A scaling order of an earlier lease holder counts as sent at the time when this VM first sees it.
 func (s *Scaler) pendingOrders(ordered map[scaling.Group]int, limits scaling.Limits, now time.Time) map[scaling.Group]int {
 	for group, count := range ordered {
 		if _, ok := s.lastOrders[group]; !ok {
@@ -213,7 +219,7 @@
 	return running
 }
 
-// recordInitialSize stores how many upstreams a service has before any is ordered.
+// recordInitialSize stores how many upstreams a service has before any upstream is ordered.
 func (s *Scaler) recordInitialSize(id contract.ServiceID, running map[contract.DataCentreID]scaling.UpstreamCounts, now time.Time) {
 	perDataCentre := make(map[contract.DataCentreID]int)
 	total := 0
@@ -248,7 +254,7 @@
 	return p.Record(load.Need(slots, s.opts.ResponseObjective(id)), now)
 }
 
-// sendOrder sends one order and logs its outcome.
+// sendOrder sends one scaling order and logs its outcome.
 func (s *Scaler) sendOrder(ctx context.Context, n contract.FencingToken, o scaling.Order, counts scaling.UpstreamCounts, need float64) {
 	err := s.opts.API.Scale(ctx, n, o)
 	fields := []zap.Field{
--- a/leader/usage_ledger.go
+++ b/leader/usage_ledger.go
@@ -15,13 +15,15 @@
 	Rules      usage.Rules
 	// Now returns the wall-clock time, which determines the usage window.
 	Now func() time.Time
-	// DataCentres returns the data centres that have VMs. If nil, only the VM's
-	// own data centre is considered.
+	// DataCentres returns the data centres that have VMs.
+	// If nil, only the VM's own data centre is considered.
 	DataCentres func() []contract.DataCentreID
 }
 
-// UsageLedger stores the usage counts that one VM knows, its own and those received from other VMs,
-// and how much of them each recipient has acknowledged. It is safe for concurrent use.
+// UsageLedger stores the usage counts that one VM knows,
+// its own counts and the counts received from other VMs.
+// The ledger also stores how much of the counts each recipient has acknowledged.
+// UsageLedger is safe for concurrent use.
 type UsageLedger struct {
 	opts *UsageLedgerOptions
 
@@ -37,7 +39,7 @@
 // collector is a VM that collects the counts of other VMs.
 type collector struct {
 	dataCentre contract.DataCentreID
-	reportedAt time.Time // when it last sent all counts that it knew
+	reportedAt time.Time // when the collector last sent all counts that it knew
 }
 
 // NewUsageLedger returns an empty ledger.
@@ -47,12 +49,13 @@
 
 // Limits of what a UsageLedger stores.
 const (
-	// extraWindows is how many windows are kept beyond those that can still be reported.
+	// extraWindows is how many usage windows are kept beyond the windows
+	// that can still be reported.
 	extraWindows = 2
 	// collectorTimeout is how long a collector may be silent before it is ignored.
 	collectorTimeout = 10 * time.Second
-	// maxRecipients limits the recipients whose acknowledgements are stored. A recipient
-	// whose acknowledgement is dropped is sent all counts once more.
+	// maxRecipients limits the recipients whose acknowledgements are stored.
+	// A recipient whose acknowledgement is dropped is sent all counts once more.
 	maxRecipients = 256
 )
 
@@ -63,8 +66,9 @@
 	l.counter.CountStart(l.opts.Self, usage.WindowOf(at, l.opts.Rules.Window), w)
 }
 
-// ChangesFor returns the counts to send to a recipient, and the number of the newest change among
-// them, to pass to Acknowledge once the recipient has replied.
+// ChangesFor returns the counts to send to a recipient,
+// and the number of the newest change among these counts.
+// The caller passes that number to Acknowledge once the recipient has replied.
 func (l *UsageLedger) ChangesFor(recipient contract.VMInstance) ([]usage.Part, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,8 +76,8 @@
 	return l.counter.ChangedSince(l.acknowledged[recipient])
 }
 
-// Acknowledge records that a recipient has all changes up to and including
-// the change with the given number.
+// Acknowledge records that a recipient has all changes up
+// to and including the change with the given number.
 func (l *UsageLedger) Acknowledge(recipient contract.VMInstance, change uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,8 +96,8 @@
 	}
 }
 
-// CollectorReported records that a collector has sent all counts that it knows. If final is
-// true, the collector is shutting down and will send no more.
+// CollectorReported records that a collector has sent all counts that it knows.
+// If final is true, the collector is shutting down and will send no more counts.
 func (l *UsageLedger) CollectorReported(from contract.VMInstance, dc contract.DataCentreID, final bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,8 +108,8 @@
 	l.collectors[from] = collector{dc, l.opts.Now()}
 }
 
-// completeUntil returns the earliest of the times at which the active collectors last sent
-// their counts, or the zero time if a data centre has no active collector.
+// completeUntil returns the earliest of the times at which the active
+// collectors last sent their counts, or the zero time if a data centre has no active collector.
 func (l *UsageLedger) completeUntil() time.Time {
 	var dataCentres []contract.DataCentreID
 	if l.opts.DataCentres != nil {
@@ -134,8 +138,8 @@
 	return earliest
 }
 
-// CloseWindows returns the record with all windows closed that can be closed now, and whether it
-// changed; see usage.Rules.Close.
+// CloseWindows closes all usage windows that can be closed now.
+// CloseWindows returns the new record and whether the record changed; see usage.Rules.Close.
 func (l *UsageLedger) CloseWindows(r usage.Record) (usage.Record, bool) {
 	completeUntil := l.completeUntil()
 	l.mu.Lock()
@@ -144,7 +148,7 @@
 	return l.opts.Rules.Close(r, l.counter, completeUntil, l.opts.Now())
 }
 
-// pruneWindows drops the windows that cannot be reported any more. The caller holds mu.
+// pruneWindows drops the usage windows that cannot be reported any more. The caller holds mu.
 func (l *UsageLedger) pruneWindows() {
 	rules := l.opts.Rules
 	oldest := l.opts.Now().Add(-rules.ReportDeadline)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,19 +1,23 @@
-// Package lease elects the leader: the one VM that makes the calls to the platform for
-// all VMs, each under a fencing token. It is a state machine over one object in the
-// platform's store and does no I/O. The current time is a parameter, taken from a clock
-// that includes suspensions and is never set.
+// Package lease elects the leader: the one VM that makes the calls to the platform for all VMs,
+// each under a fencing token (a number that is higher for each new holder).
+// Package lease is a state machine over one object in the platform's store and does no I/O.
+// The current time is a parameter, taken from a clock that includes suspensions and is never set.
 //
-// A holder measures its lease on its own clock, starting before it sent the request, and stops well
-// before the end. A VM that takes the lease over first waits, on its own clock, until the object
-// has been unchanged for the whole length of a lease. Clocks of different VMs are never compared,
+// A holder measures its lease on its own clock, starting before the holder sent the request,
+// and the holder stops making calls well before the end of the lease.
+// A VM that takes the lease over first waits, on its own clock,
+// until the object has been unchanged for the whole length of a lease.
+// Clocks of different VMs are never compared,
 // and a holder that was suspended finds on its own clock that its lease has expired.
 //
-// A call made under a lease may still be in progress when the lease ends. An engine that checks
-// fencing tokens refuses it then. For engines that do not, ActiveFencing makes a new holder wait
-// for the longest delay of a call. The state of an engine is read back, never assumed.
+// A call made under a lease may still be in progress when the lease ends.
+// An engine that checks fencing tokens refuses such a late call.
+// For engines that do not check fencing tokens,
+// ActiveFencing makes a new holder wait for the longest delay of a call.
+// The state of an engine is read back, never assumed.
 //
-// The object also contains a record with decisions that later holders have to follow. A
-// record is in force once the store has accepted it, whichever VM holds the lease next.
+// The object also contains a record with decisions that later holders have to follow.
+// A record is in force once the store has accepted it, whichever VM holds the lease next.
 package lease
 
 import (
@@ -33,15 +37,15 @@
 	Fencing contract.FencingToken `json:"fencing" cbor:"2,keyasint"`
 	// Renewals counts writes, so that other VMs see each renewal as a change of the object.
 	Renewals uint64 `json:"renewals" cbor:"3,keyasint"`
-	// Resigned lists the VMs that have resigned in succession, since a VM last held the
-	// lease for its whole length.
+	// Resigned lists the VMs that have resigned in succession,
+	// since a VM last held the lease for the whole length of the lease.
 	Resigned []contract.VMID `json:"resigned,omitempty" cbor:"4,keyasint,omitempty"`
 	// Record holds decisions that later holders have to follow.
 	Record json.RawMessage `json:"record,omitempty" cbor:"-"`
 }
 
-// VersionedObject is a lease object and its version in the store. Version zero
-// means that the store has no object.
+// VersionedObject is a lease object and its version in the store.
+// Version zero means that the store has no lease object.
 type VersionedObject struct {
 	Object  Object
 	Version contract.ObjectVersion
@@ -52,11 +56,11 @@
 	Self contract.VMInstance
 	// Duration is how long a lease lasts. Zero means 15 s.
 	Duration time.Duration
-	// Margin is how long before the end of its lease a holder stops making calls. It must
-	// be longer than the timeout of a call. Zero means a third of Duration.
+	// Margin is how long before the end of its lease a holder stops making calls.
+	// Margin must be longer than the timeout of a call. Zero means a third of Duration.
 	Margin time.Duration
-	// TakeoverDelay is how long a new holder waits before its first call, because calls of
-	// the former holder may still be in progress. Zero means Margin.
+	// TakeoverDelay is how long a new holder waits before its first call,
+	// because calls of the former holder may still be in progress. Zero means Margin.
 	TakeoverDelay time.Duration
 }
 
@@ -66,19 +70,20 @@
 	marginDivisor   = 3 // Duration / marginDivisor is the default Margin
 )
 
-// Handle is one process's view of a lease. It decides whether the process
-// may make calls under the lease.
+// Handle is one process's view of a lease.
+// The handle decides whether the process may make calls under the lease.
 type Handle struct {
 	opts   Options
 	latest VersionedObject
-	// unchangedSince is when the latest version was first seen. recordUnknown is true if
-	// this process learned of the version from another VM, which does not send the record.
+	// unchangedSince is when the latest version of the lease object was first seen.
+	// recordUnknown is true if this process learned of the version from another VM,
+	// which does not send the record.
 	unchangedSince time.Time
 	recordUnknown  bool
 	expiresAt      time.Time // end of this process's lease; zero if it has none
 	acquiredAt     time.Time // when this process acquired its lease
-	// pendingRecord is the record to store with the next write; nil keeps the stored one.
-	// urgent means that the write is due immediately.
+	// pendingRecord is the record to store with the next write; nil keeps the stored record.
+	// urgent means that the next write is due immediately.
 	pendingRecord json.RawMessage
 	urgent        bool
 }
@@ -91,14 +96,14 @@
 	return &Handle{opts: opts}
 }
 
-// Latest returns the newest known object.
+// Latest returns the newest known lease object.
 func (h *Handle) Latest() VersionedObject { return h.latest }
 
-// Age returns how long the newest known object has been unchanged, as far as is known.
+// Age returns how long the newest known lease object has been unchanged, as far as is known.
 func (h *Handle) Age(now time.Time) time.Duration { return now.Sub(h.unchangedSince) }
 
-// ObserveRead records the object as read from the store. It ignores an older version than
-// the known one, which is a stale read.
+// ObserveRead records the object as read from the store.
+// ObserveRead ignores a version that is older than the known version, because such a read is stale.
 func (h *Handle) ObserveRead(o VersionedObject, now time.Time) {
 	if o.Version < h.latest.Version {
 		return
@@ -113,9 +118,10 @@
 	}
 }
 
-// ObservePeer records a version, without its record, that another VM knows and that existed
-// at unchangedSince. That time must not be earlier than the sending of the write that created
-// the version, from which the holder measures its lease.
+// ObservePeer records a version of the lease object,
+// without its record, that another VM knows and that existed at unchangedSince.
+// unchangedSince must not be earlier than the time when the holder sent the write
+// that created the version, because the holder measures its lease from that time.
 func (h *Handle) ObservePeer(o VersionedObject, unchangedSince time.Time) {
 	if o.Version <= h.latest.Version {
 		return
@@ -127,29 +133,29 @@
 	}
 }
 
-// ObserveMissing records that the store has no object. Fencing tokens
-// continue from the last known one.
+// ObserveMissing records that the store has no lease object.
+// Fencing tokens continue from the last known token.
 func (h *Handle) ObserveMissing(now time.Time) {
 	h.latest.Version, h.unchangedSince, h.expiresAt, h.recordUnknown = 0, now, time.Time{}, false
 }
 
-// Invalidate records that the object has changed in an unknown way.
+// Invalidate records that the lease object has changed in an unknown way.
 func (h *Handle) Invalidate() { h.unchangedSince, h.pendingRecord = time.Time{}, nil }
 
-// NeedsRead reports whether the object has to be read before a write: the object is unknown,
+// NeedsRead reports whether the lease object has to be read before a write: the object is unknown,
 // or its record is unknown while the lease is available or held by this process.
 func (h *Handle) NeedsRead(now time.Time) bool {
 	return h.unchangedSince.IsZero() || h.recordUnknown && !now.Before(h.AvailableAt())
 }
 
-// SetRecord sets the record to store with the next write, immediately if urgent is true. It
-// has no effect unless this process holds the lease at that time.
+// SetRecord sets the record to store with the next write, immediately if urgent is true.
+// SetRecord has no effect unless this process holds the lease at the time of that write.
 func (h *Handle) SetRecord(record json.RawMessage, urgent bool) {
 	h.urgent = urgent || h.urgent && h.pendingRecord != nil
 	h.pendingRecord = record
 }
 
-// LatestRecord returns the record to store with the next write, or else the stored one.
+// LatestRecord returns the record to store with the next write, or else the stored record.
 func (h *Handle) LatestRecord() json.RawMessage {
 	if h.pendingRecord != nil {
 		return h.pendingRecord
@@ -157,21 +163,21 @@
 	return h.latest.Object.Record
 }
 
-// Proposal is a write that acquires, renews or resigns a lease. It is conditional on Version,
-// or creates the object if Version is zero.
+// Proposal is a write that acquires, renews or resigns a lease.
+// The write is conditional on Version, or creates the lease object if Version is zero.
 type Proposal struct {
 	Object  Object
 	Version contract.ObjectVersion
 }
 
-// HeldBySelf reports whether the newest known object names this process as the holder. The
-// lease may have expired.
+// HeldBySelf reports whether the newest known lease object names this process as the holder.
+// The lease may have expired.
 func (h *Handle) HeldBySelf() bool {
 	return h.latest.Version != 0 && h.latest.Object.Holder == h.opts.Self
 }
 
-// Propose returns the write to make now. It returns false if another process holds the lease
-// or if this process's lease does not have to be renewed yet.
+// Propose returns the write to make now. Propose returns false
+// if another process holds the lease or if this process's lease does not have to be renewed yet.
 func (h *Handle) Propose(now time.Time) (Proposal, bool) {
 	if h.recordUnknown {
 		return Proposal{}, false // a write would overwrite the unknown record
@@ -183,7 +189,8 @@
 		return Proposal{}, false
 	}
 	// An expired lease of this process is also acquired anew, with a new fencing token:
-	// another process may have held it in between, under a token that this process has not seen.
+	// another process may have held it in between,
+	// under a fencing token that this process has not seen.
 	next := h.latest.Object
 	if next.Holder != (contract.VMInstance{}) {
 		next.Resigned = nil // the holder did not resign: the lease ran for its whole length
@@ -191,11 +198,11 @@
 	next.Holder = h.opts.Self
 	next.Fencing++
 	next.Renewals++
-	h.pendingRecord = nil // made under a lease that has ended
+	h.pendingRecord = nil // the record was made under a lease that has ended
 	return Proposal{next, h.latest.Version}, true
 }
 
-// renew returns the renewal of this process's lease, if it is due.
+// renew returns the renewal of this process's lease, if the renewal is due.
 func (h *Handle) renew(now time.Time) (Proposal, bool) {
 	notDue := h.expiresAt.Sub(now) > h.opts.Duration-h.opts.Margin
 	if notDue && !(h.urgent && h.pendingRecord != nil) {
@@ -208,7 +215,7 @@
 	return h.propose(next), true
 }
 
-// propose returns the write of an object, with the pending record if there is one.
+// propose returns the write of a lease object, with the pending record if there is one.
 func (h *Handle) propose(next Object) Proposal {
 	next.Renewals++
 	if h.pendingRecord != nil {
@@ -217,10 +224,11 @@
 	return Proposal{next, h.latest.Version}
 }
 
-// AvailableAt returns the time from which this process may acquire the lease, provided that
-// the object does not change before. After a resignation the lease is available immediately,
-// except to the VMs in Resigned. Otherwise one of them could make calls, then another VM, and
-// then the first one again, all within the length of one lease.
+// AvailableAt returns the time from which this process may acquire the lease,
+// provided that the lease object does not change before.
+// After a resignation the lease is available immediately, except to the VMs in Resigned.
+// Without this exception, a resigned VM could make calls, then another VM,
+// and then the resigned VM again, all within the length of one lease.
 func (h *Handle) AvailableAt() time.Time {
 	o := h.latest.Object
 	available := h.latest.Version == 0 || o.Holder == contract.VMInstance{} && !slices.Contains(o.Resigned, h.opts.Self.VM)
@@ -230,7 +238,8 @@
 	return h.unchangedSince.Add(h.opts.Duration)
 }
 
-// Resign returns the write that gives up this process's lease, or false if it holds none.
+// Resign returns the write that gives up this process's lease,
+// or false if this process holds no lease.
 // After Resign no call may be made, and none may be in progress when the write is sent.
 func (h *Handle) Resign(now time.Time) (Proposal, bool) {
 	if h.recordUnknown || !h.HeldBySelf() || !now.Before(h.expiresAt) {
@@ -243,9 +252,9 @@
 	return h.propose(next), true
 }
 
-// ConfirmWrite records that a proposal sent at sentAt was accepted as the given version. If
-// the reply is lost, ConfirmWrite is not called: the next read returns the new object, and
-// the lease is then acquired anew.
+// ConfirmWrite records that a proposal sent at sentAt was accepted as the given version.
+// If the reply is lost, ConfirmWrite is not called:
+// the next read returns the new lease object, and the lease is then acquired anew.
 func (h *Handle) ConfirmWrite(p Proposal, version contract.ObjectVersion, sentAt time.Time) {
 	if p.Object.Fencing != h.latest.Object.Fencing || h.expiresAt.IsZero() {
 		h.acquiredAt = sentAt
@@ -260,9 +269,9 @@
 	}
 }
 
-// ActiveFencing returns the fencing token under which a call may be made now. It returns
-// false while the stored record is unknown. ignoresFencing means that the recipient of the
-// call accepts old fencing tokens.
+// ActiveFencing returns the fencing token under which a call may be made now.
+// ActiveFencing returns false while the stored record is unknown.
+// ignoresFencing means that the recipient of the call accepts old fencing tokens.
 func (h *Handle) ActiveFencing(now time.Time, ignoresFencing bool) (contract.FencingToken, bool) {
 	if h.recordUnknown || h.expiresAt.IsZero() || !now.Before(h.expiresAt.Add(-h.opts.Margin)) {
 		return 0, false
--- a/scaling/need.go
+++ b/scaling/need.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Load is the measured load on the upstreams of a service, as seen by
-// one VM or summed over several.
+// Load is the measured load on the upstreams of a service,
+// as seen by one VM or summed over several VMs.
 type Load struct {
-	// Prefill is how many seconds of each second the engines spend on prefill (processing
-	// prompts), summed over the upstreams. PromptRate is the number of prompts per second.
+	// Prefill is how many seconds of each second the engines spend on prefill (processing prompts),
+	// summed over the upstreams. PromptRate is the number of prompts per second.
 	Prefill    float64 `cbor:"1,keyasint,omitempty"`
 	PromptRate float64 `cbor:"3,keyasint,omitempty"`
 	// SlotsInUse is the number of request slots in use.
@@ -20,20 +20,22 @@
 
 // Highest planned utilization of an upstream.
 const (
-	// maxPrefillShare is the fraction of time for prefill if the latency objective or the
-	// prompt rate is unknown.
+	// maxPrefillShare is the highest planned fraction of an upstream's time for prefill
+	// if the latency objective or the prompt rate is unknown.
 	maxPrefillShare = 0.5
-	// maxSlotShare is the fraction of slots in use. Each token takes longer
-	// the more requests run together.
+	// maxSlotShare is the highest planned fraction of an upstream's request slots in use.
+	// Each token of a text takes longer the more requests run together on an upstream.
 	maxSlotShare = 0.5
-	// meanWaitDivisor divides the latency objective to get the mean time that a prompt may wait for
-	// others. Prompts that wait several times longer than the mean still meet the objective.
+	// meanWaitDivisor divides the latency objective to get the mean time
+	// that a prompt may wait for other prompts.
+	// Prompts that wait several times longer than the mean still meet the objective.
 	meanWaitDivisor = 8
 )
 
 // prefillShare returns the largest fraction of time that an upstream may spend on prefill
-// while the mean wait of prompts stays within its limit. In a queue with one server, the mean
-// wait grows with share / (1 - share) times the time that one prompt takes.
+// while the mean wait of prompts stays within its limit.
+// In a queue with one server, the mean wait grows with share / (1 - share) times the time
+// that one prompt takes, where share is the fraction of time spent on prefill.
 func (l Load) prefillShare(objective time.Duration) float64 {
 	if l.PromptRate <= 0 || objective <= 0 {
 		return maxPrefillShare
@@ -43,8 +45,8 @@
 	return meanWait / (meanWait + prefillTime)
 }
 
-// Need returns how many upstreams, with the given number of slots each, the load requires so
-// that responses begin within the objective.
+// Need returns how many upstreams, with the given number of slots each,
+// the load requires so that responses begin within the objective.
 func (l Load) Need(slots int, objective time.Duration) float64 {
 	need := 0.0
 	if l.Prefill > 0 {
@@ -56,21 +58,21 @@
 	return need
 }
 
-// peakWindow is how long a past peak counts. Load comes in waves, and it takes seconds to get
-// released upstreams back.
+// peakWindow is how long a past peak of the need for upstreams counts.
+// Load comes in waves, and it takes seconds to get released upstreams back.
 const peakWindow = time.Minute
 
-// Peak tracks the largest recent need. The zero value has recorded none.
+// Peak tracks the largest recent need for upstreams. The zero value has recorded no need.
 type Peak struct {
 	highest   float64
 	highestAt time.Time
 	// recent is the largest need recorded after half of peakWindow has passed since highestAt.
-	// It replaces highest when that one expires.
+	// recent replaces highest when highest expires.
 	recent   float64
 	recentAt time.Time
 }
 
-// Record records a need and returns the largest recent one.
+// Record records a need for upstreams and returns the largest recent need.
 func (p *Peak) Record(need float64, now time.Time) float64 {
 	if need >= p.highest {
 		p.highest, p.highestAt = need, now
--- a/scaling/scaling.go
+++ b/scaling/scaling.go
@@ -1,13 +1,15 @@
-// Package scaling decides how many upstreams of a service run in each data centre, for
-// platforms that accept scaling orders and charge for every second that an upstream runs. It
-// is pure: the running upstreams, their load and the time are passed in.
+// Package scaling decides how many upstreams of a service run in each data centre,
+// for platforms that accept scaling orders and charge for every second that an upstream runs.
+// Package scaling is pure: the running upstreams, their load and the time are passed in.
 //
-// Preemptible upstreams cost a fraction of the price of standard ones, but the platform may take
-// away all those of a data centre at once. They replace standard upstreams as far as the remaining
-// capacity still handles the load when the two data centres with the most preemptible upstreams
-// lose them. Working upstreams are removed only once their replacements serve requests. Lost
-// preemptible upstreams are ordered again. Standard upstreams replace them only if the load
-// requires it, because a new upstream starts cold, without cached prompts.
+// Preemptible upstreams cost a fraction of the price of standard ones,
+// but the platform may take away all preemptible upstreams of a data centre at once.
+// Preemptible upstreams replace standard upstreams as far as the remaining capacity still
+// handles the load when the two data centres with the most preemptible upstreams lose all of these.
+// Working upstreams are removed only once their replacements serve requests.
+// Lost preemptible upstreams are ordered again.
+// Standard upstreams replace lost preemptible ones only if the load requires it,
+// because a new upstream starts cold, without cached prompts.
 package scaling
 
 import (
@@ -20,8 +22,8 @@
 	"woaddoor/contract"
 )
 
-// Group identifies what a scaling order applies to: the preemptible or the standard upstreams of
-// one service in one data centre.
+// Group identifies what a scaling order applies to:
+// the preemptible or the standard upstreams of one service in one data centre.
 type Group struct {
 	Service     contract.ServiceID    `json:"service"`
 	DataCentre  contract.DataCentreID `json:"data_centre"`
@@ -34,17 +36,17 @@
 	Count int `json:"count"`
 }
 
-// State is the state shared by all VMs that place scaling orders. It is stored because the platform
-// offers no way to read orders back.
+// State is the state shared by all VMs that place scaling orders.
+// The state is stored because the platform offers no way to read scaling orders back.
 type State struct {
-	// Baseline is how many upstreams ran when they were first counted.
+	// Baseline is how many upstreams ran in each data centre when they were first counted.
 	Baseline map[contract.ServiceID]map[contract.DataCentreID]int `json:"sized,omitempty"`
 	// Orders are the scaling orders in force.
 	Orders []Order `json:"ordered,omitempty"`
 }
 
-// WithOrder returns the state with a scaling order added, which replaces any
-// earlier order for the same group.
+// WithOrder returns the state with a scaling order added,
+// which replaces any earlier order for the same group.
 func (r State) WithOrder(o Order) State {
 	r.Orders = slices.DeleteFunc(slices.Clone(r.Orders), func(existing Order) bool { return existing.Group == o.Group })
 	r.Orders = append(r.Orders, o)
@@ -74,23 +76,25 @@
 
 // Limits bound the scaling orders for a service.
 type Limits struct {
-	// Min and Max bound the number of upstreams in each data centre, standard
-	// and preemptible ones together.
+	// Min and Max bound the number of upstreams in each data centre,
+	// standard and preemptible ones together.
 	Min, Max int
 	// BootTime is how long a new upstream takes until it serves requests.
 	BootTime time.Duration
-	// PreemptiblePrice is the price of a preemptible upstream as a fraction of the price of a
-	// standard one. Zero means that there are no preemptible upstreams.
+	// PreemptiblePrice is the price of a preemptible upstream
+	// as a fraction of the price of a standard one.
+	// Zero means that there are no preemptible upstreams.
 	PreemptiblePrice float64
 }
 
-// UpstreamCounts counts the upstreams of a service in one data centre,
-// except those that are leaving.
+// UpstreamCounts counts the upstreams of a service in one data centre.
+// Upstreams that are leaving are not counted.
 type UpstreamCounts struct {
-	// Standard and Preemptible count the upstreams of each kind, including cold ones.
+	// Standard and Preemptible count the standard and the preemptible upstreams,
+	// including cold ones (started recently).
 	Standard, Preemptible int
-	// Cold counts the upstreams of both kinds that cannot take their full load yet,
-	// ColdPreemptible only the preemptible ones among them.
+	// Cold counts the standard and preemptible upstreams that cannot take their full load yet.
+	// ColdPreemptible counts only the preemptible ones among the cold upstreams.
 	Cold, ColdPreemptible int
 }
 
@@ -106,33 +110,36 @@
 type Input struct {
 	Service contract.ServiceID
 	Limits  Limits
-	// Baseline is how many upstreams ran in each data centre when they were first counted. It is
-	// the operator's own estimate of what the service needs.
+	// Baseline is how many upstreams ran in each data centre when they were first counted.
+	// Baseline is the operator's own estimate of what the service needs.
 	Baseline map[contract.DataCentreID]int
 	// Running counts the upstreams that run now.
 	Running map[contract.DataCentreID]UpstreamCounts
-	// InProgress holds the upstream counts of the orders that may still be in progress. Upstreams
-	// of older orders that have not appeared are no longer expected.
+	// InProgress holds the upstream counts of the scaling orders that may still be in progress.
+	// Upstreams of older orders that have not appeared are no longer expected.
 	InProgress map[Group]int
 	// Need is how many upstreams the recent load requires.
 	Need float64
-	// ReleaseInProgress is true during a release rollout: the new upstreams run beside the old
-	// ones, and a scaling order would remove some of them. ReleaseDone is true after a release
-	// rollout: newly ordered upstreams would start with the software from before it.
+	// ReleaseInProgress is true during a release rollout:
+	// the new upstreams run beside the old ones,
+	// and a scaling order would remove some of the new upstreams.
+	// ReleaseDone is true after a release rollout:
+	// newly ordered upstreams would start with the software from before the rollout.
 	ReleaseInProgress, ReleaseDone bool
 }
 
-// Parameters for capacity beyond the need.
+// Parameters for upstream capacity beyond the need.
 const (
-	// toleratedDataCentreLosses is how many data centres may lose their
-	// preemptible upstreams at the same time.
+	// toleratedDataCentreLosses is how many data centres
+	// may lose their preemptible upstreams at the same time.
 	toleratedDataCentreLosses = 2
-	// minCapacityRatio is the fraction of the need that must remain during such a loss.
-	// Upstreams are then busier than normally planned, but keep up.
+	// minCapacityRatio is the fraction of the need
+	// that must remain during a tolerated loss of preemptible upstreams.
+	// During such a loss, upstreams are busier than normally planned, but keep up.
 	minCapacityRatio = 0.65
 )
 
-// Plan returns the scaling orders to place, those that add upstreams first.
+// Plan returns the scaling orders to place. Orders that add upstreams come first.
 func Plan(s Input) []Order {
 	if s.ReleaseDone || s.ReleaseInProgress && !s.lacksCapacity() {
 		return nil
@@ -149,13 +156,13 @@
 	return out
 }
 
-// newOrder returns an order for n upstreams of a group of the service.
+// newOrder returns a scaling order for n upstreams of a group of the service.
 func (s Input) newOrder(dc contract.DataCentreID, preemptible bool, n int) Order {
 	return Order{Group{s.Service, dc, preemptible}, n}
 }
 
-// removalRank returns 1 for a scaling order that removes upstreams, otherwise 0, so that orders
-// that add upstreams are sorted first.
+// removalRank returns 1 for a scaling order that removes upstreams, otherwise 0,
+// so that orders that add upstreams are sorted first.
 func (s Input) removalRank(o Order) int {
 	if o.Count < s.provisioned(o.Group) {
 		return 1
@@ -163,8 +170,8 @@
 	return 0
 }
 
-// provisioned returns how many upstreams of a group are running or ordered. An order in
-// progress takes precedence over the running count.
+// provisioned returns how many upstreams of a group are running or ordered.
+// A scaling order in progress takes precedence over the count of running upstreams.
 func (s Input) provisioned(group Group) int {
 	if n, ok := s.InProgress[group]; ok {
 		return n
@@ -172,13 +179,14 @@
 	return s.Running[group.DataCentre].countOf(group.Preemptible)
 }
 
-// preemptibleIsCheaper reports whether preemptible upstreams are available
-// and cost less than standard ones.
+// preemptibleIsCheaper reports
+// whether preemptible upstreams are available and cost less than standard ones.
 func (s Input) preemptibleIsCheaper() bool {
 	return s.Limits.PreemptiblePrice > 0 && s.Limits.PreemptiblePrice < 1
 }
 
-// baselineTotal returns how many upstreams ran in all data centres when they were first counted.
+// baselineTotal returns how many upstreams of the service ran
+// in all data centres when they were first counted.
 func (s Input) baselineTotal() int {
 	total := 0
 	for _, n := range s.Baseline {
@@ -187,9 +195,9 @@
 	return total
 }
 
-// targetTotal returns how many upstreams should run in all data centres: the number first
-// counted or the need, whichever is larger. If preemptible upstreams are used, it includes
-// spare ones for the tolerated loss of data centres.
+// targetTotal returns how many upstreams should run in all data centres:
+// the number first counted or the need, whichever is larger. If preemptible upstreams are used,
+// the number includes spare upstreams for the tolerated loss of data centres.
 func (s Input) targetTotal() float64 {
 	total := max(float64(s.baselineTotal()), s.Need)
 	if remaining := len(s.Baseline) - toleratedDataCentreLosses; s.preemptibleIsCheaper() && remaining > 0 {
@@ -211,8 +219,9 @@
 // minStandard returns how many standard upstreams each data centre keeps beside preemptible ones.
 func (s Input) minStandard() int { return max(s.Limits.Min, 1) }
 
-// targetPreemptible returns how many preemptible upstreams should run in a data centre: the
-// target without the standard upstreams that stay, within the limit for both kinds together.
+// targetPreemptible returns how many preemptible upstreams should run in a data centre:
+// the target for the data centre minus the standard upstreams that stay,
+// within the limit for standard and preemptible upstreams together.
 func (s Input) targetPreemptible(dc contract.DataCentreID) int {
 	if !s.preemptibleIsCheaper() {
 		return s.provisioned(Group{s.Service, dc, true})
@@ -221,9 +230,9 @@
 	return max(min(s.target(dc)-s.minStandard(), headroom), 0)
 }
 
-// targetStandard returns how many standard upstreams should run in a data centre. It
-// falls as preemptible upstreams start to serve, and rises again only if the total
-// capacity is too low for the load.
+// targetStandard returns how many standard upstreams should run in a data centre.
+// The number falls as preemptible upstreams start to serve,
+// and rises again only if the total capacity is too low for the load.
 func (s Input) targetStandard(dc contract.DataCentreID) int {
 	if !s.preemptibleIsCheaper() {
 		return s.target(dc)
@@ -237,8 +246,8 @@
 	return max(s.minStandard(), min(current, required))
 }
 
-// lacksCapacity reports whether all upstreams together, including those that are still cold,
-// are too few for the load.
+// lacksCapacity reports whether all upstreams together,
+// including the ones that are still cold, are too few for the load.
 func (s Input) lacksCapacity() bool {
 	total := 0
 	for _, n := range s.Running {
--- a/site/broadcast.go
+++ b/site/broadcast.go
@@ -13,10 +13,10 @@
 )
 
 // How a change of an object in the store reaches all VMs:
-// the VM that receives the change from the store sends the change
-// to the hubs of its data centre (the few VMs that forward messages there),
+// the VM that receives the change from the store sends the change to the hubs of its data centre
+// (the few VMs that forward messages in it),
 // to its own leaves (the VMs that use it as their hub) and to one VM of each other data centre.
-// The VM in the other data centre sends the change to the hubs there,
+// The VM in the other data centre sends the change to the hubs of its own data centre,
 // and each hub sends the change to its leaves.
 // A VM that misses a message receives the change with the next heartbeat.
 
@@ -26,9 +26,9 @@
 	// before the next VM of the same data centre is contacted too.
 	// Replies take milliseconds, and a VM that does not reply may be frozen.
 	nextMemberDelay = 250 * time.Millisecond
-	// maxPushBytes limits the bytes
-	// of the changes of one kind of objects that a gossip message carries.
-	// A VM that lacks larger changes requests them, once for all changes that have come meanwhile.
+	// maxPushBytes limits the bytes of the changes of one kind of objects
+	// that a gossip message carries.
+	// A VM that lacks larger changes requests them once, for all changes that have come meanwhile.
 	maxPushBytes = 16 << 10
 )
 
@@ -56,8 +56,8 @@
 	p.urgentRounds.run(func() { p.forwardUrgent(ctx, false) })
 }
 
-// forwardUrgent forwards news of a harmful event. A delegate (one
-// of the VMs that exchange messages between data centres) informs the other data centres.
+// forwardUrgent forwards news of a harmful event. A delegate
+// (one of the VMs that exchange messages between data centres) informs the other data centres.
 // News from another data centre, or of an event on this VM,
 // also goes to the hubs of this data centre. Leaves receive it with the next heartbeat.
 func (p *Peers) forwardUrgent(ctx context.Context, fromLocal bool) {
@@ -71,7 +71,7 @@
 
 // forwardChanges forwards changes from another VM.
 // A VM of this data centre has already informed the other hubs itself,
-// so its changes go to the leaves only.
+// so changes from a VM of this data centre go to the leaves only.
 func (p *Peers) forwardChanges(ctx context.Context, fromLocal bool) {
 	deltas := p.unannouncedDeltas()
 	if !fromLocal {
@@ -80,8 +80,8 @@
 	p.gossipToLeaves(ctx, deltas)
 }
 
-// unannouncedDeltas returns the changes of each kind of objects (such as upstreams
-// or rollout orders) since the last announcement.
+// unannouncedDeltas returns the changes of each kind of objects
+// (such as upstreams or rollout orders) since the last announcement.
 // Changes that are too large for a message are left out.
 func (p *Peers) unannouncedDeltas() []PushedDelta {
 	p.mu.Lock()
@@ -154,7 +154,7 @@
 }
 
 // gossipToRemote sends gossip to one VM of each other data centre for which include returns true,
-// and to further ones while there is no reply.
+// and to further VMs of that data centre while no VM has replied.
 func (p *Peers) gossipToRemote(ctx context.Context, deltas []PushedDelta, include func(contract.DataCentreID) bool) {
 	msg := p.gossipFor(audienceRemote)
 	msg.Deltas = deltas
--- a/site/election.go
+++ b/site/election.go
@@ -20,8 +20,8 @@
 	StaleAfter, RankStep time.Duration
 }
 
-// These fractions divide the bound,
-// which is the time within which every VM must know a change in the store.
+// The fractions apply to the bound, which is the time within
+// which every VM must know a change in the store.
 // All watches (open store calls that wait for changes) may break at once without an error,
 // so half of the bound remains for the next watch. If the active watcher fails,
 // a VM has a quarter of the bound left to call the store and inform its peers.
@@ -33,8 +33,8 @@
 	maxWatchDuration = 5 * time.Second
 )
 
-// TimingFor returns the timing for a kind whose changes must be in force on every VM within bound
-// after the store accepted them.
+// TimingFor returns the timing for a kind of objects whose changes must be
+// in force on every VM within bound after the store accepted the changes.
 func TimingFor(bound time.Duration) Timing {
 	bound = min(bound, watchDivisor*maxWatchDuration)
 	return Timing{WatchDuration: bound / watchDivisor, StaleAfter: time.Duration(staleFraction * float64(bound)), RankStep: bound / rankStepDivisor}
@@ -49,22 +49,22 @@
 // Rank is the position of a VM in the order in which VMs start to watch the store.
 type Rank struct {
 	// Local is the rank of the VM in its data centre.
-	// DataCentre is the rank of the data centre among the data centres
-	// that share a watcher (a VM that watches the store for them). Both ranks start at 0.
+	// DataCentre is the rank of the data centre among the data centres that share a watcher
+	// (a VM that watches the store for all of these). Both ranks start at 0.
 	Local, DataCentre int
 	// NoLocalPeers is set until another VM of the same data centre has replied to this VM.
 	NoLocalPeers bool
 }
 
 const (
-	// unknownRank is the minimum local rank,
-	// at the first start of the deployment, of a VM that does not know the other VMs yet.
+	// unknownRank is the minimum local rank of a VM that does not know the other VMs yet.
+	// unknownRank applies at the first start of the deployment.
 	unknownRank = 4
 	// linearRanks is the number of ranks whose delay grows by about one RankStep per rank.
 	// The delay of higher ranks grows quadratically.
 	linearRanks = 4
 	// dataCentreStep is the delay per rank of a data centre.
-	// The delay gives one data centre time to query the store and inform the others,
+	// The delay gives one data centre time to query the store and inform the other data centres,
 	// which takes a few milliseconds.
 	dataCentreStep = 50 * time.Millisecond
 	// firstStartListDelay is how long a VM waits,
@@ -97,8 +97,8 @@
 const (
 	// requestRankStep is the delay per rank. Within this delay,
 	// the VM of the preceding rank can read a short list of objects and send the list to its peers.
-	// A store that served 80 pages of 500 objects a second took 4 s
-	// and more when 281 VMs each read 3,000 upstreams at once.
+	// A store that served 80 pages of 500 objects a second took 4 s and more
+	// when 281 VMs each read 3,000 upstreams at once.
 	requestRankStep = 100 * time.Millisecond
 	// requestRanks is the number of ranks that wait for each other,
 	// and the number of ranks from which a VM that knows no other VM picks its own rank at random.
@@ -109,8 +109,8 @@
 	noPeersRankStep = 5 * time.Millisecond
 )
 
-// requestDelay returns how long a VM with waiting client requests lets the other VMs
-// of its data centre go first before it lists the store.
+// requestDelay returns how long a VM lets the other VMs of its data centre go first
+// before it lists the store while client requests wait.
 func (r Rank) requestDelay(randomRank int) time.Duration {
 	if r.NoLocalPeers {
 		return noPeersRankStep * time.Duration(randomRank)
@@ -118,29 +118,28 @@
 	return requestRankStep * time.Duration(min(r.Local, requestRanks))
 }
 
-// WatcherElection decides whether this VM watches one kind
-// of objects in the store on behalf of its peers, or relies on what the peers send.
+// WatcherElection decides whether this VM watches one kind of objects
+// in the store on behalf of its peers, or relies on what the peers send.
 // WatcherElection is a pure state machine and not safe for concurrent use.
 //
 // A VM that finds the last store confirmation stale begins to watch. A watching VM stops
 // when it learns of another active watcher that precedes it in the order of watchers.
 // So one VM watches where all VMs can communicate, and one on each side of a network partition.
-// The VMs need not agree on which of them are alive.
+// The VMs need not agree on which VMs are alive.
 type WatcherElection struct {
 	self   Watcher
 	timing Timing
-	// listNotBefore is the earliest time,
-	// before the delay by rank, at which a VM without any state lists the store.
+	// listNotBefore is the earliest time, before the delay by rank,
+	// at which a VM without any state lists the store.
 	// listNotBefore is zero for a VM that expects no state from peers.
 	listNotBefore time.Time
-	// requestsWaitingSince is the time
-	// since which client requests have been waiting for state that this VM lacks.
-	// requestsWaitingSince is zero while no request waits.
+	// requestsWaitingSince is the time since which client requests have been waiting for state
+	// that this VM lacks. requestsWaitingSince is zero while no request waits.
 	// randomRank replaces the rank of this VM while this VM does not know the other VMs.
 	requestsWaitingSince time.Time
 	randomRank           int
-	// confirmedAt is the last time
-	// at which the store confirmed to any VM that there are no newer changes.
+	// confirmedAt is the last time at which the store confirmed
+	// to any VM that there are no newer changes.
 	confirmedAt time.Time
 	// activeWatcher is the first, in the order of watchers, of the VMs known to watch the store.
 	// activeWatcherAt is the time at which the store last responded to the active watcher.
@@ -152,8 +151,8 @@
 	failing  bool
 }
 
-// NewWatcherElection returns the election state of a VM that has no state yet
-// and lists the store from listNotBefore on.
+// NewWatcherElection returns the election state of a VM
+// that has no state yet and lists the store from listNotBefore on.
 func NewWatcherElection(self Watcher, t Timing, listNotBefore time.Time) *WatcherElection {
 	return &WatcherElection{self: self, timing: t, listNotBefore: listNotBefore}
 }
@@ -196,8 +195,8 @@
 // The store responded to some VM at storeConfirmedAt.
 // watcher is the first of the active watchers in the order of watchers,
 // and the store responded to watcher at watcherAt.
-// RecordPeerStatus reports whether the confirmation became newer
-// by more than the usual difference between two messages, or the active watcher changed.
+// RecordPeerStatus reports whether the confirmation became newer by more
+// than the usual difference between two messages, or the active watcher changed.
 func (e *WatcherElection) RecordPeerStatus(storeConfirmedAt time.Time, watcher Watcher, watcherAt, now time.Time) bool {
 	previous := e.activeWatcher
 	e.observeWatcher(watcher, watcherAt, now)
--- a/site/evacuations.go
+++ b/site/evacuations.go
@@ -9,8 +9,8 @@
 	"woaddoor/contract"
 )
 
-// Evacuation stops new requests to the upstreams of a data centre until its object is
-// deleted.
+// Evacuation stops new requests to the upstreams of a data centre
+// until the object of the evacuation is deleted.
 type Evacuation struct{ DataCentre contract.DataCentreID }
 
 // activeEvacuation is an evacuation in force and the revision of its object.
@@ -19,8 +19,8 @@
 	revision contract.Revision
 }
 
-// applyEvacuations updates which data centres are evacuated. An evacuation ends only when
-// the store reports its object deleted, not when the store is unreachable.
+// applyEvacuations updates which data centres are evacuated. An evacuation ends only
+// when the store reports the object of the evacuation deleted, not when the store is unreachable.
 func (s *Site) applyEvacuations(c Changes[Evacuation], full bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -35,7 +35,7 @@
 			s.activeEvacuations[i.Name] = activeEvacuation{i.Value, i.Revision}
 		}
 	}
-	if full { // an evacuation requested after the list was made is not in it
+	if full { // an evacuation requested after the list was made is not in the list
 		maps.DeleteFunc(s.activeEvacuations, func(name string, e activeEvacuation) bool { return !listed[name] && e.revision <= c.Revision })
 	}
 	var dataCentres []contract.DataCentreID
--- a/site/follow.go
+++ b/site/follow.go
@@ -20,10 +20,10 @@
 const (
 	// watchDurationAfterFailure is how long a watch stays open after a failed call.
 	// A call that the store does not answer is abandoned only after this time,
-	// and changes must be known within seconds of the store's recovery.
+	// and every VM must know changes within seconds of the store's recovery.
 	watchDurationAfterFailure = 200 * time.Millisecond
-	// storeReachableWithin is the maximum age
-	// of a store confirmation from a peer that shows that the store is reachable.
+	// storeReachableWithin is the maximum age of a store confirmation from a peer
+	// that shows that the store is reachable.
 	storeReachableWithin = time.Second
 	// changeBatchPause is the pause between a change and the next watch.
 	// Changes come in bursts, so one call then returns several.
@@ -33,8 +33,8 @@
 	// An idle VM checks about once per watch. A VM that was frozen checks soon after it resumes.
 	idleCheckInterval = 50 * time.Millisecond
 	maxIdleInterval   = 500 * time.Millisecond
-	// minIdleInterval keeps a VM
-	// that is due to call the store within milliseconds from polling without a pause.
+	// minIdleInterval keeps a VM that is due
+	// to call the store within milliseconds from polling without a pause.
 	minIdleInterval = 2 * time.Millisecond
 	// minRetryPause and maxRetryPause bound the pause after a failed call.
 	// Rejected calls are billed too,
@@ -153,7 +153,8 @@
 }
 
 // watchReason returns why a VM calls the store:
-// either the VM has no objects of this kind, or the store's last confirmation is too old.
+// either the VM has not received the objects of this kind yet,
+// or the store's last confirmation is too old.
 func watchReason(known bool) string {
 	if known {
 		return "stale"
@@ -179,9 +180,8 @@
 	return min(max(due, idleCheckInterval), maxIdleInterval)
 }
 
-// retryPause returns the pause after n failed calls.
-// The pause is randomised so that VMs do not retry together,
-// and the pause is longer for higher ranks.
+// retryPause returns the pause after n failed calls. The pause is randomised
+// so that VMs do not retry together, and the pause is longer for higher ranks.
 func retryPause(failures int, rank Rank) time.Duration {
 	pause := min(minRetryPause<<min(failures-1, 4), maxRetryPause) * time.Duration(1+min(rank.Local, maxRetryRanks))
 	return time.Duration((0.5 + rand.Float64()) * float64(pause))
@@ -292,8 +292,8 @@
 	return f.cache.LastChange(), known
 }
 
-// applyChanges applies the changes that are newer than the known state,
-// from the store or from a peer.
+// applyChanges applies the changes that are newer
+// than the known state, from the store or from a peer.
 func (f *follower[T]) applyChanges(c Changes[T], full bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/site/gossip.go
+++ b/site/gossip.go
@@ -19,7 +19,7 @@
 )
 
 // GossipMessage is exchanged between two VMs in both directions.
-// It reports the live VMs and the newest known change of each kind of objects.
+// A gossip message reports the live VMs and the newest known change of each kind of objects.
 // A lost or late message does no harm, because the next message contains the same or more.
 type GossipMessage struct {
 	Self vm.Member `cbor:"1,keyasint"`
@@ -30,14 +30,14 @@
 	Evidence rollout.Evidence `cbor:"4,keyasint,omitempty"`
 	// OrderAges are the ages of the rollout orders by the sender's clock.
 	OrderAges []relay.OrderAge `cbor:"5,keyasint,omitempty"`
-	// FromLeaf means that the sender uses the recipient
-	// as its hub (the VM that forwards messages for it).
+	// FromLeaf means that the sender uses the recipient as its hub
+	// (the VM that forwards messages for it).
 	// Joining means that the sender knows no hub yet and asks for the VMs of its data centre.
 	FromLeaf bool `cbor:"6,keyasint,omitempty"`
 	Joining  bool `cbor:"7,keyasint,omitempty"`
-	// MembersDigest identifies the set of VMs of its data centre that a leaf (a VM
-	// that uses a hub) knows. The leaf's hub replies with DigestMatches, or with LocalMembers.
-	// LocalMembers includes VMs that recently fell silent.
+	// MembersDigest identifies the set of VMs of its data centre that a leaf
+	// (a VM that uses a hub) knows. The leaf's hub replies with DigestMatches,
+	// or with LocalMembers. LocalMembers includes VMs that recently fell silent.
 	MembersDigest uint64      `cbor:"8,keyasint,omitempty"`
 	DigestMatches bool        `cbor:"13,keyasint,omitempty"`
 	LocalMembers  []vm.Member `cbor:"9,keyasint,omitempty"`
@@ -66,7 +66,7 @@
 }
 
 // VMCount is the number of VMs in a data centre.
-// Age is the time since a VM of that data centre counted them.
+// Age is the time since a VM of that data centre counted the VMs.
 type VMCount struct {
 	DataCentre contract.DataCentreID `cbor:"1,keyasint"`
 	VMs        int                   `cbor:"2,keyasint"`
@@ -95,14 +95,14 @@
 	ActiveWatcherAge time.Duration `cbor:"6,keyasint"`
 }
 
-// Comparison is the result of comparing a peer's status of a kind with this VM's state.
+// Comparison is the result of comparing a peer's status of a kind of objects with this VM's state.
 type Comparison struct {
 	// Behind means that the peer has newer changes than this VM.
 	// Request asks the peer for the newer changes.
 	Behind  bool
 	Request ChangesRequest
-	// ConfirmedLater means that the peer's status confirms this VM's state
-	// at a later time than this VM knew before, or that the status names another active watcher.
+	// ConfirmedLater means that the peer's status confirms this VM's state at a later time
+	// than this VM knew before, or that the status names another active watcher.
 	ConfirmedLater bool
 }
 
@@ -114,7 +114,8 @@
 	Known bool `cbor:"3,keyasint,omitempty"`
 }
 
-// audience is the role of the recipient of a gossip message. It determines the contents.
+// audience is the role of the recipient of a gossip message.
+// The audience determines the contents of the message.
 type audience uint8
 
 const (
@@ -171,8 +172,8 @@
 	return out
 }
 
-// remoteDelegatesLocked returns the delegates of other data centres (the VMs there
-// that exchange messages with this data centre). The caller holds mu.
+// remoteDelegatesLocked returns the delegates of other data centres
+// (the VMs there that exchange messages with this data centre). The caller holds mu.
 func (p *Peers) remoteDelegatesLocked(v *view) []vm.Member {
 	var out []vm.Member
 	for _, members := range v.remote {
@@ -304,8 +305,8 @@
 	return reply
 }
 
-// replyToJoining returns,
-// to a VM that looks for peers, the known VMs of the data centre of that VM.
+// replyToJoining returns, to a VM that looks for peers,
+// the known VMs of the data centre of that VM.
 func (p *Peers) replyToJoining(dc contract.DataCentreID) GossipMessage {
 	reply := p.gossipFor(audienceRemote)
 	p.mu.Lock()
--- a/site/hubs.go
+++ b/site/hubs.go
@@ -63,8 +63,8 @@
 	p.counts[dc] = c
 }
 
-// totalVMs returns the number of VMs in all data centres,
-// of which local VMs are in this data centre. The caller holds mu.
+// totalVMs returns the number of VMs in all data centres.
+// local is the number of VMs in this data centre. The caller holds mu.
 func (p *Peers) totalVMs(local int, now time.Time) int {
 	p.recordCount(p.dc, local, now, now)
 	total := 0
@@ -136,8 +136,8 @@
 	}
 }
 
-// joining reports whether this VM is still looking
-// for peers through the seeds (the VMs that starting VMs contact first).
+// joining reports whether this VM is still looking for peers through the seeds
+// (the VMs that starting VMs contact first).
 func (p *Peers) joining(now time.Time) bool {
 	if !p.HasSeeds() {
 		return false
@@ -158,7 +158,7 @@
 	}()
 }
 
-// pickSeed returns a random seed. It prefers seeds that are known to be in this data centre,
+// pickSeed returns a random seed. pickSeed prefers seeds that are known to be in this data centre,
 // since a reply lists all known VMs of this data centre. When VMs picked any seed,
 // 281 VMs that started together sent 2 MB of such replies between data centres in 3 s.
 func (p *Peers) pickSeed() string {
@@ -169,8 +169,8 @@
 	return seeds[rand.IntN(len(seeds))]
 }
 
-// localAddresses returns those
-// of the given link addresses that belong to a live VM of this data centre.
+// localAddresses returns the link addresses, out of the given ones,
+// that belong to a live VM of this data centre.
 func (p *Peers) localAddresses(addresses []string) []string {
 	v := p.currentView()
 	var local []string
@@ -232,8 +232,8 @@
 	return append(seeds[:min(1, len(seeds))], candidates[:min(maxDiscoveryTargets, len(candidates))]...)
 }
 
-// discoveryPeriod is how long a hub tries
-// to reach a VM from which the hub received messages before.
+// discoveryPeriod is how long a hub tries to reach a VM
+// from which the hub received messages before.
 // After this period, the silent VM has either found a peer itself or is gone for good.
 // Hubs also try VMs that only the store lists,
 // as long as the deployment has at most maxVMsForListedDiscovery VMs.
@@ -244,8 +244,8 @@
 	maxVMsForListedDiscovery = maxVMsForRegionalReports
 )
 
-// silentLocal returns the VMs of this data centre that count as dead
-// and were last heard from within maxAge. The caller holds mu.
+// silentLocal returns the VMs of this data centre
+// that count as dead and were last heard from within maxAge. The caller holds mu.
 func (p *Peers) silentLocal(maxAge time.Duration, now time.Time) []vm.Member {
 	return slices.DeleteFunc(p.table.RecentlyDead(maxAge, now), func(m vm.Member) bool { return m.DataCentre != p.dc })
 }
--- a/site/lease.go
+++ b/site/lease.go
@@ -8,14 +8,14 @@
 	"woaddoor/lease"
 )
 
-// LeaseStatus is what a VM knows of the lease whose holder makes the platform's calls for
-// all VMs, without the record stored in the lease.
+// LeaseStatus is what a VM knows of the lease whose holder makes the calls
+// to the platform for all VMs, without the record stored in the lease.
 type LeaseStatus struct {
 	Object  lease.Object           `cbor:"1,keyasint"`
 	Version contract.ObjectVersion `cbor:"2,keyasint"`
-	// Age is the minimum time for which the version has been in place.
+	// Age is the minimum time for which this version of the lease has been unchanged.
 	Age time.Duration `cbor:"3,keyasint"`
-	// Link is the holder's link address. It is empty when nobody holds the lease.
+	// Link is the holder's link address. Link is empty when nobody holds the lease.
 	Link string `cbor:"4,keyasint,omitempty"`
 }
 
@@ -56,8 +56,8 @@
 	version  contract.ObjectVersion
 }
 
-// leaseHolderLink returns the link address of a holder, or an empty string if it is
-// unknown.
+// leaseHolderLink returns the link address of a holder,
+// or an empty string if the address is unknown.
 func (p *Peers) leaseHolderLink(instance contract.VMInstance) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,15 +71,15 @@
 	return ""
 }
 
-// LeaseDelay returns how long this VM waits before it acquires a free lease, and whether it may
-// acquire it at all. Only the delegates of a data centre may, one after the other.
+// LeaseDelay returns how long this VM waits before it acquires a free lease,
+// and whether this VM may acquire the lease at all. Only the delegates of a data centre
+// (its first VMs in watcher order) may acquire the lease, one after the other.
 func (p *Peers) LeaseDelay() (time.Duration, bool) {
 	rank := p.Rank()
 	return writeDelayFor(rank), rank.Local < delegates
 }
 
-// AnnounceLease informs the other hubs and data centres at once that the lease holder has
-// changed.
+// AnnounceLease informs the other hubs and data centres at once that the lease holder has changed.
 func (p *Peers) AnnounceLease() {
 	p.confirmationRounds.run(func() {
 		ctx := context.Background()
--- a/site/load.go
+++ b/site/load.go
@@ -7,8 +7,8 @@
 	"woaddoor/scaling"
 )
 
-// loadReports holds the load that VMs put on the upstreams of each service, as last
-// reported by each VM.
+// loadReports holds the load that VMs put on the upstreams of each service,
+// as last reported by each VM.
 type loadReports map[contract.VMInstance]loadReport
 
 // loadReport is the load on each service as one VM reported it, and the time of the report.
@@ -17,11 +17,11 @@
 	at   time.Time
 }
 
-// loadExpiry is how long a VM's report of its load counts. Without a newer report, the VM
-// has ended or has another hub.
+// loadExpiry is how long the report of a VM on its load is used.
+// Without a newer report, the VM has ended or has another hub.
 const loadExpiry = 2 * time.Second
 
-// addTo adds the recently reported loads to total and deletes the other reports.
+// addTo adds the recently reported loads to total and deletes the older reports.
 func (r loadReports) addTo(total map[contract.ServiceID]scaling.Load, now time.Time) {
 	for instance, reported := range r {
 		if now.Sub(reported.at) > loadExpiry {
@@ -34,8 +34,9 @@
 	}
 }
 
-// localLoad returns the load that this VM puts on upstreams. It is nil if the deployment
-// has no lease, whose holder would use it, or before a relay is attached.
+// localLoad returns the load that this VM puts on upstreams.
+// The load is nil if the deployment has no lease, because only a lease holder would use the load.
+// The load is also nil before a relay is attached.
 func (p *Peers) localLoad() map[contract.ServiceID]scaling.Load {
 	exchange := p.relayOrNil()
 	if p.lease == nil || exchange == nil {
@@ -44,7 +45,8 @@
 	return exchange.OfferedLoad()
 }
 
-// recordLoad records the load reported by a leaf, or by a hub including its leaves.
+// recordLoad records the load reported by a leaf (a VM that uses this VM as its hub),
+// or by a hub for itself and its leaves.
 func (p *Peers) recordLoad(reports loadReports, from contract.VMInstance, load map[contract.ServiceID]scaling.Load) {
 	if len(load) == 0 {
 		return
@@ -66,8 +68,8 @@
 	return load
 }
 
-// TotalLoad returns the load that all VMs put on the upstreams of each service, as far as
-// it was reported to this VM. All hubs report it to the lease holder.
+// TotalLoad returns the load that all VMs put on the upstreams of each service,
+// as far as the load was reported to this VM. All hubs report the load to the lease holder.
 func (p *Peers) TotalLoad() map[contract.ServiceID]scaling.Load {
 	load := p.localAndLeafLoad()
 	p.mu.Lock()
--- a/site/object_cache.go
+++ b/site/object_cache.go
@@ -6,8 +6,8 @@
 	"woaddoor/contract"
 )
 
-// Delta is the set of changes of one kind of objects after a revision, in the form in
-// which VMs send it to each other.
+// Delta is the set of changes of one kind of objects after a revision,
+// in the form in which VMs send a delta to each other.
 type Delta struct {
 	Kind string `cbor:"1,keyasint"`
 	// Full means that Items holds all existing objects.
@@ -15,22 +15,22 @@
 	// Revision is the store revision up to which the delta is complete.
 	Revision contract.Revision `cbor:"3,keyasint"`
 	Items    []RawObject       `cbor:"4,keyasint,omitempty"`
-	// Packed replaces Items in a large delta and holds them compressed.
+	// Packed replaces Items in a large delta and holds the compressed items.
 	Packed []byte `cbor:"5,keyasint,omitempty"`
 }
 
-// ObjectCache holds the objects of one kind as they are in the store, so that a VM can send
-// them to VMs that the store does not serve. It is a pure state machine and not safe for
-// concurrent use.
+// ObjectCache holds the objects of one kind as they are in the store,
+// so that a VM can send the objects to VMs that the store does not serve.
+// ObjectCache is a pure state machine and not safe for concurrent use.
 type ObjectCache struct {
 	kind string
-	// revision is the store revision up to which the cache is complete, and lastChange
-	// that of its newest change.
+	// revision is the store revision up to which the cache is complete,
+	// and lastChange is the revision of the newest change in the cache.
 	revision, lastChange contract.Revision
 	known                bool
 	items                map[string]RawObject
-	// removals holds the latest removals, oldest first. Removals up to revision
-	// removalFloor are no longer remembered.
+	// removals holds the latest removals of objects, oldest first.
+	// Removals up to revision removalFloor are no longer remembered.
 	removals     []removal
 	removalFloor contract.Revision
 }
@@ -41,10 +41,11 @@
 	revision contract.Revision
 }
 
-// minRemovals and removalsPerObject limit the number of remembered removals in proportion
-// to the number of objects. A VM that is further behind receives all objects. A release
-// replaces every upstream once: with a fixed limit of 256, 126 VMs were each sent 819
-// objects after a release of 800.
+// minRemovals and removalsPerObject limit the number of remembered removals
+// in proportion to the number of objects.
+// A VM that lacks removals which are no longer remembered receives all objects.
+// A release of new upstream software replaces every upstream once:
+// with a fixed limit of 256, 126 VMs were each sent 819 objects after a release of 800.
 const (
 	minRemovals       = 256
 	removalsPerObject = 4
@@ -55,16 +56,16 @@
 	return &ObjectCache{kind: kind, items: make(map[string]RawObject)}
 }
 
-// Revision returns the store revision up to which the cache is complete, and whether it
-// holds anything.
+// Revision returns the store revision up to which the cache is complete,
+// and whether the cache has received any state.
 func (l *ObjectCache) Revision() (contract.Revision, bool) { return l.revision, l.known }
 
 // LastChange returns the revision of the newest known change.
 func (l *ObjectCache) LastChange() contract.Revision { return l.lastChange }
 
-// Apply applies a delta. Objects older than the known ones change nothing, so deltas may
-// arrive late, twice and from several VMs. For each item it reports whether the item is
-// at least as new as the known state.
+// Apply applies a delta. Objects older than the known ones change nothing,
+// so deltas may arrive late, twice and from several VMs.
+// For each item, Apply reports whether the item is at least as new as the known state.
 func (l *ObjectCache) Apply(d Delta) []bool {
 	seen := make(map[string]bool, len(d.Items))
 	applied := make([]bool, len(d.Items))
@@ -91,14 +92,14 @@
 	switch {
 	case i.Deleted:
 		if exists && old.Revision > d.Revision || !exists && d.Revision <= l.revision {
-			return false // created again since, or already removed
+			return false // the object was created again since, or is already removed
 		}
 		l.remove(i.Name, d.Revision)
 		return true
 	case exists && i.Revision < old.Revision:
 		return false
 	case !exists && l.known && i.Revision <= l.revision && !(d.Full && d.Revision >= l.revision):
-		return false // removed since: the cache is complete up to its revision
+		return false // the object was removed since: the cache is complete up to its revision
 	}
 	l.items[i.Name] = i
 	l.lastChange = max(l.lastChange, i.Revision)
@@ -118,8 +119,7 @@
 // Confirm records that there are no further changes up to a revision.
 func (l *ObjectCache) Confirm(revision contract.Revision) { l.revision = max(l.revision, revision) }
 
-// Since returns the changes after a revision, or all objects if those changes are no
-// longer known.
+// Since returns the changes after a revision, or all objects if those changes are no longer known.
 func (l *ObjectCache) Since(after contract.Revision, known bool) Delta {
 	d := Delta{Kind: l.kind, Revision: l.revision, Full: !known || after < l.removalFloor}
 	for _, i := range l.items {
--- a/site/orders.go
+++ b/site/orders.go
@@ -26,9 +26,9 @@
 	}
 }
 
-// issuedAt returns when an order was issued: at the time that another VM recorded, or now
-// if the order is new. The clocks of VMs may differ, so the age is limited to the range
-// from zero to the length of the order.
+// issuedAt returns when a rollout order was issued:
+// at the time that another VM recorded, or now if the order is new. The clocks of VMs may differ,
+// so the age of the order is limited to the range from zero to the length of the order.
 func issuedAt(o rollout.ReleaseOrder, now time.Time) time.Time {
 	if o.StartedAt.IsZero() {
 		return now
@@ -37,38 +37,41 @@
 	return now.Add(-age)
 }
 
-// writeKey identifies a write by the object and its new state.
+// writeKey identifies a write to the store by the object and its new state.
 type writeKey struct{ object, state string }
 
-// pendingWrite is a write that this VM makes unless another VM makes it first.
+// pendingWrite is a write to the store that this VM makes
+// unless another VM makes the same write first.
 type pendingWrite struct {
 	due time.Time
-	// tried is set after the first attempt. While the store is unreachable, further
-	// attempts are pointless and still billed.
+	// tried is set after the first attempt to write.
+	// While the store is unreachable, further attempts are pointless and still billed.
 	tried bool
 }
 
-// Delays of writes that any VM may make. The first write makes the others unnecessary
-// once they know of it, and a conflicting write costs a call. VMs write in the order in
-// which they would watch the store.
+// Delays of writes to the store that any VM may make.
+// The first write makes the writes of the other VMs unnecessary once the other VMs know of it,
+// and a conflicting write costs a store call.
+// VMs write in the order in which they would watch the store.
 const (
-	// writeRankStep is the delay per local rank, and writeDataCentreStep the delay per
-	// preceding data centre. Every VM knows of a write within some 200 ms. maxWriteRank
-	// is the highest rank that adds to the delay.
+	// writeRankStep is the delay per local rank (position among the VMs of the data centre).
+	// writeDataCentreStep is the delay per preceding data centre.
+	// Every VM knows of another VM's write within some 200 ms.
+	// maxWriteRank is the highest rank that adds to the delay.
 	writeRankStep       = 250 * time.Millisecond
 	writeDataCentreStep = 100 * time.Millisecond
 	maxWriteRank        = 6
-	// writeRetryInterval is the pause before a write is repeated that failed or whose
-	// effect is not visible yet.
+	// writeRetryInterval is the pause before this VM repeats a write
+	// that has failed or has no visible effect yet.
 	writeRetryInterval = 500 * time.Millisecond
-	// maxPendingWrites is the number of pending writes above which those that were due
-	// more than pendingWriteExpiry ago are dropped.
+	// maxPendingWrites limits the number of pending writes. When more writes are pending,
+	// the writes that were due more than pendingWriteExpiry ago are dropped.
 	maxPendingWrites   = 1024
 	pendingWriteExpiry = time.Minute
 )
 
-// mayWrite reports whether a write is due: first after this VM's write delay, and then
-// repeatedly until its effect is visible. pending holds the caller's pending writes.
+// mayWrite reports whether a write is due: first after this VM's write delay,
+// and then repeatedly until its effect is visible. pending holds the caller's pending writes.
 func (s *Site) mayWrite(pending map[writeKey]*pendingWrite, key writeKey, now time.Time) bool {
 	if len(pending) > maxPendingWrites {
 		maps.DeleteFunc(pending, func(_ writeKey, write *pendingWrite) bool { return now.Sub(write.due) > pendingWriteExpiry })
@@ -86,8 +89,8 @@
 	return true
 }
 
-// writeOrderState writes the new state of an order to the store once this VM's write
-// delay has passed.
+// writeOrderState writes the new state of a rollout order
+// to the store once this VM's write delay has passed.
 func (s *Site) writeOrderState(ctx context.Context, v relay.Verdict) {
 	now := s.opts.Now()
 	if !s.mayWrite(s.orderWrites, writeKey{v.Order.Name + "|" + v.Order.Release, string(v.State)}, now) {
@@ -120,8 +123,8 @@
 // writeDelay returns how long this VM waits before a write.
 func (s *Site) writeDelay() time.Duration { return writeDelayFor(s.opts.Peers.Rank()) }
 
-// writeDelayFor returns how long a VM of a given rank waits before a write that other VMs
-// would make too.
+// writeDelayFor returns how long a VM of a given rank waits
+// before a write that other VMs would make too.
 func writeDelayFor(rank Rank) time.Duration {
 	return writeRankStep*time.Duration(min(rank.Local, maxWriteRank)) + writeDataCentreStep*time.Duration(rank.DataCentre)
 }
--- a/site/peer_stats.go
+++ b/site/peer_stats.go
@@ -9,15 +9,16 @@
 
 // PeerStats describes this VM's position among its peers, for operators.
 type PeerStats struct {
-	// LocalVMs is the number of live VMs in this data centre, including this one. SilentVMs
-	// is the number of VMs there from which nothing was received for a short while, but
-	// something within the last minute.
+	// LocalVMs is the number of live VMs in this data centre, including this one.
+	// SilentVMs is the number of VMs of this data centre that have been silent for a short while,
+	// but from which something was received within the last minute.
 	LocalVMs, SilentVMs int
 	// LocalRank is the local rank of this VM in the order in which VMs would watch the store.
 	LocalRank int
 	// WatchedKinds is the number of object kinds for which this VM watches the store.
 	WatchedKinds int
-	// Leaves is the number of VMs that use this one as their hub.
+	// Leaves is the number of VMs that use this VM as their hub
+	// (the VM that forwards messages for them).
 	Leaves      int
 	LinksOpened int64
 }
@@ -38,6 +39,5 @@
 	return st
 }
 
-// SentTraffic returns the messages and bytes that this VM has sent so far, by kind of
-// message.
+// SentTraffic returns the messages and bytes that this VM has sent so far, by kind of message.
 func (p *Peers) SentTraffic() []link.SentCount { return p.endpoint.SentCounts() }
--- a/site/peers.go
+++ b/site/peers.go
@@ -33,42 +33,45 @@
 
 // Timings and limits of the messages between VMs.
 const (
-	// heartbeatInterval is the period in which a leaf contacts its hub, and hubs contact
-	// each other. A change that a hub knows reaches its leaves within one interval even
-	// if the message that announced it was lost.
+	// heartbeatInterval is the period in which a leaf contacts its hub
+	// (the VM that forwards messages for it), and in which hubs contact each other.
+	// A change that a hub knows reaches its leaves within one interval even
+	// if the message that announced the change was lost.
 	heartbeatInterval = 500 * time.Millisecond
-	// localTimeout and remoteTimeout bound a message and its reply within a data centre
-	// and between two. A VM with a fifth of a core replies in tens of milliseconds.
+	// localTimeout and remoteTimeout bound the time for a message and its reply:
+	// localTimeout within a data centre, remoteTimeout between two data centres.
+	// A VM with a fifth of a core replies in tens of milliseconds.
 	localTimeout  = 600 * time.Millisecond
 	remoteTimeout = 900 * time.Millisecond
-	// heartbeatsPerRemote is the number of heartbeats per message to each other data
-	// centre.
+	// heartbeatsPerRemote is the number of heartbeats per message to each other data centre.
 	heartbeatsPerRemote = 2
-	// pullTimeout bounds a transfer of changes. If a hub with 20 Mbit/s sends the whole
-	// list of a thousand upstreams, 0.25 MB, to all its leaves at once, this takes 2.4 s.
-	// With a timeout of 0.9 s the transfer was aborted and restarted endlessly.
+	// pullTimeout bounds a transfer of changes.
+	// If a hub with 20 Mbit/s sends the whole list of a thousand upstreams,
+	// 0.25 MB, to all its leaves (the VMs that use the hub) at once, the transfers take 2.4 s.
+	// With a timeout of 0.9 s a transfer was aborted and restarted endlessly.
 	pullTimeout = 6 * time.Second
-	// delegates is the number of VMs of a data centre that exchange messages with
-	// other data centres. spareDelegates is the number of further VMs of another
-	// data centre that are tried if its delegates do not reply.
+	// delegates is the number of VMs of a data centre
+	// that exchange messages with other data centres.
+	// spareDelegates is the number of further VMs of another data centre
+	// that are tried if its delegates do not reply.
 	delegates, spareDelegates = 2, 1
-	// changeInterval is the minimum time between two rounds in which a VM announces
-	// changes. Changes come in bursts of dozens, and one message announces them all.
+	// changeInterval is the minimum time between two rounds of messages in which a VM announces
+	// changes. Changes come in bursts of dozens, and one message announces all changes of a burst.
 	changeInterval = 80 * time.Millisecond
-	// confirmationInterval is the minimum time between two rounds that only announce that
-	// the store has no newer changes. Three kinds are watched, and the wait here adds to
-	// the age of each confirmation.
+	// confirmationInterval is the minimum time between two rounds of messages that only announce
+	// that the store has no newer changes. The store is watched for three kinds of objects,
+	// and the wait between rounds adds to the age of each confirmation.
 	confirmationInterval = 100 * time.Millisecond
-	// joinInterval is the period in which a VM that has no hub yet contacts a seed.
-	// discoveryInterval is the period in which a hub contacts VMs from which it receives
-	// nothing.
+	// joinInterval is the period in which a VM that has no hub yet contacts a seed
+	// (a VM that starting VMs contact first).
+	// discoveryInterval is the period in which a hub contacts VMs from which it receives nothing.
 	joinInterval      = 400 * time.Millisecond
 	discoveryInterval = time.Second
-	// maxDiscoveryTargets is the number of VMs, besides a seed, that a hub contacts per
-	// discoveryInterval because it receives nothing from them.
+	// maxDiscoveryTargets is the number of VMs, besides a seed,
+	// that a hub contacts per discoveryInterval because the hub receives nothing from these VMs.
 	maxDiscoveryTargets = 2
-	// seedPeriod is how long after its start a VM keeps contacting the seeds. Before
-	// that, the seeds may know only a few other VMs.
+	// seedPeriod is how long after its start a VM keeps contacting the seeds.
+	// Earlier, the seeds may know only a few other VMs.
 	seedPeriod = 4 * time.Second
 )
 
@@ -80,40 +83,40 @@
 	dc       contract.DataCentreID
 	regions  map[contract.DataCentreID]string
 	started  time.Time
-	// changeRounds and confirmationRounds limit the rate of the rounds that announce
-	// changes and the absence of changes. urgentRounds limits the rate of those that
-	// announce harmful events: failed responses of a release on trial and request contents
-	// that crash upstreams.
+	// changeRounds and confirmationRounds limit the rate of the rounds of messages
+	// that announce changes and the absence of changes.
+	// urgentRounds limits the rate of the rounds of messages that announce harmful events:
+	// failed responses of a release on trial and request contents that crash upstreams.
 	changeRounds, confirmationRounds, urgentRounds *coalescer
-	// discoverNow triggers an immediate message to VMs that the store lists. unknownPeer
-	// signals contact from a VM that this one has not yet seen in the store's list.
+	// discoverNow triggers an immediate message to VMs that the store lists.
+	// unknownPeer signals contact from a VM
+	// that this VM has not yet seen in the store's list of VMs.
 	discoverNow, unknownPeer chan struct{}
 	// packedLists caches full lists of objects in the form in which they are sent.
 	packedLists packedCache
 	// reports queues the reports about upstreams to other VMs.
 	reports reportQueue
-	// seeds are link addresses at which other VMs may be found, without this VM's own.
+	// seeds are link addresses at which other VMs may be found, without the address of this VM.
 	// isSeed is set if this VM is a seed.
 	seeds  []string
 	isSeed bool
-	// firstStart is set if all VMs start for the very first time, so that no client is
-	// waiting.
+	// firstStart is set if all VMs start for the very first time, so that no client is waiting.
 	firstStart bool
-	// lease and usage belong to the lease whose holder makes the platform's calls for all
-	// VMs. They are nil where there is no lease.
+	// lease and usage belong to the lease whose holder makes the calls to the platform for all VMs.
+	// lease and usage are nil where there is no lease.
 	lease *leader.LeaseClient
 	usage *leader.UsageLedger
 	// shuttingDown is set when this VM is about to end.
 	shuttingDown atomic.Bool
 	// remoteAddresses holds the link addresses of VMs of other data centres.
 	remoteAddresses sync.Map
-	// cachedView is the newest view. viewStale is set when something has changed since it
-	// was built.
+	// cachedView is the newest view.
+	// viewStale is set when something has changed since the cached view was built.
 	cachedView atomic.Pointer[view]
 	viewStale  atomic.Bool
 
-	// mu guards the fields below. The replicated kinds have their own locks and are not
-	// called while mu is held.
+	// mu guards the fields below.
+	// The replicated kinds have their own locks and are not called while mu is held.
 	mu              sync.Mutex
 	kinds           map[string]replicatedKind
 	relay           relayExchange
@@ -122,28 +125,28 @@
 	memberIPs       map[string]bool
 	// loggedLive is the number of live VMs at the last heartbeat.
 	loggedLive int
-	// leaves holds the VMs that use this one as their hub.
+	// leaves holds the VMs that use this VM as their hub.
 	leaves map[contract.VMID]leaf
-	// unresponsiveUntil holds the link addresses that did not reply, and the time until
-	// which each is skipped.
+	// unresponsiveUntil holds the link addresses that did not reply,
+	// and the time until which each address is skipped.
 	unresponsiveUntil map[string]time.Time
 	// counts holds the number of VMs per data centre.
 	counts map[contract.DataCentreID]dataCentreCount
-	// rankKnown is set once this VM knows its rank in its data centre, because other VMs
-	// have replied.
+	// rankKnown is set once this VM knows its rank
+	// in its data centre from the replies of other VMs.
 	rankKnown bool
-	// unknownToHub holds the link addresses of VMs of this data centre that this leaf
-	// knows and its hub does not.
+	// unknownToHub holds the link addresses of VMs of this data centre
+	// that this leaf knows and the hub of this leaf does not know.
 	unknownToHub map[contract.VMID]string
-	// activePulls holds the pulls in progress by kind.
+	// activePulls holds the pulls (requests for changes) in progress, by kind of objects.
 	activePulls map[string]activePull
-	// announced holds the revision of each kind up to which changes were announced in the
-	// last round.
+	// announced holds, for each kind of objects,
+	// the revision up to which the last round of messages announced changes.
 	announced map[string]contract.Revision
 	// leaseHolder is the link address of the lease holder.
 	leaseHolder leaseHolder
-	// leafLoad holds the load reported by this VM's leaves, and hubLoad that reported by
-	// other hubs while this VM holds the lease.
+	// leafLoad holds the load reported by this VM's leaves,
+	// and hubLoad holds the load reported by other hubs while this VM holds the lease.
 	leafLoad, hubLoad loadReports
 }
 
@@ -151,16 +154,17 @@
 type PeersOptions struct {
 	Endpoint *link.Endpoint
 	Self     vm.Member
-	// Seeds are link addresses (UDP addresses of endpoints of package link) at which other
-	// VMs may be found.
+	// Seeds are link addresses
+	// (UDP addresses of endpoints of package link) at which other VMs may be found.
 	Seeds []string
-	// Regions names the region of each data centre. The data centres of a region share
-	// one watcher of the store. If Regions is empty, all data centres do.
+	// Regions names the region of each data centre.
+	// The data centres of a region share one watcher of the store.
+	// If Regions is empty, all data centres share one watcher.
 	Regions map[contract.DataCentreID]string
 	// FirstStart is set if all VMs start for the very first time.
 	FirstStart bool
-	// Lease and Usage belong to the lease whose holder makes the platform's calls for all
-	// VMs. Both are nil where there is no lease.
+	// Lease and Usage belong to the lease whose holder makes the calls to the platform for all VMs.
+	// Lease and Usage are nil where there is no lease.
 	Lease *leader.LeaseClient
 	Usage *leader.UsageLedger
 	Log   *zap.Logger
@@ -194,9 +198,9 @@
 	return p
 }
 
-// relayExchange is the part of the relay that exchanges state with other VMs: evidence on
-// releases on trial, request contents that crash upstreams, and observations of
-// upstreams.
+// relayExchange is the part of the relay that exchanges state with other VMs:
+// counts of good and bad responses of releases on trial,
+// request contents that crash upstreams, and observations of upstreams.
 type relayExchange interface {
 	Evidence(to rollout.Recipient) rollout.Evidence
 	MergeEvidence(e rollout.Evidence) (worse bool)
@@ -227,8 +231,8 @@
 	p.kinds[kind] = objects
 }
 
-// status returns this VM's status of a kind of objects, and whether it has any state of
-// the kind.
+// status returns this VM's status of a kind of objects,
+// and whether this VM has received the objects of this kind.
 func (p *Peers) status(kind string) (KindStatus, bool) {
 	objects := p.kind(kind)
 	if objects == nil {
@@ -244,16 +248,16 @@
 	return p.kinds[name]
 }
 
-// recordIP adds the IP address of a VM of the deployment. The caller holds mu or has not
-// shared p yet.
+// recordIP adds the IP address of a VM of the deployment.
+// The caller holds mu or has not shared p yet.
 func (p *Peers) recordIP(address string) {
 	if host, _, err := net.SplitHostPort(address); err == nil {
 		p.memberIPs[host] = true
 	}
 }
 
-// KnownIP reports whether an IP address belongs to a VM of the deployment. For an unknown
-// address it triggers another read of the store's list, which may contain the VM by now.
+// KnownIP reports whether an IP address belongs to a VM of the deployment. For an unknown address,
+// KnownIP triggers another read of the store's list of VMs, which may contain the VM by now.
 func (p *Peers) KnownIP(ip string) bool {
 	p.mu.Lock()
 	known := p.memberIPs[ip]
@@ -294,13 +298,13 @@
 	}
 }
 
-// HasSeeds reports whether this VM has addresses at which others may be found.
+// HasSeeds reports whether this VM has addresses at which other VMs may be found.
 func (p *Peers) HasSeeds() bool { return len(p.seeds) > 0 }
 
-// IsSeed reports whether VMs that start contact this one first.
+// IsSeed reports whether starting VMs contact this VM first.
 func (p *Peers) IsSeed() bool { return p.isSeed }
 
-// Joined reports whether any other VM has replied to this one.
+// Joined reports whether any other VM has replied to this VM.
 func (p *Peers) Joined() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -316,11 +320,11 @@
 // GossipScope returns the group of VMs whose requests to upstreams are reported to this VM.
 func (p *Peers) GossipScope() upstream.GossipScope { return p.currentView().scope }
 
-// Rank returns the rank of this VM among those that may watch the store for its region.
+// Rank returns the rank of this VM among the VMs that may watch the store for its region.
 func (p *Peers) Rank() Rank { return p.currentView().rank }
 
-// IsDelegate reports whether this VM is one of the delegates of its data
-// centre.
+// IsDelegate reports whether this VM is one of the delegates of its data centre
+// (the VMs that exchange messages with other data centres).
 func (p *Peers) IsDelegate() bool { return p.currentView().rank.Local < delegates }
 
 // AsWatcher returns this VM as a candidate for watching the store.
@@ -331,12 +335,13 @@
 	return Watcher{VM: self.VM, CapacityUnits: self.CapacityUnits}
 }
 
-// sameRegion reports whether a data centre shares a watcher with this one.
+// sameRegion reports whether a data centre shares a watcher of the store
+// with the data centre of this VM.
 func (p *Peers) sameRegion(dc contract.DataCentreID) bool { return p.regions[dc] == p.regions[p.dc] }
 
 // Run exchanges messages with other VMs until ctx ends.
 func (p *Peers) Run(ctx context.Context) {
-	go func() { _ = p.endpoint.Serve(ctx) }() // ends with the endpoint
+	go func() { _ = p.endpoint.Serve(ctx) }() // Serve ends with the endpoint
 	var lastJoin, lastDiscovery time.Time
 	for tick := 0; ctx.Err() == nil; tick++ {
 		p.logLiveCount()
@@ -354,7 +359,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-p.discoverNow: // other VMs are known to contact
+		case <-p.discoverNow: // there are known VMs to contact
 			lastDiscovery = time.Time{}
 		case <-time.After(time.Duration((0.8 + 0.4*rand.Float64()) * float64(p.heartbeatPause(now)))):
 		}
@@ -382,7 +387,7 @@
 	}
 }
 
-// heartbeat exchanges gossip with the VMs that this one contacts periodically.
+// heartbeat exchanges gossip with the VMs that this VM contacts periodically.
 func (p *Peers) heartbeat(ctx context.Context, tick int) {
 	v := p.currentView()
 	if v.isHub {
--- a/site/quarantine.go
+++ b/site/quarantine.go
@@ -11,13 +11,14 @@
 	"woaddoor/quarantine"
 )
 
-// QuarantineStore writes quarantined request contents to the store, where they survive a power
-// loss of all VMs at once.
+// QuarantineStore writes quarantined request contents to the store,
+// where they survive a power loss of all VMs at once.
 type QuarantineStore interface {
-	// PutQuarantined adds a request content. It leaves an existing object unchanged.
+	// PutQuarantined adds a request content. PutQuarantined leaves an existing object unchanged.
 	PutQuarantined(ctx context.Context, content quarantine.QuarantinedContent) error
-	// CountTrial counts one more trial of a request content if its object still has the
-	// known revision, so that only one VM gets the trial.
+	// CountTrial counts one more trial
+	// (a send that checks whether the content still crashes upstreams) of a request content
+	// if its object still has the known revision, so that only one VM gets the trial.
 	CountTrial(ctx context.Context, content quarantine.QuarantinedContent) error
 	// DeleteQuarantined removes a request content.
 	DeleteQuarantined(ctx context.Context, fingerprint quarantine.Fingerprint) error
@@ -36,7 +37,7 @@
 		fingerprint, err := quarantine.ParseFingerprint(i.Name)
 		switch {
 		case err != nil, !i.Deleted && i.Err != nil:
-			continue // the follower logs it
+			continue // the follower logs the decoding error
 		case i.Deleted:
 			s.opts.Relay.RemoveQuarantined(fingerprint, i.Revision)
 		default:
@@ -54,9 +55,9 @@
 	}
 }
 
-// syncQuarantine writes changes of quarantined request contents to the store until ctx ends. It
-// runs in its own loop because calls to a slow store would delay the verdicts on
-// releases.
+// syncQuarantine writes changes of quarantined request contents to the store until ctx ends.
+// syncQuarantine runs in its own loop
+// because calls to a slow store would delay the verdicts on releases.
 func (s *Site) syncQuarantine(ctx context.Context) {
 	pending := make(map[writeKey]*pendingWrite)
 	for ctx.Err() == nil {
@@ -65,8 +66,8 @@
 	}
 }
 
-// writeQuarantineUpdates writes changes of quarantined request contents once this VM's write
-// delay has passed. Trials are claimed without a delay.
+// writeQuarantineUpdates writes changes of quarantined request contents once
+// this VM's write delay has passed. Trials of a quarantined content are claimed without a delay.
 func (s *Site) writeQuarantineUpdates(ctx context.Context, pending map[writeKey]*pendingWrite) {
 	changes := s.opts.Relay.QuarantineUpdates()
 	for _, content := range changes.Add {
--- a/site/receive.go
+++ b/site/receive.go
@@ -12,13 +12,13 @@
 	"woaddoor/vm"
 )
 
-// localReplyWait is how long after its start a VM waits for a reply from its own data
-// centre. After that, replies from other data centres suffice for it to consider itself
-// the first VM of its own.
+// localReplyWait is how long after its start a VM waits for a reply from its own data centre.
+// After this time, a VM with replies only
+// from other data centres considers itself the first VM of its own data centre.
 const localReplyWait = 1500 * time.Millisecond
 
-// updateRankKnown notes that this VM knows its rank: a VM of its own data centre has
-// replied, or only others have replied during localReplyWait.
+// updateRankKnown notes that this VM knows its rank: a VM of its own data centre has replied,
+// or only VMs of other data centres have replied during localReplyWait.
 func (p *Peers) updateRankKnown(reply GossipMessage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -28,8 +28,8 @@
 	}
 }
 
-// recordMembers records the VMs that a message lists. isReply means that the message
-// replies to one from this VM.
+// recordMembers records the VMs that a message lists.
+// isReply means that the message is a reply to a message from this VM.
 func (p *Peers) recordMembers(msg GossipMessage, isReply bool) {
 	p.mu.Lock()
 	now := p.now()
@@ -68,8 +68,8 @@
 	p.recordIP(m.ControlAddress)
 }
 
-// recordLocalMembers records what a VM of this data centre reports about the other VMs
-// there. The caller holds mu.
+// recordLocalMembers records what a VM of this
+// data centre reports about the other VMs of this data centre. The caller holds mu.
 func (p *Peers) recordLocalMembers(msg GossipMessage, isReply bool, now time.Time) {
 	for _, address := range msg.UnknownToHub {
 		p.addListedAddress(address)
@@ -104,8 +104,8 @@
 	}
 }
 
-// applyGossip applies a peer's report on releases and objects, and requests what is newer
-// there.
+// applyGossip applies a peer's report on releases and objects,
+// and requests the changes that the peer has and this VM lacks.
 func (p *Peers) applyGossip(ctx context.Context, msg GossipMessage) {
 	exchange := p.relayOrNil()
 	fromLocal := msg.Self.DataCentre == p.dc
@@ -137,8 +137,8 @@
 	}
 }
 
-// applyPushed applies the delta of one kind that a message carries, if this VM knows all
-// changes before it.
+// applyPushed applies the delta of one kind that a message carries,
+// if this VM knows all changes before that delta.
 func (p *Peers) applyPushed(msg GossipMessage, kind replicatedKind, status KindStatus) bool {
 	for _, d := range msg.Deltas {
 		if d.Delta.Kind != status.Kind {
@@ -159,18 +159,19 @@
 	return false
 }
 
-// remotePullDelay is how long a VM that has just started waits for a VM of its own data
-// centre to send state that other data centres have too. Traffic between data centres is
-// billed, and a start needs tens of kilobytes.
+// remotePullDelay is how long a VM that has just started waits
+// for a VM of its own data centre to send state that other data centres have too.
+// Traffic between data centres is billed, and a start needs tens of kilobytes.
 const remotePullDelay = 2 * time.Second
 
-// pullTakeoverAfter is the age of a pull at which another VM may be asked for the same
-// kind. The first VM may be frozen, and changes must be known within seconds.
+// pullTakeoverAfter is the age of a pull (a request for the changes of one kind of objects)
+// at which another VM may be asked for the same kind.
+// The VM that was asked first may be frozen, and changes must be known within seconds.
 const pullTakeoverAfter = 1200 * time.Millisecond
 
-// mayPull reports whether this VM may request changes from a peer. It requests them from
-// other data centres only as a delegate of its own, or, after remotePullDelay,
-// while it knows no other VM there.
+// mayPull reports whether this VM may request changes from a peer.
+// A VM requests changes from other data centres only as a delegate of its own data centre,
+// or while it knows no other VM of its own data centre after remotePullDelay.
 func (p *Peers) mayPull(fromLocal bool) bool {
 	if fromLocal {
 		return true
@@ -179,9 +180,9 @@
 	return v.isHub && v.rank.Local < delegates || len(v.localPeers) == 0 && p.now().Sub(p.started) > remotePullDelay
 }
 
-// pull requests the changes of a kind from a VM and reports whether it received them. It
-// does nothing while the same kind is being pulled: otherwise each message with a newer
-// revision requested the same list again from the same hub.
+// pull requests the changes of a kind from a VM and reports whether this VM received the changes.
+// pull does nothing while the same kind is being pulled: without this rule,
+// each message with a newer revision made the VM request the same list again from the same hub.
 func (p *Peers) pull(ctx context.Context, from vm.Member, kind replicatedKind, request ChangesRequest, status KindStatus) bool {
 	if !p.beginPull(request.Kind, from.VM) {
 		return false
@@ -205,14 +206,15 @@
 	return true
 }
 
-// activePull is a pull in progress.
+// activePull is a pull (a request for changes of one kind of objects) in progress.
 type activePull struct {
 	from  contract.VMID
 	since time.Time
 }
 
-// beginPull registers a pull of a kind from a VM. It reports false while the kind is
-// being pulled from the same VM, or for less than pullTakeoverAfter from another one.
+// beginPull registers a pull of a kind of objects from a VM.
+// beginPull reports false while the kind is being pulled from the same VM,
+// or has been pulled from another VM for less than pullTakeoverAfter.
 func (p *Peers) beginPull(kind string, from contract.VMID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/site/registration.go
+++ b/site/registration.go
@@ -10,33 +10,34 @@
 	"woaddoor/logs"
 )
 
-// Timings of the VM list in the store. A VM registers there if no other VM knows it yet.
-// The list is read by VMs that get no reply from others, by VMs that are contacted by an
-// unknown VM, and periodically by the delegates of each data centre. When each of
-// 295 VMs read the list, a start took 590 store calls.
+// Timings of the VM list in the store. A VM registers in the store if no other VM knows it yet.
+// The VM list is read by VMs that get no reply from other VMs, by VMs
+// that are contacted by an unknown VM, and periodically by the delegates of each data centre.
+// When each of 295 VMs read the list, a start took 590 store calls.
 const (
 	minRegisterPause = 700 * time.Millisecond
 	maxRegisterPause = 10 * time.Second
 	relistInterval   = time.Minute
-	// joinTimeout is how long a restarted VM waits for a reply from a VM that knows it
-	// from before. firstStartJoinTimeout is the corresponding time at the first start of
-	// the deployment, when the VMs it contacts have to read the list first.
+	// joinTimeout is how long a restarted VM waits for a reply from a VM
+	// that knows the restarted VM from before.
+	// firstStartJoinTimeout is how long a VM waits for a reply
+	// at the first start of the deployment, when the contacted VMs have to read the VM list first.
 	joinTimeout           = time.Second
 	firstStartJoinTimeout = 2500 * time.Millisecond
-	// relistDelay is the pause before the list is read because an unknown VM made
-	// contact, and relistMinInterval the minimum time between two such reads. Many VMs
-	// may start at once.
+	// relistDelay is the pause before this VM reads the VM list because an unknown VM made contact.
+	// relistMinInterval is the minimum time between two such reads of the VM list.
+	// Many VMs may start at once.
 	relistDelay       = 300 * time.Millisecond
 	relistMinInterval = time.Second
 )
 
-// maintainRegistration keeps this VM registered in the store and its knowledge of the
-// other registered VMs up to date.
+// maintainRegistration keeps this VM registered in the store
+// and its knowledge of the other registered VMs up to date.
 func (s *Site) maintainRegistration(ctx context.Context) {
 	if s.opts.Peers.IsSeed() && !s.opts.FirstStart {
-		// VMs that start together with a seed are rejected until it knows them. Without
-		// this read, it took 0.3 s longer until a VM served after a power loss of all
-		// VMs.
+		// VMs that start together with a seed (a VM that starting VMs contact first) are rejected
+		// until the seed knows them. Without this read of the VM list,
+		// a VM served requests 0.3 s later after a power loss of all VMs.
 		go s.retryUntilSuccess(ctx, s.listVMs)
 	}
 	if !s.opts.FirstStart && s.awaitJoin(ctx, joinTimeout) {
@@ -61,7 +62,7 @@
 	}
 }
 
-// awaitJoin reports whether another VM has replied to this one within timeout.
+// awaitJoin reports whether another VM has replied to this VM within timeout.
 func (s *Site) awaitJoin(ctx context.Context, timeout time.Duration) bool {
 	if !s.opts.Peers.HasSeeds() {
 		return false
@@ -75,7 +76,7 @@
 	return false
 }
 
-// retryUntilSuccess repeats call until it succeeds, with growing pauses.
+// retryUntilSuccess repeats call until call succeeds, with growing pauses.
 func (s *Site) retryUntilSuccess(ctx context.Context, call func(context.Context) error) {
 	for pause := minRegisterPause; ctx.Err() == nil; pause = min(2*pause, maxRegisterPause) {
 		err := call(ctx)
@@ -87,8 +88,8 @@
 	}
 }
 
-// register adds this VM to the list in the store. If no other VM has replied to it, it
-// also reads the list.
+// register adds this VM to the VM list in the store.
+// If no other VM has replied to this VM, register also reads the VM list.
 func (s *Site) register(ctx context.Context) error {
 	if err := s.opts.RegisterVM(ctx); err != nil {
 		return err
--- a/site/replicate.go
+++ b/site/replicate.go
@@ -8,8 +8,8 @@
 	"woaddoor/contract"
 )
 
-// confirmFromPeer applies a peer's status of this kind, and reports whether the other VMs
-// of this data centre should learn of it.
+// confirmFromPeer applies a peer's status of this kind of objects,
+// and reports whether the other VMs of this data centre should learn of that status.
 func (f *follower[T]) confirmFromPeer(status KindStatus) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -23,7 +23,7 @@
 	return changed
 }
 
-// status returns the status of this kind that is sent to peers.
+// status returns the status of this kind of objects that is sent to peers.
 func (f *follower[T]) status() (KindStatus, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -42,8 +42,8 @@
 	return f.election.watching
 }
 
-// compareWithPeer compares a peer's status with the state of this VM, and applies it if
-// this VM is up to date.
+// compareWithPeer compares a peer's status with the state of this VM,
+// and applies the peer's status if this VM is up to date.
 func (f *follower[T]) compareWithPeer(status KindStatus) Comparison {
 	revision, known := f.revision()
 	if !known || status.LastChange > revision {
@@ -56,14 +56,14 @@
 	return Comparison{ConfirmedLater: confirmedLater}
 }
 
-// changesSince returns the changes that a peer lacks.
+// changesSince returns the changes of objects that a peer lacks.
 func (f *follower[T]) changesSince(after contract.Revision, known bool) Delta {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.cache.Since(after, known)
 }
 
-// applyFromPeer applies a delta received from a peer.
+// applyFromPeer applies a delta (a set of changes of objects) received from a peer.
 func (f *follower[T]) applyFromPeer(d Delta, status KindStatus, from string) {
 	revision, known := f.revision()
 	if known && d.Revision <= revision || !known && !d.Full {
--- a/site/reports.go
+++ b/site/reports.go
@@ -15,8 +15,8 @@
 	"woaddoor/vm"
 )
 
-// UpstreamReport reports what VMs have sent to upstreams and observed there. If a report
-// is lost or late, the recipient chooses upstreams a little less well.
+// UpstreamReport reports what VMs have sent to upstreams and observed of upstreams.
+// If a report is lost or late, the recipient chooses upstreams a little less well.
 type UpstreamReport struct {
 	Sent []relay.SentPrompt `cbor:"1,keyasint,omitempty"`
 	// Forward asks the recipient to forward the report within its data centre.
@@ -33,34 +33,36 @@
 
 // Timings and limits of UpstreamReport.
 const (
-	// reportInterval is the minimum time between two rounds of a VM's own reports. An
-	// engine takes longer than that for the prefill of a prompt, and one message reports all
-	// requests of the interval.
+	// reportInterval is the minimum time between two rounds of messages with a VM's own reports.
+	// An engine takes longer than reportInterval for the prefill (processing) of a prompt,
+	// and one message reports all requests of the interval.
 	reportInterval = 15 * time.Millisecond
-	// forwardInterval is the minimum time between two rounds in which a hub forwards
-	// reports. It adds half of it to their mean age, compared with the 50 to 300 ms that
-	// engines take for a prefill. Each round costs one message to each leaf.
+	// forwardInterval is the minimum time between two rounds of messages in which a hub
+	// forwards reports. Half of forwardInterval is added to the mean age of forwarded reports.
+	// By comparison, engines take 50 to 300 ms for a prefill.
+	// Each round costs one message to each leaf (a VM that uses this VM as its hub).
 	forwardInterval = 100 * time.Millisecond
-	// maxQueuedReports limits the reports that wait to be sent. The other constants limit
-	// the reports in a message so that it fits into a packet.
+	// maxQueuedReports limits the reports that wait to be sent.
+	// The constants whose names end in PerMessage limit the reports in a message
+	// so that the message fits into a packet.
 	maxQueuedReports        = 512
 	maxSentPerMessage       = 10
 	maxConfidencePerMessage = 8
 	maxBackoffsPerMessage   = 16
 	maxLimitsPerMessage     = 16
-	// maxVMsForRegionalReports is the number of VMs up to which reports also go to other
-	// data centres.
+	// maxVMsForRegionalReports is the number of VMs up
+	// to which reports also go to other data centres.
 	maxVMsForRegionalReports = 12
 )
 
 // reportQueue holds the reports that are waiting to be sent.
 type reportQueue struct {
-	// ownRounds limits the rate of the rounds that send a VM's own reports, and
-	// forwardRounds that of a hub's rounds that forward reports.
+	// ownRounds limits how often this VM sends its own reports.
+	// forwardRounds limits how often a hub forwards the reports of other VMs.
 	ownRounds, forwardRounds *coalescer
 
-	// mu guards the fields below. pending holds this VM's own reports, and pendingForward
-	// those that it forwards as a hub.
+	// mu guards the fields below. pending holds this VM's own reports.
+	// pendingForward holds the reports that this VM forwards as a hub.
 	mu             sync.Mutex
 	pending        []report
 	pendingForward []report
@@ -75,13 +77,12 @@
 	confidence  *relay.ConfidenceReport
 	backoff     *relay.Backoff
 	limit       *upstream.LimitUpdate
-	// remote means that the report goes to other data centres regardless of the number of
-	// VMs.
+	// remote means that the report goes to other data centres regardless of the number of VMs.
 	remote bool
 }
 
-// enqueue appends a report to a list that is sent in rounds. It drops the report if the
-// list is full.
+// enqueue appends a report to a list that is sent with the next round of messages.
+// enqueue drops the report if the list is full.
 func (q *reportQueue) enqueue(list *[]report, r report) {
 	if len(*list) < maxQueuedReports {
 		*list = append(*list, r)
@@ -91,25 +92,24 @@
 // ReportSent reports a prompt to other VMs without blocking.
 func (p *Peers) ReportSent(s relay.SentPrompt) { p.queueReport(report{sent: &s}) }
 
-// ReportConfidence reports a model's confidence in its own answer to other VMs. It is not
-// urgent and goes out with the next prompt that is reported.
+// ReportConfidence reports a model's confidence in its own answer to other VMs.
+// The confidence is not urgent and goes out with the next prompt that is reported.
 func (p *Peers) ReportConfidence(c relay.ConfidenceReport) {
 	p.reports.mu.Lock()
 	defer p.reports.mu.Unlock()
 	p.reports.enqueue(&p.reports.pending, report{confidence: &c})
 }
 
-// ReportBackoff reports to other VMs without blocking that an upstream has requested a
-// back-off.
+// ReportBackoff reports to other VMs without blocking that an upstream has requested a back-off.
 func (p *Peers) ReportBackoff(b relay.Backoff) { p.queueReport(report{backoff: &b}) }
 
-// ReportLimit reports a rate limit of an upstream to other VMs without blocking. toRemote sends
-// it to other data centres too, regardless of the number of VMs.
+// ReportLimit reports a rate limit of an upstream to other VMs without blocking.
+// toRemote sends the rate limit to other data centres too, regardless of the number of VMs.
 func (p *Peers) ReportLimit(limit upstream.LimitUpdate, toRemote bool) {
 	p.queueReport(report{limit: &limit, remote: toRemote})
 }
 
-// queueReport sends a report with this VM's next round.
+// queueReport sends a report with this VM's next round of messages.
 func (p *Peers) queueReport(r report) {
 	p.reports.mu.Lock()
 	p.reports.enqueue(&p.reports.pending, r)
@@ -117,10 +117,11 @@
 	p.reports.ownRounds.run(p.sendReports)
 }
 
-// sendReports sends this VM's own reports. A leaf sends them to its hub, which forwards
-// them. A hub sends them to the other hubs and to its leaves. In a small deployment all
-// reports also go to each other data centre. In a larger one only those marked as remote
-// do.
+// sendReports sends this VM's own reports.
+// A leaf sends its reports to its hub, which forwards the reports.
+// A hub sends its reports to the other hubs and to its leaves.
+// In a small deployment all reports also go to each other data centre.
+// In a larger deployment only reports marked as remote go to other data centres.
 func (p *Peers) sendReports() {
 	p.reports.mu.Lock()
 	pending := p.reports.pending
@@ -145,8 +146,9 @@
 	}
 }
 
-// queueForward forwards reports with this hub's next round. A hub without leaves forwards
-// them at once, because it is the number of leaves that makes a round expensive.
+// queueForward forwards reports with this hub's next round of messages.
+// A hub without leaves forwards the reports at once,
+// because the number of leaves makes a round of messages expensive.
 func (p *Peers) queueForward(reports []report) {
 	p.reports.mu.Lock()
 	for _, r := range reports {
@@ -160,8 +162,8 @@
 	p.reports.forwardRounds.run(p.forwardReports)
 }
 
-// forwardReports sends the reports of this hub and its leaves to the other hubs, and all
-// reports to its leaves. No VM receives its own reports back.
+// forwardReports sends the reports of this hub and its leaves to the other hubs,
+// and sends all reports to its leaves. No VM receives its own reports back.
 func (p *Peers) forwardReports() {
 	p.reports.mu.Lock()
 	pending := p.reports.pendingForward
@@ -175,20 +177,20 @@
 	}
 }
 
-// reportsFor returns the reports to send to a VM, which is a hub or a leaf of this one.
+// reportsFor returns the reports to send to a VM, which is a hub or a leaf of this VM.
 func reportsFor(reports []report, to contract.VMID, hub bool) []report {
 	return slices.DeleteFunc(slices.Clone(reports), func(r report) bool { return !r.shouldSendTo(to, hub) })
 }
 
-// shouldSendTo reports whether a VM receives a report. No VM receives its own report,
-// even if it is a leaf of this hub but considers itself a hub. A hub does not receive
-// reports that all hubs already have.
+// shouldSendTo reports whether a VM receives a report.
+// No VM receives its own report, even if it is a leaf of this hub but considers itself a hub.
+// A hub does not receive reports that all hubs already have.
 func (r report) shouldSendTo(to contract.VMID, toHub bool) bool {
 	return r.from != to && !(toHub && r.knownToHubs)
 }
 
-// sendReportMessages sends reports to a VM without blocking, in messages that each fit
-// into a packet.
+// sendReportMessages sends reports to a VM without blocking,
+// in messages that each fit into a packet.
 func (p *Peers) sendReportMessages(to vm.Member, reports []report, forward bool) {
 	from := p.AsWatcher().VM
 	var messages []UpstreamReport
@@ -227,8 +229,8 @@
 	}()
 }
 
-// oneDelegatePerDataCentre returns a random delegate of each other data
-// centre of the region.
+// oneDelegatePerDataCentre returns a random delegate
+// (a VM that exchanges messages with other data centres) of each other data centre of the region.
 func (p *Peers) oneDelegatePerDataCentre(v *view) []vm.Member {
 	var chosen []vm.Member
 	for _, dc := range slices.Sorted(maps.Keys(v.remote)) {
--- a/site/site.go
+++ b/site/site.go
@@ -27,21 +27,22 @@
 	Configurations Source[*route.Table]
 	Upstreams      Source[upstream.Entry]
 	Rollouts       Source[rollout.ReleaseOrder]
-	// Evacuations lists the data centres whose upstreams receive no further requests. It
-	// is nil where the deployment supports no evacuations.
+	// Evacuations lists the data centres whose upstreams receive no further requests.
+	// Evacuations is nil where the deployment supports no evacuations.
 	Evacuations Source[Evacuation]
 	// Quarantined lists the quarantined request contents, which are sent to no upstream.
-	// QuarantineStore writes them to the store. Either both are set or neither.
+	// QuarantineStore writes quarantined contents to the store.
+	// Either Quarantined and QuarantineStore are both set or neither is.
 	Quarantined     Source[quarantine.QuarantinedContent]
 	QuarantineStore QuarantineStore
 	// WriteRolloutStatus records in the store that a rollout order has started, or how it ended.
 	WriteRolloutStatus func(ctx context.Context, o rollout.ReleaseOrder, state rollout.OrderState) error
 	Peers              *Peers
-	// Leader runs the tasks that only one VM of the deployment performs. It is nil where
-	// there are no such tasks.
+	// Leader runs the tasks that only one VM of the deployment performs.
+	// Leader is nil where there are no such tasks.
 	Leader *leader.Leader
-	// ListVMs returns the link addresses of the VMs registered in the store. RegisterVM
-	// registers this VM.
+	// ListVMs returns the link addresses of the VMs registered in the store.
+	// RegisterVM registers this VM.
 	ListVMs    func(ctx context.Context) (map[contract.VMID]string, error)
 	RegisterVM func(ctx context.Context) error
 	// Link is this VM's link address: the UDP address of its endpoint of package link.
@@ -49,13 +50,12 @@
 	Relay *relay.Relay
 	Log   *zap.Logger
 	Now   func() time.Time
-	// Registry receives counters of the store calls and the reasons for them. It may be
-	// nil.
+	// Registry receives counters of the store calls and the reasons for them. Registry may be nil.
 	Registry metrics.Registry
 }
 
-// Site holds one VM's state of the deployment: the configuration, the upstreams, the
-// rollout orders, the evacuations and the quarantined contents.
+// Site holds one VM's state of the deployment: the configuration,
+// the upstreams, the rollout orders, the evacuations and the quarantined contents.
 type Site struct {
 	opts  *Options
 	log   *zap.Logger
@@ -63,13 +63,13 @@
 	// wake triggers an immediate run of the periodic tasks in tick.
 	wake chan struct{}
 	// ready is closed once a configuration and a list of upstreams are known.
-	// requestWaiting is closed when a client request arrives before that.
+	// requestWaiting is closed when a client request arrives before ready is closed.
 	ready, requestWaiting  chan struct{}
 	readyOnce, waitingOnce sync.Once
-	// randomRank is the rank that this VM uses while it knows no other VM. It is random
+	// randomRank is the rank that this VM uses while it knows no other VM. randomRank is random
 	// so that VMs that start together do not all list the store at the same time.
 	randomRank int
-	// orderWrites holds the pending writes of order states. Only tick uses it.
+	// orderWrites holds the pending writes of rollout order states. Only tick uses orderWrites.
 	orderWrites map[writeKey]*pendingWrite
 
 	// mu guards the fields below.
@@ -77,8 +77,8 @@
 	upstreamList   *UpstreamList
 	upstreamsKnown bool
 	// partial is set while only the first page of the first upstream list is known.
-	// pushedTable is the configuration that was in force when the relay last received the
-	// whole list.
+	// pushedTable is the configuration that was in force
+	// when the relay last received the whole list of upstreams.
 	partial     bool
 	pushedTable *route.Table
 	// activeEvacuations holds the evacuations in force by object name.
@@ -108,16 +108,15 @@
 	return s.table.Load() != nil && s.upstreamsKnown
 }
 
-// startupWait bounds how long a request waits at a VM that has just started and has no
-// state yet. Reading the store takes about 10 ms, and 100 ms is an eighth of the latency
-// objective of a page.
+// startupWait bounds how long a request waits at a VM that has just started and has no state yet.
+// Reading the store takes about 10 ms, and 100 ms is an eighth of the latency objective of a page.
 const startupWait = 100 * time.Millisecond
 
-// AwaitReady waits until this VM can serve, for at most startupWait. If the VM has no state,
-// AwaitReady makes it list the store at once: clients reach a VM that is not ready only when
-// other VMs are down too, so there may be no peer to get the state from. After all six
-// VMs of a deployment were killed, 194 requests were rejected within 0.3 s while the VMs
-// waited for each other.
+// AwaitReady waits until this VM can serve, for at most startupWait.
+// If the VM has no state, AwaitReady makes it list the store at once:
+// clients reach a VM that is not ready only when other VMs are down too,
+// so there may be no peer to get the state from. After all six VMs of a deployment were killed,
+// 194 requests were rejected within 0.3 s while the VMs waited for each other.
 func (s *Site) AwaitReady(ctx context.Context) {
 	select {
 	case <-s.ready:
@@ -135,8 +134,8 @@
 	}
 }
 
-// signalIfReady releases the requests that wait in AwaitReady once this VM can serve. The
-// caller holds mu.
+// signalIfReady releases the requests that wait in AwaitReady once this VM can serve.
+// The caller holds mu.
 func (s *Site) signalIfReady() {
 	if s.table.Load() != nil && s.upstreamsKnown {
 		s.readyOnce.Do(func() { close(s.ready) })
@@ -150,8 +149,9 @@
 	return s.upstreamList.Entries()
 }
 
-// ConfirmationAges returns the time since the store last confirmed the configuration and
-// the list of upstreams. An age is negative if the store has never confirmed it.
+// ConfirmationAges returns the time
+// since the store last confirmed the configuration and the list of upstreams.
+// An age is negative if the store has never confirmed the configuration or the list.
 func (s *Site) ConfirmationAges() (configuration, upstreams time.Duration) {
 	return s.age(s.opts.Configurations.Name()), s.age(s.opts.Upstreams.Name())
 }
@@ -167,7 +167,7 @@
 func (s *Site) EvaluateVerdicts() {
 	select {
 	case s.wake <- struct{}{}:
-	default: // already triggered
+	default: // an evaluation is already triggered
 	}
 }
 
@@ -206,7 +206,7 @@
 	wg.Wait()
 }
 
-// runLeader runs the deployment-wide tasks once this VM can serve.
+// runLeader runs the tasks that one VM performs for the whole deployment, once this VM can serve.
 func (s *Site) runLeader(ctx context.Context) {
 	select {
 	case <-s.ready:
@@ -215,7 +215,8 @@
 	}
 }
 
-// Resign gives up the deployment-wide tasks before this VM shuts down.
+// Resign gives up the tasks that this VM performs
+// for the whole deployment before this VM shuts down.
 func (s *Site) Resign(ctx context.Context) {
 	if s.opts.Leader != nil {
 		s.opts.Leader.Resign(ctx)
@@ -225,8 +226,8 @@
 // configName is the object name of the current configuration.
 const configName = "main"
 
-// applyTable puts a configuration from the store in force if it is newer than the current
-// one.
+// applyTable puts a configuration from the store in force
+// if that configuration is newer than the current one.
 func (s *Site) applyTable(c Changes[*route.Table], _ bool) {
 	for _, i := range c.Items {
 		if i.Name == configName && !i.Deleted && i.Err == nil {
@@ -235,9 +236,8 @@
 	}
 }
 
-// setTable puts a configuration in force unless the current one has the same or a later
-// revision. Stale reads, late responses and peers that lag behind therefore change
-// nothing.
+// setTable puts a configuration in force unless the current one has the same or a later revision.
+// Stale reads, late responses and peers that lag behind therefore change nothing.
 func (s *Site) setTable(t *route.Table, from string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -252,9 +252,10 @@
 	s.signalIfReady()
 }
 
-// pushUpstreams passes the changed upstreams to the relay. It passes the whole list if
-// the configuration has changed or if the relay has not received the whole list yet. The
-// caller holds mu.
+// pushUpstreams passes the changed upstreams to the relay.
+// pushUpstreams passes the whole list of upstreams
+// if the configuration has changed or if the relay has not received the whole list yet.
+// The caller holds mu.
 func (s *Site) pushUpstreams() {
 	t := s.table.Load()
 	var services map[contract.ServiceID]*route.Service
@@ -279,16 +280,16 @@
 	s.upstreamList.RecordStoreCall(ok, s.opts.Now())
 }
 
-// applyFirstUpstreams applies the first page of a long list so that the VM can serve
-// before the rest has arrived.
+// applyFirstUpstreams applies the first page of a long upstream list
+// so that the VM can serve before the rest of the list has arrived.
 func (s *Site) applyFirstUpstreams(c Changes[upstream.Entry]) { s.updateUpstreams(c, false, true) }
 
 func (s *Site) applyUpstreams(c Changes[upstream.Entry], full bool) {
 	s.updateUpstreams(c, full, false)
 }
 
-// updateUpstreams applies changes of the upstream list. partial means that c is only the
-// first page of the first list.
+// updateUpstreams applies changes of the upstream list.
+// partial means that c is only the first page of the first list.
 func (s *Site) updateUpstreams(c Changes[upstream.Entry], full, partial bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -310,8 +311,9 @@
 // tickInterval is the period of the tasks that depend on time alone.
 const tickInterval = 250 * time.Millisecond
 
-// tick runs the periodic tasks: it expires lapsed upstreams, has the relay compare the
-// upstreams with one another, and writes the verdicts on releases.
+// tick runs the periodic tasks:
+// it removes lapsed upstreams (missing from the store after an outage),
+// has the relay compare the upstreams with one another, and writes the verdicts on releases.
 func (s *Site) tick(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
--- a/site/upstream_list.go
+++ b/site/upstream_list.go
@@ -7,21 +7,22 @@
 	"woaddoor/upstream"
 )
 
-// UpstreamList holds the list of upstreams as this VM knows it. It is a pure state machine and
-// not safe for concurrent use.
+// UpstreamList holds the list of upstreams as this VM knows it.
+// UpstreamList is a pure state machine and not safe for concurrent use.
 //
-// An entry that is removed while the store is reachable belongs to an upstream that has
-// ended or is stopping without notice, and is dropped at once. An entry that is missing after an outage of the store
-// may only have lapsed: live upstreams register again within about two seconds, and keep
-// receiving requests until then.
+// An entry that is removed while the store is reachable is dropped at once.
+// The upstream of such an entry has ended or is stopping without notice.
+// An entry that is missing after an outage of the store may only have lapsed:
+// live upstreams register again within about two seconds,
+// and keep receiving requests until they have registered.
 type UpstreamList struct {
 	entries map[contract.UpstreamID]listedEntry
-	// storeUnreachable is set while the store does not respond. storeBackAt is the time
-	// at which it last responded again after an outage.
+	// storeUnreachable is set while the store does not respond.
+	// storeBackAt is the time at which the store last responded again after an outage.
 	storeUnreachable bool
 	storeBackAt      time.Time
-	// lapsed holds the entries that are missing after an outage, and changed those that
-	// differ from the last result of TakeChanges.
+	// lapsed holds the entries that are missing after an outage,
+	// and changed holds the entries that differ from the last result of TakeChanges.
 	lapsed  map[contract.UpstreamID]bool
 	changed map[contract.UpstreamID]bool
 }
@@ -34,8 +35,8 @@
 	expiresAt time.Time
 }
 
-// lapseGracePeriod is how long a lapsed entry is kept after the store's recovery. Live
-// upstreams register again within about two seconds.
+// lapseGracePeriod is how long a lapsed entry (missing after an outage of the store) is kept
+// after the store's recovery. Live upstreams register again within about two seconds.
 const lapseGracePeriod = 2300 * time.Millisecond
 
 // NewUpstreamList returns an empty list.
@@ -56,8 +57,8 @@
 	}
 }
 
-// Apply applies changes, or the full list of entries, and reports whether the upstreams
-// to choose from have changed.
+// Apply applies changes, or the full list of entries,
+// and reports whether the upstreams to choose from have changed.
 func (l *UpstreamList) Apply(c Changes[upstream.Entry], full bool, now time.Time) bool {
 	changed := false
 	seen := make(map[contract.UpstreamID]bool, len(c.Items))
@@ -65,7 +66,7 @@
 		id := contract.UpstreamID(i.Name)
 		seen[id] = !i.Deleted
 		switch {
-		case i.Deleted && l.entries[id].revision > c.Revision: // registered again since
+		case i.Deleted && l.entries[id].revision > c.Revision: // the upstream has registered again since
 		case i.Deleted:
 			changed = l.remove(id, now) || changed
 		case i.Err == nil:
@@ -128,15 +129,16 @@
 	l.changed[id] = true
 }
 
-// IsUnchanged reports whether an item equals the known entry. A list that is received
-// again holds thousands of such items.
+// IsUnchanged reports whether an item equals the known entry.
+// A list that is received again holds thousands of such unchanged items.
 func (l *UpstreamList) IsUnchanged(i Item[upstream.Entry]) bool {
 	e, exists := l.entries[contract.UpstreamID(i.Name)]
 	return exists && !i.Deleted && i.Err == nil && e.revision == i.Revision && e.expiresAt.IsZero()
 }
 
-// dropMalformed removes an entry that can no longer be decoded. Another program may have
-// written it, so it names no usable upstream and is not kept like a lapsed entry.
+// dropMalformed removes an entry that can no longer be decoded.
+// Another program may have written the malformed entry,
+// so the entry names no usable upstream and is not kept like a lapsed entry.
 func (l *UpstreamList) dropMalformed(id contract.UpstreamID) bool {
 	_, exists := l.entries[id]
 	if exists {
@@ -145,8 +147,8 @@
 	return exists
 }
 
-// Expire removes the entries that did not return after an outage, and reports whether
-// there were any.
+// Expire removes the entries that did not return after an outage,
+// and reports whether any entries were removed.
 func (l *UpstreamList) Expire(now time.Time) bool {
 	changed := false
 	for id := range l.lapsed {
@@ -158,8 +160,8 @@
 	return changed
 }
 
-// TakeChanges returns the entries that have changed and the upstreams that were removed
-// since its last call.
+// TakeChanges returns the entries that have changed and the upstreams
+// that were removed since the last call of TakeChanges.
 func (l *UpstreamList) TakeChanges() (changed []upstream.Entry, removed []contract.UpstreamID) {
 	for id := range l.changed {
 		if e, ok := l.entries[id]; ok {
--- a/site/usage.go
+++ b/site/usage.go
@@ -12,23 +12,22 @@
 	"woaddoor/vm"
 )
 
-// UsageReport is the usage that a hub has collected since the lease holder last
-// acknowledged a report. Lost and duplicate reports do no harm: the next one contains the
-// same or more.
+// UsageReport is the usage (counts of started requests) that a hub has collected
+// since the lease holder last acknowledged a report.
+// Lost and duplicate reports do no harm: the next report contains the same or more.
 type UsageReport struct {
 	From       contract.VMInstance   `cbor:"1,keyasint"`
 	DataCentre contract.DataCentreID `cbor:"2,keyasint"`
 	Parts      []usage.Part          `cbor:"3,keyasint,omitempty"`
-	// Load is the load that the sender and its leaves put on the upstreams of each
-	// service.
+	// Load is the load that the sender and its leaves put on the upstreams of each service.
 	Load map[contract.ServiceID]scaling.Load `cbor:"5,keyasint,omitempty"`
-	// ShuttingDown means that the sender is about to end, so that the recipient need not
-	// wait for further reports.
+	// ShuttingDown means that the sender is about to end,
+	// so that the recipient need not wait for further reports.
 	ShuttingDown bool `cbor:"4,keyasint,omitempty"`
 }
 
-// usageReportInterval is the period in which a hub reports the usage it has collected. If
-// a VM or a whole data centre is lost, the usage that it had not reported is missing.
+// usageReportInterval is the period in which a hub reports the usage that the hub has collected.
+// If a VM or a whole data centre is lost, the usage that was not reported before is missing.
 const usageReportInterval = 500 * time.Millisecond
 
 // instanceOf returns the instance that a member record describes.
@@ -36,8 +35,8 @@
 	return contract.VMInstance{VM: m.VM, Incarnation: m.Incarnation}
 }
 
-// usageFor returns the usage to send to a recipient, and a sequence mark for its
-// acknowledgement.
+// usageFor returns the usage to send to a recipient,
+// and a sequence mark with which the usage is acknowledged.
 func (p *Peers) usageFor(recipient contract.VMInstance) ([]usage.Part, uint64) {
 	if p.usage == nil {
 		return nil, 0
@@ -89,7 +88,7 @@
 	ctx, cancel := context.WithTimeout(ctx, remoteTimeout)
 	defer cancel()
 	if _, err := link.Call[UsageReport, struct{}](ctx, p.endpoint, address, link.KindUsageReport, usageReport); err != nil {
-		p.logSilentPeer(err) // the next report includes it
+		p.logSilentPeer(err) // the next report includes this usage
 		return
 	}
 	p.acknowledgeUsage(holder, sequence)
--- a/site/view.go
+++ b/site/view.go
@@ -12,19 +12,20 @@
 // view is an immutable snapshot of the known VMs.
 type view struct {
 	takenAt time.Time
-	// live is the number of live VMs. total is an upper estimate of the number of VMs in
-	// the deployment.
+	// live is the number of live VMs.
+	// total is an upper estimate of the number of VMs in the deployment.
 	live, total int
-	// ranked holds the live VMs of this data centre, including this one, in the order in
-	// which they would watch the store. VMs that do not reply to this one are left out.
-	// hubs holds the first of them.
+	// ranked holds the live VMs of this data centre,
+	// including this one, in the order in which they would watch the store.
+	// VMs that do not reply to this VM are left out. hubs holds the first VMs of ranked.
 	ranked, hubs []vm.Member
-	// localPeers holds the other live VMs of this data centre, sorted by name. digest lets
-	// two VMs check whether they know the same VMs of their data centre.
+	// localPeers holds the other live VMs of this data centre, sorted by name.
+	// digest lets two VMs check whether they know the same VMs of their data centre.
 	localPeers []vm.Member
 	digest     uint64
-	// remote holds the delegates of each other data centre. Those that do not reply
-	// to this VM come last.
+	// remote holds the delegates of each other data centre
+	// (the VMs that exchange messages with this data centre).
+	// Delegates that do not reply to this VM come last.
 	remote map[contract.DataCentreID][]vm.Member
 	// rank is the rank of this VM, and isHub reports whether it is a hub.
 	rank  Rank
@@ -32,12 +33,12 @@
 	scope upstream.GossipScope
 }
 
-// Ages of views.
+// Ages of views (snapshots of the known VMs).
 const (
 	// maxViewAge is the maximum age of a view. The set of live VMs changes over seconds.
 	maxViewAge = 250 * time.Millisecond
-	// minViewAge is the age up to which a view is used although something has changed. At
-	// a start, messages of dozens of VMs arrive within milliseconds.
+	// minViewAge is the age up to which a view is used although something has changed.
+	// At a start, messages of dozens of VMs arrive within milliseconds.
 	minViewAge = 20 * time.Millisecond
 )
 
@@ -89,9 +90,11 @@
 }
 
 // ColdOwners returns the VMs among which the cold upstreams of this data centre are divided:
-// the live VMs and those that recently fell silent. The latter may only be unreachable
-// from this VM and still send requests. A VM that has just started may not know all of them
-// yet. At first it owns no cold upstreams until a VM of its data centre has replied.
+// the live VMs and the VMs that recently fell silent.
+// A silent VM may only be unreachable from this VM and still send requests.
+// A VM that has just started may not know all of these VMs yet.
+// Such a VM at first owns no cold upstreams (may send no requests to them)
+// until a VM of its data centre has replied.
 func (p *Peers) ColdOwners() upstream.Owners {
 	v := p.currentView()
 	p.mu.Lock()
@@ -113,12 +116,13 @@
 	return owners
 }
 
-// silentOwnerPeriod is how long a silent VM still owns cold upstreams, as long as a
-// network partition within a data centre is likely to last. If the VM is gone, its share
-// is unused meanwhile.
+// silentOwnerPeriod is how long a silent VM still counts as an owner of cold upstreams
+// (a VM that may send requests to them).
+// The period is as long as a network partition within a data centre is likely to last.
+// If the silent VM is gone, its share of the cold upstreams is unused during this period.
 const silentOwnerPeriod = time.Minute
 
-// rankIn returns the rank of this VM among those that may watch the store for its region.
+// rankIn returns the rank of this VM among the VMs that may watch the store for its region.
 // The caller holds mu.
 func (p *Peers) rankIn(v *view) Rank {
 	self := p.table.Self().VM
@@ -129,19 +133,18 @@
 		}
 	}
 	if !p.rankKnown && p.firstStart {
-		rank.Local = max(rank.Local, unknownRank) // the rank is not known yet
+		rank.Local = max(rank.Local, unknownRank) // the rank of this VM is not known yet
 	}
 	return rank
 }
 
-// responsive leaves out the VMs that recently failed to reply to this one. The caller
-// holds mu.
+// responsive leaves out the VMs that recently failed to reply to this VM. The caller holds mu.
 func (p *Peers) responsive(members []vm.Member, now time.Time) []vm.Member {
 	return slices.DeleteFunc(members, func(m vm.Member) bool { return p.unresponsive(m.ControlAddress, now) })
 }
 
-// responsiveFirst moves the VMs that recently failed to reply to this one to the end. It
-// returns at most as many VMs as a data centre has delegates. The caller holds mu.
+// responsiveFirst moves the VMs that recently failed to reply to this VM to the end.
+// responsiveFirst returns at most as many VMs as a data centre has delegates. The caller holds mu.
 func (p *Peers) responsiveFirst(members []vm.Member, now time.Time) []vm.Member {
 	var first, last []vm.Member
 	for _, m := range members {
--- a/usage/closing.go
+++ b/usage/closing.go
@@ -7,14 +7,15 @@
 
 // Rules are the reporting rules of a deployment.
 type Rules struct {
-	// Window is the length of a window, ReportDeadline how long after its end the report is due.
+	// Window is the length of a usage window.
+	// ReportDeadline is how long after the end of a window the report of that window is due.
 	Window, ReportDeadline time.Duration
 }
 
 // Delays between the end of a window and its closing, as fractions of ReportDeadline.
 const (
 	// minDelayFraction applies if all peers have sent their counts since the window ended.
-	// Counts take two rounds of updates to arrive.
+	// Counts take two rounds of messages between VMs to arrive.
 	minDelayFraction = 0.2
 	// maxDelayFraction limits the wait for silent peers, which may be disconnected for seconds.
 	// The rest of ReportDeadline is for the report calls and one change of the lease holder.
@@ -26,8 +27,8 @@
 	return time.Duration(minDelayFraction * float64(t.ReportDeadline))
 }
 
-// maxCloseDelay returns the time after the end of a window at which it is closed
-// even if some peers are silent.
+// maxCloseDelay returns the time
+// after the end of a window at which it is closed even if some peers are silent.
 func (t Rules) maxCloseDelay() time.Duration {
 	return time.Duration(maxDelayFraction * float64(t.ReportDeadline))
 }
@@ -38,15 +39,16 @@
 	Counts Counts `json:"counts"`
 }
 
-// Record is the state shared by all holders of the lease. Windows up to ClosedThrough are
-// closed. Those in Unreported still have to be reported with exactly these counts; the others were
-// reported, or their report would have been too late.
+// Record is the usage state shared by all holders of the lease.
+// Windows up to ClosedThrough are closed.
+// Closed windows in Unreported still have to be reported with exactly these counts.
+// The other closed windows were reported, or their report would have been too late.
 type Record struct {
 	ClosedThrough Window         `json:"through"`
 	Unreported    []ClosedWindow `json:"fixed,omitempty"`
 }
 
-// Without returns the record without a window that was reported or given up.
+// Without returns the record without one window, which was reported or given up.
 func (r Record) Without(w Window) Record {
 	r.Unreported = slices.DeleteFunc(slices.Clone(r.Unreported), func(f ClosedWindow) bool { return f.Window == w })
 	return r
@@ -57,9 +59,10 @@
 	return now.Sub(w.End(t.Window)) > t.ReportDeadline
 }
 
-// Close returns the record with all windows closed that can be closed now, and whether it has
-// changed. reportedAt is the earliest of the times at which the peers last sent all their
-// counts. Windows without counts need no report.
+// Close closes all windows that can be closed now.
+// Close returns the new record and whether the record has changed.
+// reportedAt is the earliest of the times at which the peers last sent all their counts.
+// Windows without counts need no report.
 func (t Rules) Close(r Record, s *Counter, reportedAt, now time.Time) (Record, bool) {
 	next := Record{ClosedThrough: r.ClosedThrough, Unreported: slices.Clone(r.Unreported)}
 	for _, w := range s.Windows() {
@@ -74,8 +77,8 @@
 	return next, next.ClosedThrough != r.ClosedThrough
 }
 
-// shouldClose reports whether a window can be closed now: after the shortest delay if all
-// peers have sent their counts since its end, otherwise after the longest delay.
+// shouldClose reports whether a window can be closed now: after the shortest delay
+// if all peers have sent their counts since the window ended, otherwise after the longest delay.
 func (t Rules) shouldClose(w Window, reportedAt, now time.Time) bool {
 	end := w.End(t.Window)
 	if now.Sub(end) >= t.maxCloseDelay() {
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -1,13 +1,15 @@
-// Package usage counts the requests that upstreams have started, by workspace and by window of
-// wall-clock time, over all VMs, and decides which counts are reported for a window. It is a pure
-// state machine: its callers pass in the time and the counts of other VMs.
+// Package usage counts the requests that upstreams have started,
+// by workspace and by window of wall-clock time, over all VMs,
+// and decides which counts are reported for a window.
+// Package usage is a pure state machine: its callers pass in the time and the counts of other VMs.
 //
-// Each VM counts the requests of its own callers. A Part holds the counts of one VM
-// incarnation in one window. These counts only grow, so parts may arrive late, twice,
-// in any order and through any number of VMs without changing the sum over all
-// incarnations. One VM at a time sends reports, under a lease. It stores the final
-// counts of a window in the record of the lease before it reports them, so that all
-// reports of a window are equal, whichever VM sends them.
+// Each VM counts the requests of its own callers.
+// A Part holds the counts of one VM incarnation in one window.
+// The counts of a part only grow, so parts may arrive late,
+// twice, in any order and through any number of VMs without changing the sum over all incarnations.
+// One VM at a time sends reports, under a lease.
+// The lease holder stores the final counts of a window in the record of the lease before it
+// reports these counts, so that all reports of a window are equal, whichever VM sends them.
 package usage
 
 import (
@@ -19,8 +21,8 @@
 	"woaddoor/contract"
 )
 
-// Window is the number of a span of wall-clock time: window k starts k window lengths
-// after the start of 1970 (UTC).
+// Window is the number of a span of wall-clock time:
+// window k starts k window lengths after the start of 1970 (UTC).
 type Window int64
 
 // WindowOf returns the window of the given length that contains t.
@@ -36,8 +38,9 @@
 // Counts holds the number of started requests of each workspace.
 type Counts map[contract.WorkspaceID]int64
 
-// mergeMax raises each count to that of other if it is larger, and reports whether any count has
-// changed. Both must be counts of the same VM incarnation and window; either may be newer.
+// mergeMax raises each count to the count in other if that count is larger,
+// and reports whether any count has changed.
+// Both Counts must belong to the same VM incarnation and window; either may be the newer one.
 func (c Counts) mergeMax(other Counts) bool {
 	raised := false
 	for w, n := range other {
@@ -68,7 +71,8 @@
 	lastChange uint64
 }
 
-// Counter holds the parts that a VM knows. It is not safe for concurrent use.
+// Counter holds the parts (counts of one VM incarnation in one window) that a VM knows.
+// Counter is not safe for concurrent use.
 type Counter struct {
 	parts map[partKey]*trackedPart
 	// newestChange is the number of the last change to any part.
@@ -85,7 +89,7 @@
 	c.markChanged(p)
 }
 
-// Merge merges a part that another VM has sent.
+// Merge merges a part (usage counts) that another VM has sent.
 func (c *Counter) Merge(received Part) {
 	p := c.getOrCreate(received.Source, received.Window)
 	if p.counts.mergeMax(received.Counts) {
@@ -93,7 +97,8 @@
 	}
 }
 
-// getOrCreate returns the counts of a VM incarnation in a window, empty ones if there are none.
+// getOrCreate returns the counts of a VM incarnation in a window,
+// or empty counts if there are none.
 func (c *Counter) getOrCreate(source contract.VMInstance, window Window) *trackedPart {
 	key := partKey{window, source}
 	p, ok := c.parts[key]
@@ -104,14 +109,14 @@
 	return p
 }
 
-// markChanged gives a part the next change number.
+// markChanged gives a part of the usage counts the next change number.
 func (c *Counter) markChanged(p *trackedPart) {
 	c.newestChange++
 	p.lastChange = c.newestChange
 }
 
-// ChangedSince returns the parts that were raised after the given change number, and the
-// number of the newest change. Change number 0 selects all parts.
+// ChangedSince returns the parts whose counts were raised after the given change number,
+// and the number of the newest change. Change number 0 selects all parts.
 func (c *Counter) ChangedSince(change uint64) ([]Part, uint64) {
 	var out []Part
 	for key, p := range c.parts {
@@ -125,7 +130,7 @@
 	return out, c.newestChange
 }
 
-// Total returns the counts of a window, summed over all VM incarnations.
+// Total returns the usage counts of a window, summed over all VM incarnations.
 func (c *Counter) Total(w Window) Counts {
 	total := make(Counts)
 	for key, p := range c.parts {
@@ -139,7 +144,7 @@
 	return total
 }
 
-// Windows returns the windows that have counts, in ascending order.
+// Windows returns the usage windows that have counts, in ascending order.
 func (c *Counter) Windows() []Window {
 	seen := make(map[Window]bool)
 	for key := range c.parts {
--- a/vm/vm.go
+++ b/vm/vm.go
@@ -1,7 +1,6 @@
-// Package vm tracks the VMs of the system: which ones are alive, in which
-// incarnation, and which of them watch the platform. It is a pure state machine:
-// its callers pass in heartbeats, the platform's VM list (which lags behind) and
-// the time.
+// Package vm tracks the VMs of the system: which ones are alive, in which incarnation,
+// and which of them watch the platform's store. Package vm is a pure state machine:
+// its callers pass in heartbeats, the platform's VM list (which lags behind) and the time.
 package vm
 
 import (
@@ -22,40 +21,40 @@
 	Incarnation    contract.Incarnation  `cbor:"3,keyasint"`
 	EntryAddress   string                `cbor:"4,keyasint,omitempty"`
 	ControlAddress string                `cbor:"5,keyasint"`
-	// EntryIncarnation is the incarnation of the entry process. Zero means that
-	// there is none.
+	// EntryIncarnation is the incarnation of the entry process
+	// (the process that accepts requests of callers). Zero means that there is no entry process.
 	EntryIncarnation contract.Incarnation `cbor:"6,keyasint,omitempty"`
 	// Revision is the revision of the configuration that the entry process uses.
 	Revision contract.Revision `cbor:"7,keyasint,omitempty"`
 	Leaving  bool              `cbor:"8,keyasint,omitempty"`
 	// Age is the time since the sender of this description last heard from the VM.
 	Age time.Duration `cbor:"9,keyasint,omitempty"`
-	// CapacityUnits ranks VMs of different sizes: the strongest are the first to watch
-	// the platform and to represent their data centre. Any unit works if all VMs
-	// use it.
+	// CapacityUnits ranks VMs of different sizes:
+	// the strongest are the first to watch the platform's store and to represent their data centre.
+	// Any unit works if all VMs use the same one.
 	CapacityUnits int `cbor:"10,keyasint,omitempty"`
 }
 
-// How long a VM may be silent before it is considered dead. Heartbeats from other
-// data centres arrive through only a few VMs, so the limit for them is longer.
+// How long a VM may be silent before it is considered dead.
+// Heartbeats from other data centres arrive through only a few VMs,
+// so the limit for VMs of other data centres is longer.
 const (
 	DeadAfter       = 6 * time.Second
 	RemoteDeadAfter = 45 * time.Second
 )
 
-// forgetAfter is how long a silent VM is remembered, so that a late heartbeat from
-// an earlier incarnation is not mistaken for a new VM.
+// forgetAfter is how long a silent VM is remembered,
+// so that a late heartbeat from an earlier incarnation is not mistaken for a new VM.
 const forgetAfter = 10 * time.Minute
 
-// Table holds what one VM knows about all VMs. It is not safe for concurrent use.
+// Table holds what one VM knows about all VMs. Table is not safe for concurrent use.
 type Table struct {
 	self           Member
 	members        map[contract.VMID]observation
 	platformStates map[contract.VMID]contract.VMState
 }
 
-// observation is the latest description of a VM and the time when the VM was last
-// heard from.
+// observation is the latest description of a VM and the time when the VM was last heard from.
 type observation struct {
 	member    Member
 	lastHeard time.Time
@@ -73,8 +72,8 @@
 func (t *Table) Self() Member { return t.self }
 
 // ApplyHeartbeat applies a heartbeat, received from the VM itself or through a peer.
-// Member.Age is the age of the heartbeat. Heartbeats of an earlier incarnation, or
-// older than the known state, are ignored: they may arrive late and in any order.
+// Member.Age is the age of the heartbeat. Heartbeats of an earlier incarnation,
+// or older than the known state, are ignored: heartbeats may arrive late and in any order.
 func (t *Table) ApplyHeartbeat(m Member, now time.Time) {
 	if m.VM == t.self.VM {
 		return
@@ -88,15 +87,15 @@
 		if !heardAt.After(previous.lastHeard) {
 			return
 		}
-		m.Leaving = m.Leaving || previous.member.Leaving // leaving cannot be undone within an incarnation
+		m.Leaving = m.Leaving || previous.member.Leaving // the state of leaving cannot be undone within an incarnation
 		m.Revision = max(m.Revision, previous.member.Revision)
 		m.EntryIncarnation = max(m.EntryIncarnation, previous.member.EntryIncarnation)
 	}
 	t.members[m.VM] = observation{m, heardAt}
 }
 
-// SetPlatformList applies the platform's VM list. The list lags behind, so it only adds to
-// the heartbeats and never makes a silent VM live.
+// SetPlatformList applies the platform's VM list.
+// The list lags behind, so the list only adds to the heartbeats and never makes a silent VM live.
 func (t *Table) SetPlatformList(entries []contract.VMEntry) {
 	clear(t.platformStates)
 	for _, e := range entries {
@@ -106,8 +105,7 @@
 	}
 }
 
-// Live returns the VMs that are not considered dead, sorted by name. It includes
-// this VM.
+// Live returns the VMs that are not considered dead, sorted by name. Live includes this VM.
 func (t *Table) Live(now time.Time) []Member {
 	live := []Member{t.self}
 	for id, s := range t.members {
@@ -135,8 +133,8 @@
 	return RemoteDeadAfter
 }
 
-// Delegates returns the n VMs that represent this data centre to the others: the
-// first ones in watcher order, fewer than n if there are not as many.
+// Delegates returns the n VMs that represent this data centre to the other data centres:
+// the first VMs in watcher order, or fewer than n VMs if the data centre has fewer.
 func (t *Table) Delegates(n int, now time.Time) []Member {
 	ranked := Rank(t.Live(now), t.self.DataCentre, watchKey)
 	return ranked[:min(n, len(ranked))]
@@ -153,14 +151,14 @@
 	return peers
 }
 
-// KnowsIncarnation reports whether the latest known incarnation of a VM is that of m.
+// KnowsIncarnation reports whether the latest known incarnation of a VM is the incarnation of m.
 func (t *Table) KnowsIncarnation(m Member) bool {
 	s, ok := t.members[m.VM]
 	return ok && s.member.Incarnation == m.Incarnation
 }
 
-// Digest returns a digest of the live VMs of this data centre. Two VMs compare
-// digests to find out whether they know the same ones.
+// Digest returns a digest of the live VMs of this data centre.
+// Two VMs compare digests to find out whether they know the same VMs.
 func (t *Table) Digest(now time.Time) uint64 {
 	d := xxhash.New()
 	for _, m := range t.Live(now) {
@@ -185,15 +183,15 @@
 	return remote
 }
 
-// Superseded reports whether an incarnation of a VM is known to have ended, because
-// a later one was heard from. Silence alone proves nothing.
+// Superseded reports whether an incarnation of a VM is known to have ended,
+// because a later incarnation was heard from. Silence alone proves nothing.
 func (t *Table) Superseded(id contract.VMID, inc contract.Incarnation) bool {
 	s, ok := t.members[id]
 	return ok && s.member.Incarnation > inc
 }
 
-// rendezvousHash returns the score of a VM for a key. Because each VM is scored on
-// its own, a VM that fails moves only its own part to others.
+// rendezvousHash returns the score of a VM for a key. Because each VM is scored on its own,
+// the failure of a VM moves only the part of that VM to other VMs.
 func rendezvousHash(key string, id contract.VMID) uint64 {
 	return xxhash.Sum64String(key + "\x00" + string(id))
 }
@@ -230,20 +228,20 @@
 // watchKey is the hash key of the watcher order.
 const watchKey = "watch"
 
-// IsWatcher reports whether this VM is one of the n VMs of its data centre that watch
-// the platform for all VMs.
+// IsWatcher reports whether this VM is one of the n VMs of its data centre
+// that watch the platform's store for all VMs.
 func (t *Table) IsWatcher(n int, now time.Time) bool { return t.WatcherRank(now) < n }
 
-// WatcherRank returns the position of this VM, counted from 0, in the watcher order
-// of its data centre.
+// WatcherRank returns the position of this VM,
+// counted from 0, in the watcher order of its data centre.
 func (t *Table) WatcherRank(now time.Time) int {
 	ranked := Rank(t.Live(now), t.self.DataCentre, watchKey)
 	return slices.IndexFunc(ranked, func(m Member) bool { return m.VM == t.self.VM })
 }
 
-// ConfigSources returns the peers to ask for the newest configuration, best first: the
-// VMs of this data centre, then those of each other data centre, with the watchers
-// first in each.
+// ConfigSources returns the peers to ask for the newest configuration, best first:
+// the VMs of this data centre, then the VMs of each other data centre.
+// In each data centre the watchers come first.
 func (t *Table) ConfigSources(now time.Time) []Member {
 	live := t.Live(now)
 	var sources []Member
