--- a/quarantine/crashes.go
+++ b/quarantine/crashes.go
@@ -18,9 +18,9 @@
 	SentAt, BrokenAt time.Time
 }
 
-// confirmTimeout bounds how long a suspected upstream crash may stay unconfirmed. An
-// upstream that restarts at once is listed as a new incarnation, or under another id,
-// within a few heartbeats of one second each.
+// confirmTimeout bounds how long a suspected upstream crash may stay unconfirmed.
+// An upstream that restarts at once appears in the upstream list within a few heartbeats of
+// one second each, as a new incarnation or under another id.
 const confirmTimeout = 5 * time.Second
 
 // maxSuspectsPerInstance bounds the suspect requests that are remembered per upstream instance.
@@ -96,10 +96,11 @@
 	return out
 }
 
-// Any reports whether any upstream instance is tracked.
+// Any reports whether the tracker holds any upstream instance that may have crashed.
 func (t *CrashTracker) Any() bool { return len(t.byInstance) > 0 }
 
-// Expire forgets upstream instances whose newest broken connection is older than confirmTimeout.
+// Expire forgets suspected upstream instances whose newest broken connection is older than
+// confirmTimeout.
 func (t *CrashTracker) Expire(now time.Time) {
 	for instance, crash := range t.byInstance {
 		if now.Sub(crash.lastBroke) > confirmTimeout {
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -1,11 +1,12 @@
 // Package quarantine detects requests that crash the upstreams that run them ("queries of
-// death") and blocks further sends of them. It does no I/O and reads no clock: its callers
-// pass in the events, the current time and the gossip from other VMs.
+// death") and blocks further sends of such requests. The package does no I/O and reads no clock:
+// its callers pass in the events, the current time and the gossip from other VMs.
 //
-// A response never identifies such a request. The caller sends it again with another
+// No response tells that a request crashes upstreams.
+// The caller repeats such a request with another
 // request id, possibly through another VM, and each VM sees only one broken connection.
-// Requests are therefore identified by a fingerprint of their content, upstream crashes are
-// derived from broken connections, and VMs share their observations by gossip.
+// Requests are therefore identified by a fingerprint (a hash) of their content, upstream crashes
+// are derived from broken connections, and VMs share their observations by gossip.
 package quarantine
 
 import (
--- a/quarantine/gossip.go
+++ b/quarantine/gossip.go
@@ -8,7 +8,7 @@
 	"woaddoor/contract"
 )
 
-// Update is a gossip update about one request content. Its times are sent as ages
+// Update is a gossip update about one request content. The times in an Update are sent as ages,
 // because the clocks of VMs differ.
 type Update struct {
 	Fingerprint Fingerprint `cbor:"1,keyasint"`
@@ -26,8 +26,9 @@
 	BrokeAge time.Duration             `cbor:"3,keyasint"`
 }
 
-// Updates returns the updates for the next gossip message: contents that changed recently, and
-// quarantined contents that are not in the store yet. Contents with the most crashes come first.
+// Updates returns the updates for the next gossip message: request contents that changed recently,
+// and quarantined contents that are not in the platform's object store yet.
+// Contents with the most crashes come first.
 func (t *Table) Updates(now time.Time) []Update {
 	var records []*Record
 	for p, c := range t.gossiping {
@@ -54,11 +55,11 @@
 }
 
 // Urgent reports whether a change must be sent to other VMs at once instead of with the
-// next periodic message. Contents with a single crash are not urgent: most of them merely
-// ran on the crashed upstream, about a dozen per crash.
+// next periodic message. Contents with a single crash are not urgent: most of them, about a dozen
+// per crash, merely ran on the upstream that crashed.
 func (c *Record) Urgent() bool { return c.Quarantined || countSuccessive(c.Crashes) >= CrashLimit-1 }
 
-// gossipTTL returns how long the last change of the record is repeated in gossip.
+// gossipTTL returns how long gossip messages repeat the last change of the record.
 func (c *Record) gossipTTL() time.Duration {
 	if len(c.Crashes) == 1 && !c.Quarantined {
 		return singleCrashGossipTTL
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -7,20 +7,20 @@
 	"woaddoor/contract"
 )
 
-// QuarantinedContent is a quarantined request content as written to the store, where it
-// survives a power loss of all VMs.
+// QuarantinedContent is a quarantined request content as written to the platform's object store.
+// There it survives a power loss of all VMs.
 type QuarantinedContent struct {
 	Fingerprint Fingerprint
 	Source
-	// Upstreams lists the upstreams that crashed while running the content.
+	// Upstreams lists the upstreams that crashed while they ran the quarantined content.
 	Upstreams []contract.UpstreamID
-	// Trials counts the trial sends granted since the content was quarantined. A trial checks
-	// whether the content still crashes upstreams.
+	// Trials counts the trials granted since the content was quarantined. A trial is a single
+	// send that checks whether the quarantined content still crashes upstreams.
 	Trials   int
 	Revision contract.Revision
 }
 
-// stored returns the store's representation of a record.
+// stored returns a suspicion record in the form that is written to the platform's object store.
 func (c *Record) stored() QuarantinedContent {
 	h := QuarantinedContent{Fingerprint: c.Fingerprint, Source: c.Source, Trials: c.trials.count, Revision: c.storeRevision}
 	for _, e := range c.Crashes {
@@ -29,7 +29,7 @@
 	return h
 }
 
-// SetStored records that the store contains a quarantined content.
+// SetStored records that the platform's object store contains a quarantined content.
 func (t *Table) SetStored(h QuarantinedContent, now time.Time) {
 	c := t.records[h.Fingerprint]
 	if c != nil && h.Revision <= c.storeRevision {
@@ -46,9 +46,9 @@
 	t.setQuarantined(c, true)
 }
 
-// RemovedFromStore records that the store no longer contains a content as of a revision,
-// because an operator released it or an answer cleared it. It reports whether the
-// content was quarantined on this VM.
+// RemovedFromStore records that the platform's object store no longer contains a request content
+// as of a revision. An operator released the content, or an answer cleared it.
+// RemovedFromStore reports whether the content was quarantined on this VM.
 func (t *Table) RemovedFromStore(p Fingerprint, at contract.Revision, now time.Time) bool {
 	c := t.records[p]
 	if c == nil || !c.inStore || at < c.storeRevision {
@@ -63,8 +63,8 @@
 	return true
 }
 
-// StoredExcept returns the contents that are believed to be in the store but
-// are missing from the given set.
+// StoredExcept returns the request contents that this VM believes to be in the platform's
+// object store, but that are missing from the given set.
 func (t *Table) StoredExcept(in map[Fingerprint]bool) []Fingerprint {
 	var out []Fingerprint
 	for p, c := range t.records {
@@ -75,17 +75,18 @@
 	return out
 }
 
-// ToStore returns the quarantined contents that still have to be written to the store.
+// ToStore returns the quarantined contents that still have to be written to the object store.
 func (t *Table) ToStore() []QuarantinedContent {
 	return t.recordsWhere(func(c *Record) bool { return c.Quarantined && !c.inStore })
 }
 
-// ToDelete returns the cleared contents that still have to be deleted from the store.
+// ToDelete returns the cleared contents that still have to be deleted from the object store.
 func (t *Table) ToDelete() []QuarantinedContent {
 	return t.recordsWhere(func(c *Record) bool { return !c.Quarantined && c.inStore })
 }
 
-// recordsWhere returns the matching records in the store's representation, sorted by fingerprint.
+// recordsWhere returns the matching suspicion records in the form that is written to the
+// platform's object store, sorted by fingerprint.
 func (t *Table) recordsWhere(match func(c *Record) bool) []QuarantinedContent {
 	if t.quarantinedCount == 0 && t.storedCount == 0 {
 		return nil
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -12,34 +12,34 @@
 // content is quarantined.
 const CrashLimit = 3
 
-// Crash times received by gossip appear some tens of milliseconds late. A request that was
-// sent shortly after a crash can therefore appear to have been sent before it.
+// Crash times received by gossip appear some tens of milliseconds late. A request that was sent
+// shortly after a crash can therefore appear to have been sent before that crash.
 const (
 	// minCrashSpacing is the minimum distance between two crashes that count separately
 	// although the second request appears to have been sent before the first crash.
 	// Upstreams that crash at the same time, such as all of a data centre, share one cause.
 	minCrashSpacing = 100 * time.Millisecond
-	// maxSendSkew is how long before the previous crash a request may appear to have been
-	// sent and still count as sent after it.
+	// maxSendSkew is the skew that is tolerated between a send and the previous crash: a request
+	// that appears to be sent at most maxSendSkew before the crash still counts as sent after it.
 	maxSendSkew = 300 * time.Millisecond
-	// maxCrashesKept bounds the crashes remembered per content; the newest are kept.
+	// maxCrashesKept bounds the crashes kept per request content; the newest are kept.
 	maxCrashesKept = 8
 )
 
 // Limits of a Table.
 const (
-	// maxRecords bounds the request contents that are tracked. An evicted content starts
-	// over and must crash as many upstreams as a new one before it is quarantined.
+	// maxRecords bounds the request contents that are tracked. A content that was evicted starts
+	// over: it must crash as many upstreams as a new content before it is quarantined.
 	maxRecords = 4096
 	// suspicionTTL is how long a content stays under suspicion after the last change of its record.
 	suspicionTTL = 10 * time.Minute
-	// gossipTTL is how long a change is repeated in every gossip message. It spans several gossip
-	// rounds, so a lost message does no harm. singleCrashGossipTTL applies to contents with a
-	// single crash: most of them merely ran on the crashed upstream, about a dozen per crash.
+	// gossipTTL is how long every gossip message repeats a change. gossipTTL spans several gossip
+	// rounds, so a lost message does no harm. singleCrashGossipTTL applies to request contents with
+	// a single crash: most of them, about a dozen per crash, merely ran on the crashed upstream.
 	gossipTTL            = 10 * time.Second
 	singleCrashGossipTTL = 3 * time.Second
-	// maxUpdates bounds the contents in one gossip message, at about 150 bytes each;
-	// maxSingleCrashUpdates bounds those among them with a single crash.
+	// maxUpdates bounds the request contents in one gossip message, at about 150 bytes each.
+	// maxSingleCrashUpdates bounds the contents with a single crash in one gossip message.
 	maxUpdates            = 24
 	maxSingleCrashUpdates = 8
 )
@@ -72,8 +72,8 @@
 	Quarantined bool
 
 	changedAt time.Time
-	// storeRevision is the revision of the content's object in the store; inStore reports
-	// whether that object exists.
+	// storeRevision is the revision of the content's object in the platform's object store.
+	// inStore reports whether that object exists.
 	storeRevision contract.Revision
 	inStore       bool
 	trials        trials
@@ -83,12 +83,13 @@
 // concurrent use; the caller holds a lock.
 type Table struct {
 	records map[Fingerprint]*Record
-	// gossiping is the subset of records that may appear in gossip. It is kept separately
-	// because a hub builds a message for each of its leaf VMs twice a second, while records
-	// may hold thousands of entries.
+	// gossiping is the subset of records that may appear in gossip. The subset is kept separately
+	// because a hub (a VM that forwards gossip) builds a message for each of its leaf VMs
+	// (the VMs that get gossip from it) twice a second,
+	// while records may hold thousands of entries.
 	gossiping map[Fingerprint]*Record
-	// quarantinedCount and storedCount count the records that are quarantined
-	// and those that are in the store.
+	// quarantinedCount is the number of records that are quarantined.
+	// storedCount is the number of records that are in the platform's object store.
 	quarantinedCount, storedCount int
 }
 
@@ -97,7 +98,8 @@
 	return &Table{records: make(map[Fingerprint]*Record), gossiping: make(map[Fingerprint]*Record)}
 }
 
-// Empty reports whether no content is under suspicion. In that case requests need no fingerprint.
+// Empty reports whether no request content is under suspicion.
+// While the table is empty, requests need no fingerprint.
 func (t *Table) Empty() bool { return len(t.records) == 0 }
 
 // CountQuarantined returns the number of quarantined contents.
@@ -109,10 +111,10 @@
 // RecordCrash records that an upstream crashed while running a content and reports
 // whether that changed the record.
 //
-// Every request that ran on the upstream becomes suspect. The one that caused the crash
-// also crashes the next upstream, so a crash counts only if the request was sent to that
-// upstream after the previous counted crash. Simultaneous crashes count as one, and a
-// complete answer clears the content.
+// Every request that ran on the crashed upstream becomes suspect. The request that caused the crash
+// also crashes the next upstream. A crash therefore counts only if the request was sent to
+// the crashed upstream after the previous counted crash. Simultaneous crashes count as one.
+// A complete answer clears the content.
 func (t *Table) RecordCrash(p Fingerprint, a Source, e Crash, now time.Time) bool {
 	return t.merge(Record{Fingerprint: p, Source: a, Epoch: t.epochOf(p), Crashes: []Crash{e}}, now)
 }
@@ -125,8 +127,8 @@
 	return 0
 }
 
-// RecordAnswer records that an upstream completed a request with this content and survived. It
-// reports whether the content was under suspicion.
+// RecordAnswer records that an upstream completed a request with the given content and survived.
+// RecordAnswer reports whether the content was under suspicion.
 func (t *Table) RecordAnswer(p Fingerprint, now time.Time) bool {
 	c := t.records[p]
 	if c == nil || len(c.Crashes) == 0 && !c.Quarantined {
@@ -136,14 +138,14 @@
 	return true
 }
 
-// resetTo clears a content and moves it to a new epoch.
+// resetTo clears a request content of suspicion and moves the content to a new epoch.
 func (t *Table) resetTo(c *Record, epoch uint32, now time.Time) {
 	c.Epoch, c.Crashes, c.trials = epoch, nil, trials{}
 	t.markChanged(c, now)
 	t.setQuarantined(c, false)
 }
 
-// setQuarantined sets Held and keeps quarantinedCount up to date.
+// setQuarantined sets the record's field Quarantined and keeps quarantinedCount up to date.
 func (t *Table) setQuarantined(c *Record, quarantined bool) {
 	switch {
 	case quarantined && !c.Quarantined:
@@ -154,7 +156,7 @@
 	c.Quarantined = quarantined
 }
 
-// setInStore sets inStore and keeps storedCount up to date.
+// setInStore sets the record's field inStore and keeps storedCount up to date.
 func (t *Table) setInStore(c *Record, inStore bool) {
 	switch {
 	case inStore && !c.inStore:
@@ -166,7 +168,7 @@
 }
 
 // merge merges a record from another source and reports whether anything changed. Gossip may
-// arrive late, repeatedly and in any order: a later epoch replaces an earlier one, crashes
+// arrive late, repeatedly and in any order: a later epoch replaces an earlier epoch, crashes
 // accumulate within an epoch, and a quarantined content stays quarantined.
 func (t *Table) merge(other Record, now time.Time) bool {
 	c := t.records[other.Fingerprint]
@@ -191,8 +193,8 @@
 	}
 	crashes := mergeCrashes(c.Crashes, other.Crashes)
 	quarantined := c.Quarantined || other.Quarantined || countSuccessive(crashes) >= CrashLimit
-	// Only a longer list counts as a change. Once the list is full, VMs keep different
-	// newest crashes and would otherwise exchange them forever.
+	// Only a longer list of crashes counts as a change. Once the list is full, VMs keep different
+	// newest crashes. If those differences counted as changes, VMs would exchange them forever.
 	changed = changed || len(crashes) > len(c.Crashes) || quarantined != c.Quarantined
 	c.Crashes = crashes
 	t.setQuarantined(c, quarantined)
@@ -208,8 +210,10 @@
 	t.gossiping[c.Fingerprint] = c
 }
 
-// mergeCrashes returns the newest crashes of both lists, oldest first. An incarnation crashes only
-// once; of several reports the earliest is the most accurate, since gossip arrives with a delay.
+// mergeCrashes returns the newest crashes of both lists, oldest first.
+// An incarnation of an upstream
+// crashes only once. Of several reports of one crash, the earliest is the most accurate,
+// since gossip arrives with a delay.
 func mergeCrashes(a, b []Crash) []Crash {
 	out := slices.Clone(a)
 	for _, e := range b {
@@ -234,8 +238,11 @@
 	return b
 }
 
-// countSuccessive counts the crashes that happened one after the other. A crash counts if
-// the request was sent after the previous counted crash.
+// countSuccessive counts the crashes that happened one after the other.
+// A crash counts if the request
+// was sent after the previous counted crash.
+// A crash also counts if it came at least minCrashSpacing
+// after the previous one and its request was sent at most maxSendSkew before the previous one.
 func countSuccessive(crashes []Crash) int {
 	n := 0
 	var lastBroke time.Time
@@ -257,8 +264,8 @@
 	return 0
 }
 
-// makeRoom removes expired records and, if the table is still full, the least recently changed
-// one. Records that are not quarantined go first.
+// makeRoom removes expired records. If the table is still full, makeRoom removes the least recently
+// changed record. Records that are not quarantined are removed first.
 func (t *Table) makeRoom(now time.Time) {
 	if len(t.records) < maxRecords {
 		return
@@ -275,8 +282,8 @@
 	}
 }
 
-// Expire removes records that changed longer than suspicionTTL ago, unless they are
-// quarantined or in the store.
+// Expire removes records whose last change is longer ago than suspicionTTL. Expire keeps records
+// that are quarantined or in the platform's object store.
 func (t *Table) Expire(now time.Time) {
 	for _, c := range t.records {
 		if !c.Quarantined && !c.inStore && now.Sub(c.changedAt) > suspicionTTL {
--- a/rollout/canary.go
+++ b/rollout/canary.go
@@ -32,46 +32,47 @@
 	IssuedAt time.Time
 	Duration time.Duration
 	State    OrderState
-	// Name is the name of the rollout's object in the store.
+	// Name is the name of the rollout's object in the store (the platform's object store).
 	Name string
-	// StartedAt is the wall-clock time at which a VM first saw the rollout. That VM stores it
-	// for VMs that start later. It is zero until then.
+	// StartedAt is the wall-clock time at which a VM first saw the rollout. That VM stores
+	// StartedAt for VMs that start later. StartedAt is zero until then.
 	StartedAt time.Time
-	// Revision is the revision of the rollout's object in the store.
+	// Revision is the revision of the rollout's object in the platform's object store.
 	Revision contract.Revision
 }
 
-// Stages of a release rollout, as fractions of its duration. Sessions may move to the release
-// only in the second half of the rollout. A VM does not know which sessions are active
-// at other VMs, so it sends no request to the release before that. The trial may miss
-// a release that turns bad later or fails only under more load. Even such a release
-// must get no more than its allowed share of all requests of the rollout, so that share
-// limits the durations of the trial, of the steps and of the final stage, in which all
-// sessions use the release.
+// Stages of a release rollout, as fractions of the rollout's duration. Sessions may move to the
+// release only in the second half of the rollout. In the first half, a VM does not know which
+// sessions are active at other VMs, so it sends no request to the release.
+// The trial (the first stage, with few sessions) may miss a release that turns bad later or fails
+// only under more load. Even such a release must get no more than its allowed share of
+// all requests of the rollout. The allowed share therefore limits the durations of the trial,
+// of the two steps and of the final stage, in which all sessions use the release.
 const (
 	trialStart = 0.52
-	// plannedFraction is the fraction of the allowed share that the stages use. The
-	// rest covers VMs that see the rollout at different times, and rising traffic.
+	// plannedFraction is the fraction of the allowed share of requests that the stages use.
+	// The rest covers VMs that see the rollout at different times, and rising traffic.
 	plannedFraction = 0.93
-	// Fractions of the planned share for the trial, for the two steps and for the final stage.
+	// Fractions of the planned share of requests for the trial, the two steps and the final stage.
 	trialFraction, stepsFraction, finalFraction = 0.2, 0.1, 0.7
 	// maxTrialShare limits the fraction of sessions in the trial.
 	maxTrialShare = 0.10
-	// The fractions of sessions on the release in the two steps between
-	// the trial and the final stage.
+	// firstStepShare and secondStepShare are the fractions of sessions that use the release
+	// in the two steps between the trial and the final stage.
 	firstStepShare, secondStepShare = 0.25, 0.5
-	// completionFraction is the fraction of the final stage after which the rollout is
-	// marked completed. Requests at the other releases end before that point, and the
-	// rest of the stage leaves time to store the outcome.
+	// completionFraction is the fraction of the final stage after which the rollout is marked
+	// completed. Requests at the other releases end before that moment.
+	// The rest of the final stage leaves time to store the outcome.
 	completionFraction = 0.2
 )
 
-// stage is a part of a release rollout: from start, a fraction of the duration, on, share of
-// the sessions use the release.
+// stage is a part of a release rollout. It begins at start, a fraction of the rollout's duration.
+// From then on, the fraction share of the sessions uses the release.
 type stage struct{ start, share float64 }
 
-// planStages returns the stages of a release rollout whose release may get at most share of the
-// service's requests, and the fraction of the rollout's duration at which it is completed.
+// planStages returns the stages of a release rollout, and the fraction of the rollout's duration
+// at which the rollout is completed. The parameter share is the largest fraction of the service's
+// requests that the release may get.
 func planStages(share float64) (stages []stage, completion float64) {
 	finalLength := finalFraction * plannedFraction * share
 	stepLength := stepsFraction * plannedFraction * share / (firstStepShare + secondStepShare)
@@ -81,10 +82,10 @@
 	return []stage{{trialStart, trialShare}, {firstStepStart, firstStepShare}, {finalStart - stepLength, secondStepShare}, {finalStart, 1}}, finalStart + completionFraction*finalLength
 }
 
-// Canary decides which sessions of a service use a release on trial, and whether the
-// release is good. Every VM computes the assignment from the rollout and the session key,
-// so all VMs send a session to the same release without coordination. A Canary does no
-// I/O and is not safe for concurrent use.
+// Canary decides which sessions of a service use a release on trial (a new release that
+// is being tested), and whether the release is good. Every VM computes the assignment from
+// the rollout and the session key, so all VMs send a session to the same release without
+// coordination. A Canary does no I/O and is not safe for concurrent use.
 type Canary struct {
 	order      ReleaseOrder
 	testParams config.Rollout
@@ -93,23 +94,24 @@
 	// stages and completeAt are the schedule of the rollout.
 	stages     []stage
 	completeAt float64
-	// ageKnown is true if the rollout's age was measured on a VM's running clock: this VM
-	// saw the rollout before its start was stored, or received the age from such a VM.
+	// ageKnown is true if the rollout's age was measured on a VM's running clock: this VM saw
+	// the rollout before the rollout's start was stored, or received the age from such a VM.
 	ageKnown bool
 	// joinedLate is true if this VM first saw the rollout after the trial had started.
 	// ageReceived is true once a VM that knows the rollout's age has sent it.
 	joinedLate, ageReceived bool
-	// trialCounts and baselineCounts count the responses that this VM has seen from the release on
-	// trial and from the other releases. baselineCounts gives the service's usual failure rate.
+	// trialCounts counts the responses that this VM has seen from the release on trial.
+	// baselineCounts counts the responses that this VM has seen from the other releases,
+	// and gives the service's usual failure rate.
 	trialCounts, baselineCounts Counts
 	// received holds the counts of other VMs.
 	received   Evidence
-	dataCentre contract.DataCentreID // of this VM; empty until the first evidence is received
+	dataCentre contract.DataCentreID // data centre of this VM; empty until the first evidence is received
 	bad        bool                  // whether the release counts as bad
 }
 
-// Parameters of the statistical test. A release is bad if its failure rate exceeds the
-// acceptable rate by badRateMargin. The acceptable rate is goodRateMargin above the
+// Parameters of the statistical test. A release is bad if its failure rate exceeds the acceptable
+// failure rate by badRateMargin. The acceptable failure rate is goodRateMargin above the
 // failure rate of the other releases. falseAlarmRate applies to the whole rollout.
 const (
 	badRateMargin  = 0.25
@@ -120,8 +122,8 @@
 )
 
 // NewCanary returns the canary of a release rollout that this VM sees for the first time at now.
-// share is the largest fraction of the service's requests that a bad release may get
-// over the whole rollout.
+// The parameter share is the largest fraction of the service's requests that a bad release
+// may get over the whole rollout.
 func NewCanary(order ReleaseOrder, share float64, now time.Time) *Canary {
 	c := &Canary{order: order, ageKnown: order.StartedAt.IsZero()}
 	c.stages, c.completeAt = planStages(share)
@@ -135,15 +137,15 @@
 // Order returns the release rollout in its newest known state.
 func (c *Canary) Order() ReleaseOrder { return c.order }
 
-// Update replaces the release rollout by a newer state of the same one.
+// Update replaces the release rollout by a newer state of the same rollout.
 func (c *Canary) Update(o ReleaseOrder) {
 	issued := c.order.IssuedAt // measured on this VM's clock, which does not jump
 	c.order = o
 	c.order.IssuedAt = issued
 }
 
-// elapsedFraction returns the elapsed time as a fraction of the rollout's duration, from 0 at
-// the start to 1 at the end. It exceeds 1 once the rollout is overdue.
+// elapsedFraction returns the elapsed time as a fraction of the rollout's duration,
+// from 0 at the start to 1 at the end. The fraction exceeds 1 once the rollout is overdue.
 func (c *Canary) elapsedFraction(now time.Time) float64 {
 	if c.order.Duration <= 0 {
 		return 1
@@ -171,8 +173,8 @@
 	return share
 }
 
-// minTrialResponses is how many responses of a release on trial are enough to
-// distinguish a good release from one of which a third of the responses fail.
+// minTrialResponses is the number of responses of a release on trial that is enough to
+// tell a good release from a release of which a third of the responses fail.
 const minTrialResponses = 12
 
 // lacksTrialResults reports whether this VM joined late and has not yet learned how the trial went.
@@ -190,8 +192,8 @@
 	return share > 0 && rampPosition(session, c.order) < share
 }
 
-// PastTrial reports whether the release has passed the trial stage and gets a large share
-// of sessions. From then on it also serves requests that no other release can take.
+// PastTrial reports whether the release has passed the trial stage and gets a large share of the
+// sessions. A release past its trial also serves requests that no other release can take.
 func (c *Canary) PastTrial(now time.Time) bool { return c.Share(now) >= firstStepShare }
 
 // rampPosition maps a session to a position from 0 to 1 that is the same at every VM.
@@ -214,8 +216,9 @@
 	Times  []Latency
 }
 
-// Observe records a response. A response counts as bad if it failed or took much longer than those
-// of the other releases. Observe returns true if this response makes the release count as bad.
+// Observe records a response. A response counts as bad if it failed or took much longer than the
+// responses of the other releases. Observe returns true if this response makes
+// the release count as bad.
 func (c *Canary) Observe(a Response, now time.Time) bool {
 	slow := c.slowness.Observe(a.OnTrial, a.Times, now)
 	tally := &c.baselineCounts
@@ -242,9 +245,9 @@
 	return now.Sub(c.order.IssuedAt), c.ageKnown
 }
 
-// MergeOrderAge sets the rollout's age to the one that another VM has measured on its clock. It
-// replaces an age that was derived from a stored time of day. Of two measured ages the
-// larger one is correct, since it comes from the VM that saw the rollout first.
+// MergeOrderAge merges the rollout's age that another VM has measured on its clock.
+// A measured age replaces an age that this VM derived from a stored time of day.
+// Of two measured ages, the larger one is correct: the VM that saw the rollout first measured it.
 func (c *Canary) MergeOrderAge(age time.Duration, now time.Time) {
 	issued := now.Add(-age)
 	c.ageReceived = true
@@ -259,13 +262,13 @@
 	baselineStep = 1
 )
 
-// totalObserver returns the observer under which the counts of all VMs
-// of a data centre are added up.
+// totalObserver returns the observer (the name in evidence) that stands for a whole data centre.
+// The counts of all VMs of data centre dc are added up under that observer.
 func totalObserver(dc contract.DataCentreID) Observer {
 	return Observer{VM: contract.VMID("total of " + string(dc))}
 }
 
-// Recipient is the kind of VM that evidence is sent to.
+// Recipient is the relation of a VM that evidence is sent to, as seen from the sender.
 type Recipient uint8
 
 // Kinds of recipients.
@@ -273,16 +276,17 @@
 	// RecipientLocal is a VM of the sender's data centre.
 	RecipientLocal Recipient = iota
 	// RecipientHub is another hub of the sender's data centre, if the sender is a hub too.
-	// Hubs forward the evidence that they receive.
+	// A hub is a VM that forwards the evidence that it receives.
 	RecipientHub
 	// RecipientRemote is a VM of another data centre.
 	RecipientRemote
 )
 
-// Evidence returns the counts to send to another VM, or nil if there are none or the rollout
-// has ended. Recipients get one total for each data centre, so the size does not depend on
-// the number of VMs. Only hubs of the same data centre exchange the counts of each VM of it,
-// because each of them receives counts from a different subset of the VMs.
+// Evidence returns the counts of good and bad responses to send to another VM. Evidence returns nil
+// if there are no counts or the rollout has ended. Recipients get one total for each data centre,
+// so the size does not depend on the number of VMs. Only hubs (VMs that forward evidence)
+// of the same data centre exchange the counts of each single VM of that data centre,
+// because each hub receives counts from a different subset of the VMs.
 func (c *Canary) Evidence(to Recipient, self Observer, dc contract.DataCentreID) Evidence {
 	totals := c.RemoteEvidence(self, dc)
 	if totals == nil || to == RecipientRemote {
@@ -348,8 +352,8 @@
 }
 
 // totalCounts adds up the known counts for trialStep or baselineStep. For this VM's data
-// centre it takes the larger of the received total and the sum over individual VMs; for
-// other data centres it takes their totals.
+// centre, totalCounts takes the larger of the received total and the sum over individual VMs.
+// For each other data centre, totalCounts takes that data centre's total.
 func (c *Canary) totalCounts(step int, local Counts) Counts {
 	individual := c.received.Filter(func(o Observer) bool { return !o.isDataCentreTotal() }).Sum(c.versionKey(), step).add(local)
 	total := c.received.Filter(func(o Observer) bool { return o == totalObserver(c.dataCentre) }).Sum(c.versionKey(), step)
@@ -357,8 +361,8 @@
 	return Counts{Good: max(individual.Good, total.Good), Bad: max(individual.Bad, total.Bad)}.add(remote)
 }
 
-// IsSuspect reports whether the release is probably bad, so that a request that failed
-// there should be retried at another release.
+// IsSuspect reports whether the release is probably bad. A request that failed at a
+// suspect release should be retried at another release.
 func (c *Canary) IsSuspect() bool {
 	return c.order.State == OrderOpen && (c.bad || NewSequentialTest(&c.testParams).Suspects(c.trialTotals()))
 }
@@ -366,8 +370,8 @@
 // add returns the sum of both counts.
 func (c Counts) add(o Counts) Counts { return Counts{Good: c.Good + o.Good, Bad: c.Bad + o.Bad} }
 
-// baselinePriorGood is the number of assumed good responses with which the failure rate
-// of the other releases starts.
+// baselinePriorGood is the number of good responses that are assumed at the start
+// for the other releases, when their failure rate is computed.
 const baselinePriorGood = 20
 
 // updateGoodRate sets the acceptable failure rate from the failure rate of the other releases.
@@ -383,8 +387,8 @@
 // TotalTrialCounts returns the known counts of all VMs for the release on trial.
 func (c *Canary) TotalTrialCounts() Counts { return c.totalCounts(trialStep, c.trialCounts) }
 
-// NextState returns the state to store for the rollout and whether it has to be stored now:
-// OrderOpen when the rollout has just started, or its final state.
+// NextState returns the state to store for the rollout, and whether that state has to be stored
+// now. The state is OrderOpen when the rollout has just started, or the rollout's final state.
 func (c *Canary) NextState(now time.Time) (OrderState, bool) {
 	switch {
 	case c.order.State != OrderOpen:
@@ -394,8 +398,8 @@
 	case c.lacksTrialResults():
 		return OrderOpen, false
 	case c.elapsedFraction(now) >= c.completeAt && c.IsSuspect():
-		// A service with few requests gives too few responses to reject the release before
-		// this point. After it there is no other release to go back to.
+		// A service with few requests gives too few responses to reject the release before its
+		// completion. After the completion there is no other release to go back to.
 		return OrderRolledBack, true
 	case c.elapsedFraction(now) >= c.completeAt:
 		return OrderCompleted, true
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -5,13 +5,14 @@
 	"woaddoor/contract"
 )
 
-// Observer is one incarnation of a VM's process, which counts responses.
+// Observer is one incarnation (one run) of a VM's process, which counts responses.
 type Observer struct {
 	VM          contract.VMID        `cbor:"1,keyasint"`
 	Incarnation contract.Incarnation `cbor:"2,keyasint"`
 }
 
-// ObservedCounts is what one observer has counted for a version at a step.
+// ObservedCounts holds the good and bad responses that one observer has counted
+// for a version at a step (a stage of its rollout).
 type ObservedCounts struct {
 	Observer Observer           `cbor:"1,keyasint"`
 	Version  contract.VersionID `cbor:"2,keyasint"`
@@ -19,8 +20,9 @@
 	Counts   Counts             `cbor:"4,keyasint"`
 }
 
-// Evidence is a set of counts with one entry for each observer, version and step. Merging
-// keeps the larger counts, so evidence may arrive repeatedly and in any order.
+// Evidence is a set of counts of good and bad responses, with one entry for each observer,
+// version and step. Merging keeps the larger counts,
+// so evidence may arrive repeatedly and in any order.
 type Evidence []ObservedCounts
 
 // countKey identifies an entry of Evidence.
@@ -33,7 +35,8 @@
 // key returns the key of the entry.
 func (c ObservedCounts) key() countKey { return countKey{c.Observer, c.Version, c.Step} }
 
-// Merge returns the union of two sets of evidence, with the larger counts of each entry.
+// Merge returns the union of two sets of evidence (counts of good and bad responses).
+// Of two entries with the same key, Merge keeps the larger counts.
 func Merge(a, b Evidence) Evidence {
 	merged := make(Evidence, 0, len(a)+len(b))
 	index := make(map[countKey]int, len(a)+len(b))
@@ -62,7 +65,7 @@
 	return sum
 }
 
-// Filter returns the counts of the observers for which include returns true.
+// Filter returns the counts of those observers for which include returns true.
 func (e Evidence) Filter(include func(Observer) bool) Evidence {
 	var kept Evidence
 	for _, c := range e {
@@ -73,9 +76,11 @@
 	return kept
 }
 
-// Total adds up the counts of all observers and attributes the sums to the observer as.
+// Total adds up the counts of all observers and attributes the sums to one observer,
+// the parameter as.
 // Two VMs that know different subsets of the observers may compute different totals for
-// the same observer. Merging keeps the larger one, which never exceeds the true total.
+// the same observer.
+// Merging keeps the larger total, which never exceeds the true total.
 func (e Evidence) Total(as Observer) Evidence {
 	sums := make(map[countKey]Counts)
 	var order []countKey
@@ -96,7 +101,7 @@
 	return total
 }
 
-// Prune returns the evidence for the current steps of the rollouts in progress.
+// Prune returns the counts that belong to the current steps of the rollouts in progress.
 func (e Evidence) Prune(progress map[contract.ModelID]*config.Progress) Evidence {
 	var kept Evidence
 	for _, c := range e {
@@ -108,8 +113,9 @@
 	return kept
 }
 
-// Monitor counts the responses of versions in rollout on one VM and halts a bad version
-// there immediately. It does no I/O and is not safe for concurrent use.
+// Monitor counts the responses of versions in rollout on one VM.
+// Monitor halts a bad version on this VM immediately.
+// Monitor does no I/O and is not safe for concurrent use.
 type Monitor struct {
 	self   Observer
 	counts map[countKey]Counts
@@ -131,9 +137,10 @@
 	}
 }
 
-// Observe records a response of a version in rollout. A response is bad if it got a bad
-// rating, failed or was too slow. workspaces is the number of workspaces that share the
-// false-alarm rate. Observe returns whether the version is halted on this VM.
+// Observe records a response of a version in rollout.
+// A response is bad if it got a bad rating, failed or was too slow.
+// The parameter workspaces is the number of workspaces that share the false-alarm rate.
+// Observe returns whether the version is halted on this VM.
 func (m *Monitor) Observe(ro *config.Rollout, step int, workspaces int, w contract.WorkspaceID, bad bool) bool {
 	k := countKey{m.self, ro.To, step}
 	c := m.counts[k]
@@ -151,7 +158,8 @@
 	return m.halted[ro.To]
 }
 
-// alarmFor returns the alarm of a version for a workspace, or over all workspaces if w is empty.
+// alarmFor returns the alarm of a version for workspace w.
+// If w is empty, alarmFor returns the version's alarm over all workspaces.
 func (m *Monitor) alarmFor(ro *config.Rollout, workspaces int, w contract.WorkspaceID) *CUSUMAlarm {
 	k := alarmKey{ro.To, w}
 	a, ok := m.alarms[k]
@@ -174,7 +182,7 @@
 	return out
 }
 
-// Evidence returns the counts of this monitor.
+// Evidence returns the counts of good and bad responses that this monitor holds.
 func (m *Monitor) Evidence() Evidence {
 	var e Evidence
 	for k, c := range m.counts {
@@ -183,8 +191,8 @@
 	return e
 }
 
-// Prune drops the counts of steps that are no longer in progress. It
-// keeps halts, which are permanent.
+// Prune drops the counts of rollout steps that are no longer in progress.
+// Prune keeps halts, which are permanent.
 func (m *Monitor) Prune(progress map[contract.ModelID]*config.Progress) {
 	for k := range m.counts {
 		p, ok := progress[k.version.Model()]
--- a/rollout/stepper.go
+++ b/rollout/stepper.go
@@ -10,16 +10,16 @@
 // StepInput is the input for deciding the next step of a rollout.
 type StepInput struct {
 	Rollout *config.Rollout
-	// Progress is nil before the first step.
+	// Progress is nil before the first step of the rollout.
 	Progress *config.Progress
 	Evidence Evidence
 	// Halted is true if any VM has halted the version.
 	Halted bool
-	// StepSince is when this VM first saw the current step. LastRating is when the
-	// evidence for that step last grew.
+	// StepSince is the time at which this VM first saw the current step of the rollout.
+	// LastRating is the time at which the counts of good and bad responses of that step last grew.
 	StepSince, LastRating time.Time
-	// DataCentreUnreachable is true if a data centre cannot be reached, so that its
-	// evidence and its halts may be missing.
+	// DataCentreUnreachable is true if a data centre cannot be reached.
+	// The counts and the halts of that data centre may then be missing.
 	DataCentreUnreachable bool
 	// Loaded is true if an engine in each data centre has loaded the version.
 	Loaded bool
@@ -41,9 +41,11 @@
 	ReasonEnded                 Reason = "is over"
 )
 
-// Next returns the next progress of a rollout, or nil if nothing changes, and the reason. The
-// result is at most one step ahead of s.Progress. If it is written only on condition that the
-// stored progress is unchanged, no step is skipped or repeated, whichever VM writes it.
+// Next returns the next progress of a rollout, or nil if nothing changes, and the reason.
+// The returned progress is at most one step ahead of s.Progress.
+// If the caller writes the returned progress only on condition that
+// the stored progress is unchanged,
+// no step is skipped or repeated, whichever VM writes.
 func Next(s StepInput, now time.Time) (*config.Progress, Reason) {
 	ro := s.Rollout
 	if s.Progress == nil {
@@ -103,9 +105,10 @@
 // percent converts the percentages of config.Rollout.Steps to fractions.
 const percent = 100
 
-// ChooseVersion returns the version for new work of a model: the version that serves the model, or
-// one of the two versions of a rollout. point, from 0 to 1, is the position of the work in
-// the ramp. Work with a lower point moves to the new version first.
+// ChooseVersion returns the version for new work of a model: the version that serves the model,
+// or one of the two versions of a rollout.
+// The parameter point, from 0 to 1, is the position of the work in the rollout.
+// Work with a lower point moves to the new version first.
 func ChooseVersion(c *config.Config, m contract.ModelID, halted map[contract.VersionID]bool, point float64) contract.VersionID {
 	model, ok := c.Models[m]
 	if !ok {
