--- a/control/filer.go
+++ b/control/filer.go
@@ -20,10 +20,10 @@
 // billFiler writes (files) bill records to the platform's store, many records
 // per object.
 //
-// The name of a batch consists of the VM, the incarnation of this process and a
-// sequence number, and the content of a batch never changes. If the reply to a
-// write is lost and the write is repeated, the store answers that the object
-// exists, which counts as success.
+// The name of a batch (an object with many bill records) consists of the VM,
+// the incarnation of this process and a sequence number. The content of a batch never changes.
+// If the reply to the write of a batch is lost and the write is repeated,
+// the store answers that the object exists, which counts as success.
 type billFiler struct {
 	store         store.Store
 	origin        bill.Origin
@@ -48,18 +48,17 @@
 	fileTimeout       = 3 * time.Second
 )
 
-// errBacklogFull means that maxPendingRecords bill records are waiting to be filed,
-// because they arrive faster than the platform accepts them. Its text is sent to the
-// entry process.
+// errBacklogFull means that maxPendingRecords bill records are waiting to be filed, because records
+// arrive faster than the platform accepts them. The error text is sent to the entry process.
 var errBacklogFull = errors.New("more bill records wait than may")
 
 func newBillFiler(store store.Store, origin bill.Origin, flushInterval time.Duration, log *zap.Logger) *billFiler {
 	return &billFiler{store: store, origin: origin, flushInterval: flushInterval, log: log, wake: make(chan struct{}, 1)}
 }
 
-// file queues the records and waits until the platform has stored them. If it
-// returns an error, the records may or may not have been stored. Without
-// records, it only checks that the platform can be reached.
+// file queues bill records and waits until the platform has stored them.
+// If file returns an error, the records may or may not have been stored.
+// If there are no records, file only checks that the platform can be reached.
 func (f *billFiler) file(ctx context.Context, records []bill.Record) error {
 	if len(records) == 0 {
 		return f.probePlatform(ctx)
@@ -85,8 +84,8 @@
 	}
 }
 
-// probeObject is the name of an object that never exists. Reading it checks that
-// the platform answers.
+// probeObject is the name of an object that never exists.
+// A read of probeObject checks that the platform answers.
 const probeObject = "woaddoor/probe"
 
 // probePlatform returns nil if the platform's store answers a read.
@@ -100,8 +99,8 @@
 	return err
 }
 
-// flushLoop writes the pending records at most once per flushInterval, so that
-// the number of writes does not grow with the number of requests.
+// flushLoop writes the pending bill records at most once per flushInterval,
+// so that the number of writes does not grow with the number of requests.
 func (f *billFiler) flushLoop(ctx context.Context) {
 	for {
 		select {
@@ -115,8 +114,8 @@
 	}
 }
 
-// flush writes the pending records and sends the result to the waiting callers
-// of file.
+// flush writes the pending bill records and sends the result to the waiting callers of the method
+// file.
 func (f *billFiler) flush() {
 	f.mu.Lock()
 	records, waiters := f.pending, f.waiters
--- a/control/lease.go
+++ b/control/lease.go
@@ -11,12 +11,12 @@
 	"woaddoor/store"
 )
 
-// ordersLeaseName names the object of the lease whose holder may send orders to
-// engines.
+// ordersLeaseName is the name of the lease object in the platform's store.
+// The holder of this lease may send orders to engines.
 const ordersLeaseName = "woaddoor/lease/orders"
 
-// leaseStore reads and writes the object of one lease in the platform's store. It
-// implements leader.LeaseStore.
+// leaseStore reads and writes the object of one lease in the platform's store.
+// leaseStore implements leader.LeaseStore.
 type leaseStore struct {
 	store store.Store
 	name  string
@@ -38,8 +38,8 @@
 	return seen, nil
 }
 
-// Write stores the proposed lease object if the stored one still has the version
-// that the proposal is based on. Version 0 creates the object.
+// Write stores the proposed lease object if the stored object still has the version on which the
+// proposal is based. Version 0 creates the object.
 func (l leaseStore) Write(ctx context.Context, p lease.Proposal) (lease.VersionedObject, error) {
 	value, err := json.Marshal(p.Object)
 	if err != nil {
--- a/control/members.go
+++ b/control/members.go
@@ -19,29 +19,30 @@
 const (
 	heartbeatInterval = 2 * time.Second
 	heartbeatTimeout  = 1500 * time.Millisecond
-	// Of each pair of VMs, one sends the heartbeats and the other answers them. If
-	// a VM of this data centre that should send them is silent for
-	// localContactAfter, this VM sends heartbeats to it instead.
-	// remoteContactAfter is the same for a VM of another data centre.
+	// Of each pair of VMs, one VM sends the heartbeats and the other VM answers them.
+	// If the sending VM of a pair within this data centre is silent for localContactAfter,
+	// this VM sends heartbeats to it instead. remoteContactAfter is the corresponding time for a VM
+	// of another data centre.
 	localContactAfter  = 3 * time.Second
 	remoteContactAfter = 6 * time.Second
 	vmListInterval     = 2 * time.Second
 	vmListTimeout      = 2 * time.Second
-	// entryDeadAfter is how long the entry process of this VM may be silent
-	// before heartbeats no longer contain its incarnation.
+	// entryDeadAfter is how long the entry process of this VM may be silent before this VM's
+	// heartbeats no longer contain the incarnation of that process.
 	entryDeadAfter = 6 * time.Second
-	// remoteHeartbeatTargets is how many VMs of each other data centre a watcher
-	// sends heartbeats to; delegateCount is how many VMs of its own data centre
-	// such a heartbeat lists.
+	// remoteHeartbeatTargets is how many VMs of each other data centre a watcher (a VM that watches
+	// the platform's store) sends heartbeats to. delegateCount is how many delegates,
+	// that is VMs that represent their data centre, such a heartbeat lists.
 	remoteHeartbeatTargets = 1
 	delegateCount          = 2
-	// In one of roundsPerRemoteHeartbeat rounds, a watcher also sends heartbeats
-	// to other data centres.
+	// roundsPerRemoteHeartbeat counts rounds of heartbeats.
+	// In one of so many rounds, a watcher (a VM that watches the platform's store) also sends
+	// heartbeats to other data centres.
 	roundsPerRemoteHeartbeat = 2
 )
 
-// selfMember returns the entry of this VM in the lists of members that it sends. The
-// caller holds mu.
+// selfMember returns the entry of this VM for the lists of members that this VM sends.
+// The caller holds mu.
 func (s *Server) selfMember() vm.Member {
 	m := s.table.Self()
 	m.Age = 0
@@ -53,8 +54,9 @@
 	return m
 }
 
-// updateEntryState stores the state that the entry process of this VM reports, and
-// merges its roll-out evidence and halted versions.
+// updateEntryState stores the state that the entry process of this VM reports.
+// updateEntryState also merges the process's halted versions and roll-out evidence (counts of good
+// and bad responses).
 func (s *Server) updateEntryState(entry *protocol.EntryState) {
 	if entry == nil {
 		return
@@ -90,7 +92,7 @@
 	message protocol.Heartbeat
 }
 
-// planHeartbeats returns the heartbeats to send in this round. includeRemote is true
+// planHeartbeats returns the heartbeats to send in this round of heartbeats. includeRemote is true
 // in the rounds in which VMs of other data centres also receive heartbeats.
 func (s *Server) planHeartbeats(includeRemote bool) []outgoingHeartbeat {
 	s.mu.Lock()
@@ -101,9 +103,9 @@
 	knownVMs := map[contract.VMID]bool{s.opts.Settings.VM: true}
 	for _, m := range s.table.LocalPeers(now) {
 		knownVMs[m.VM] = true
-		// Of each pair of VMs, the one whose name sorts first sends the heartbeat
-		// and the other answers. The other VM sends one too if it has received
-		// none for localContactAfter.
+		// Of each pair of VMs, the VM whose name sorts first sends the heartbeat and the other VM
+		// answers. The other VM sends a heartbeat too if it has received none for
+		// localContactAfter.
 		if s.opts.Settings.VM < m.VM || m.Age > localContactAfter {
 			message := selfOnly
 			if s.digestDiffers[m.VM] {
@@ -133,9 +135,9 @@
 	return planned
 }
 
-// localHeartbeat returns the heartbeat for VMs of this data centre. It lists this VM
-// alone or, if includeLocal is true, all known VMs of this data centre. The caller
-// holds mu.
+// localHeartbeat returns the heartbeat for VMs of this data centre.
+// The heartbeat lists this VM alone or,
+// if includeLocal is true, all known VMs of this data centre. The caller holds mu.
 func (s *Server) localHeartbeat(now time.Time, includeLocal bool) protocol.Heartbeat {
 	s.table.SetSelf(s.selfMember())
 	members := []vm.Member{s.table.Self()}
@@ -146,8 +148,9 @@
 	return protocol.Heartbeat{Members: members, HaltedVersions: s.haltedVersions(), RolloutEvidence: ownEvidence, MembersDigest: s.table.Digest(now)}
 }
 
-// remoteHeartbeat returns the heartbeat for VMs of other data centres: the delegates
-// of this data centre and its summed roll-out evidence. The caller holds mu.
+// remoteHeartbeat returns the heartbeat for VMs of other data centres. The heartbeat contains the
+// delegates of this data centre (the VMs that represent it) and its summed roll-out evidence
+// (counts of good and bad responses). The caller holds mu.
 func (s *Server) remoteHeartbeat(now time.Time) protocol.Heartbeat {
 	s.table.SetSelf(s.selfMember())
 	ownDataCentre := s.opts.Settings.DataCentre
@@ -156,11 +159,11 @@
 }
 
 // totalPrefix is the prefix of an observer name that stands for a whole data centre.
-// It cannot clash with a VM name, because VM names contain no slash.
+// The prefix cannot clash with a VM name, because VM names contain no slash.
 const totalPrefix = "total/"
 
-// dataCentreTotal returns the observer under which the summed evidence of a data
-// centre is reported.
+// dataCentreTotal returns the observer (the name in roll-out evidence) under which the summed
+// counts of a data centre are reported.
 func dataCentreTotal(dc contract.DataCentreID) rollout.Observer {
 	return rollout.Observer{VM: contract.VMID(totalPrefix + string(dc))}
 }
@@ -176,8 +179,9 @@
 	return versions
 }
 
-// sendHeartbeat sends one heartbeat, merges the answer, and records whether the
-// digest of the members that the peer knows differs from that of this VM.
+// sendHeartbeat sends one heartbeat and merges the answer.
+// sendHeartbeat also records whether the peer knows other members than this VM,
+// by comparing the digests of their member lists.
 func (s *Server) sendHeartbeat(ctx context.Context, h outgoingHeartbeat) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
@@ -197,10 +201,10 @@
 	})
 }
 
-// answerHeartbeat merges a received heartbeat and returns the heartbeat that
-// answers it. The answer to a VM of this data centre lists this VM, or all local
-// VMs if the sender knows other members. The answer to a VM of another data centre
-// lists the delegates of this data centre.
+// answerHeartbeat merges a received heartbeat and returns the heartbeat that answers it.
+// The answer to a VM of this data centre lists this VM, or all local VMs if the sender knows other
+// members. The answer to a VM of another data centre lists the delegates of this data centre (the
+// VMs that represent it).
 func (s *Server) answerHeartbeat(received protocol.Heartbeat) protocol.Heartbeat {
 	s.mergeHeartbeat(received)
 	s.mu.Lock()
@@ -212,9 +216,10 @@
 	return s.remoteHeartbeat(now)
 }
 
-// mergeHeartbeat merges the members, halted versions and roll-out evidence of a
-// received heartbeat. It ignores the summed evidence of this VM's own data centre,
-// because this VM already has the evidence of each VM in it.
+// mergeHeartbeat merges the members, halted versions and roll-out evidence (counts of good and bad
+// responses) of a received heartbeat.
+// mergeHeartbeat ignores the summed evidence of this VM's own data
+// centre, because this VM already has the evidence of each VM in that data centre.
 func (s *Server) mergeHeartbeat(received protocol.Heartbeat) {
 	s.mergeMembers(received.Members, received.HaltedVersions)
 	ownTotal := dataCentreTotal(s.opts.Settings.DataCentre)
@@ -224,8 +229,8 @@
 	})
 }
 
-// mergeMembers adds the members that a peer reports to the member table, and the
-// halted versions to those already known.
+// mergeMembers adds the members that a peer reports to the member table. mergeMembers also adds the
+// reported halted versions to the halted versions that this VM already knows.
 func (s *Server) mergeMembers(members []vm.Member, halted []contract.VersionID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -238,7 +243,8 @@
 	}
 }
 
-// vmListLoop reads the platform's VM list periodically while this VM is a watcher.
+// vmListLoop reads the platform's VM list periodically while this VM is a watcher
+// (a VM that watches the platform's store).
 func (s *Server) vmListLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		isWatcher := false
@@ -250,8 +256,8 @@
 	}
 }
 
-// refreshVMList reads the platform's VM list once, and updates the member table and
-// the leaving upstreams from it.
+// refreshVMList reads the platform's VM list once. From that list, refreshVMList updates the member
+// table and the set of upstreams that are leaving.
 func (s *Server) refreshVMList(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, vmListTimeout)
 	defer cancel()
@@ -266,7 +272,7 @@
 	})
 }
 
-// leavingUpstreams returns the upstreams whose VM the platform lists as leaving.
+// leavingUpstreams returns those upstreams whose VM the platform lists as leaving.
 func leavingUpstreams(c *config.Config, entries []contract.VMEntry) []contract.UpstreamID {
 	leavingURLs := make(map[string]bool)
 	for _, e := range entries {
@@ -285,7 +291,7 @@
 	return leaving
 }
 
-// setLeavingUpstreams replaces the set of leaving upstreams. The caller holds mu.
+// setLeavingUpstreams replaces the set of upstreams that are leaving. The caller holds mu.
 func (s *Server) setLeavingUpstreams(ids []contract.UpstreamID) {
 	clear(s.leavingUpstreams)
 	for _, id := range ids {
--- a/control/orders.go
+++ b/control/orders.go
@@ -15,21 +15,22 @@
 
 // Limits of orders to engines.
 const (
-	// orderTimeout is shorter than the safety margin at the end of the orders
-	// lease, so that no order is still running when the lease expires.
+	// orderTimeout bounds one order to an engine. orderTimeout is shorter than the safety margin at
+	// the end of the orders lease, so that no order is still running when the lease expires.
 	orderTimeout      = 3 * time.Second
 	loadReportTimeout = time.Second
-	// maxConcurrentLoads is how many engines load a version at the same time. They
-	// share the limited rate of the store that holds the model weights.
+	// maxConcurrentLoads is how many engines load a version at the same time.
+	// Loading engines share the limited rate of the store that holds the model weights.
 	maxConcurrentLoads = 2
 )
 
-// loadOnAllEngines orders the engines that hold the old version of a roll-out to
-// load the new one, a few at a time. It returns true once all of them hold it.
+// loadOnAllEngines orders the engines that hold the old version of a roll-out to load the new
+// version, a few engines at a time. loadOnAllEngines returns true once all of these engines hold
+// the new version.
 //
-// It checks the versions that each engine reports and does not remember which orders
-// were sent. A lost order is therefore sent again, and so is one whose effect a late
-// order of a former lease holder undid.
+// loadOnAllEngines checks the versions that each engine reports and does not remember which orders
+// were sent. A lost order is therefore sent again. An order is also sent again if a late order of a
+// former lease holder undid its effect.
 func (s *Server) loadOnAllEngines(ctx context.Context, conf *config.Config, ro *config.Rollout) bool {
 	targets, found := s.enginesToLoad(ctx, conf, ro)
 	if !found {
@@ -50,15 +51,15 @@
 	return false
 }
 
-// orderTarget is an engine to send an order to, and its pool.
+// orderTarget is an engine to send an order to, and the pool of that engine.
 type orderTarget struct {
 	pool     *config.Pool
 	upstream config.Upstream
 }
 
-// enginesToLoad returns the engines that hold the old version of a roll-out but not
-// the new one. The second result is false if none of the engines that answer holds
-// the old version. It skips draining engines.
+// enginesToLoad returns the engines that hold the old version of a roll-out but not the new
+// version. The second result is false if none of the engines that answer holds the old version.
+// enginesToLoad skips draining engines.
 func (s *Server) enginesToLoad(ctx context.Context, conf *config.Config, ro *config.Rollout) ([]orderTarget, bool) {
 	var targets []orderTarget
 	found := false
@@ -88,8 +89,8 @@
 	return targets, found
 }
 
-// sendOrder orders an engine to load a version. The order carries the fencing
-// token of the lease; sendOrder does nothing while the lease is not usable.
+// sendOrder orders an engine to load a version. The order carries the fencing token of the lease
+// for orders. sendOrder does nothing while that lease is not usable.
 func (s *Server) sendOrder(ctx context.Context, t orderTarget, v contract.VersionID) error {
 	fencing, ready := s.ordersLease.ActiveFencing(t.pool.Fencing != config.FencingEnforced)
 	if !ready {
@@ -104,8 +105,9 @@
 	return err
 }
 
-// acquireOrdersLease reads the lease for orders to engines, and acquires or renews
-// it if it is free or already held by this process.
+// acquireOrdersLease reads the lease for orders to engines.
+// If the lease is free or already held by this process, acquireOrdersLease acquires or renews the
+// lease.
 func (s *Server) acquireOrdersLease(ctx context.Context) error {
 	if err := s.ordersLease.Read(ctx); err != nil {
 		return err
--- a/control/rollouts.go
+++ b/control/rollouts.go
@@ -17,15 +17,15 @@
 	"woaddoor/rollout"
 )
 
-// Interval and timeout of roll-out steps.
+// Interval and timeout for deciding and writing the steps of roll-outs.
 const (
 	rolloutInterval = time.Second
 	rolloutTimeout  = 5 * time.Second
 )
 
-// rolloutLoop advances the roll-outs while this VM is a watcher. Several watchers
-// may decide on a step at the same time; the conditional write of the root object
-// lets only one of them succeed.
+// rolloutLoop advances the roll-outs while this VM is a watcher (one of the VMs that watch the
+// platform's store for their data centre). Several watchers may decide on a step at the same time.
+// The conditional write of the root object lets only one of them succeed.
 func (s *Server) rolloutLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, rolloutInterval)
@@ -42,7 +42,7 @@
 	}
 }
 
-// decidedStep is the next progress of a roll-out and the reason for it.
+// decidedStep is the next progress of a roll-out and the reason for that progress.
 type decidedStep struct {
 	progress config.Progress
 	reason   rollout.Reason
@@ -86,8 +86,8 @@
 	}
 }
 
-// hasSilentDataCentre returns whether there is a data centre among those of the
-// configured peers of which no VM is known to be live. The caller holds mu.
+// hasSilentDataCentre returns whether some data centre is silent: a configured peer belongs to the
+// data centre, but no VM of it is known to be live. The caller holds mu.
 func (s *Server) hasSilentDataCentre(now time.Time) bool {
 	live := make(map[contract.DataCentreID]bool)
 	for _, m := range s.table.Live(now) {
@@ -101,9 +101,9 @@
 	return false
 }
 
-// publishStep writes a decided step to the configuration that it was decided for. If
-// the configuration has changed since, nothing is written and the next round decides
-// again.
+// publishStep writes a decided step of a roll-out to the configuration that
+// the step was decided for.
+// If the configuration has changed since, nothing is written. rolloutLoop then decides again.
 func (s *Server) publishStep(ctx context.Context, m contract.ModelID, next decidedStep) error {
 	ctx, cancel := context.WithTimeout(ctx, rolloutTimeout)
 	defer cancel()
--- a/control/server.go
+++ b/control/server.go
@@ -1,7 +1,7 @@
-// Package control implements the control process of a VM. It watches the
-// configuration in the platform's store and passes it on to other processes,
-// exchanges heartbeats with other VMs, writes bill records to the store, and
-// advances roll-outs.
+// Package control implements the control process of a VM.
+// The control process watches the configuration in the platform's store and passes the
+// configuration on to other processes, exchanges heartbeats with other VMs,
+// writes bill records to the store, and advances roll-outs.
 //
 // No client request waits for the control process. It may be frozen, killed or unable
 // to reach the platform while the entry process of its VM continues to serve requests.
@@ -55,26 +55,26 @@
 	metrics     *serverMetrics
 	billFiler   *billFiler
 
-	// swapTopPeers is negated before each pull from peers, so that the two best
-	// peers are asked first in turn. Only pullLoop uses it.
+	// swapTopPeers is negated before each pull from peers, so that the two best peers take turns in
+	// being asked first. Only pullLoop uses swapTopPeers.
 	swapTopPeers bool
 
 	// ordersLease acquires and renews the lease whose holder may send orders to
 	// engines.
 	ordersLease *leader.LeaseClient
 
-	// mu guards all fields that follow it. It is never held during I/O.
+	// mu guards all fields that follow mu. mu is never held during I/O.
 	mu      sync.Mutex
 	replica *document.Replica
 	config  *config.Config
-	// recentDocuments holds the most recent documents, from which patches for
-	// peers are made.
+	// recentDocuments holds the most recent configuration documents.
+	// Patches for peers are made from them.
 	recentDocuments []*document.Document
 	// changed is closed and replaced by a new channel whenever the replica
 	// receives a newer document.
 	changed chan struct{}
-	// rootVersion is the object version of the platform's root object when it was
-	// last read, and rootRevision the revision that it pointed at.
+	// rootVersion is the object version of the platform's root object when this process last read
+	// the object. rootRevision is the revision that the root object pointed at then.
 	rootVersion      contract.ObjectVersion
 	rootRevision     contract.Revision
 	table            *vm.Table
@@ -83,8 +83,8 @@
 	evidence         rollout.Evidence
 	leavingUpstreams map[contract.UpstreamID]bool
 	stepObservations map[contract.ModelID]stepObservation
-	// digestDiffers holds the VMs of this data centre whose last heartbeat showed
-	// that they know other members than this VM.
+	// digestDiffers holds the VMs of this data centre that know other members than this VM,
+	// according to their last heartbeat.
 	digestDiffers map[contract.VMID]bool
 	// remoteMembersAskedAt is when this VM last asked a peer for the VMs of other
 	// data centres.
@@ -100,7 +100,7 @@
 }
 
 // stepObservation records when this VM first saw the current step of a roll-out,
-// and when the counts of that step last grew.
+// and when the counts of good and bad responses of that step last grew.
 type stepObservation struct {
 	progress     config.Progress
 	firstSeenAt  time.Time
@@ -136,8 +136,8 @@
 	return s, nil
 }
 
-// Run serves until ctx is cancelled. It files the pending bill records before it
-// returns. Other processes have everything else that it has in memory.
+// Run serves until ctx is cancelled. Before Run returns, it files the pending bill records. Other
+// processes hold everything else that this process has in memory.
 func (s *Server) Run(ctx context.Context) error {
 	healthListener, err := net.Listen("tcp", s.opts.Settings.Control.Health)
 	if err != nil {
--- a/control/status.go
+++ b/control/status.go
@@ -19,14 +19,15 @@
 const (
 	statusInterval = 500 * time.Millisecond
 	statusTimeout  = 2 * time.Second
-	// statusRefreshInterval is how often the status object is written while its
-	// content does not change.
+	// statusRefreshInterval is how often the status object is written while the content of the
+	// status object does not change.
 	statusRefreshInterval = 10 * time.Second
 )
 
-// statusLoop writes the status object of this data centre, which lists the
-// configuration revision in force on each VM. Only the first-ranked VM of the data
-// centre writes it, when its content changes or has to be refreshed.
+// statusLoop writes the status object of this data centre.
+// The status object lists the configuration revision in force on each VM.
+// Only the first-ranked VM of the data centre writes the status object, when its content changes or
+// has to be refreshed.
 func (s *Server) statusLoop(ctx context.Context) {
 	w := statusWriter{store: s.store}
 	for ctx.Err() == nil {
@@ -42,7 +43,7 @@
 }
 
 // dataCentreStatus returns the status of this data centre, and whether this VM has to
-// write it to the store.
+// write the status to the platform's store.
 func (s *Server) dataCentreStatus() (datacentre.Status, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,8 +73,8 @@
 	lastWritten datacentre.Status
 }
 
-// write stores the status if its VMs changed or if the stored status is older than
-// statusRefreshInterval.
+// write stores the status of the data centre if the VMs in it changed, or if the stored status
+// is older than statusRefreshInterval.
 func (w *statusWriter) write(ctx context.Context, status datacentre.Status) error {
 	if slices.Equal(status.VMs, w.lastWritten.VMs) && status.At.Sub(w.lastWritten.At) < statusRefreshInterval {
 		return nil
@@ -97,9 +98,9 @@
 	return nil
 }
 
-// overwrite writes the object when its stored version is not the expected one: it
-// was written by another VM, or by this VM in a write whose reply was lost. Two VMs
-// that write in turn do no harm, because both report the same data centre.
+// overwrite writes the status object when the stored object has another version than expected:
+// another VM wrote the object, or this VM wrote it in a write whose reply was lost.
+// Two VMs that write in turn do no harm, because both report the same data centre.
 func (w *statusWriter) overwrite(ctx context.Context, name string, value []byte) (contract.ObjectVersion, error) {
 	object, err := w.store.Read(ctx, name)
 	if errors.Is(err, store.ErrNotFound) {
--- a/control/watch.go
+++ b/control/watch.go
@@ -27,17 +27,18 @@
 	pullWait        = 500 * time.Millisecond
 	pullTimeout     = pullWait + 500*time.Millisecond
 	pullRetryDelay  = 200 * time.Millisecond
-	// staleAfter is the age of the configuration from which a watcher also pulls
-	// from its peers, because the platform may be unreachable only from this VM.
+	// staleAfter is the age of the configuration from which a watcher (a VM that watches the
+	// platform's store) also pulls from its peers, because the platform may be unreachable only
+	// from this VM.
 	staleAfter = 2 * time.Second
-	// maxRecentDocuments limits how many documents are kept, from which patches
-	// for peers are made.
+	// maxRecentDocuments limits how many configuration documents are kept.
+	// Patches for peers are made from the kept documents.
 	maxRecentDocuments = 32
 )
 
-// watchLoop watches the root object in the platform's store while this VM is one of
-// the watchers of its data centre. The platform counts each watch as a call, so the
-// other VMs get the configuration from their peers over the link.
+// watchLoop watches the root object in the platform's store while this VM is one of the watchers
+// of its data centre. The platform counts each watch as a call, so the VMs that are not watchers
+// get the configuration from their peers over the link.
 func (s *Server) watchLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		isWatcher := false
@@ -54,8 +55,8 @@
 	}
 }
 
-// watchOnce makes one watch call to the platform. The answer reflects the state at
-// some time after the call began, so freshness counts from the time before the call.
+// watchOnce makes one watch call to the platform. The answer reflects the state at some time after
+// the call began, so the freshness of the answer counts from the time before the call.
 func (s *Server) watchOnce(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, s.opts.Settings.Control.WatchWait+watchMargin)
 	defer cancel()
@@ -83,10 +84,9 @@
 	return s.adoptDocument(snapshot.Document, askedAt, object.Version)
 }
 
-// adoptDocument stores a document that was the platform's newest at freshAt, unless
-// this VM already holds a newer one. A rootVersion of 0 means that the document did
-// not come from a watch of the root object, but from a peer or from this VM's own
-// write.
+// adoptDocument stores a configuration document that was the platform's newest at freshAt,
+// unless this VM already holds a newer document. A rootVersion of 0 means that the document did not
+// come from a watch of the root object, but from a peer or from this VM's own write.
 func (s *Server) adoptDocument(d *document.Document, freshAt time.Time, rootVersion contract.ObjectVersion) error {
 	parsed, err := config.FromDocument(d)
 	if err != nil {
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// pullLoop pulls the newest configuration from peers while this VM is not a watcher,
-// or while the platform has not answered for longer than staleAfter.
+// pullLoop pulls the newest configuration from peers while this VM is not a watcher (a VM that
+// watches the platform's store), or while the platform has not answered for longer than staleAfter.
 func (s *Server) pullLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !s.shouldPull() {
@@ -133,8 +133,8 @@
 	return !s.table.IsWatcher(s.opts.Settings.Control.Watchers, now) || s.replica.Age(now) > staleAfter
 }
 
-// pullFromPeers pulls from one peer after another until the configuration is fresh. It
-// returns whether the configuration is fresh.
+// pullFromPeers pulls from one peer after another until the configuration is fresh.
+// pullFromPeers returns whether the configuration is fresh.
 func (s *Server) pullFromPeers(ctx context.Context) bool {
 	for _, address := range s.pullSources() {
 		if ctx.Err() != nil {
@@ -154,9 +154,8 @@
 	return false
 }
 
-// pullSources returns the link addresses of the control processes to pull from,
-// best first: those of the live VMs, or those in the settings if no VM is known to
-// be live.
+// pullSources returns the link addresses of the control processes to pull from, best first.
+// The addresses are those of the live VMs or, if no VM is known to be live, those in the settings.
 func (s *Server) pullSources() []string {
 	var sources []vm.Member
 	s.withLock(func() { sources = s.table.ConfigSources(s.clock.Now()) })
@@ -165,8 +164,9 @@
 		addresses = append(addresses, m.ControlAddress)
 	}
 	if len(addresses) > 1 {
-		// Alternate between the two best peers. If the VMs disagree on which of
-		// them are watchers, each of the two peers may be waiting for the other.
+		// Alternate between the two best peers.
+		// If the VMs disagree on which VMs are watchers (VMs that watch the
+		// platform's store), each of the two best peers may be waiting for the other.
 		s.swapTopPeers = !s.swapTopPeers
 		if s.swapTopPeers {
 			addresses[0], addresses[1] = addresses[1], addresses[0]
@@ -181,8 +181,9 @@
 	return addresses
 }
 
-// pullFromPeer pulls the configuration from the control process at address. It
-// merges the members, halted versions and leaving upstreams in the answer.
+// pullFromPeer pulls the configuration from the control process at the given address.
+// pullFromPeer merges the members, the halted versions and the upstreams that are leaving,
+// as listed in the answer.
 func (s *Server) pullFromPeer(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
@@ -216,12 +217,12 @@
 	return s.adoptDocument(d, freshAt, 0)
 }
 
-// remoteMembersInterval is how often a VM asks its peers for the VMs of other data
-// centres. Only watchers receive heartbeats from other data centres.
+// remoteMembersInterval is how often a VM asks its peers for the VMs of other data centres.
+// Only watchers (VMs that watch the platform's store) receive heartbeats from other data centres.
 const remoteMembersInterval = 15 * time.Second
 
-// nextMemberScope returns which members the next pull asks for: the VMs of other
-// data centres once per remoteMembersInterval, otherwise none.
+// nextMemberScope returns which members the next pull asks for: once per remoteMembersInterval the
+// VMs of other data centres, otherwise no members.
 func (s *Server) nextMemberScope() protocol.MemberScope {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -233,8 +234,8 @@
 	return protocol.RemoteMembers
 }
 
-// answerPull answers a pull request of an entry process or of another control
-// process. It waits for a newer revision for at most the time in the request.
+// answerPull answers a pull request of an entry process or of another control process.
+// answerPull waits for a newer revision for at most the time in the request.
 func (s *Server) answerPull(ctx context.Context, req protocol.PullRequest) protocol.PullResponse {
 	s.updateEntryState(req.Entry)
 	timer := time.NewTimer(min(req.MaxWait, pullWait))
@@ -287,9 +288,9 @@
 	return answer
 }
 
-// patchBase returns the document that the requester holds if it is among the recent
-// documents, so that only the difference is sent. Otherwise it returns nil. The
-// caller holds mu.
+// patchBase returns the configuration document that the requester holds,
+// if that document is among the recent documents. Only the difference from the document is then
+// sent. Otherwise patchBase returns nil. The caller holds mu.
 func (s *Server) patchBase(req protocol.PullRequest) *document.Document {
 	for _, d := range s.recentDocuments {
 		if d.Revision == req.HeldRevision && d.Hash().Short() == req.HeldHash {
--- a/entry/admit.go
+++ b/entry/admit.go
@@ -8,8 +8,8 @@
 	"woaddoor/workspace"
 )
 
-// slot is one of the concurrency slots of a queue, held by a running request. It must be released
-// exactly once.
+// slot is one of the concurrency slots of a queue, held by a running request.
+// A slot must be released exactly once.
 type slot struct {
 	server    *Server
 	queue     *workspace.Queue
@@ -17,8 +17,9 @@
 	startedAt time.Time
 }
 
-// admit queues the request until it gets a slot. It returns a refusal when the queue rejects the request
-// or the deadline passes while it waits.
+// admit queues the request until the request gets a slot.
+// admit returns a refusal if the queue rejects the request or if the deadline passes while the
+// request waits.
 func (s *Server) admit(ctx context.Context, q *workspace.Queue, req *request) (*slot, *contract.Refusal) {
 	id := workspace.ID(s.lastRequestID.Add(1))
 	item := workspace.Request{ID: id, Workspace: req.workspace.ID, Weight: req.workspace.Weight, Class: req.class, Deadline: req.deadline}
@@ -61,14 +62,15 @@
 			delete(s.waiters, id)
 		}
 	})
-	if !abandoned && <-admitted { // no longer queued: true if it got a slot meanwhile
+	if !abandoned && <-admitted { // no longer queued: true if the request got a slot meanwhile
 		return nil
 	}
 	return expired
 }
 
-// notifyWaiter wakes a waiting request: run is true when it got a slot and false when its deadline has
-// passed. The caller must hold Server.mu.
+// notifyWaiter wakes a waiting request.
+// The parameter run is true if the request got a slot, and false if
+// its deadline has passed. The caller must hold Server.mu.
 func (s *Server) notifyWaiter(id workspace.ID, run bool) {
 	if admitted, ok := s.waiters[id]; ok {
 		admitted <- run // never blocks: the channel has a buffer of one and receives one value
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -18,8 +18,8 @@
 	"woaddoor/upstream"
 )
 
-// checkPermit checks against the current configuration whether the job may start work. It returns nil
-// when it may.
+// checkPermit checks against the current configuration whether the job may start work.
+// checkPermit returns nil when the job may start.
 func (s *Server) checkPermit(j *job) *contract.Refusal {
 	v := s.view.Load()
 	w, ok := v.snapshot.Config.Workspaces[j.chat.workspace.ID]
@@ -51,12 +51,13 @@
 		Version: j.version, Prefix: j.chat.prefix, Exclude: j.excluded,
 	}
 	withFailed := q
-	withFailed.Exclude = nil // an engine that failed an earlier attempt is better than none
+	withFailed.Exclude = nil // an engine that failed an earlier attempt is better than no engine
 	return s.pickUpstream(j, fmt.Sprintf("no upstream holds %s and answers", j.version), q, withFailed)
 }
 
 // pickUpstream tries the queries in order, selects the first upstream found and counts the job's request
-// as sent to it. If there is none, it returns a refusal with the given detail.
+// as sent to that upstream. If no upstream is found,
+// pickUpstream returns a refusal with the given detail.
 func (s *Server) pickUpstream(j *job, detail string, queries ...upstream.Query) (string, *contract.Refusal) {
 	url := ""
 	err := upstream.ErrNone
@@ -103,8 +104,9 @@
 	}
 }
 
-// requestedBackoff returns how long an engine that refused a job asks this VM to send it no requests. It
-// is zero if the engine does not ask for that. A response header that cannot be parsed is logged.
+// requestedBackoff returns how long an engine that refused a job asks this VM to send it no
+// requests. The back-off is zero if the engine does not ask for one.
+// A response header that cannot be parsed is logged.
 func (s *Server) requestedBackoff(j *job, err error) time.Duration {
 	var ce *engine.CallError
 	if !errors.As(err, &ce) {
@@ -151,8 +153,9 @@
 // cancelTimeout bounds the call that asks an engine to cancel an abandoned request.
 const cancelTimeout = time.Second
 
-// cancelAtEngine asks an engine to stop working on a request that its caller has abandoned. It is best
-// effort: the request may have run already, and if the call is lost, the engine only wastes work.
+// cancelAtEngine asks an engine to stop working on a request that its caller has abandoned.
+// The call is best effort: the request may have run already, and if the call is lost,
+// the engine only wastes work.
 func (s *Server) cancelAtEngine(url string, id contract.RequestID) {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
@@ -161,8 +164,9 @@
 	}
 }
 
-// prepareRetry decides whether to retry after err. It returns nil after the backoff pause when the job
-// may be attempted again, and otherwise the final refusal for the caller.
+// prepareRetry decides whether to retry a job after err.
+// If the job may be attempted again, prepareRetry returns nil after the backoff pause.
+// Otherwise it returns the final refusal for the caller.
 func (s *Server) prepareRetry(ctx context.Context, j *job, attempt int, err error, elapsed time.Duration) *contract.Refusal {
 	j.mergeOutcome(err)
 	var decision retry.Decision
@@ -213,7 +217,8 @@
 	return r
 }
 
-// publicError reduces an upstream's failure to its kind, so that callers see no internal addresses.
+// publicError reduces an upstream's failure to the kind of failure,
+// so that callers see no internal addresses.
 func publicError(err error) error {
 	for _, known := range []error{engine.ErrMismatchedResponse, engine.ErrWrongVersion, engine.ErrTruncated, engine.ErrTooLarge, engine.ErrMalformed, context.DeadlineExceeded} {
 		if errors.Is(err, known) {
--- a/entry/bills.go
+++ b/entry/bills.go
@@ -29,14 +29,15 @@
 	submitInterval   = 250 * time.Millisecond
 	submitTimeout    = 4 * time.Second
 	maxSubmitRecords = 2000
-	// recentCopyAge is how long a successful copy counts as evidence that the next one will succeed too.
+	// recentCopyAge is the age up to which a successful copy makes success of the next copy likely.
 	recentCopyAge  = 3 * time.Second
 	billRetryAfter = 2 * time.Second
 )
 
-// checkBillable refuses a request before it runs if its bill record could not be stored on this VM or copied
-// elsewhere. After a recent successful copy, the next one is assumed to succeed; otherwise an empty copy is
-// sent as a probe. Workspaces configured with config.BillServe are served without a copy elsewhere.
+// checkBillable refuses a request before it runs if its bill record could not be stored on this VM
+// or copied elsewhere. After a recent successful copy, the next copy is assumed to succeed.
+// Without one, checkBillable sends an empty copy as a probe.
+// Workspaces configured with config.BillServe are served without a copy elsewhere.
 func (s *Server) checkBillable(ws *config.Workspace) *contract.Refusal {
 	full, recent := false, false
 	s.locked(func() {
@@ -57,14 +58,15 @@
 	return nil
 }
 
-// saveBill stores the bill record of an answer before the end of the answer is sent. The record is stored
-// on this VM and copied to a peer or submitted to the platform. If that fails, the request is refused unless
-// its workspace is configured to be served at the risk that this VM crashes with the only copy of the record.
+// saveBill stores the bill record of an answer before the end of the answer is sent.
+// The record is stored on this VM and copied to a peer or submitted to the platform.
+// If storing or copying the record fails, the request is refused. A workspace that is configured to
+// accept the risk that this VM crashes with the only copy of the record is served nevertheless.
 func (s *Server) saveBill(ctx context.Context, j *job, usage engine.Usage) *contract.Refusal {
 	return s.saveBillRecord(ctx, j.chat.request, s.newBillRecord(j, usage))
 }
 
-// saveBillRecord does the work of saveBill for a given record.
+// saveBillRecord does the work of saveBill for a given bill record.
 func (s *Server) saveBillRecord(ctx context.Context, req *request, record bill.Record) *contract.Refusal {
 	var err error
 	s.locked(func() { err = s.bills.Add(record, s.clock.Now()) })
@@ -79,14 +81,15 @@
 	if req.workspace.BillPolicy == config.BillServe {
 		return nil
 	}
-	// The caller does not get the answer, so its record is dropped and not billed.
+	// The caller does not get the answer, so the answer's bill record is dropped and not billed.
 	s.locked(func() { s.bills.MarkFiled([]bill.Record{record}) })
 	refused := newRefusal(contract.RefusedBillNotStored, contract.OutcomeRan, contract.StepBill, "the bill could be kept neither by a peer nor by the platform")
 	return refused.WithRetryAfter(billRetryAfter)
 }
 
-// copyRecords stores the records at one peer or, failing that, at the platform. A target that fails or does
-// not answer within hedgeDelay causes the next one to be tried as well. The first success is enough.
+// copyRecords stores bill records at one peer or, failing that, at the platform.
+// If a target fails or does not answer within hedgeDelay, the next target is tried as well.
+// The first success is enough.
 func (s *Server) copyRecords(ctx context.Context, records protocol.BillRecords) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), copyTimeout)
 	defer cancel()
@@ -123,7 +126,8 @@
 	return fmt.Errorf("no copy of the bill records stored: %d peers and the platform tried: %w", len(peers), lastErr)
 }
 
-// copyToPeer stores the records at one peer. A failure is logged and makes copyPeers avoid the peer.
+// copyToPeer stores bill records at one peer.
+// A failure is logged and makes copyPeers avoid the peer.
 func (s *Server) copyToPeer(ctx context.Context, m vm.Member, records protocol.BillRecords) error {
 	_, err := link.Call[protocol.BillRecords, protocol.Ack](ctx, s.endpoint, m.EntryAddress, link.KindCopyBills, records)
 	if err != nil {
@@ -143,10 +147,11 @@
 	failedPeerPenalty = 5 * time.Second
 )
 
-// copyPeers returns the peers that may store copies of bill records, in the order in which to try them.
-// The first is in another data centre, because a whole data centre can fail. The second is in this VM's
-// data centre, because the network to all other data centres can fail. A peer with a recent failure is
-// chosen only if its group has no other peer.
+// copyPeers returns the peers that may store copies of bill records, in the order in which to try
+// them. The first peer is in another data centre, because a whole data centre can fail.
+// The second peer is in this VM's data centre, because the network to all other data centres can
+// fail. A peer with a recent failure is chosen only if no other peer is on the same side (this data
+// centre, or the others).
 func (s *Server) copyPeers() []vm.Member {
 	var remote, local []vm.Member
 	for _, m := range s.view.Load().members {
@@ -196,7 +201,7 @@
 	}
 }
 
-// submitDue submits the records that are due now, and asks the peers to drop their copies.
+// submitDue submits the bill records that are due now, and asks the peers to drop their copies.
 func (s *Server) submitDue(ctx context.Context) {
 	var due []bill.Record
 	s.locked(func() { due = s.bills.Due(s.clock.Now(), maxSubmitRecords) })
@@ -213,8 +218,9 @@
 	s.notifySubmitted(ctx, records)
 }
 
-// copyAtRisk copies the records that exist only on this VM to a peer, because their first copy failed. A
-// planned shutdown waits for these records; without the copy it would wait until a platform outage ends.
+// copyAtRisk copies to a peer the bill records that exist only on this VM, because their first copy
+// failed. A planned shutdown waits for these records. Without the copy, the shutdown would wait
+// until a platform outage ends.
 func (s *Server) copyAtRisk(ctx context.Context) {
 	var atRisk []bill.Record
 	s.locked(func() { atRisk = s.bills.Uncopied(maxSubmitRecords) })
@@ -237,8 +243,9 @@
 	}
 }
 
-// submit has a control process write the records to the platform. It tries this VM's control process first,
-// then those of peers, because this VM's own may have crashed or lost its connection.
+// submit has a control process write bill records to the platform.
+// submit tries this VM's control process first and then those of peers, because this VM's own
+// control process may have crashed or lost its connection.
 func (s *Server) submit(ctx context.Context, records protocol.BillRecords) error {
 	var err error
 	for i, address := range s.controlAddresses() {
@@ -256,8 +263,9 @@
 	return err
 }
 
-// notifySubmitted asks the peers to drop their copies of submitted records. If a message is lost, the peer
-// submits the record again, which is harmless because the platform stores each record ID once.
+// notifySubmitted asks the peers to drop their copies of submitted bill records.
+// If a message is lost, the peer submits the record again.
+// That is harmless because the platform stores each record ID once.
 func (s *Server) notifySubmitted(ctx context.Context, records protocol.BillRecords) {
 	for _, m := range s.view.Load().members {
 		if m.VM == s.origin.VM || m.EntryIncarnation == 0 {
@@ -271,8 +279,9 @@
 	}
 }
 
-// flushBills runs at the end of a planned shutdown. It waits until all records are submitted or, if the platform
-// does not answer, until peers store copies of them, which the peers will submit.
+// flushBills runs at the end of a planned shutdown. It waits until all bill records are submitted.
+// If the platform does not answer, flushBills waits until peers store copies of the records,
+// which the peers will submit.
 func (s *Server) flushBills(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.submitDue(ctx)
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -24,25 +24,27 @@
 	engine.ChatRequest
 	// fields holds every field of the body undecoded, so that fields unknown to the router reach the engine.
 	fields map[string]json.RawMessage
-	// prefix is the hash of the first message. It is used to select engines that likely have
-	// that message cached.
+	// prefix is the hash of the first message of the request. Engines that likely have
+	// that message cached are selected by prefix.
 	prefix uint64
 	// sessionToken identifies the session that the request continues. It is nil outside a session.
 	sessionToken *session.Token
 	// claim is the claimed ticket of a request that must not run twice. It is nil for repeatable requests.
 	claim *claim
-	// priority is the queue priority sent to the engine. Lower values run first.
+	// priority is the queue priority sent to the engine. Requests with lower values run first.
 	priority byte
 }
 
 // Penalties that add up to the priority of a request at an engine. Interactive requests run before bulk
-// requests; within a class, workspaces within their share run before those above it.
+// requests. Within a class, requests of workspaces that stay within their share of the capacity
+// run before requests of workspaces above their share.
 const (
 	overSharePenalty byte = 1
 	bulkPenalty      byte = 2
 )
 
-// enginePriority returns the queue priority of a request at engines. Lower values run first.
+// enginePriority returns the queue priority of a request at engines.
+// Requests with lower values run first.
 func (s *Server) enginePriority(req *request) byte {
 	priority := byte(0)
 	s.locked(func() {
@@ -110,8 +112,9 @@
 	return c, nil
 }
 
-// answerChat selects the model version for a request and answers it. In a cascade, a cheaper model answers
-// first, and the next model answers only if that answer fails or does not pass the quality check.
+// answerChat selects the model version for a request and answers it.
+// In a cascade, a cheaper model answers first. The next model answers only if the cheaper answer
+// fails or does not pass the quality check.
 func (s *Server) answerChat(ctx context.Context, w http.ResponseWriter, c *chatRequest) *contract.Refusal {
 	plan, refused := s.plan(c)
 	if refused != nil {
@@ -126,7 +129,8 @@
 		return refused
 	}
 	if plan.escalateTo != "" && (refused != nil || !s.passesCheck(ctx, j, a)) {
-		// The cheaper answer is discarded. Its cost is recorded separately and not billed to the caller.
+		// The cheaper answer is discarded.
+		// The cost of that answer is recorded separately and not billed.
 		if a != nil {
 			j.cascadeCost += s.cost(j.version, a.Completion.Usage)
 		}
@@ -171,9 +175,10 @@
 	excluded []contract.UpstreamID
 	// outcome is what is known about whether the request ran, over all attempts so far.
 	outcome contract.Outcome
-	// attempted is set once outcome reflects at least one attempt.
+	// attempted is set once the field outcome reflects at least one attempt.
 	attempted bool
-	// cascadeCost is the cost of discarded answers of cheaper models. It is recorded but not billed.
+	// cascadeCost is the cost of discarded answers of cheaper models.
+	// The cost is recorded but not billed.
 	cascadeCost contract.Money
 }
 
@@ -186,7 +191,8 @@
 	return j.withVersion(v)
 }
 
-// withVersion returns a copy of the job for another version. The copy keeps the cost spent so far.
+// withVersion returns a copy of the job for another model version.
+// The copy keeps the cost spent so far.
 func (j *job) withVersion(v contract.VersionID) *job {
 	next := *j
 	next.version, next.excluded = v, nil
@@ -197,9 +203,9 @@
 // streamOptions makes an engine report the token usage at the end of a stream.
 var streamOptions = json.RawMessage(`{"include_usage":true}`)
 
-// bodyFor returns the request body to send to an engine. It is the caller's body with the model version, the
-// priority and the stream options set. If received is not empty, it is the text that the caller already has,
-// and the engine is asked to continue the answer after it.
+// bodyFor returns the request body to send to an engine: the caller's body with the model version,
+// the priority and the stream options set. If received is not empty, it is the text that the caller
+// already has. The engine is then asked to continue the answer after that text.
 func (c *chatRequest) bodyFor(v contract.VersionID, received []byte) []byte {
 	fields := make(map[string]json.RawMessage, len(c.fields)+4)
 	for k, f := range c.fields {
@@ -231,7 +237,8 @@
 	w.Header().Set(HeaderUpstream, string(j.upstream))
 }
 
-// cost returns the price of an answer of version v. It is zero for a model that is not configured.
+// cost returns the price of an answer of version v.
+// The price is zero for a model that is not configured.
 func (s *Server) cost(v contract.VersionID, usage engine.Usage) contract.Money {
 	m, ok := s.view.Load().snapshot.Config.Models[v.Model()]
 	if !ok {
@@ -249,7 +256,8 @@
 	}
 }
 
-// logAnswered logs a request that was answered completely. The err is that of writing to the caller.
+// logAnswered logs a request that was answered completely.
+// The parameter err is the error of writing the answer to the caller.
 func (s *Server) logAnswered(j *job, usage engine.Usage, err error) {
 	fields := []zap.Field{
 		zap.String("request", string(j.chat.id)), zap.String("workspace", string(j.chat.workspace.ID)),
--- a/entry/health.go
+++ b/entry/health.go
@@ -9,8 +9,8 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// healthRoutes returns the handler of the health, readiness, status and metrics endpoints. They are served
-// on a listener separate from the one for callers.
+// healthRoutes returns the handler of the health, readiness, status and metrics endpoints.
+// The endpoints are served on a listener of their own, not on the callers' listener.
 func (s *Server) healthRoutes() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/healthz", func(http.ResponseWriter, *http.Request) {})
@@ -20,8 +20,9 @@
 	return r
 }
 
-// serveReady answers 200 when this process accepts requests: it has a configuration, an upstream has answered
-// and it is not stopping, and otherwise 503. Conditions of a single request are checked when it arrives.
+// serveReady answers 200 when this process accepts requests: the process has a configuration,
+// an upstream has answered, and the process is not stopping. Otherwise serveReady answers 503.
+// Conditions of a single request are checked when that request arrives.
 func (s *Server) serveReady(w http.ResponseWriter, _ *http.Request) {
 	anyAnswered := false
 	s.locked(func() { anyAnswered = s.upstreams.HasReport() })
@@ -35,9 +36,11 @@
 	VM          string `json:"vm"`
 	DataCentre  string `json:"data_centre"`
 	Incarnation uint64 `json:"incarnation"`
-	// Revision is the configuration revision in use; 0 if there is none yet.
+	// Revision is the configuration revision in use.
+	// Revision is 0 if there is no configuration yet.
 	Revision uint64 `json:"revision"`
-	// Age is the time since the configuration was last confirmed as the newest; -1 if it never was.
+	// Age is the time since the configuration was last confirmed as the newest. Age is -1 if the
+	// configuration was never confirmed.
 	Age time.Duration `json:"age_nanoseconds"`
 	// Members is the number of VMs known to be live.
 	Members int `json:"members"`
@@ -51,7 +54,7 @@
 	BillsHeld int `json:"bills_held"`
 	// BillsAtRisk is the number of bill records of which no copy exists elsewhere.
 	BillsAtRisk int `json:"bills_at_risk"`
-	// Tickets is the number of tickets on which this process has voted and which it remembers.
+	// Tickets is the number of tickets on which this process has voted and that it remembers.
 	Tickets  int  `json:"tickets"`
 	Stopping bool `json:"stopping"`
 }
--- a/entry/peer_handlers.go
+++ b/entry/peer_handlers.go
@@ -27,8 +27,9 @@
 	})
 }
 
-// storeForPeer stores copies of a peer's bill records. A stopping process rejects them, because it would
-// have to submit them to the platform before it ends.
+// storeForPeer stores copies of a peer's bill records.
+// A stopping process rejects the copies, because it would have to submit them to the platform
+// before it ends.
 func (s *Server) storeForPeer(req protocol.BillRecords) error {
 	if s.stopping.Load() {
 		return errStopping
--- a/entry/plan.go
+++ b/entry/plan.go
@@ -21,14 +21,15 @@
 	"woaddoor/upstream"
 )
 
-// plan is the choice of model versions for a request. The answer of version is checked only if escalateTo is
-// set; if it fails the check, escalateTo answers instead.
+// plan is the choice of model versions for a request.
+// The answer of the model version in plan.version is checked only if
+// escalateTo is set. If that answer fails the check, escalateTo answers instead.
 type plan struct {
 	version, escalateTo contract.VersionID
 }
 
-// openSession verifies the session token of the request, if it has one, and that the session belongs to the
-// requested model.
+// openSession verifies the session token of the request, if the request has one.
+// openSession also verifies that the session belongs to the requested model.
 func (s *Server) openSession(c *chatRequest) *contract.Refusal {
 	if c.session == "" || c.session == newSessionValue {
 		return nil
@@ -83,9 +84,9 @@
 // bytesPerToken is the divisor that estimates the number of tokens from the size of a request body.
 const bytesPerToken = 4
 
-// planCascade decides whether a cheaper model of the cascade answers first. Streams, requests of a session and
-// requests that must not run twice always use the last model, because their answer cannot be discarded and
-// replaced by another model's.
+// planCascade decides whether a cheaper model of the cascade answers first.
+// Streams, requests of a session and requests that must not run twice always use the last model,
+// because their answer cannot be discarded and replaced by another model's answer.
 func (s *Server) planCascade(c *chatRequest, v *view, cascadeConfig *config.Cascade) (plan, *contract.Refusal) {
 	var models []cascade.Model
 	versions := make(map[contract.ModelID]contract.VersionID)
@@ -121,7 +122,8 @@
 // ratingService is the name by which a configuration declares the platform's rating service.
 const ratingService = contract.ServiceID("rating")
 
-// ratingTimeout bounds a call to the rating service. An answer not rated in time fails the check.
+// ratingTimeout bounds a call to the rating service.
+// An answer that is not rated in time fails the check.
 const ratingTimeout = 2 * time.Second
 
 // rateAnswer asks the rating service whether an answer is good.
@@ -148,8 +150,8 @@
 	return r.Score >= rating.GoodScore, err
 }
 
-// passesCheck reports whether the answer of a cascade's cheaper model is rated good. It is false if the
-// rating fails.
+// passesCheck reports whether the answer of a cascade's cheaper model is rated good.
+// The result is false if the rating fails.
 func (s *Server) passesCheck(ctx context.Context, j *job, a *engine.ChatResponse) bool {
 	good, err := s.rateAnswer(ctx, j, a)
 	if err != nil {
@@ -160,7 +162,8 @@
 	return good
 }
 
-// recordRating passes a rating to the cascade's estimates and to the rollout's samples.
+// recordRating passes a rating to the cascade's quality estimates and to the samples of the
+// rollout.
 func (s *Server) recordRating(j *job, good bool) {
 	s.locked(func() {
 		s.cascades.RecordRating(cascade.Arm{Workspace: j.chat.workspace.ID, Model: j.version.Model(), Class: j.chat.cascadeClass()}, good)
@@ -172,7 +175,7 @@
 const answersPerRating = 10
 
 // rateInBackground rates a random sample of the delivered answers, and every answer of a version in rollout,
-// without delaying the caller. It skips an answer that the cascade has already rated.
+// without delaying the caller. rateInBackground skips an answer that the cascade has already rated.
 func (s *Server) rateInBackground(j *job, p plan, a *engine.ChatResponse) {
 	if p.escalateTo != "" && j.version == p.version {
 		return
@@ -197,8 +200,8 @@
 	return ok && ro.To == v && p != nil && p.State == config.Ramping
 }
 
-// recordFailure counts a failed attempt at a version in rollout as a bad answer. It ignores attempts that
-// the router itself refused.
+// recordFailure counts a failed attempt at a version in rollout as a bad answer.
+// recordFailure ignores attempts that the router itself refused.
 func (s *Server) recordFailure(j *job, err error) {
 	if err == nil {
 		return
@@ -209,7 +212,7 @@
 }
 
 // recordRolloutResult counts a good or bad answer of a version in rollout. If the version turns out to be
-// bad, it is halted on this VM immediately.
+// bad, the version is halted on this VM immediately.
 func (s *Server) recordRolloutResult(j *job, bad bool) {
 	if !s.inRollout(j.version) {
 		return
@@ -236,7 +239,7 @@
 	s.log.Warn("version-halted", zap.String("version", string(v)))
 }
 
-// issueSession sends the token of a new session to a caller that asked for one.
+// issueSession sends the session token of a new session to a caller that asked for one.
 func (s *Server) issueSession(w http.ResponseWriter, j *job) *contract.Refusal {
 	if j.chat.session != newSessionValue {
 		return nil
--- a/entry/problem.go
+++ b/entry/problem.go
@@ -11,7 +11,7 @@
 	"woaddoor/contract"
 )
 
-// problemTypePrefix is the prefix of each problem type. The kind of the refusal follows it.
+// problemTypePrefix is the prefix of each problem type. The kind of the refusal follows the prefix.
 const problemTypePrefix = "urn:woaddoor:refusal:"
 
 // problem is the response body of a refusal: an RFC 9457 problem document.
--- a/entry/request.go
+++ b/entry/request.go
@@ -26,7 +26,8 @@
 	HeaderIdempotency = "Idempotency-Key"
 	// HeaderRepeatable is "no" for a request that must not run twice.
 	HeaderRepeatable = "Woaddoor-Repeatable"
-	// HeaderTicket carries the ticket that makes sure that a non-repeatable request runs at most once.
+	// HeaderTicket carries the ticket of a non-repeatable request.
+	// The ticket makes sure that the request runs at most once.
 	HeaderTicket = "Woaddoor-Ticket"
 	// HeaderSession is "new" to open a session, or the session token issued by the router.
 	HeaderSession = "Woaddoor-Session"
@@ -34,10 +35,11 @@
 	HeaderClass = "Woaddoor-Class"
 	// HeaderTimeout is how long the caller waits for the answer, such as "30s".
 	HeaderTimeout = "Woaddoor-Timeout"
-	// HeaderStream carries the token with which a caller resumes an interrupted stream, at any VM.
+	// HeaderStream carries the stream token with which a caller resumes an interrupted stream,
+	// at any VM.
 	HeaderStream = "Woaddoor-Stream"
-	// HeaderRequestID is the ID that the router gave the request. It and the headers below are set on
-	// responses only.
+	// HeaderRequestID is the ID that the router gave the request.
+	// HeaderRequestID and the headers below are set on responses only.
 	HeaderRequestID = "Woaddoor-Request"
 	// HeaderVersion is the model version that answered.
 	HeaderVersion = "Woaddoor-Version"
@@ -82,8 +84,9 @@
 	originalBillID bill.ID
 }
 
-// billID returns the ID of the request's bill record. Retries with the same idempotency key share it, so they
-// are billed once.
+// billID returns the ID of the request's bill record.
+// Retries with the same idempotency key share this ID,
+// so they are billed once.
 func (r *request) billID() bill.ID {
 	if r.originalBillID != "" {
 		return r.originalBillID
--- a/entry/server.go
+++ b/entry/server.go
@@ -66,7 +66,8 @@
 	ratings       *rating.Client
 	metrics       *serverMetrics
 
-	// view holds the state received by the last pull. It is replaced as a whole and never modified in place.
+	// view holds the state received by the last pull from a control process.
+	// The state is replaced as a whole and never modified in place.
 	view atomic.Pointer[view]
 	// applyMu serializes the application of pull answers to the view. Lock order: applyMu before mu.
 	applyMu sync.Mutex
@@ -77,7 +78,7 @@
 	// reconfigured wakes loadReportLoop after a configuration change that may have added upstreams.
 	reconfigured chan struct{}
 
-	// mu guards the fields below. It is held for one decision at a time and never during I/O.
+	// mu guards the fields below mu. mu is held for one decision at a time and never during I/O.
 	mu             sync.Mutex
 	random         *rand.Rand
 	upstreams      *upstream.Table
@@ -143,7 +144,8 @@
 	if err != nil {
 		return contract.WrapStep(contract.StepSettings, s.opts.Settings.Entry.Health, err)
 	}
-	// Background work gets its own context, because the shutdown after ctx still calls other processes.
+	// Background work gets its own context, because the shutdown, which begins when ctx is done,
+	// still calls other processes.
 	background, cancelBackground := context.WithCancel(context.Background())
 	defer cancelBackground()
 	drainable := drain.NewListener(callers, 0)
@@ -185,7 +187,7 @@
 // the load balancer has stopped sending requests by then.
 const notReadyPeriod = time.Second
 
-// stop performs a planned shutdown step by step. A second stop signal has no effect.
+// stop performs a planned shutdown step by step. A second signal to stop has no effect.
 func (s *Server) stop(callers *drain.Listener) {
 	s.log.Info("stopping", zap.Duration("drain", s.opts.Settings.Entry.DrainTimeout))
 	s.stopping.Store(true)
@@ -198,7 +200,7 @@
 	s.flushBills(ctx)
 }
 
-// locked calls decide with mu held.
+// locked calls the function decide while mu is held.
 func (s *Server) locked(decide func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/service.go
+++ b/entry/service.go
@@ -88,7 +88,7 @@
 // serviceWithRetries sends the call to upstreams until one answers or no retry is allowed.
 func (s *Server) serviceWithRetries(ctx context.Context, c *serviceCall) (*engine.PlainResponse, *contract.Refusal) {
 	s.locked(s.retryBudget.RecordFirstAttempt)
-	// Retries are decided as for chat requests, so the call is represented by a job.
+	// Retries are decided as for chat requests, so a job represents the service call.
 	j := &job{chat: &chatRequest{request: c.request}, outcome: contract.OutcomeNotRun}
 	for attempt := 1; ; attempt++ {
 		url, refused := s.pickServiceUpstream(c, j)
--- a/entry/streaming.go
+++ b/entry/streaming.go
@@ -21,8 +21,8 @@
 // streamTokenPurpose is part of the signature, so that a stream token is not accepted as a session token.
 const streamTokenPurpose = "stream"
 
-// streamToken lets a caller resume its stream at any VM. It identifies the engine that generates the answer
-// and the bill record of the request.
+// streamToken lets a caller resume its stream at any VM.
+// The token identifies the engine that generates the answer, and the bill record of the request.
 type streamToken struct {
 	Workspace contract.WorkspaceID `cbor:"1,keyasint"`
 	RequestID contract.RequestID   `cbor:"2,keyasint"`
@@ -34,7 +34,7 @@
 // streamTokenSigner signs and verifies stream tokens.
 type streamTokenSigner struct{ key *sign.Key }
 
-// newStreamTokenSigner returns a signer that uses the given key.
+// newStreamTokenSigner returns a signer of stream tokens that uses the given key.
 func newStreamTokenSigner(signingKey []byte) *streamTokenSigner {
 	return &streamTokenSigner{key: sign.NewKey(signingKey, streamTokenPurpose)}
 }
@@ -65,8 +65,9 @@
 	return r.run(ctx, "")
 }
 
-// run relays the stream until it is complete or cannot be recovered. It returns a refusal only if nothing has
-// been sent to the caller. After that, a failure is reported in the last event of the stream.
+// run relays the stream until the stream is complete or cannot be recovered.
+// run returns a refusal only if nothing has been sent to the caller.
+// Once something has been sent, a failure is reported in the last event of the stream.
 func (r *streamRelay) run(ctx context.Context, lastEventID string) *contract.Refusal {
 	s := r.server
 	for attempt := 1; ; attempt++ {
@@ -88,8 +89,8 @@
 	}
 }
 
-// prepareRecovery decides how to recover a broken stream and prepares the next attempt. It returns a refusal
-// if the stream cannot be recovered.
+// prepareRecovery decides how to recover a broken stream and prepares the next attempt.
+// prepareRecovery returns a refusal if the stream cannot be recovered.
 func (r *streamRelay) prepareRecovery(ctx context.Context, attempt int, err error, lastEventID *string) *contract.Refusal {
 	s := r.server
 	s.log.Warn("stream-broken", append(logs.ErrorFields(err), zap.String("request", string(r.job.chat.id)), zap.Int("delivered", r.eventsSent))...)
@@ -119,8 +120,8 @@
 	return s.finalRefusal(r.job, err, "stream could not go on")
 }
 
-// continueOnOtherUpstream makes the next attempt continue the answer after the text already sent. It uses the
-// same model version on another upstream.
+// continueOnOtherUpstream makes the next attempt continue the answer after the text already sent.
+// The next attempt uses the same model version on another upstream.
 func (r *streamRelay) continueOnOtherUpstream() {
 	r.job.excluded = append(r.job.excluded, r.job.upstream)
 	r.job.body = r.job.chat.bodyFor(r.job.version, r.sentText)
@@ -154,8 +155,8 @@
 	return usage, err
 }
 
-// attemptURL returns the URL for the next attempt. A resumed stream stays with its engine; otherwise an engine
-// is selected.
+// attemptURL returns the URL for the next attempt. A resumed stream stays with its engine.
+// For any other attempt, an engine is selected.
 func (r *streamRelay) attemptURL(lastEventID string) (string, error) {
 	s := r.server
 	if lastEventID == "" {
@@ -182,8 +183,8 @@
 // errStalled is the error for an upstream that sent no event within the time expected from its earlier events.
 var errStalled = errors.New("stream has stalled")
 
-// relayEvents reads events from an engine and forwards each one to the caller immediately. If the next event
-// is overdue, it cancels the call with errStalled.
+// relayEvents reads events from an engine and forwards each event to the caller immediately.
+// If the next event is overdue, relayEvents cancels the call with errStalled.
 func (r *streamRelay) relayEvents(ctx context.Context, cancel context.CancelCauseFunc, call engine.Call) (engine.Usage, error) {
 	s := r.server
 	detector := stream.NewStallDetector(stream.StallOptions{MaxGap: s.opts.Settings.Entry.StallAfter}, s.clock.Now())
@@ -211,7 +212,8 @@
 	}
 }
 
-// forward sends one event to the caller. Before the first one, it sends the response headers.
+// forward sends one event to the caller.
+// Before the first event, forward sends the response headers.
 func (r *streamRelay) forward(e engine.Event, now time.Time) error {
 	if !r.headSent {
 		if err := r.sendHead(now); err != nil {
@@ -229,8 +231,9 @@
 	return nil
 }
 
-// eventID returns the ID of the next event for the caller. It is the engine's own event ID, unless the engine
-// sent none or another engine has taken over; then it is the number of events sent so far.
+// eventID returns the ID of the next event for the caller.
+// Normally this is the engine's own event ID. If the engine sent no ID, or another engine has taken
+// over, the event ID is the number of events sent so far.
 func (r *streamRelay) eventID(e engine.Event) string {
 	if r.engineChanged || e.ID == "" {
 		return strconv.Itoa(r.eventsSent)
@@ -248,9 +251,10 @@
 	return append(b, "\n\n"...)
 }
 
-// recordChunk appends the text of an event to sentText, so that another engine can continue from it, and returns
-// the data to send. After a change of engine, chunks get the first engine's completion ID, and the token usage
-// covers the whole answer.
+// recordChunk appends the text of an event to sentText,
+// so that another engine can continue from that text.
+// recordChunk returns the data to send. After a change of engine, chunks get the first engine's
+// completion ID, and the token usage covers the whole answer.
 func (r *streamRelay) recordChunk(e engine.Event) []byte {
 	c := e.Chunk
 	if r.completionID == "" {
@@ -301,8 +305,9 @@
 	return nil
 }
 
-// finish stores the bill record of a completed stream, then sends the end marker. The record is stored first,
-// because the caller has a complete answer once it receives the end marker.
+// finish stores the bill record of a completed stream, then sends the end marker.
+// The bill record is stored first, because the caller has a complete answer once it receives the
+// end marker.
 func (r *streamRelay) finish(ctx context.Context, usage engine.Usage) *contract.Refusal {
 	usage.Completion += r.earlierUsage.Completion
 	if refused := r.server.saveBill(ctx, r.job, usage); refused != nil {
@@ -322,8 +327,9 @@
 	return &engine.ChatResponse{Completion: engine.ChatCompletion{Choices: []engine.Choice{{Message: engine.ResponseMessage{Content: string(text)}}}}}
 }
 
-// endWithRefusal ends an incomplete stream. If nothing was sent yet, it returns the refusal. Otherwise it sends
-// an error event with the problem document, and no end marker, and returns nil.
+// endWithRefusal ends an incomplete stream.
+// If nothing was sent yet, endWithRefusal returns the refusal.
+// Otherwise it sends an error event with the problem document, and no end marker, and returns nil.
 func (r *streamRelay) endWithRefusal(refused *contract.Refusal) *contract.Refusal {
 	if !r.headSent {
 		return refused
@@ -360,13 +366,14 @@
 	c := &chatRequest{request: req}
 	c.id = token.RequestID // the request ID by which the engine knows the stream
 	c.Stream = true
-	// The text sent before is not known here, so the answer cannot be continued on another engine, and the
-	// request must not be run again.
+	// The text that was sent before the interruption is not known here.
+	// The answer therefore cannot be continued on another engine, and the request must not be run
+	// again.
 	c.repeatable = false
 	c.session = ""
 	c.originalBillID = token.Bill
-	// The token was sent with the first event, so the request did run, and no later failure can change the
-	// outcome to "not run".
+	// The stream token was sent with the first event, so the request did run,
+	// and no later failure can change the outcome to "not run".
 	j := &job{chat: c, version: token.Version, upstream: token.Upstream, body: emptyBody, attempted: true, outcome: contract.OutcomeRan}
 	r := &streamRelay{server: s, job: j, w: w, flush: w.(http.Flusher).Flush, lastEventID: req.lastEventID}
 	return r.run(ctx, req.lastEventID)
--- a/entry/tickets.go
+++ b/entry/tickets.go
@@ -20,7 +20,8 @@
 // voteTimeout bounds a call to an arbiter. Within a data centre, an answer takes about a millisecond.
 const voteTimeout = time.Second
 
-// claim is a ticket that this process has won. It has to be settled with the result of the request.
+// claim is a ticket (permission to run a request at most once) that this process has won.
+// The claim has to be settled with the result of the request.
 type claim struct {
 	ticket   ticket.Ticket
 	claimant ticket.Claimant
@@ -51,8 +52,10 @@
 	}, s.clock.Now())
 }
 
-// arbiters returns the entry processes that vote on a new ticket: this one and up to two others. All are in
-// this VM's data centre, so that tickets can still be claimed while other data centres cannot be reached.
+// arbiters returns the entry processes that vote on a new ticket:
+// this process and up to two others.
+// All arbiters are in this VM's data centre, so that tickets can still be claimed while other
+// data centres cannot be reached.
 func (s *Server) arbiters() []ticket.Arbiter {
 	chosen := []ticket.Arbiter{s.arbiter}
 	ranked := vm.Rank(s.view.Load().members, s.opts.Settings.DataCentre, ulid.Make().String())
@@ -68,8 +71,9 @@
 	return chosen
 }
 
-// claimTicket claims the ticket of a request that must not run twice. It returns a nil claim and no refusal if
-// the request has already run and its stored answer was sent to the caller again.
+// claimTicket claims the ticket of a request that must not run twice.
+// If the request has already run and its stored answer was sent to the caller again,
+// claimTicket returns a nil claim and no refusal.
 func (s *Server) claimTicket(ctx context.Context, w http.ResponseWriter, req *request) (*claim, *contract.Refusal) {
 	t, refused := s.readTicket(w, req)
 	if refused != nil {
@@ -83,8 +87,9 @@
 	if result := c.Result(); result != nil {
 		return nil, s.replayResult(w, req, result)
 	}
-	// The ticket was not won and no arbiter knows a result. Try to prove that the request never ran: ask the
-	// arbiters that have not voted yet to vote for no claimant, so that nobody can win the ticket later.
+	// The ticket was not won and no arbiter (voter on the ticket) knows a result.
+	// Try to prove that the request never ran: ask the arbiters that have not voted yet to vote for
+	// no claimant, so that nobody can win the ticket later.
 	proof := s.collectVotes(ctx, t, ticket.Nobody)
 	if proof.Outcome() == contract.OutcomeNotRun {
 		return nil, newRefusal(contract.RefusedArbitersUnreachable, contract.OutcomeNotRun, contract.StepClaim, "too few arbiters of the ticket answer; it did not run and never will: take a new ticket")
@@ -96,7 +101,8 @@
 // claimRetryAfter is the Retry-After sent when the outcome of a claimed request is not known yet.
 const claimRetryAfter = 2 * time.Second
 
-// readTicket verifies the ticket of a request. If there is none, it refuses the request and offers a ticket.
+// readTicket verifies the ticket of a request. If the request has no ticket, readTicket refuses the
+// request and offers a ticket.
 func (s *Server) readTicket(w http.ResponseWriter, req *request) (ticket.Ticket, *contract.Refusal) {
 	if req.ticket == "" {
 		if text, err := s.newTicket(req); err == nil {
@@ -112,15 +118,17 @@
 	return t, nil
 }
 
-// voteResult is the answer of one arbiter, or the error of the call to it.
+// voteResult is the answer of one arbiter (a voter on a ticket),
+// or the error of the call to the arbiter.
 type voteResult struct {
 	arbiter contract.VMID
 	vote    ticket.Vote
 	err     error
 }
 
-// collectVotes asks all arbiters for their vote on a ticket and returns the claim with the votes. It returns as
-// soon as the claim is won, and otherwise when all arbiters have answered or failed.
+// collectVotes asks all arbiters for their vote on a ticket and returns the claim with the votes.
+// collectVotes returns as soon as the claim is won, and otherwise when all arbiters
+// have answered or failed.
 func (s *Server) collectVotes(ctx context.Context, t ticket.Ticket, claimant ticket.Claimant) *ticket.Claim {
 	c := ticket.NewClaim(t, claimant)
 	answers := make(chan voteResult, len(t.Arbiters))
@@ -149,7 +157,8 @@
 	return c
 }
 
-// requestVote asks one arbiter for its vote. If the arbiter is this process, it votes without a call.
+// requestVote asks one arbiter for its vote on a ticket. If the arbiter is this process,
+// requestVote votes without a call.
 func (s *Server) requestVote(ctx context.Context, a ticket.Arbiter, t ticket.Ticket, claimant ticket.Claimant) (ticket.Vote, error) {
 	if a.VM == s.arbiter.VM && a.Incarnation == s.incarnation {
 		return s.voteLocally(t, claimant)
@@ -187,7 +196,8 @@
 	s.settleAtArbiters(ctx, c, ticket.Result{Outcome: contract.OutcomeRan, Status: status, ContentType: contentType, Body: body, BodyComplete: body != nil})
 }
 
-// settleRefused reports the outcome of a refused request to the arbiters, unless its claim is settled.
+// settleRefused reports the outcome of a refused request to the arbiters of its ticket,
+// unless the request's claim is settled.
 func (s *Server) settleRefused(c *claim, refused *contract.Refusal) {
 	if refused == nil || c.settled {
 		return
--- a/entry/view.go
+++ b/entry/view.go
@@ -18,17 +18,19 @@
 	"woaddoor/vm"
 )
 
-// view is the state that this process got from control processes: the configuration and the live VMs. It is
-// immutable once stored in Server.view.
+// view is the state that this process got from control processes:
+// the configuration and the live VMs.
+// A view is immutable once stored in Server.view.
 type view struct {
 	snapshot permit.Snapshot
 	revision contract.Revision
 	members  []vm.Member
-	// lastListed is when an answer last listed each member.
+	// lastListed holds, for each member,
+	// the time at which a control process's answer last listed it.
 	lastListed map[contract.VMID]time.Time
 	// membersAskedAt is when the last request that returned the members was sent.
 	membersAskedAt time.Time
-	// replica is guarded by Server.applyMu.
+	// replica holds the newest configuration document. Server.applyMu guards replica.
 	replica *document.Replica
 	// document is the document in replica when this view was made.
 	document *document.Document
@@ -54,13 +56,15 @@
 	pullMaxWait = 500 * time.Millisecond
 	// pullRetryDelay is the pause after a failed pull, and between checks whether peers have to be asked.
 	pullRetryDelay = 100 * time.Millisecond
-	// pullTimeout bounds one pull. It is short enough that, if this VM's control process hangs, a change still
-	// arrives through a peer's within the time allowed for changes to take effect.
+	// pullTimeout bounds one pull. If this VM's control process hangs, pullTimeout is short enough
+	// for a change to arrive through a peer's control process within the time allowed for changes
+	// to take effect.
 	pullTimeout = pullMaxWait + 500*time.Millisecond
 )
 
-// pullLoop keeps the view up to date by pulling from this VM's control process. The pulls also report this
-// process as alive. It asks no other control process, so that an unreachable peer cannot delay it.
+// pullLoop keeps the view up to date by pulling from this VM's control process.
+// The pulls also report this process as alive. pullLoop asks no other control process,
+// so that an unreachable peer cannot delay it.
 func (s *Server) pullLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := s.pullFrom(ctx, s.opts.Settings.Control.LinkAddress); err != nil {
@@ -73,11 +77,12 @@
 // membersInterval is how often a pull also asks for the list of live VMs.
 const membersInterval = time.Second
 
-// staleAfter is the age of the configuration from which peers' control processes are asked as well.
+// staleAfter is the age of the configuration from which the control processes of peers are asked as
+// well.
 const staleAfter = 2 * time.Second
 
-// peerPullLoop pulls from the control processes of peers while the configuration is stale, because this VM's
-// control process has crashed, hangs or has no recent configuration itself.
+// peerPullLoop pulls from the control processes of peers while the configuration is stale:
+// this VM's control process has then crashed, hangs or has no recent configuration itself.
 func (s *Server) peerPullLoop(ctx context.Context) {
 	for next := 0; ctx.Err() == nil; {
 		if s.view.Load().age(s.clock.Now()) < staleAfter {
@@ -102,13 +107,14 @@
 	s.log.Warn("pull-failed", logs.ErrorFields(err)...)
 }
 
-// controlAddresses returns the addresses of the control processes, this VM's own first.
+// controlAddresses returns the addresses of control processes, first that of this VM's own process.
 func (s *Server) controlAddresses() []string {
 	return append([]string{s.opts.Settings.Control.LinkAddress}, s.peerControlAddresses()...)
 }
 
-// peerControlAddresses returns the addresses of the control processes of live peers, those in this VM's data
-// centre first. If no peer is known, it returns the addresses in the settings.
+// peerControlAddresses returns the addresses of the control processes of live peers.
+// Peers in this VM's data centre come first. If no peer is known, the addresses in the settings are
+// returned.
 func (s *Server) peerControlAddresses() []string {
 	var local, remote []string
 	for _, m := range s.view.Load().members {
@@ -130,7 +136,7 @@
 	return addresses
 }
 
-// pullFrom pulls from one control process and applies its answer to the view.
+// pullFrom pulls from one control process and applies the answer to the view.
 func (s *Server) pullFrom(ctx context.Context, address string) error {
 	v := s.view.Load()
 	current := v.document
@@ -166,11 +172,13 @@
 	return st
 }
 
-// errInvalidConfig is returned for a configuration document that cannot be used. The old one stays in use.
+// errInvalidConfig is returned for a configuration document that cannot be used.
+// The old document stays in use.
 var errInvalidConfig = errors.New("invalid configuration")
 
-// applyPull applies the answer of a pull and stores the resulting view. It returns an error if the patch no
-// longer applies because the other pull loop changed the document first; the next pull then gets the rest.
+// applyPull applies the answer of a pull and stores the resulting view.
+// applyPull returns an error if the patch no longer applies because the other pull loop changed the
+// document first. The next pull then gets the rest.
 func (s *Server) applyPull(answer protocol.PullResponse, askedRevision contract.Revision, askedAt time.Time) error {
 	s.applyMu.Lock()
 	defer s.applyMu.Unlock()
@@ -187,8 +195,9 @@
 	switch freshAt := askedAt.Add(-answer.ConfigAge); {
 	case !answer.AgeKnown || behind:
 	case answer.Patch == nil:
-		// The answer confirms askedRevision as the newest. That may no longer be the current revision, because
-		// the other pull loop may have changed it in the meantime.
+		// The answer confirms askedRevision as the newest revision.
+		// askedRevision may no longer be the current revision, because the other pull loop may have
+		// changed the document in the meantime.
 		v.replica.Confirm(askedRevision, freshAt)
 	default:
 		v.replica.Update(doc, freshAt)
@@ -248,20 +257,23 @@
 	}
 }
 
-// admissionFactor is the ratio of requests that all VMs admit together to the upstreams' slots. It is above 1
-// so that the upstreams' own queues keep them busy. docs/MEASURES.md has the measurements.
+// admissionFactor is the number of requests that all VMs together admit per slot of the upstreams.
+// The factor is above 1, so that the upstreams' own queues keep the upstreams busy.
+// docs/MEASURES.md has the measurements.
 const admissionFactor = 1.5
 
-// updateCapacity sets the number of requests that this VM admits from the slots of the usable upstreams. The
-// caller must hold mu.
+// updateCapacity sets how many requests this VM admits,
+// computed from the slots of the usable upstreams.
+// The caller must hold mu.
 func (s *Server) updateCapacity() {
 	members := s.view.Load().members
 	s.engineQueue.SetCapacity(s.capacity(config.EnginePool, members))
 	s.serviceQueue.SetCapacity(s.capacity(config.ServicePool, members))
 }
 
-// capacity returns how many requests this VM admits to pools of a kind: its share of the slots of the pools in
-// its data centre, times admissionFactor.
+// capacity returns how many requests this VM admits to pools of a kind (engines or services).
+// The result is this VM's share of the slots of those pools in its data centre,
+// times admissionFactor.
 func (s *Server) capacity(kind config.PoolKind, members []vm.Member) int {
 	dataCentre := s.opts.Settings.DataCentre
 	vms := 0
