--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -1,10 +1,10 @@
-// Package cascade chooses the model that answers a request first, and whether a larger one
-// answers after it. It creates no random numbers: its callers pass in the source.
+// Package cascade chooses the model that answers a request first, and whether a larger model
+// answers after it. The package creates no random numbers: its callers pass in the source.
 //
-// Learner estimates, per workspace and request class, how often the answers of a model are
-// rated good. Ratings arrive late and for few answers, and old ones lose weight so that the
-// estimates follow drift. Learner selects the plan with the lowest expected cost among
-// those that reach the quality target of the workspace with confidence.
+// Learner estimates, per workspace and request class, how often the answers of a model are rated
+// good. Ratings arrive late and for few answers. Old ratings lose weight,
+// so that the estimates follow drift. Among the plans that reach the quality target of the
+// workspace with confidence, Learner selects the plan with the lowest expected cost.
 package cascade
 
 import (
@@ -19,15 +19,15 @@
 
 // Options configures a Learner.
 type Options struct {
-	// ExplorationRate is the fraction of requests that try the cheapest model with a check,
-	// even if another plan looks better. Zero means 0.02.
+	// ExplorationRate is the fraction of requests that try the cheapest model with a check of its
+	// answer, even if another plan looks better. Zero means 0.02.
 	ExplorationRate float64
 	// MaxSamples is the maximum effective number of ratings behind an estimate. Zero means 400.
 	MaxSamples float64
-	// StandardErrors is the number of standard errors by which an estimate is lowered
-	// before it is compared with the target. Zero means 1.64 (95%).
+	// StandardErrors is the number of standard errors by which a quality estimate is lowered before
+	// the estimate is compared with the quality target. Zero means 1.64 (95%).
 	StandardErrors float64
-	// MaxArms bounds the number of estimates kept. Zero means 4096.
+	// MaxArms bounds the number of quality estimates kept. Zero means 4096.
 	MaxArms int
 }
 
@@ -98,7 +98,7 @@
 	opts.MaxArms = cmp.Or(opts.MaxArms, defaultMaxArms)
 	arms, err := simplelru.NewLRU[Arm, *estimate](opts.MaxArms, nil)
 	if err != nil {
-		panic(err) // fails only for a size below 1, which the default rules out
+		panic(err) // NewLRU fails only for a size below 1, which the default rules out
 	}
 	return &Learner{opts: opts, arms: arms}
 }
@@ -106,8 +106,9 @@
 // estimate is a Beta distribution over the share of good answers.
 type estimate struct{ good, bad float64 }
 
-// Priors of the estimates. Nothing is assumed about a cheaper model; the last model is
-// assumed to be good, since operators put a model there that is good enough.
+// Priors of the quality estimates. Nothing is assumed about a cheaper model.
+// The last model is assumed to be good, since operators put a model that is good enough at the end
+// of a cascade.
 var (
 	priorCheaper = estimate{1, 1}
 	priorLast    = estimate{9, 1}
@@ -122,7 +123,7 @@
 	return math.Sqrt(e.good * e.bad / (n * n * (n + 1)))
 }
 
-// estimateOf returns the estimate of an arm, which is its ratings added to the prior.
+// estimateOf returns the quality estimate of an arm: the ratings of the arm added to the prior.
 func (l *Learner) estimateOf(a Arm, prior estimate) estimate {
 	if e, ok := l.arms.Get(a); ok {
 		return estimate{e.good + prior.good, e.bad + prior.bad}
@@ -130,8 +131,8 @@
 	return prior
 }
 
-// RecordRating records the rating of an answer, which may arrive late. The weight of a rating
-// decays with each newer one.
+// RecordRating records the rating of an answer. The rating may arrive late.
+// The weight of a rating decays with each newer rating.
 func (l *Learner) RecordRating(a Arm, good bool) {
 	e, ok := l.arms.Get(a)
 	if !ok {
@@ -155,8 +156,8 @@
 	quality, qualityLowerBound float64 // expected share of good answers, and its lower confidence bound
 }
 
-// Decide returns the plan for a request. A small share of requests explores: it gets the
-// cheapest model with a check.
+// Decide returns the plan for a request. A small share of requests explores:
+// such a request gets the cheapest model with a check of its answer.
 func (l *Learner) Decide(q Query, random *rand.Rand) Plan {
 	candidates := l.candidates(q)
 	if random.Float64() < l.opts.ExplorationRate {
@@ -171,8 +172,9 @@
 	return best.plan
 }
 
-// preferred reports whether a is better than b. Plans that reach the target come first, the
-// cheapest of them foremost; if neither reaches it, the one with the higher quality wins.
+// preferred reports whether candidate a is better than candidate b.
+// Plans that reach the quality target come first, the cheapest of them foremost.
+// If neither plan reaches the target, the plan with the higher quality wins.
 func preferred(a, b candidate, target float64) bool {
 	reachesA, reachesB := a.qualityLowerBound >= target, b.qualityLowerBound >= target
 	if reachesA != reachesB {
@@ -184,8 +186,9 @@
 	return a.quality > b.quality
 }
 
-// candidates returns the plan with the last model alone, followed by two plans for each
-// cheaper model: with a check and without.
+// candidates returns the plan with the last model alone.
+// Two plans for each cheaper model follow: a plan with a check of the answer and a plan without a
+// check.
 func (l *Learner) candidates(q Query) []candidate {
 	last := q.Models[len(q.Models)-1]
 	lastEstimate := l.estimateOf(Arm{q.Workspace, last.ID, q.Class}, priorLast)
@@ -196,8 +199,8 @@
 	for _, m := range q.Models[:len(q.Models)-1] {
 		e := l.estimateOf(Arm{q.Workspace, m.ID, q.Class}, priorCheaper)
 		badShare := 1 - e.mean()
-		// The check replaces bad answers with answers of the last model, so the quality is
-		// at least that of the last model. The cost depends on how often that happens.
+		// The check replaces bad answers with answers of the last model, so the quality is at least
+		// that of the last model. The cost depends on how often an answer is replaced.
 		checkedQuality := e.mean() + badShare*lastEstimate.mean()
 		out = append(out, candidate{
 			plan: Plan{First: m.ID, Check: true, Fallback: last.ID},
--- a/cascade/confidence.go
+++ b/cascade/confidence.go
@@ -6,18 +6,20 @@
 	"woaddoor/contract"
 )
 
-// ConfidenceEstimator estimates the quality of models from the confidence that they report for their
-// own answers, without any external ratings. An answer counts as good when it is as good as
-// the largest model's. The confidences of the largest model show what good answers look
-// like; those of a smaller model are a mixture of good and poor answers.
+// ConfidenceEstimator estimates the quality of models from the confidence that they report for
+// their own answers, without any external ratings. An answer counts as good when it is as good as
+// the largest model's answer. The confidences of the largest model show what good answers look
+// like. The confidences of a smaller model are a mixture: some belong to good answers and some to
+// poor answers.
 //
 // ConfidenceEstimator is not safe for concurrent use; the caller holds a lock.
 type ConfidenceEstimator struct {
 	models map[contract.ModelID]*confidenceStats
 }
 
-// confidenceStats holds the mean confidence of a model over all its answers, and over those
-// whose confidence is closer to that of poor answers than to that of good ones.
+// confidenceStats holds the mean confidence of a model over all its answers,
+// and the mean over its probably poor answers: their confidence is closer to that of poor answers
+// than to that of good answers.
 type confidenceStats struct {
 	mean, lowMean       float64
 	samples, lowSamples int
@@ -29,8 +31,9 @@
 	// confidences of good and of poor answers.
 	priorGoodConfidence = 0.8
 	priorPoorConfidence = 0.2
-	// confidenceStdDev is the standard deviation of the confidence among good answers and
-	// among poor ones; observed values were about 0.19.
+	// confidenceStdDev is the standard deviation of the confidence among good answers
+	// and among poor answers.
+	// Observed standard deviations were about 0.19.
 	confidenceStdDev = 0.2
 	// priorGoodShare is the prior share of good answers of a smaller model.
 	priorGoodShare = 0.5
@@ -38,8 +41,9 @@
 	priorSamples = 15
 	// minSampleWeight is the weight of a new sample after many samples.
 	minSampleWeight = 0.005
-	// minSeparation keeps the mean confidences of good and poor answers apart, and minShare
-	// keeps both kinds possible, while there are few samples.
+	// minSeparation keeps the mean confidences of good and poor answers apart
+	// while there are few samples.
+	// minShare keeps both good and poor answers possible while there are few samples.
 	minSeparation = 0.2
 	minShare      = 0.02
 )
@@ -49,8 +53,8 @@
 	return &ConfidenceEstimator{models: make(map[contract.ModelID]*confidenceStats)}
 }
 
-// Observe records the confidence from 0 to 1 that a model reported for one of its answers.
-// largest is the model that defines good answers.
+// Observe records the confidence, from 0 to 1, that a model reported for one of its answers.
+// The parameter largest is the model whose answers define good answers.
 func (e *ConfidenceEstimator) Observe(m, largest contract.ModelID, confidence float64) {
 	if !(confidence >= 0 && confidence <= 1) { // Also rejects NaN: the values come from other VMs and are not validated.
 		return
@@ -104,8 +108,9 @@
 	return min(max((e.statsOf(m, largest).mean-poor)/(good-poor), 0), 1)
 }
 
-// GoodProbability returns the probability that an answer of a model is good, given its confidence.
-// The confidences of good and of poor answers are assumed to have the same variance (linear
+// GoodProbability returns the probability that an answer of a model is good,
+// given the answer's confidence.
+// The confidences of good answers and of poor answers are assumed to have the same variance (linear
 // discriminant analysis).
 func (e *ConfidenceEstimator) GoodProbability(m, largest contract.ModelID, confidence float64) float64 {
 	goodShare := e.GoodShare(m, largest)
--- a/control/members.go
+++ b/control/members.go
@@ -35,9 +35,8 @@
 	// that is VMs that represent their data centre, such a heartbeat lists.
 	remoteHeartbeatTargets = 1
 	delegateCount          = 2
-	// roundsPerRemoteHeartbeat counts rounds of heartbeats.
-	// In one of so many rounds, a watcher (a VM that watches the platform's store) also sends
-	// heartbeats to other data centres.
+	// A watcher (a VM that watches the platform's store) also sends heartbeats to other data
+	// centres in one of every roundsPerRemoteHeartbeat rounds of heartbeats.
 	roundsPerRemoteHeartbeat = 2
 )
 
@@ -136,8 +135,8 @@
 }
 
 // localHeartbeat returns the heartbeat for VMs of this data centre.
-// The heartbeat lists this VM alone or,
-// if includeLocal is true, all known VMs of this data centre. The caller holds mu.
+// The heartbeat lists this VM alone. If includeLocal is true, the heartbeat lists all known VMs
+// of this data centre. The caller holds mu.
 func (s *Server) localHeartbeat(now time.Time, includeLocal bool) protocol.Heartbeat {
 	s.table.SetSelf(s.selfMember())
 	members := []vm.Member{s.table.Self()}
@@ -218,8 +217,8 @@
 
 // mergeHeartbeat merges the members, halted versions and roll-out evidence (counts of good and bad
 // responses) of a received heartbeat.
-// mergeHeartbeat ignores the summed evidence of this VM's own data
-// centre, because this VM already has the evidence of each VM in that data centre.
+// mergeHeartbeat ignores the summed evidence of this VM's own data centre,
+// because this VM already has the evidence of each VM in that data centre.
 func (s *Server) mergeHeartbeat(received protocol.Heartbeat) {
 	s.mergeMembers(received.Members, received.HaltedVersions)
 	ownTotal := dataCentreTotal(s.opts.Settings.DataCentre)
--- a/control/rollouts.go
+++ b/control/rollouts.go
@@ -101,9 +101,9 @@
 	return false
 }
 
-// publishStep writes a decided step of a roll-out to the configuration that
-// the step was decided for.
-// If the configuration has changed since, nothing is written. rolloutLoop then decides again.
+// publishStep writes a decided step of a roll-out to the configuration for which the step was
+// decided. If the configuration has changed since, nothing is written, and rolloutLoop decides
+// again.
 func (s *Server) publishStep(ctx context.Context, m contract.ModelID, next decidedStep) error {
 	ctx, cancel := context.WithTimeout(ctx, rolloutTimeout)
 	defer cancel()
--- a/control/server.go
+++ b/control/server.go
@@ -3,8 +3,8 @@
 // configuration on to other processes, exchanges heartbeats with other VMs,
 // writes bill records to the store, and advances roll-outs.
 //
-// No client request waits for the control process. It may be frozen, killed or unable
-// to reach the platform while the entry process of its VM continues to serve requests.
+// No client request waits for the control process. The control process may be frozen, killed or
+// unable to reach the platform while the entry process of its VM continues to serve requests.
 package control
 
 import (
--- a/permit/permit.go
+++ b/permit/permit.go
@@ -1,9 +1,11 @@
-// Package permit decides whether a request may start on a model version now. It does no I/O and reads no clock:
-// the caller passes the configuration, its age and the current time.
+// Package permit decides whether a request may start on a model version now.
+// The package does no I/O and reads no clock: the caller passes the configuration,
+// its age and the current time.
 //
-// It guarantees three things: a request runs only on a version that its workspace allows, a withdrawn version
-// receives no new work, and a session keeps its version. The check is repeated for each attempt, immediately
-// before bytes are sent, so it also covers changes made while a request waits or is retried.
+// The package guarantees three things: a request runs only on a version that its workspace allows,
+// a withdrawn version receives no new work, and a session keeps its version.
+// The permission is checked again for each attempt, immediately before bytes are sent.
+// The check therefore also covers changes made while a request waits or is retried.
 package permit
 
 import (
@@ -19,7 +21,7 @@
 
 // The kinds of requests.
 const (
-	// NewWork is a request outside a session, or the first of one.
+	// NewWork is a request outside a session, or the first request of a session.
 	NewWork RequestKind = iota
 	// InSession is a later request of a session.
 	InSession
@@ -35,8 +37,10 @@
 	Halted map[contract.VersionID]bool
 }
 
-// NotAfter returns when the permission to give version v new work expires. The time counts from FreshAt, so a
-// VM that was paused or disconnected past the expiry finds its permission expired when it checks again.
+// NotAfter returns when the permission to give version v new work expires.
+// The permission's time counts from FreshAt, when the configuration was last known to be the
+// newest. A VM that was paused or disconnected past the expiry finds its permission expired when it
+// checks again.
 func (s Snapshot) NotAfter(v contract.VersionID) time.Time {
 	if s.FreshAt.IsZero() {
 		return time.Time{}
@@ -72,7 +76,7 @@
 	return nil
 }
 
-// newRefusal returns a refusal of this check. The formatted detail is sent to the caller.
+// newRefusal returns a refusal of the permission check. The formatted detail is sent to the caller.
 func newRefusal(kind contract.RefusalKind, retryAfter time.Duration, format string, args ...any) *contract.Refusal {
 	return &contract.Refusal{
 		Kind: kind, Outcome: contract.OutcomeNotRun, Step: contract.StepPermit,
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,5 +1,5 @@
 // Package retry decides whether a failed attempt is retried, and limits the retries of a VM and of
-// the fleet. It reads no clock and creates no random numbers: its callers pass both in.
+// the fleet. The package reads no clock and creates no random numbers: its callers pass both in.
 //
 // All requests of a VM share one retry budget that is a small fraction of its first
 // attempts, so retries cannot amplify an overload.
@@ -21,8 +21,8 @@
 	Burst float64
 	// MaxAttempts bounds the attempts of one request. Zero means 3.
 	MaxAttempts int
-	// Backoff is the mean pause before the first retry; it doubles with each
-	// further retry. Zero means 25 ms.
+	// Backoff is the mean pause before the first retry.
+	// The mean pause doubles with each further retry. Zero means 25 ms.
 	Backoff time.Duration
 }
 
@@ -55,7 +55,7 @@
 
 // Attempt describes an attempt that returned no answer.
 type Attempt struct {
-	// Number counts from 1.
+	// Number is the number of the attempt, counted from 1.
 	Number int
 	// Outcome is what is known about whether the attempt was executed.
 	Outcome contract.Outcome
@@ -71,7 +71,7 @@
 type Decision struct {
 	Retry bool
 	Pause time.Duration
-	// Reason is why there is no retry; it is empty if Retry is true.
+	// Reason says why there is no retry. Reason is empty if Retry is true.
 	Reason Reason
 }
 
@@ -87,14 +87,15 @@
 	NoOtherUpstream   Reason = "no other upstream takes it"
 )
 
-// jitterFactor scales a uniform random number from 0 to 1 so that the
-// mean pause equals the backoff.
+// jitterFactor scales a uniform random number from 0 to 1 so that the mean pause equals the
+// backoff.
 const jitterFactor = 2
 
-// RetryBlocked returns why this attempt must not be followed by another one, regardless of the
-// retry budget, or "" if a retry is allowed. maxAttempts bounds the attempts of one request.
+// RetryBlocked returns why this attempt must not be followed by another attempt,
+// regardless of the retry budget. The result is "" if a retry is allowed.
+// maxAttempts bounds the attempts of one request.
 //
-// A request that is not repeatable may only be retried if its attempt provably was not executed.
+// A request that is not repeatable may only be retried if its attempt was provably not executed.
 func (a Attempt) RetryBlocked(maxAttempts int, now time.Time) Reason {
 	switch {
 	case !a.Repeatable && a.Outcome != contract.OutcomeNotRun:
--- a/retry/window.go
+++ b/retry/window.go
@@ -9,15 +9,16 @@
 type ResendWindowOptions struct {
 	// Ratio is the number of resends that each request adds to the allowance.
 	Ratio float64
-	// Slack is the number of additional resends that the whole fleet may make per window.
+	// Slack is the number of additional resends that the whole fleet may make per sliding window.
 	Slack float64
 	// Length is the length of the sliding window. Zero means 10 s.
 	Length time.Duration
 	// Margin is the fraction of the allowance that stays unused, because the windows of
 	// different VMs, and of anyone who checks the limit, are not aligned. Zero means 0.15.
 	Margin float64
-	// Reserve is the fraction of the allowance that only retries may use, so that
-	// escalations to a larger model leave some for failures. Zero means 0.25.
+	// Reserve is the fraction of the allowance that only retries may use,
+	// so that escalations (resends to a larger model) leave some resends for failures.
+	// Zero means 0.25.
 	Reserve float64
 }
 
@@ -27,14 +28,16 @@
 	defaultMargin       = 0.15
 	defaultReserve      = 0.25
 	windowSlots         = 20
-	// ringSlots is one more than windowSlots: the newest slot has only just begun, so the
-	// oldest one is still partly inside the window.
+	// ringSlots is one more than windowSlots:
+	// the newest slot (part of the window) has only just begun,
+	// so the oldest slot is still partly inside the window.
 	ringSlots = windowSlots + 1
 )
 
-// ResendWindow limits the resends (retries and escalations) of one VM to one service over a
-// sliding window. Each VM's allowance comes from its own requests and its share of the
-// slack, so the fleet stays within its limit without communication between VMs.
+// ResendWindow limits the resends (retries and escalations) of one VM to one service over a sliding
+// window. Each VM's allowance comes from its own requests and from its part of the slack (resends
+// that the whole fleet may make in addition). The fleet thus stays within its limit without
+// communication between VMs.
 //
 // ResendWindow is not safe for concurrent use; the caller holds a lock.
 type ResendWindow struct {
@@ -43,7 +46,7 @@
 	newest int64 // number of the newest slot
 }
 
-// slot counts the requests and resends of one part of the window.
+// slot counts the requests and resends of one part of the sliding window.
 type slot struct{ requests, resends float64 }
 
 // NewResendWindow returns an empty window.
@@ -54,12 +57,12 @@
 	return &ResendWindow{opts: opts}
 }
 
-// slot returns the ring entry for a slot number.
+// slot returns the ring entry for the given slot number.
 func (w *ResendWindow) slot(number int64) *slot {
 	return &w.slots[(number%ringSlots+ringSlots)%ringSlots]
 }
 
-// advance clears the slots between the newest one and now, and returns the slot of now.
+// advance clears the slots between the newest slot and the time now, and returns the slot of now.
 func (w *ResendWindow) advance(now time.Time) *slot {
 	current := now.UnixNano() / int64(w.opts.Length/windowSlots)
 	for n := 0; w.newest < current && n < ringSlots; n++ {
@@ -86,8 +89,9 @@
 	ForEscalation
 )
 
-// Take spends one resend from the allowance of this VM, one of vms VMs that share the slack
-// equally. It returns false if the allowance is used up.
+// Take spends one resend from the allowance of this VM.
+// The parameter vms is the number of VMs that share the slack equally.
+// Take returns false if the allowance is used up.
 func (w *ResendWindow) Take(p Purpose, vms int, now time.Time) bool {
 	current := w.advance(now)
 	if w.used()+1 > w.allowanceFor(p, vms) {
@@ -97,7 +101,7 @@
 	return true
 }
 
-// UnusedShare returns the unused fraction of the allowance, from 0 to 1.
+// UnusedShare returns the unused fraction of this VM's resend allowance, from 0 to 1.
 func (w *ResendWindow) UnusedShare(vms int, now time.Time) float64 {
 	w.advance(now)
 	limit := w.allowance(vms)
@@ -107,7 +111,7 @@
 	return max(0, 1-w.used()/limit)
 }
 
-// UsedShare returns the used fraction of the allowance for a purpose, from 0 to 1.
+// UsedShare returns the used fraction of the resend allowance for a purpose, from 0 to 1.
 func (w *ResendWindow) UsedShare(p Purpose, vms int, now time.Time) float64 {
 	w.advance(now)
 	limit := w.allowanceFor(p, vms)
@@ -117,7 +121,7 @@
 	return min(w.used()/limit, 1)
 }
 
-// allowanceFor returns the part of the allowance that is available for a purpose.
+// allowanceFor returns the part of the resend allowance that is available for a purpose.
 func (w *ResendWindow) allowanceFor(p Purpose, vms int) float64 {
 	if p == ForEscalation {
 		return (1 - w.opts.Reserve) * w.allowance(vms)
@@ -125,7 +129,7 @@
 	return w.allowance(vms)
 }
 
-// allowance returns how many resends this VM may make per window.
+// allowance returns how many resends this VM may make per sliding window.
 func (w *ResendWindow) allowance(vms int) float64 {
 	requests := 0.0
 	for number := w.newest; number > w.newest-windowSlots; number-- { // slots that lie completely inside the window
@@ -134,7 +138,7 @@
 	return (1 - w.opts.Margin) * (w.opts.Ratio*requests + w.opts.Slack/float64(max(vms, 1)))
 }
 
-// used returns how many resends this VM made in the window.
+// used returns how many resends this VM made in the sliding window.
 func (w *ResendWindow) used() float64 {
 	used := 0.0
 	for _, s := range w.slots {
--- a/ticket/claim.go
+++ b/ticket/claim.go
@@ -2,22 +2,22 @@
 
 import "woaddoor/contract"
 
-// ClaimState is the state of a claim.
+// ClaimState is the state of a claim (an attempt to win the right to run a ticket's request).
 type ClaimState uint8
 
 // States of a claim.
 const (
-	// Pending means that votes are outstanding.
+	// Pending means that some arbiters have not voted on the claim yet.
 	Pending ClaimState = iota
 	// Won means that the claimant may run the request, once.
 	Won
-	// Lost means that the claimant may not run the request; see Claim.Outcome for
-	// what is known about it.
+	// Lost means that the claimant may not run the request.
+	// Claim.Outcome returns what is known about that request.
 	Lost
 )
 
-// Claim counts the votes for one claimant. It is a pure state machine: the caller
-// sends the vote requests and passes in the replies.
+// Claim counts the votes for one claimant. A Claim is a pure state machine:
+// the caller sends the vote requests and passes in the replies.
 type Claim struct {
 	ticket      Ticket
 	claimant    Claimant
@@ -27,8 +27,8 @@
 	result      *Result
 }
 
-// NewClaim returns a claim of c on t. With Nobody as the claimant it tries to prove
-// that the request of t did not run.
+// NewClaim returns a claim of claimant c on ticket t.
+// With Nobody as the claimant, the claim tries to prove that the request of t did not run.
 func NewClaim(t Ticket, c Claimant) *Claim {
 	return &Claim{
 		ticket: t, claimant: c, outstanding: len(t.Arbiters),
@@ -50,8 +50,8 @@
 	}
 }
 
-// NoReply records that an arbiter will not reply. It may have voted nevertheless, so
-// it counts neither for nor against the claim.
+// NoReply records that an arbiter will not reply. The arbiter may have voted nevertheless,
+// so NoReply counts neither for nor against the claim.
 func (c *Claim) NoReply(arbiter contract.VMID) {
 	if c.answered[arbiter] {
 		return
@@ -79,9 +79,9 @@
 
 // Outcome returns what a lost claim knows about whether the request ran.
 //
-// NotRun requires proof: so many votes for Nobody that no claimant can ever have a
-// majority. Without a result or this proof the outcome is Unknown, even if only one
-// arbiter did not reply.
+// NotRun requires proof: so many votes for Nobody that no claimant can ever have a majority.
+// Without a result and without this proof, the outcome is Unknown, even if only one arbiter did not
+// reply.
 func (c *Claim) Outcome() contract.Outcome {
 	if c.result != nil {
 		return c.result.Outcome
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -1,16 +1,16 @@
-// Package ticket ensures that a request that must not be repeated runs at most
-// once, without a data store of its own and without writes to the platform.
+// Package ticket ensures that a request that must not be repeated runs at most once.
+// The package needs no data store of its own and no writes to the platform.
 //
-// A caller first requests a ticket. The ticket permanently names a few entry
-// processes of its home data centre, the arbiters, each with its incarnation. A VM
-// runs the request only after a majority of these arbiters has voted for it, and an
-// arbiter votes only once. A process that replaces an arbiter has another
-// incarnation and no vote, so no vote is ever forgotten.
+// A caller first requests a ticket. The ticket permanently names a few entry processes of its home
+// data centre, the arbiters, each with its incarnation.
+// A VM runs the request only after a majority of these arbiters has voted for that VM's attempt,
+// and an arbiter votes only once. A process that replaces an arbiter has another incarnation and no
+// vote, so no vote is ever forgotten.
 //
-// Because a majority is needed to run, enough votes for Nobody prove that a request
+// Because a majority of the arbiters is needed to run, enough votes for Nobody prove that a request
 // did not run and never will. The outcome NotRun relies on this proof.
 //
-// The alternatives and their costs are in docs/design/at-most-once.md.
+// docs/design/at-most-once.md compares this design with its alternatives and their costs.
 package ticket
 
 import (
@@ -38,7 +38,7 @@
 	Expires        int64                 `cbor:"5,keyasint"` // Unix seconds
 }
 
-// Quorum returns how many votes a claim needs to win.
+// Quorum returns how many votes of arbiters a claim on the ticket needs to win.
 func (t Ticket) Quorum() int { return len(t.Arbiters)/2 + 1 }
 
 // BlockingQuorum returns how many votes for Nobody prove that no other claimant can win.
@@ -73,9 +73,9 @@
 	return s.key.Sign(t)
 }
 
-// Open verifies and decodes a ticket presented by workspace w. It fails with
-// sign.ErrInvalidSignature or ErrOtherWorkspace. An expired ticket still opens, because the
-// result of its request can still be retrieved.
+// Open verifies and decodes a ticket presented by workspace w.
+// Open fails with sign.ErrInvalidSignature or ErrOtherWorkspace.
+// Open also accepts an expired ticket, because the result of its request can still be retrieved.
 func (s *Signer) Open(text string, w contract.WorkspaceID) (Ticket, error) {
 	var t Ticket
 	if err := s.key.Verify(text, &t); err != nil {
--- a/ticket/votestore.go
+++ b/ticket/votestore.go
@@ -7,8 +7,8 @@
 	"woaddoor/contract"
 )
 
-// Claimant identifies who wants to run the request of a ticket: one attempt of one process. The
-// zero Claimant is Nobody; a vote for it is a vote against running the request.
+// Claimant identifies who wants to run the request of a ticket: one attempt of one process.
+// The zero Claimant is Nobody. A vote for Nobody is a vote against running the request.
 type Claimant struct {
 	VM          contract.VMID        `cbor:"1,keyasint"`
 	Incarnation contract.Incarnation `cbor:"2,keyasint"`
@@ -23,7 +23,7 @@
 	Outcome     contract.Outcome `cbor:"1,keyasint"`
 	Status      int              `cbor:"2,keyasint"`
 	ContentType string           `cbor:"3,keyasint"`
-	// Body is the whole response body, or empty if it was too large to store.
+	// Body is the whole response body. Body is empty if the response body was too large to store.
 	Body []byte `cbor:"4,keyasint"`
 	// BodyComplete is true if Body is the whole response body.
 	BodyComplete bool `cbor:"5,keyasint"`
@@ -32,8 +32,8 @@
 // MaxStoredBody is the largest response body that arbiters store for a retry of the caller.
 const MaxStoredBody = 16 * contract.KiB
 
-// Vote is the reply of an arbiter: the claimant that has its vote, and the result
-// of the request if it is known.
+// Vote is the reply of an arbiter: the claimant that has the arbiter's vote,
+// and the result of the request if the arbiter knows the result.
 type Vote struct {
 	For    Claimant `cbor:"1,keyasint"`
 	Result *Result  `cbor:"2,keyasint"`
@@ -43,16 +43,16 @@
 // tickets. The arbiter has not voted.
 var ErrVoteStoreFull = errors.New("arbiter remembers as many tickets as it may")
 
-// ErrNotArbiter means that the ticket names another process, or an earlier
-// incarnation of this one. This process has not voted.
+// ErrNotArbiter means that the ticket names another process as the arbiter,
+// or an earlier incarnation of this process. This process has not voted.
 var ErrNotArbiter = errors.New("ticket names another arbiter")
 
-// VoteStore holds the votes of one arbiter. It is a pure state machine
-// and not safe for concurrent use.
+// VoteStore holds the votes of one arbiter (a process that votes on tickets).
+// VoteStore is a pure state machine and not safe for concurrent use.
 //
-// It drops a ticket only after the ticket has expired, and it uses the same clock
-// to refuse votes on expired tickets. If the clock deviates from others, a ticket
-// only ends earlier or later here; this arbiter never votes on it twice.
+// VoteStore drops a ticket only after the ticket has expired, and uses the same clock to refuse
+// votes on expired tickets. If this clock deviates from other clocks, a ticket only ends earlier or
+// later at this arbiter. This arbiter never votes on a ticket twice.
 type VoteStore struct {
 	self           Arbiter
 	maxTickets     int
@@ -62,7 +62,8 @@
 	maxStoredBytes contract.Bytes
 }
 
-// voteRecord is the vote on one ticket, with the result of its request if that is known.
+// voteRecord is the vote on one ticket,
+// with the result of the ticket's request if the result is known.
 type voteRecord struct {
 	vote   Claimant
 	result *Result
@@ -77,8 +78,8 @@
 // defaultMaxStoredBytes limits the total size of the response bodies stored for retries.
 const defaultMaxStoredBytes = 16 * contract.MiB
 
-// NewVoteStore returns an empty store for the arbiter self, which
-// stores at most maxTickets tickets.
+// NewVoteStore returns an empty vote store for the arbiter self.
+// The store holds at most maxTickets tickets.
 func NewVoteStore(self Arbiter, maxTickets int) *VoteStore {
 	return &VoteStore{self: self, maxTickets: maxTickets, votes: make(map[string]*voteRecord), maxStoredBytes: defaultMaxStoredBytes}
 }
@@ -86,10 +87,10 @@
 // Len returns the number of stored tickets.
 func (s *VoteStore) Len() int { return len(s.votes) }
 
-// Vote returns the vote on t. The first claimant that asks gets the vote.
+// Vote returns the vote on ticket t. The first claimant that asks gets the vote.
 //
-// A lost reply is harmless: another request returns the same vote. A request that
-// arrives late gets the first vote, or ErrExpired.
+// A lost reply is harmless: another request returns the same vote.
+// A request that arrives late gets the vote that was given first, or ErrExpired.
 func (s *VoteStore) Vote(t Ticket, c Claimant, now time.Time) (Vote, error) {
 	s.dropExpired(now)
 	if !s.isArbiterOf(t) {
@@ -119,8 +120,8 @@
 	return false
 }
 
-// StoreResult stores the result of a ticket's request. It accepts only the first result,
-// and only from the claimant that has the vote.
+// StoreResult stores the result of a ticket's request.
+// StoreResult accepts only the first result, and only from the claimant that has the vote.
 func (s *VoteStore) StoreResult(id string, c Claimant, result Result) {
 	e, ok := s.votes[id]
 	if !ok || e.vote != c || e.result != nil {
@@ -134,8 +135,8 @@
 	e.result = &result
 }
 
-// dropExpired removes expired tickets. Tickets are stored in about the order in
-// which they expire; one that is out of order only stays a little longer.
+// dropExpired removes expired tickets. Tickets are stored in about the order in which they expire.
+// A ticket that is out of order only stays a little longer.
 func (s *VoteStore) dropExpired(now time.Time) {
 	n := 0
 	for n < len(s.expiry) && now.Unix() >= s.expiry[n].expires+int64(resultRetentionSeconds) {
@@ -149,5 +150,6 @@
 	s.expiry = s.expiry[n:]
 }
 
-// resultRetentionSeconds is how long after its expiry the result of a ticket can be retrieved.
+// resultRetentionSeconds is how long the result of a ticket's request can be retrieved after the
+// ticket has expired.
 const resultRetentionSeconds = 120
--- a/workspace/queue.go
+++ b/workspace/queue.go
@@ -1,11 +1,12 @@
-// Package workspace divides the capacity of a VM among workspaces. It decides which
-// requests run now, which wait, and which are rejected at once. It is a pure state
-// machine: the time and the random source are passed in.
+// Package workspace divides the capacity of a VM among workspaces.
+// The package decides which requests run now, which requests wait, and which are rejected at once.
+// The package is a pure state machine: the time and the random source are passed in.
 //
-// Capacity is divided by weight (start-time fair queueing). Any workspace may use
-// capacity that no other needs, except for a reserve that only workspaces below
-// their own share may use. Without the reserve, the long requests of a busy
-// workspace would make a quiet one wait until one of them ends.
+// Capacity is divided by weight (start-time fair queueing).
+// Any workspace may use capacity that no other workspace needs, except for a reserve.
+// Only workspaces below their own share of the capacity may use the reserve.
+// Without the reserve, the long requests of a busy workspace would make a quiet workspace wait
+// until one of the long requests ends.
 package workspace
 
 import (
@@ -35,8 +36,8 @@
 	Capacity int
 	// MaxQueue is how many requests may wait. Zero means 1024.
 	MaxQueue int
-	// ReserveFraction is the fraction of the capacity that only workspaces below
-	// their share may use. Zero means 0.5.
+	// ReserveFraction is the fraction of the capacity that only workspaces below their share of the
+	// capacity may use. Zero means 0.5.
 	ReserveFraction float64
 	// TotalWeight is the sum of the weights of all workspaces. Zero means 10.
 	TotalWeight int
@@ -60,7 +61,7 @@
 	// Weight is the weight of the workspace. Zero means 1.
 	Weight int
 	Class  Class
-	// Deadline is when the response is no longer needed.
+	// Deadline is the time after which the response is no longer needed.
 	Deadline time.Time
 }
 
@@ -122,8 +123,8 @@
 // Waiting returns the number of waiting requests.
 func (q *Queue) Waiting() int { return q.waiting }
 
-// Offer asks to start a request. A rejected request gets the time after which to
-// retry, randomized so that rejected callers do not all return at once.
+// Offer asks to start a request. A rejected request gets the time after which to retry. The time is
+// randomized, so that rejected callers do not all return at once.
 func (q *Queue) Offer(item Request, now time.Time, random *rand.Rand) (Decision, time.Duration) {
 	f := q.flowFor(item)
 	if q.queuedAhead(f, item.Class) == 0 && q.canStart(f) {
@@ -142,8 +143,8 @@
 	return Queued, 0
 }
 
-// flowFor returns the flow of the item's workspace with its weight updated, and
-// creates it if necessary.
+// flowFor returns the flow (the queue state) of the item's workspace.
+// flowFor updates the weight of the flow, and creates the flow if necessary.
 func (q *Queue) flowFor(item Request) *flow {
 	f, ok := q.flows[item.Workspace]
 	if !ok {
@@ -154,8 +155,8 @@
 	return f
 }
 
-// fairShare returns how many slots a flow is entitled to by its weight among the
-// flows that have running or waiting requests.
+// fairShare returns how many slots a flow (a workspace's queue state) is entitled to by its weight,
+// among the flows that have running or waiting requests.
 func (q *Queue) fairShare(f *flow) float64 {
 	total := 0.0
 	for _, other := range q.flows {
@@ -166,12 +167,12 @@
 	return float64(q.opts.Capacity) * f.weight / total
 }
 
-// queued returns how many requests of the flow wait.
+// queued returns how many requests of the flow are waiting.
 func (f *flow) queued() int { return len(f.waiting[Interactive]) + len(f.waiting[Bulk]) }
 
-// canStart reports whether a flow may start one more request now. Reserved slots
-// are open only to a flow that stays within its guaranteed slots, which take idle
-// workspaces into account.
+// canStart reports whether a flow may start one more request now.
+// Reserved slots are open only to a flow that stays within its guaranteed slots.
+// Guaranteed slots are computed over all workspaces, idle workspaces included.
 func (q *Queue) canStart(f *flow) bool {
 	if q.running < q.opts.Capacity-q.reservedSlots() {
 		return true
@@ -185,9 +186,9 @@
 	return max(float64(q.opts.Capacity)*f.weight/float64(q.opts.TotalWeight), 1)
 }
 
-// WithinShare reports whether a workspace runs no more requests than its guaranteed
-// slots. Engines are asked to prefer requests of such workspaces: otherwise their
-// own queues would make everyone wait behind a busy workspace.
+// WithinShare reports whether a workspace runs no more requests than its guaranteed slots.
+// Engines are asked to prefer requests of workspaces within their share.
+// Otherwise the engines' own queues would make everyone wait behind a busy workspace.
 func (q *Queue) WithinShare(w contract.WorkspaceID) bool {
 	f, ok := q.flows[w]
 	return !ok || float64(f.running) <= q.guaranteedSlots(f)
@@ -197,14 +198,14 @@
 // their guaranteed slots.
 func (q *Queue) reservedSlots() int { return int(q.opts.ReserveFraction * float64(q.opts.Capacity)) }
 
-// overQueueShare reports whether the queue is at least half full and a flow has
-// used up its part of it. It keeps one workspace from filling the queue.
+// overQueueShare reports whether the queue is at least half full and a flow has used up its part of
+// the queue. This check keeps one workspace from filling the queue.
 func (q *Queue) overQueueShare(f *flow) bool {
 	limit := float64(q.opts.MaxQueue) * q.fairShare(f) / float64(q.opts.Capacity)
 	return q.waiting >= q.opts.MaxQueue/2 && float64(f.queued()) >= limit
 }
 
-// queuedAhead returns how many waiting requests of the flow start before a new one of this class.
+// queuedAhead returns how many waiting requests of the flow start before a new request of class c.
 func (q *Queue) queuedAhead(f *flow, c Class) int {
 	n := len(f.waiting[Interactive])
 	if c == Bulk {
@@ -213,9 +214,9 @@
 	return n
 }
 
-// expectedWait estimates how long a new request of the flow would wait: its
-// position among the waiting requests of the flow, divided by the rate at which the
-// flow starts requests with its fair share.
+// expectedWait estimates how long a new request of the flow would wait.
+// The estimate is the position of the request among the waiting requests of the flow,
+// divided by the rate at which the flow starts requests with its fair share of slots.
 func (q *Queue) expectedWait(f *flow, c Class) time.Duration {
 	slots := max(q.fairShare(f), 1)
 	position := float64(q.queuedAhead(f, c) + 1)
@@ -226,8 +227,8 @@
 // A request that starts later probably ends too late to be of use.
 const serviceTimeMargin = 2
 
-// timeToFinish returns how long a request that first waits for the given time takes
-// to end, with a margin.
+// timeToFinish returns the time until a request ends that first waits for the given time.
+// The result includes a margin.
 func (q *Queue) timeToFinish(wait time.Duration) time.Duration {
 	return wait + serviceTimeMargin*q.meanServiceTime
 }
@@ -248,16 +249,16 @@
 	q.rejectionRate += rejectionRateWeight * (sample - q.rejectionRate)
 }
 
-// retryAfter returns how long a rejected caller should wait before a retry. The time grows with the
-// rejection rate, since more callers compete for the free slots. It is spread over a factor of
-// three, so that callers do not return together.
+// retryAfter returns how long a rejected caller should wait before a retry.
+// The wait grows with the rejection rate, since more callers compete for the free slots.
+// The wait is spread over a factor of three, so that callers do not return together.
 func (q *Queue) retryAfter(wait time.Duration, random *rand.Rand) time.Duration {
 	mean := float64(max(wait, minRetryAfter)) / max(1-q.rejectionRate, float64(minRetryAfter)/float64(maxRetryAfter))
 	after := time.Duration(mean * (1 + 2*random.Float64()))
 	return min(after, maxRetryAfter)
 }
 
-// start records that a request of the flow has started. It advances the virtual time of the queue.
+// start records that a request of the flow has started, and advances the virtual time of the queue.
 func (q *Queue) start(f *flow) {
 	q.running++
 	f.running++
@@ -268,8 +269,9 @@
 // serviceTimeWeight is the weight of the newest sample in the mean service time.
 const serviceTimeWeight = 0.05
 
-// Done records that a request of the workspace has ended after took, and returns
-// the waiting requests that start in its place.
+// Done records that a request of the workspace has ended.
+// The parameter took is how long the request ran.
+// Done returns the waiting requests that start in place of the ended request.
 func (q *Queue) Done(w contract.WorkspaceID, took time.Duration) []Request {
 	f, ok := q.flows[w]
 	if !ok || f.running == 0 {
@@ -305,8 +307,8 @@
 	}
 }
 
-// nextFlow returns the flow with the lowest virtual finish time among those that
-// have waiting requests and may start one. It returns nil if there is none.
+// nextFlow returns the flow with the lowest virtual finish time among the flows that have waiting
+// requests and may start a request. nextFlow returns nil if there is no such flow.
 func (q *Queue) nextFlow() *flow {
 	var best *flow
 	for _, f := range q.flows {
@@ -327,13 +329,13 @@
 	return q.remove(func(i Request) bool { return earliestFinish.After(i.Deadline) })
 }
 
-// Cancel removes a waiting request whose caller has disconnected. It returns false
-// if the request does not wait, because it is running or has ended.
+// Cancel removes a waiting request whose caller has disconnected.
+// Cancel returns false if the request does not wait, because the request is running or has ended.
 func (q *Queue) Cancel(id ID) bool {
 	return len(q.remove(func(i Request) bool { return i.ID == id })) > 0
 }
 
-// remove takes all matching requests out of the queue and returns them.
+// remove takes all matching requests out of the queue and returns these requests.
 func (q *Queue) remove(matches func(Request) bool) []Request {
 	var removed []Request
 	for _, f := range q.flows {
