--- a/bill/bill.go
+++ b/bill/bill.go
@@ -1,10 +1,10 @@
 // Package bill ensures that each request is billed exactly once and to the right
 // workspace, although VMs have no durable storage.
 //
-// A bill record is copied to a peer before the end of the answer is sent to the
-// client. Any VM that holds the record may file it, that is, write it to the
-// platform's store, any number of times. The bill is the union of all filed records
-// by workspace and ID. docs/design/billing.md explains the design.
+// A bill record is copied to a peer before the end of the answer is sent to the client.
+// Any VM that holds the record may file the record (write it to the platform's store) any number of
+// times. The bill is the union of all filed records by workspace and ID.
+// docs/design/billing.md explains the design.
 package bill
 
 import (
@@ -15,8 +15,8 @@
 	"woaddoor/contract"
 )
 
-// ID identifies a request of a workspace, which is billed once. A retry by the
-// client under the same idempotency key has the same ID.
+// ID identifies a request of a workspace. The request is billed once.
+// A retry by the client under the same idempotency key has the same ID.
 type ID string
 
 // Record is the bill of one request.
@@ -28,8 +28,8 @@
 	Input   contract.Tokens    `cbor:"4,keyasint" json:"input_tokens"`
 	Output  contract.Tokens    `cbor:"5,keyasint" json:"output_tokens"`
 	Amount  contract.Money     `cbor:"6,keyasint" json:"amount"`
-	// InternalCost is the cost of attempts that are not billed: those of a cascade
-	// with cheaper models, and retries.
+	// InternalCost is the cost of attempts that are not billed: a cascade's attempts with cheaper
+	// models, and retries.
 	InternalCost contract.Money `cbor:"7,keyasint" json:"inside,omitempty"`
 	At           time.Time      `cbor:"8,keyasint" json:"at"`
 	// Origin is the entry process that created the record.
@@ -47,9 +47,9 @@
 	Records []Record `json:"records"`
 }
 
-// recordKey identifies the request that a record bills. It includes the workspace, so
-// that two workspaces that use the same idempotency key are each billed for their own
-// request.
+// recordKey identifies the request that a record bills.
+// The key includes the workspace, so that two workspaces that use the same idempotency key are each
+// billed for their own request.
 type recordKey struct {
 	workspace contract.WorkspaceID
 	id        ID
@@ -57,9 +57,9 @@
 
 func (r Record) key() recordKey { return recordKey{r.Workspace, r.ID} }
 
-// Union returns one record for each request, sorted by workspace and ID. If a request
-// has several records, the earliest one counts: a retry under the same idempotency
-// key is not billed again.
+// Union returns one bill record for each request, sorted by workspace and ID.
+// If a request has several records, the earliest record counts:
+// a retry under the same idempotency key is not billed again.
 func Union(records []Record) []Record {
 	unique := make(map[recordKey]Record, len(records))
 	for _, r := range records {
@@ -78,8 +78,8 @@
 	return out
 }
 
-// precedes returns whether a comes before b. It orders the records of one request by
-// time, origin and amount, so that every process selects the same record.
+// precedes returns whether record a comes before record b. precedes orders the records of one
+// request by time, origin and amount, so that every process selects the same record.
 func precedes(a, b Record) bool {
 	order := cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Origin.VM, b.Origin.VM),
 		cmp.Compare(a.Origin.Incarnation, b.Origin.Incarnation), cmp.Compare(a.Amount, b.Amount))
@@ -96,7 +96,7 @@
 	InternalCost contract.Money       `json:"inside"`
 }
 
-// TotalsByWorkspace returns the total of each workspace over the union of the records.
+// TotalsByWorkspace returns the bill total of each workspace over the union of the records.
 func TotalsByWorkspace(records []Record) []WorkspaceTotal {
 	var totals []WorkspaceTotal
 	for _, r := range Union(records) {
--- a/bill/record_buffer.go
+++ b/bill/record_buffer.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// ErrFull means that a RecordBuffer already holds the maximum number of unfiled records.
-// Its text is the detail of the problem document that the client receives.
+// ErrFull means that a RecordBuffer already holds the maximum number of unfiled bill records.
+// The error text is the detail of the problem document that the client receives.
 var ErrFull = errors.New("holds as many unfiled bill records as it may")
 
-// RecordBuffer holds the unfiled bill records of one entry process: its own records, and
-// copies of the records of peers. It does no I/O and is not safe for concurrent use.
+// RecordBuffer holds the unfiled bill records of one entry process: the process's own records,
+// and copies of the records of peers. RecordBuffer does no I/O and is not safe for concurrent use.
 type RecordBuffer struct {
 	self       Origin
 	maxRecords int
@@ -19,17 +19,17 @@
 	atRisk     int
 }
 
-// unfiledRecord is a record that may not be filed yet. copied is true if another process
-// holds the record too.
+// unfiledRecord is a bill record that possibly has not been filed yet.
+// The field copied is true if another process holds the record too.
 type unfiledRecord struct {
 	record  Record
 	addedAt time.Time
 	copied  bool
 }
 
-// peerFilingDelay is the time after which this process files its copy of a peer's record.
-// The peer normally files its own record within a second or two; if it has not done so
-// after the delay, its VM may have ended.
+// peerFilingDelay is the time after which this process files its copy of a peer's bill record.
+// The peer normally files its own record within a second or two.
+// If the peer has not filed the record after the delay, the peer's VM may have ended.
 const peerFilingDelay = 10 * time.Second
 
 // NewRecordBuffer returns an empty RecordBuffer for the process self that holds at most
@@ -41,16 +41,16 @@
 // Len returns the number of unfiled records in the buffer.
 func (b *RecordBuffer) Len() int { return len(b.records) }
 
-// AtRiskCount returns the number of own records that are neither filed nor known to be
-// held by a peer.
+// AtRiskCount returns the number of this process's own bill records that are neither filed nor
+// known to be held by a peer.
 func (b *RecordBuffer) AtRiskCount() int { return b.atRisk }
 
-// Full returns whether the buffer cannot take another record. Callers check it before
-// they start a request, so that no request runs that could not be billed.
+// Full returns whether the buffer cannot take another bill record.
+// Callers check Full before they start a request, so that no request runs that could not be billed.
 func (b *RecordBuffer) Full() bool { return len(b.records) >= b.maxRecords }
 
-// Add adds an own record or the copy of a peer's record. Adding a record twice has
-// no effect.
+// Add adds a bill record of this process, or the copy of a peer's record.
+// Adding a record twice has no effect.
 func (b *RecordBuffer) Add(r Record, now time.Time) error {
 	if _, exists := b.records[r.key()]; exists {
 		return nil
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// MarkCopied marks an own record as held by a peer.
+// MarkCopied marks a bill record of this process as held by a peer.
 func (b *RecordBuffer) MarkCopied(r Record) {
 	e, ok := b.records[r.key()]
 	if ok && !e.copied {
@@ -74,7 +74,7 @@
 	}
 }
 
-// Uncopied returns at most limit own records that no peer is known to hold.
+// Uncopied returns at most limit bill records of this process that no peer is known to hold.
 func (b *RecordBuffer) Uncopied(limit int) []Record {
 	var uncopied []Record
 	for _, e := range b.records {
@@ -88,9 +88,9 @@
 	return uncopied
 }
 
-// Due returns at most limit records to file now. Own records are due immediately,
-// records of peers after peerFilingDelay. Records stay in the buffer until
-// MarkFiled is called for them.
+// Due returns at most limit bill records to file now.
+// This process's own records are due immediately, and records of peers after peerFilingDelay.
+// Records stay in the buffer until MarkFiled is called for them.
 func (b *RecordBuffer) Due(now time.Time, limit int) []Record {
 	var due []Record
 	for _, e := range b.records {
@@ -104,8 +104,8 @@
 	return due
 }
 
-// MarkFiled removes records that the platform has stored. It may be called late, more
-// than once, or for records that the buffer never held.
+// MarkFiled removes bill records that the platform has stored.
+// MarkFiled may be called late, more than once, or for records that the buffer never held.
 func (b *RecordBuffer) MarkFiled(records []Record) {
 	for _, r := range records {
 		e, ok := b.records[r.key()]
--- a/document/change.go
+++ b/document/change.go
@@ -8,18 +8,18 @@
 	"woaddoor/contract"
 )
 
-// Root is the content of the single root object, which points at the accepted
-// configuration. A change is accepted at the moment when the conditional update of
-// this object succeeds.
+// Root is the content of the single root object in the platform's store.
+// The root object points at the accepted configuration.
+// A change is accepted at the moment when the conditional update of the root object succeeds.
 type Root struct {
 	Revision contract.Revision `json:"revision"`
 	Change   contract.ChangeID `json:"change"`
 	Hash     Hash              `json:"hash"`
 }
 
-// Change is the audit record of one configuration change. It is written before the
-// root object points at it, so every accepted change has a record. A record that
-// cannot be reached from the root object was never accepted.
+// Change is the audit record of one configuration change.
+// The audit record is written before the root object points at it, so every accepted change has a
+// record. A record that cannot be reached from the root object was never accepted.
 type Change struct {
 	ID           contract.ChangeID `json:"id"`
 	Previous     contract.ChangeID `json:"previous,omitempty"`
@@ -32,14 +32,14 @@
 	Sections     []SectionChange   `json:"sections"`
 }
 
-// Content is the form in which a document is stored. Its object name contains the
-// document's hash.
+// Content is the form in which a configuration document is stored.
+// The object name of a Content contains the document's hash.
 type Content struct {
 	Sections map[string]Section `json:"sections"`
 }
 
-// Apply returns the document that results from applying the change to old. It fails
-// with ErrHashMismatch if old is not the document that the change was made from.
+// Apply returns the document that results from applying the change to the document old.
+// Apply fails with ErrHashMismatch if the change was made from a document other than old.
 func (c Change) Apply(old *Document) (*Document, error) {
 	sections := old.Sections()
 	if sections == nil {
@@ -75,8 +75,8 @@
 // MaxContentSize is the platform's maximum size of an object's value.
 const MaxContentSize = contract.MiB
 
-// EncodeContent returns the encoded Content of d. It fails if the result is larger
-// than MaxContentSize.
+// EncodeContent returns the encoded Content of document d.
+// EncodeContent fails if the encoded Content is larger than MaxContentSize.
 func EncodeContent(d *Document) ([]byte, error) {
 	value, err := json.Marshal(Content{Sections: d.sections})
 	if err != nil {
@@ -88,9 +88,9 @@
 	return value, nil
 }
 
-// DecodeContent returns the document with the revision and change ID of root and the
-// sections in the stored value. It fails with ErrHashMismatch if the hash of the
-// sections is not the one in root.
+// DecodeContent returns the document with the revision and change ID of root and with the sections
+// in the stored value. DecodeContent fails with ErrHashMismatch if the hash of the sections differs
+// from the hash in root.
 func DecodeContent(root Root, value []byte) (*Document, error) {
 	var c Content
 	if err := json.Unmarshal(value, &c); err != nil {
--- a/document/document.go
+++ b/document/document.go
@@ -1,9 +1,10 @@
 // Package document defines the configuration document: named sections of text with a
 // single revision.
 //
-// A Document is immutable. The settings from the operator's file and the decisions of
-// the system itself (the progress of roll-outs) are sections of the same document.
-// Both are therefore written by the same conditional write and distributed together.
+// A Document is immutable. The settings from the operator's file, and the decisions of the system
+// itself (the progress of roll-outs), are sections of the same document.
+// Settings and decisions are therefore written by the same conditional write and distributed
+// together.
 package document
 
 import (
@@ -23,12 +24,13 @@
 // Hash is the hex-encoded SHA-256 hash of the sections of a document.
 type Hash string
 
-// shortHashLength is the number of hex digits of a short hash. They are enough to
-// distinguish documents with the same revision.
+// shortHashLength is the number of hex digits of a short hash.
+// So many digits are enough to distinguish documents with the same revision.
 const shortHashLength = 16
 
-// Short returns the first hex digits of the hash. A process sends them in a pull
-// request to identify the document that it holds.
+// Short returns the first hex digits of the hash.
+// A process sends the short hash in a pull request to identify
+// the document that the process holds.
 func (h Hash) Short() Hash { return h[:min(len(h), shortHashLength)] }
 
 // Document is one revision of the configuration. The zero value is the empty
@@ -40,7 +42,7 @@
 	hash     Hash
 }
 
-// New returns a document with the given sections. It copies the map.
+// New returns a document with the given sections. New copies the map of sections.
 func New(revision contract.Revision, change contract.ChangeID, sections map[string]Section) *Document {
 	d := &Document{Revision: revision, Change: change, sections: maps.Clone(sections)}
 	d.hash = computeHash(d)
@@ -61,7 +63,7 @@
 // Sections returns a copy of the map of all sections.
 func (d *Document) Sections() map[string]Section { return maps.Clone(d.sections) }
 
-// Hash returns the hash of all sections. It does not cover the revision.
+// Hash returns the hash of all sections. The hash does not cover the revision.
 func (d *Document) Hash() Hash {
 	if d.hash == "" {
 		return computeHash(d)
--- a/document/patch.go
+++ b/document/patch.go
@@ -6,9 +6,10 @@
 	"woaddoor/contract"
 )
 
-// Patch transfers a document from one VM to another. It holds only the sections that
-// changed since the revision From, so that its size depends on the change and not on
-// the whole document. If From is zero, the patch holds all sections.
+// Patch transfers a configuration document from one VM to another.
+// A patch holds only the sections that changed since the revision From, so that the size of the
+// patch depends on the change and not on the whole document.
+// If From is zero, the patch holds all sections.
 type Patch struct {
 	From     contract.Revision  `cbor:"1,keyasint"`
 	FromHash Hash               `cbor:"2,keyasint"`
@@ -19,16 +20,16 @@
 	Removed  []string           `cbor:"7,keyasint"`
 }
 
-// ErrBaseMismatch means that a patch was not made from the document that it was
-// applied to. The whole document has to be requested instead.
+// ErrBaseMismatch means that a patch was applied to another document than the one it was made from.
+// The whole document has to be requested instead.
 var ErrBaseMismatch = errors.New("patch was made from a different document")
 
 // ErrHashMismatch means that the sections of a received or stored document do not
 // have the expected hash.
 var ErrHashMismatch = errors.New("document does not have the expected hash")
 
-// NewPatch returns the patch that turns old into updated. If old is nil or empty, the
-// patch holds all sections of updated.
+// NewPatch returns the patch that turns the document old into the document updated.
+// If old is nil or empty, the patch holds all sections of updated.
 func NewPatch(old, updated *Document) Patch {
 	if old == nil {
 		old = &Document{}
@@ -48,8 +49,8 @@
 	return p
 }
 
-// Apply returns the document that results from applying p to old. It fails with
-// ErrBaseMismatch or ErrHashMismatch. It never modifies old.
+// Apply returns the document that results from applying patch p to the document old.
+// Apply fails with ErrBaseMismatch or ErrHashMismatch. Apply never modifies old.
 func (p Patch) Apply(old *Document) (*Document, error) {
 	if p.From == 0 {
 		old = &Document{} // the patch holds the whole document
--- a/history/history.go
+++ b/history/history.go
@@ -1,6 +1,6 @@
-// Package history reads and writes the accepted configuration in the platform's
-// store. A change is accepted by a single conditional write of the root object, so it
-// is accepted as a whole or not at all. Every accepted change has an audit record.
+// Package history reads and writes the accepted configuration in the platform's store.
+// A change is accepted by a single conditional write of the root object,
+// so the change is accepted as a whole or not at all. Every accepted change has an audit record.
 package history
 
 import (
@@ -18,7 +18,7 @@
 	"woaddoor/store"
 )
 
-// Snapshot is the accepted configuration at the time when it was read.
+// Snapshot is the accepted configuration at the time when the configuration was read.
 type Snapshot struct {
 	Root document.Root
 	// Version is the object version of the root object. Zero means that the root
@@ -27,8 +27,8 @@
 	Document *document.Document
 }
 
-// Load reads the accepted configuration. If there is none yet, it returns an empty
-// document.
+// Load reads the accepted configuration. If no configuration has been accepted yet,
+// Load returns an empty document.
 func Load(ctx context.Context, st store.Store) (Snapshot, error) {
 	rootObject, err := st.Read(ctx, document.RootName)
 	if errors.Is(err, store.ErrNotFound) {
@@ -54,10 +54,10 @@
 	return Snapshot{Root: root, Version: rootObject.Version, Document: d}, contract.WrapStep(contract.StepWatch, "platform", err)
 }
 
-// ReadSnapshotSince returns the configuration that a root object points at, for a
-// process that already holds a document. If the root is exactly one change ahead of
-// held, it reads only the audit record of that change, which is as small as the change
-// itself. Otherwise it reads the whole content.
+// ReadSnapshotSince returns the configuration that a root object points at,
+// for a process that already holds a document. If the root object is exactly one change ahead of
+// the document held, ReadSnapshotSince reads only the audit record of that change,
+// which is as small as the change itself. Otherwise ReadSnapshotSince reads the whole content.
 func ReadSnapshotSince(ctx context.Context, st store.Store, held *document.Document, rootObject store.Object) (Snapshot, error) {
 	var root document.Root
 	if err := json.Unmarshal(rootObject.Value, &root); err != nil {
@@ -72,7 +72,7 @@
 	}
 	d, err := change.Apply(held)
 	if err != nil || d.Hash() != root.Hash {
-		return ReadSnapshot(ctx, st, rootObject) // the change was made from a document other than held
+		return ReadSnapshot(ctx, st, rootObject) // the change was made from a document other than the one held
 	}
 	return Snapshot{Root: root, Version: rootObject.Version, Document: d}, nil
 }
@@ -83,15 +83,16 @@
 	At             time.Time
 }
 
-// ConflictError means that a competing change was accepted as the revision that the
-// rejected change was to become. No part of the rejected change is in force.
+// ConflictError means that a competing change was accepted as the revision that the rejected change
+// was meant to become. No part of the rejected change is in force.
 type ConflictError struct {
 	Winner document.Change
 	// CommonSections are the names of the sections that both changes modify.
 	CommonSections []string
 }
 
-// Error names the change that was accepted, and the sections that both changes modify.
+// Error names the change that was accepted, and the sections that both the accepted change and the
+// rejected change modify.
 func (c *ConflictError) Error() string {
 	return fmt.Sprintf("revision %d was accepted first: %s by %s at %s; both changes modify the sections %v",
 		c.Winner.ToRevision, c.Winner.ID, c.Winner.Author, c.Winner.At.Format(time.RFC3339), c.CommonSections)
@@ -115,10 +116,10 @@
 
 // Publish makes a configuration with the given sections the successor of base.
 //
-// It writes the content and the audit record first, each under a unique name, and the
-// root object last. If it is interrupted, it leaves objects that cannot be reached
-// from the root. If the reply to the write of the root is lost, Publish reads the root
-// to find out the outcome, and never writes it again.
+// Publish writes the content and the audit record first, each under a unique name,
+// and the root object last. If Publish is interrupted, it leaves objects that cannot be reached
+// from the root object. If the reply to the write of the root object is lost,
+// Publish reads the root object to find out the outcome, and never writes it again.
 func Publish(ctx context.Context, st store.Store, base Snapshot, sections map[string]document.Section, info ChangeInfo) (document.Root, error) {
 	change := contract.ChangeID(ulid.Make().String())
 	nextDocument := document.New(base.Root.Revision+1, change, sections)
@@ -147,8 +148,8 @@
 	return root, updateRoot(ctx, st, base, root, record)
 }
 
-// createIfAbsent writes an object whose name determines its content. It succeeds if
-// the object already exists, because the existing object is identical.
+// createIfAbsent writes an object whose name determines its content.
+// createIfAbsent succeeds if the object already exists, because the existing object is identical.
 func createIfAbsent(ctx context.Context, st store.Store, name string, value []byte) error {
 	_, err := st.Create(ctx, name, value)
 	if err == nil || errors.Is(err, store.ErrExists) {
@@ -157,8 +158,8 @@
 	return contract.WrapStep(contract.StepApply, "platform", err)
 }
 
-// updateRoot makes the root object point at a change, and finds out the outcome if the
-// write fails.
+// updateRoot makes the root object point at a change.
+// If the write of the root object fails, updateRoot finds out whether the change was accepted.
 func updateRoot(ctx context.Context, st store.Store, base Snapshot, root document.Root, record document.Change) error {
 	value, err := json.Marshal(root)
 	if err != nil {
@@ -210,10 +211,9 @@
 	return common
 }
 
-// AcceptedChange returns the change that was accepted as the given revision: the one
-// with the given ID, a competing one, or the zero Change if that revision has not been
-// reached. A stale read of the root object gives an older revision, never a wrong
-// change.
+// AcceptedChange returns the change that was accepted as the given revision:
+// the change with the given ID, a competing change, or the zero Change if that revision has not
+// been reached. A stale read of the root object gives an older revision, never a wrong change.
 func AcceptedChange(ctx context.Context, st store.Store, id contract.ChangeID, revision contract.Revision) (document.Change, error) {
 	accepted := document.Change{}
 	err := WalkChanges(ctx, st, func(c document.Change) bool {
--- a/link/client.go
+++ b/link/client.go
@@ -106,11 +106,12 @@
 	return e.storeDialed(address, dialed), nil
 }
 
-// storeDialed registers a connection that this endpoint has dialed. If another call
-// has registered one in the meantime, the result depends on the mode. Without
-// shared connections the existing one is kept and the new one is closed. With
-// shared connections the new one replaces it, and the old one is left open until
-// its idle timeout, because the peer may have begun to use it.
+// storeDialed registers a connection that this endpoint has dialed.
+// If another call has registered a connection in the meantime, the result depends on the mode.
+// Without shared connections, the registered connection is kept and the new connection is closed.
+// With shared connections, the new connection replaces the registered connection.
+// The replaced connection is left open until its idle timeout, because the peer may have begun to
+// use it.
 func (e *Endpoint) storeDialed(address string, dialed *quic.Conn) *peerConn {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -126,9 +127,10 @@
 	return pc
 }
 
-// storeAccepted registers a connection that a peer has opened, so that calls to the
-// peer use it. It replaces an older connection, which a peer that has restarted
-// no longer knows. It does nothing unless connections are shared.
+// storeAccepted registers a connection that a peer has opened,
+// so that calls to the peer use this connection.
+// The new connection replaces an older connection, which a peer that has restarted no longer knows.
+// storeAccepted does nothing unless connections are shared.
 func (e *Endpoint) storeAccepted(conn *quic.Conn) {
 	if !e.sharedConns {
 		return
@@ -140,14 +142,14 @@
 	e.conns[conn.RemoteAddr().String()] = pc
 }
 
-// dropIfBroken removes a connection after a failed call, so that the next call dials a
-// new one. It does so if the connection is closed, or if the call reached its deadline
-// and no response has arrived on the connection since the call started: a peer that has
-// restarted does not know the connection and ignores its packets. A call that was only
-// cancelled leaves the connection in use.
+// dropIfBroken removes a broken connection after a failed call, so that the next call dials a new
+// connection. A connection is broken if it is closed.
+// A connection also counts as broken if the call reached its deadline and no response has arrived
+// on the connection since the call started: a peer that has restarted does not know the connection
+// and ignores its packets. A call that was only cancelled leaves the connection in use.
 func (e *Endpoint) dropIfBroken(ctx context.Context, address string, pc *peerConn, start time.Time) {
-	// The call may fail on the stream's deadline slightly before the context is
-	// done, so compare the time with the deadline instead of checking ctx.Err.
+	// The call may fail on the stream's deadline slightly before the context is done.
+	// The time is therefore compared with the deadline, and ctx.Err is not checked.
 	deadline, ok := ctx.Deadline()
 	unresponsive := ok && !time.Now().Before(deadline) && pc.lastResponse.Load() < start.UnixNano()
 	e.mu.Lock()
@@ -155,7 +157,7 @@
 	if e.conns[address] != pc || pc.conn.Context().Err() == nil && !unresponsive {
 		return
 	}
-	// Leave the old connection open until its idle timeout: a peer that was only
-	// paused still receives what was sent on it, which may include a ticket vote.
+	// Leave the old connection open until its idle timeout: a peer that was only paused still
+	// receives the messages that were sent on the old connection, which may include a ticket vote.
 	delete(e.conns, address)
 }
--- a/link/message.go
+++ b/link/message.go
@@ -1,11 +1,11 @@
 // Package link carries typed messages between the processes of woaddoor, over
 // QUIC with mutual TLS and pinned keys.
 //
-// A call uses one QUIC stream: the caller writes the request and closes its side, and
-// the peer writes the response and closes its side. A failed stream affects only its
-// own call. A request can be lost, its response can be lost after the request was
-// handled, or it can arrive late. The documentation of each message type explains why
-// that is harmless.
+// A call uses one QUIC stream: the caller writes the request and closes its side of the stream,
+// and the peer writes the response and closes its side. A failed stream affects only its own call.
+// A request can be lost, a response can be lost after the request was handled,
+// and a request can arrive late. The documentation of each message type explains why these faults
+// are harmless.
 package link
 
 import (
@@ -32,8 +32,8 @@
 	KindCopyBills
 	// KindFileBills asks a control process to write bill records to the platform.
 	KindFileBills
-	// KindBillsFiled notifies an entry process that bill records have been written to the
-	// platform, so that it can delete its copies.
+	// KindBillsFiled notifies an entry process that bill records have been written to the platform.
+	// The entry process can then delete its copies of the records.
 	KindBillsFiled
 	// KindTicketSettled notifies an entry process of the outcome of a ticket.
 	KindTicketSettled
@@ -42,8 +42,8 @@
 	KindGossip
 	// KindObjectChanges requests from a VM the objects that changed after a revision.
 	KindObjectChanges
-	// KindUpstreamReport sends a VM the prompts that the sender has sent to upstreams and what
-	// it has learned about these upstreams.
+	// KindUpstreamReport sends a VM the prompts that the sender has sent to upstreams,
+	// and what the sender has learned about these upstreams.
 	KindUpstreamReport
 	// KindUsageReport sends the lease holder the usage that the sender has aggregated.
 	KindUsageReport
@@ -58,7 +58,7 @@
 // String returns the label of the kind in metrics.
 func (k Kind) String() string { return kindNames[k] }
 
-// maxFrame bounds an encoded message. The largest one carries a complete configuration.
+// maxFrame bounds an encoded message. The largest message carries a complete configuration.
 const maxFrame = 2 * contract.MiB
 
 // requestFrame is the wire format of a request.
--- a/link/oneway.go
+++ b/link/oneway.go
@@ -9,9 +9,10 @@
 	"woaddoor/contract"
 )
 
-// SendOneWay sends a one-way message, which may be lost. It uses a QUIC datagram, which
-// needs no stream on either side. A message that does not fit into a datagram is sent as
-// a call, and its response is discarded.
+// SendOneWay sends a one-way message, which may be lost.
+// SendOneWay uses a QUIC datagram, which needs no stream on either side.
+// A message that does not fit into a datagram is sent as a call, and the response to the call is
+// discarded.
 func SendOneWay[Req any](ctx context.Context, e *Endpoint, address string, kind Kind, req Req) error {
 	body, err := Encode(req)
 	if err != nil {
--- a/link/server.go
+++ b/link/server.go
@@ -14,7 +14,7 @@
 	"woaddoor/contract"
 )
 
-// alpnProtocol is the protocol name for ALPN. It includes the protocol version.
+// alpnProtocol is the protocol name for ALPN. The name includes the protocol version.
 const alpnProtocol = "woaddoor/1"
 
 // Timeouts, limits and close codes of a connection.
@@ -30,10 +30,11 @@
 // Option changes a default of an Endpoint.
 type Option func(*Endpoint)
 
-// ShareConnections lets both ends of a connection make calls over it, whichever end opened it,
-// and closes connections that were idle for idleTimeout. Without it each end opens its own
-// connection and keeps it open with keep-alive packets: 57 VMs that have each called all
-// others once keep 3,192 connections open with about 1,600 keep-alive packets a second.
+// ShareConnections lets both ends of a connection make calls over it, whichever end opened the
+// connection. ShareConnections also closes connections that were idle for idleTimeout.
+// Without ShareConnections, each end opens its own connection and keeps it open with keep-alive
+// packets: 57 VMs that have each called all other VMs once keep 3,192 connections open with about
+// 1,600 keep-alive packets a second.
 func ShareConnections(e *Endpoint) { e.sharedConns = true }
 
 func (e *Endpoint) quicConfig() *quic.Config {
@@ -67,8 +68,8 @@
 	listener  *quic.Listener
 	handlers  map[Kind]handler
 	// InOtherDataCentre reports whether the peer at an address is in another data centre.
-	// SentCounts counts the messages to such peers separately. InOtherDataCentre may be nil,
-	// and must be set before Serve is called.
+	// SentCounts counts the messages to peers in other data centres separately.
+	// InOtherDataCentre may be nil, and must be set before Serve is called.
 	InOtherDataCentre func(address string) bool
 	sharedConns       bool
 	traffic           traffic
@@ -83,11 +84,12 @@
 type peerConn struct {
 	conn *quic.Conn
 	// lastResponse is the time of the last response on conn, in nanoseconds since 1970.
-	// For a connection that the peer opened it starts at the time of acceptance.
+	// For a connection that the peer opened, lastResponse starts at the time when the connection
+	// was accepted.
 	lastResponse atomic.Int64
 }
 
-// handler decodes the body of a request from the named peer, handles it and returns the
+// handler decodes the body of a request from the named peer, handles the request and returns the
 // response message.
 type handler func(ctx context.Context, peer string, body []byte) (any, error)
 
@@ -120,7 +122,8 @@
 // Address returns the UDP address that the endpoint listens on.
 func (e *Endpoint) Address() string { return e.listener.Addr().String() }
 
-// Handle registers the handler for requests of a kind. It must not be called after Serve.
+// Handle registers the handler for requests of a kind of message.
+// Handle must not be called after Serve.
 func Handle[Req, Resp any](e *Endpoint, kind Kind, serve func(ctx context.Context, peer string, req Req) (Resp, error)) {
 	e.handlers[kind] = func(ctx context.Context, peer string, body []byte) (any, error) {
 		var req Req
@@ -197,8 +200,8 @@
 	_, _ = stream.Write(raw)
 }
 
-// dispatch calls the handler for the kind of req and returns its result, or its error, as a
-// response.
+// dispatch calls the handler for the kind of the request req.
+// dispatch returns the handler's result, or the handler's error, as a response.
 func (e *Endpoint) dispatch(ctx context.Context, peer string, req requestFrame) responseFrame {
 	handle, ok := e.handlers[req.Kind]
 	if !ok {
--- a/link/traffic.go
+++ b/link/traffic.go
@@ -5,8 +5,8 @@
 // maxKinds is one more than the highest Kind that is counted.
 const maxKinds = 32
 
-// traffic counts the messages that an endpoint has sent, by the location of the peer and
-// the kind of message, and the bytes that it has received.
+// traffic counts the messages that an endpoint has sent, by the location of the peer and the kind
+// of message. traffic also counts the bytes that the endpoint has received.
 type traffic struct {
 	messages      [2][maxKinds]atomic.Int64
 	bytes         [2][maxKinds]atomic.Int64
@@ -32,17 +32,18 @@
 	otherDataCentre
 )
 
-// SentCount is the number of messages of one kind, requests and responses together, that an
-// endpoint has sent to peers in its own data centre or, if OtherDataCentre is set, in other
-// data centres, and their total size in bytes before encryption.
+// SentCount is the number of messages of one kind, requests and responses together,
+// that an endpoint has sent, and their total size in bytes before encryption.
+// The messages went to peers in the endpoint's own data centre or, if OtherDataCentre is set,
+// to peers in other data centres.
 type SentCount struct {
 	Kind            Kind
 	OtherDataCentre bool
 	Messages, Bytes int64
 }
 
-// SentCounts returns the counts of the messages that the endpoint has sent so far. Kinds that
-// were never sent are omitted.
+// SentCounts returns the counts of the messages that the endpoint has sent so far.
+// Kinds of messages that were never sent are omitted.
 func (e *Endpoint) SentCounts() []SentCount {
 	var counts []SentCount
 	for kind := range maxKinds {
--- a/protocol/protocol.go
+++ b/protocol/protocol.go
@@ -13,8 +13,9 @@
 	"woaddoor/vm"
 )
 
-// PullRequest asks a control process for the newest configuration. A lost or repeated request only costs an
-// attempt. A late one is answered with the configuration known by then.
+// PullRequest asks a control process for the newest configuration.
+// A lost or repeated request costs only an attempt.
+// A late request is answered with the configuration that the control process knows by then.
 type PullRequest struct {
 	// HeldRevision is the configuration revision that the sender holds.
 	HeldRevision contract.Revision `cbor:"1,keyasint"`
@@ -24,7 +25,7 @@
 	MaxWait time.Duration `cbor:"3,keyasint"`
 	// Entry is the sender's state. It is set only if an entry process asks its own VM's control process.
 	Entry *EntryState `cbor:"4,keyasint,omitempty"`
-	// MemberScope selects which of the live VMs the answer lists.
+	// MemberScope selects which of the live VMs are listed in the answer to the pull.
 	MemberScope MemberScope `cbor:"5,keyasint,omitempty"`
 }
 
@@ -35,15 +36,17 @@
 const (
 	// NoMembers requests no list of VMs.
 	NoMembers MemberScope = iota
-	// RemoteMembers requests the VMs of other data centres. A control process uses it, because it gets heartbeats
-	// from the VMs of its own data centre.
+	// RemoteMembers requests the VMs of other data centres.
+	// A control process uses RemoteMembers, because it gets heartbeats from the VMs of its own data
+	// centre.
 	RemoteMembers
-	// AllMembers requests all VMs. An entry process uses it, because it receives no heartbeats.
+	// AllMembers requests all VMs. An entry process uses AllMembers,
+	// because it receives no heartbeats.
 	AllMembers
 )
 
-// EntryState is the state that an entry process reports to its control process. A later report replaces an
-// earlier one of the same incarnation.
+// EntryState is the state that an entry process reports to its control process.
+// A later report replaces an earlier report of the same incarnation.
 type EntryState struct {
 	Incarnation contract.Incarnation `cbor:"1,keyasint"`
 	// Address is the address at which other processes can call the entry process.
@@ -52,7 +55,8 @@
 	Revision contract.Revision `cbor:"3,keyasint"`
 	// Stopping is set when the entry process is shutting down.
 	Stopping bool `cbor:"4,keyasint"`
-	// RolloutEvidence holds the good and bad answers that the entry process has counted for versions that are being rolled out.
+	// RolloutEvidence holds the counts of good and bad answers that the entry process has counted
+	// for versions that are being rolled out.
 	RolloutEvidence rollout.Evidence `cbor:"5,keyasint"`
 	// HaltedVersions lists the model versions that are halted at the entry process.
 	HaltedVersions []contract.VersionID `cbor:"6,keyasint"`
@@ -60,14 +64,15 @@
 
 // PullResponse carries the newest configuration that the answering process holds.
 //
-// The requester measures the age of the configuration from before it sent the request, so a late answer only
-// makes the configuration count as older than it is.
+// The requester measures the age of the configuration from a time before it sent the request.
+// A late answer therefore only makes the configuration count as older than it is.
 type PullResponse struct {
 	// Patch updates the requester's configuration. It is nil if both processes hold the same revision.
 	Patch *document.Patch `cbor:"1,keyasint"`
 	// AgeKnown reports whether Age is known, that is, whether the configuration was ever confirmed as the newest.
 	AgeKnown bool `cbor:"2,keyasint"`
-	// ConfigAge is the time since the configuration was last confirmed as the newest, when the answer was sent.
+	// ConfigAge is the time from the last confirmation of the configuration as the newest to the
+	// sending of the answer.
 	ConfigAge time.Duration `cbor:"3,keyasint"`
 	// Members lists the VMs that the answering process considers live, if the request asked for them.
 	Members []vm.Member `cbor:"4,keyasint,omitempty"`
@@ -77,40 +82,46 @@
 	LeavingUpstreams []contract.UpstreamID `cbor:"6,keyasint"`
 }
 
-// Heartbeat informs a peer's control process that the sender is alive. The next heartbeat makes up for a lost one.
-// Late ones are recognized by the incarnation and age of their members.
+// Heartbeat informs a peer's control process that the sender is alive.
+// The next heartbeat makes up for a lost heartbeat.
+// Late heartbeats are recognized by the incarnation and age of their members.
 //
-// Its size does not grow with the number of VMs. Within a data centre, a heartbeat carries only the sender once
-// both VMs know the same members. To another data centre, it carries the few VMs that represent the sender's.
+// The size of a heartbeat does not grow with the number of VMs.
+// Within a data centre, a heartbeat carries only the sender once both VMs know the same members.
+// To another data centre, a heartbeat carries the few VMs that represent the sender's data centre.
 type Heartbeat struct {
 	Members []vm.Member `cbor:"1,keyasint"`
 	// HaltedVersions lists the model versions that the sender knows to be halted.
 	HaltedVersions []contract.VersionID `cbor:"2,keyasint,omitempty"`
-	// RolloutEvidence holds the answers that the sender's entry process has counted for versions that are being rolled out. To
-	// another data centre, it is the sum of the evidence known from the sender's data centre.
+	// RolloutEvidence holds the counts of good and bad answers of versions that are being rolled
+	// out, as counted by the sender's entry process. To another data centre,
+	// a heartbeat carries the sum of the counts that the sender knows from its own data centre.
 	RolloutEvidence rollout.Evidence `cbor:"3,keyasint,omitempty"`
-	// MembersDigest is a digest of the VMs that the sender knows in its data centre. Heartbeats between two VMs carry
-	// all of these VMs only while their digests differ.
+	// MembersDigest is a digest of the VMs that the sender knows in its data centre.
+	// Heartbeats between two VMs carry all VMs of the data centre only while the digests of the two
+	// VMs differ.
 	MembersDigest uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// VoteRequest asks an arbiter for its vote on a ticket. A repeated request gets the same vote. A late one finds
-// that the arbiter has voted already or that the ticket has expired.
+// VoteRequest asks an arbiter for its vote on a ticket. A repeated request gets the same vote.
+// A late request finds that the arbiter has voted already or that the ticket has expired.
 type VoteRequest struct {
 	Ticket   ticket.Ticket   `cbor:"1,keyasint"`
 	Claimant ticket.Claimant `cbor:"2,keyasint"`
 }
 
-// SettleRequest reports the result of a ticket's request to an arbiter. Only the first one from the claimant
-// that holds the arbiter's vote counts. If it is lost, the arbiter does not know the result.
+// SettleRequest reports the result of a ticket's request to an arbiter.
+// Only the first report from the claimant that holds the arbiter's vote counts.
+// If a report is lost, the arbiter does not know the result.
 type SettleRequest struct {
 	TicketID string          `cbor:"1,keyasint"`
 	Claimant ticket.Claimant `cbor:"2,keyasint"`
 	Result   ticket.Result   `cbor:"3,keyasint"`
 }
 
-// BillRecords carries bill records that the receiver is to store for a peer, is to submit to the platform, or may
-// drop because they were submitted. Repeating it is harmless, since each record has a unique ID.
+// BillRecords carries bill records that the receiver is to store for a peer,
+// is to submit to the platform, or may drop because they were submitted.
+// Repeating the message is harmless, since each record has a unique ID.
 type BillRecords struct {
 	Records []bill.Record `cbor:"1,keyasint"`
 }
