--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -42,14 +42,14 @@
 // Class groups requests by the size of their prompts.
 type Class uint8
 
-// bitsPerClass is the width of a class: prompts of one class differ in length by at most a
-// factor of 2^bitsPerClass.
+// bitsPerClass is the width of a class of requests: the lengths of two prompts of one class differ
+// by at most a factor of 2^bitsPerClass.
 const bitsPerClass = 2
 
 // ClassOf returns the class of a prompt of n bytes.
 func ClassOf(n int) Class { return Class(math.Log2(float64(max(n, 1))) / bitsPerClass) }
 
-// Arm identifies one quality estimate.
+// Arm identifies one quality estimate: that of a workspace, a model and a request class.
 type Arm struct {
 	Workspace contract.WorkspaceID
 	Model     contract.ModelID
@@ -70,7 +70,7 @@
 	Models []Model
 	// CheckCost is the cost of one check by the rating service.
 	CheckCost float64
-	// Target is the minimum share of good answers. Zero accepts any quality.
+	// Target is the minimum fraction of good answers. Zero accepts any quality.
 	Target float64
 }
 
@@ -83,8 +83,8 @@
 	Fallback contract.ModelID
 }
 
-// Learner maintains the quality estimates and selects plans. It is not safe for concurrent
-// use; the caller holds a lock.
+// Learner maintains the quality estimates and selects plans.
+// Learner is not safe for concurrent use; the caller holds a lock.
 type Learner struct {
 	opts Options
 	arms *simplelru.LRU[Arm, *estimate]
@@ -103,7 +103,7 @@
 	return &Learner{opts: opts, arms: arms}
 }
 
-// estimate is a Beta distribution over the share of good answers.
+// estimate is a Beta distribution over the fraction of good answers of a model.
 type estimate struct{ good, bad float64 }
 
 // Priors of the quality estimates. Nothing is assumed about a cheaper model.
@@ -114,10 +114,10 @@
 	priorLast    = estimate{9, 1}
 )
 
-// mean returns the expected share of good answers.
+// mean returns the expected fraction of good answers of a model.
 func (e estimate) mean() float64 { return e.good / (e.good + e.bad) }
 
-// stdDev returns the standard deviation of the share of good answers.
+// stdDev returns the standard deviation of the estimated fraction of good answers.
 func (e estimate) stdDev() float64 {
 	n := e.good + e.bad
 	return math.Sqrt(e.good * e.bad / (n * n * (n + 1)))
--- a/cascade/confidence.go
+++ b/cascade/confidence.go
@@ -35,7 +35,7 @@
 	// and among poor answers.
 	// Observed standard deviations were about 0.19.
 	confidenceStdDev = 0.2
-	// priorGoodShare is the prior share of good answers of a smaller model.
+	// priorGoodShare is the assumed fraction of good answers of a smaller model before any samples.
 	priorGoodShare = 0.5
 	// priorSamples is the number of answers that the priors count for.
 	priorSamples = 15
@@ -99,7 +99,8 @@
 	return good, min(e.statsOf(m, largest).lowMean, good-minSeparation)
 }
 
-// GoodShare returns the share of a model's answers that are as good as the largest model's.
+// GoodShare returns the fraction of a model's answers that are as good as
+// the largest model's answers.
 func (e *ConfidenceEstimator) GoodShare(m, largest contract.ModelID) float64 {
 	if m == largest {
 		return 1
--- a/control/orders.go
+++ b/control/orders.go
@@ -30,7 +30,7 @@
 //
 // loadOnAllEngines checks the versions that each engine reports and does not remember which orders
 // were sent. A lost order is therefore sent again. An order is also sent again if a late order of a
-// former lease holder undid its effect.
+// former lease holder undid the effect of the order.
 func (s *Server) loadOnAllEngines(ctx context.Context, conf *config.Config, ro *config.Rollout) bool {
 	targets, found := s.enginesToLoad(ctx, conf, ro)
 	if !found {
--- a/control/server.go
+++ b/control/server.go
@@ -108,7 +108,7 @@
 	countsGrewAt time.Time
 }
 
-// New returns a server that listens on its link address. It answers calls from other
+// New returns a server that listens on its link address. The server answers calls from other
 // processes only after Run is called.
 func New(opts *Options) (*Server, error) {
 	endpoint, err := link.Listen(opts.Settings.Control.LinkAddress, opts.Keys)
--- a/control/watch.go
+++ b/control/watch.go
@@ -222,7 +222,7 @@
 const remoteMembersInterval = 15 * time.Second
 
 // nextMemberScope returns which members the next pull asks for: once per remoteMembersInterval the
-// VMs of other data centres, otherwise no members.
+// VMs of other data centres, and otherwise no VMs.
 func (s *Server) nextMemberScope() protocol.MemberScope {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/document/document.go
+++ b/document/document.go
@@ -93,7 +93,7 @@
 	Name string  `cbor:"1,keyasint" json:"name"`
 	From Section `cbor:"2,keyasint" json:"from,omitempty"`
 	To   Section `cbor:"3,keyasint" json:"to,omitempty"`
-	// Removed distinguishes a section that was removed from one that has no keys.
+	// Removed distinguishes a section that was removed from a section that has no keys.
 	Removed bool `cbor:"4,keyasint" json:"removed,omitempty"`
 }
 
--- a/document/replica.go
+++ b/document/replica.go
@@ -53,9 +53,9 @@
 	isNewer := d.Revision > r.held.Revision
 	if isNewer {
 		r.held = d
-		// Replace freshAt even by an earlier time. The previous freshAt belongs to an older document.
-		// The previous freshAt can be later than the new freshAt only if the previous one was wrong,
-		// because its source lagged behind.
+		// Replace freshAt even by an earlier time. The previous freshAt belongs to an older
+		// document. The previous freshAt can be later than the new one only if it was wrong,
+		// because the source of the older document lagged behind.
 		r.freshAt = freshAt
 		return true
 	}
--- a/entry/bills.go
+++ b/entry/bills.go
@@ -36,7 +36,7 @@
 
 // checkBillable refuses a request before it runs if its bill record could not be stored on this VM
 // or copied elsewhere. After a recent successful copy, the next copy is assumed to succeed.
-// Without one, checkBillable sends an empty copy as a probe.
+// Without a recent successful copy, checkBillable sends an empty copy as a probe.
 // Workspaces configured with config.BillServe are served without a copy elsewhere.
 func (s *Server) checkBillable(ws *config.Workspace) *contract.Refusal {
 	full, recent := false, false
@@ -265,7 +265,7 @@
 
 // notifySubmitted asks the peers to drop their copies of submitted bill records.
 // If a message is lost, the peer submits the record again.
-// That is harmless because the platform stores each record ID once.
+// A repeated submission is harmless because the platform stores each record ID once.
 func (s *Server) notifySubmitted(ctx context.Context, records protocol.BillRecords) {
 	for _, m := range s.view.Load().members {
 		if m.VM == s.origin.VM || m.EntryIncarnation == 0 {
@@ -279,7 +279,7 @@
 	}
 }
 
-// flushBills runs at the end of a planned shutdown. It waits until all bill records are submitted.
+// flushBills runs at the end of a planned shutdown and waits until all bill records are submitted.
 // If the platform does not answer, flushBills waits until peers store copies of the records,
 // which the peers will submit.
 func (s *Server) flushBills(ctx context.Context) {
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -27,9 +27,11 @@
 	// prefix is the hash of the first message of the request. Engines that likely have
 	// that message cached are selected by prefix.
 	prefix uint64
-	// sessionToken identifies the session that the request continues. It is nil outside a session.
+	// sessionToken identifies the session that the request continues.
+	// sessionToken is nil outside a session.
 	sessionToken *session.Token
-	// claim is the claimed ticket of a request that must not run twice. It is nil for repeatable requests.
+	// claim is the claimed ticket of a request that must not run twice.
+	// claim is nil for repeatable requests.
 	claim *claim
 	// priority is the queue priority sent to the engine. Requests with lower values run first.
 	priority byte
@@ -171,7 +173,7 @@
 	body []byte
 	// upstream is the upstream of the last attempt.
 	upstream contract.UpstreamID
-	// excluded lists upstreams that failed an earlier attempt and are avoided in later ones.
+	// excluded lists upstreams that failed an earlier attempt and are avoided in later attempts.
 	excluded []contract.UpstreamID
 	// outcome is what is known about whether the request ran, over all attempts so far.
 	outcome contract.Outcome
--- a/entry/load_reports.go
+++ b/entry/load_reports.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// fetchLoad requests one load report from an upstream and records it.
+// fetchLoad requests one load report from an upstream and records the report.
 func (s *Server) fetchLoad(ctx context.Context, u config.Upstream) {
 	ctx, cancel := context.WithTimeout(ctx, loadReportTimeout)
 	defer cancel()
--- a/entry/plan.go
+++ b/entry/plan.go
@@ -67,7 +67,7 @@
 }
 
 // versionForNewWork selects the version of a model for a request outside a session. In a rollout, a workspace
-// that is not allowed to use the new version stays on the old one.
+// that is not allowed to use the new version stays on the old version.
 func (s *Server) versionForNewWork(w *config.Workspace, v *view, m contract.ModelID) contract.VersionID {
 	draw := 0.0
 	s.locked(func() { draw = s.random.Float64() })
@@ -171,7 +171,7 @@
 	s.recordRolloutResult(j, !good)
 }
 
-// answersPerRating is how many delivered answers there are on average for each one that is rated.
+// answersPerRating is the average number of delivered answers per rated answer.
 const answersPerRating = 10
 
 // rateInBackground rates a random sample of the delivered answers, and every answer of a version in rollout,
--- a/entry/request.go
+++ b/entry/request.go
@@ -85,8 +85,7 @@
 }
 
 // billID returns the ID of the request's bill record.
-// Retries with the same idempotency key share this ID,
-// so they are billed once.
+// Retries with the same idempotency key share this ID, so they are billed once.
 func (r *request) billID() bill.ID {
 	if r.originalBillID != "" {
 		return r.originalBillID
@@ -98,7 +97,8 @@
 	return bill.ID(hex.EncodeToString(sum[:16]))
 }
 
-// handler answers one authenticated request. If it returns a refusal, it has not sent a response.
+// handler answers one authenticated request.
+// A handler that returns a refusal has not sent a response.
 type handler func(ctx context.Context, w http.ResponseWriter, r *http.Request, req *request) *contract.Refusal
 
 // callerRoutes returns the HTTP handler for callers.
@@ -111,8 +111,9 @@
 	return r
 }
 
-// withRequest wraps a handler. It assigns the request ID, authenticates the caller, limits and reads the body,
-// applies the deadline, and sends the refusal if the handler returns one.
+// withRequest wraps a handler. withRequest assigns the request ID, authenticates the caller,
+// limits and reads the body, applies the deadline, and sends the refusal if the handler returns
+// one.
 func (s *Server) withRequest(h handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.metrics.requests.Inc(1)
--- a/entry/server.go
+++ b/entry/server.go
@@ -96,7 +96,8 @@
 	lastCopiedAt time.Time
 }
 
-// New returns a Server. It opens the listener for calls from other processes, but serves nothing until Run.
+// New returns a Server. New opens the listener for calls from other processes.
+// The Server serves nothing until Run.
 func New(opts *Options) (*Server, error) {
 	endpoint, err := link.Listen(opts.Settings.Entry.LinkAddress, opts.Keys)
 	if err != nil {
--- a/entry/streaming.go
+++ b/entry/streaming.go
@@ -283,7 +283,8 @@
 	return rewritten
 }
 
-// sendHead sets the response headers, including the session token and the token for resuming the stream.
+// sendHead sets the response headers, including the session token and the stream token (with which
+// the caller resumes the stream).
 func (r *streamRelay) sendHead(now time.Time) error {
 	s, j := r.server, r.job
 	j.attempted, j.outcome = true, contract.OutcomeRan // the engine has sent output, so the request ran even if a later step fails
--- a/entry/tickets.go
+++ b/entry/tickets.go
@@ -238,7 +238,8 @@
 	return err
 }
 
-// writeJSON sends v as a JSON response. It always returns nil, so that handlers can return its result.
+// writeJSON sends v as a JSON response.
+// writeJSON always returns nil, so that handlers can return its result.
 func (s *Server) writeJSON(w http.ResponseWriter, v any) *contract.Refusal {
 	w.Header().Set("Content-Type", contentTypeJSON)
 	if err := json.NewEncoder(w).Encode(v); err != nil && !errors.Is(err, context.Canceled) {
--- a/entry/view.go
+++ b/entry/view.go
@@ -25,7 +25,7 @@
 	snapshot permit.Snapshot
 	revision contract.Revision
 	members  []vm.Member
-	// lastListed holds, for each member,
+	// lastListed holds the time at which an answer of a control process last listed each member.
 	// the time at which a control process's answer last listed it.
 	lastListed map[contract.VMID]time.Time
 	// membersAskedAt is when the last request that returned the members was sent.
--- a/protocol/protocol.go
+++ b/protocol/protocol.go
@@ -23,7 +23,8 @@
 	HeldHash document.Hash `cbor:"2,keyasint"`
 	// MaxWait is how long the control process may delay its answer to wait for a newer configuration.
 	MaxWait time.Duration `cbor:"3,keyasint"`
-	// Entry is the sender's state. It is set only if an entry process asks its own VM's control process.
+	// Entry is the sender's state. Entry is set only if an entry process asks its own VM's
+	// control process.
 	Entry *EntryState `cbor:"4,keyasint,omitempty"`
 	// MemberScope selects which of the live VMs are listed in the answer to the pull.
 	MemberScope MemberScope `cbor:"5,keyasint,omitempty"`
@@ -67,7 +68,8 @@
 // The requester measures the age of the configuration from a time before it sent the request.
 // A late answer therefore only makes the configuration count as older than it is.
 type PullResponse struct {
-	// Patch updates the requester's configuration. It is nil if both processes hold the same revision.
+	// Patch updates the requester's configuration.
+	// Patch is nil if both processes hold the same revision.
 	Patch *document.Patch `cbor:"1,keyasint"`
 	// AgeKnown reports whether Age is known, that is, whether the configuration was ever confirmed as the newest.
 	AgeKnown bool `cbor:"2,keyasint"`
@@ -126,5 +128,5 @@
 	Records []bill.Record `cbor:"1,keyasint"`
 }
 
-// Ack is an empty answer. It acknowledges a request.
+// Ack is an empty answer that acknowledges a request.
 type Ack struct{}
--- a/quarantine/crashes.go
+++ b/quarantine/crashes.go
@@ -49,8 +49,8 @@
 	return &CrashTracker{byInstance: make(map[contract.UpstreamInstance]*suspectedCrash)}
 }
 
-// ConnectionBroke records that the connection of a request to an upstream instance
-// broke. It reports whether the caller should probe the upstream's address now, and
+// ConnectionBroke records that the connection of a request to an upstream instance broke.
+// ConnectionBroke reports whether the caller should probe the upstream's address now, and
 // whether the crash is already confirmed.
 func (t *CrashTracker) ConnectionBroke(instance contract.UpstreamInstance, address string, s SuspectRequest) (probe, confirmed bool) {
 	crash := t.byInstance[instance]
@@ -69,8 +69,8 @@
 	return probe, false
 }
 
-// Confirm marks the crash of an upstream instance as confirmed and returns the requests
-// that were running on it. Later calls for the same instance return nil.
+// Confirm marks the crash of an upstream instance as confirmed and returns the requests that were
+// running on the instance. Later calls for the same instance return nil.
 func (t *CrashTracker) Confirm(instance contract.UpstreamInstance) []SuspectRequest {
 	crash := t.byInstance[instance]
 	if crash == nil || crash.confirmed {
@@ -82,7 +82,7 @@
 }
 
 // ReplacedInstances returns the suspected upstream instances whose address now belongs to another
-// instance in the upstream list, which confirms their crash.
+// instance in the upstream list. Such a replacement confirms the crash of the suspected instance.
 func (t *CrashTracker) ReplacedInstances(instanceAt func(address string) (contract.UpstreamInstance, bool)) []contract.UpstreamInstance {
 	var out []contract.UpstreamInstance
 	for instance, crash := range t.byInstance {
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -60,7 +60,8 @@
 	SentAt, BrokenAt time.Time
 }
 
-// Record is the suspicion record of one request content: the crashes of upstreams that ran it.
+// Record is the suspicion record of one request content:
+// the crashes of upstreams that ran the content.
 type Record struct {
 	Fingerprint Fingerprint
 	Source
@@ -79,8 +80,8 @@
 	trials        trials
 }
 
-// Table holds one VM's suspicion records. It is not safe for
-// concurrent use; the caller holds a lock.
+// Table holds one VM's suspicion records. Table is not safe for concurrent use;
+// the caller holds a lock.
 type Table struct {
 	records map[Fingerprint]*Record
 	// gossiping is the subset of records that may appear in gossip. The subset is kept separately
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -34,8 +34,8 @@
 	defaultBackoff     = 25 * time.Millisecond
 )
 
-// Budget is the retry budget of a VM, a token bucket filled by first attempts. It is not
-// safe for concurrent use; the caller holds a lock.
+// Budget is the retry budget of a VM, a token bucket filled by first attempts.
+// Budget is not safe for concurrent use; the caller holds a lock.
 type Budget struct {
 	opts   Options
 	tokens float64
--- a/rollout/canary.go
+++ b/rollout/canary.go
@@ -42,8 +42,8 @@
 }
 
 // Stages of a release rollout, as fractions of the rollout's duration. Sessions may move to the
-// release only in the second half of the rollout. In the first half, a VM does not know which
-// sessions are active at other VMs, so it sends no request to the release.
+// release only in the second half of the rollout. Before that half, a VM sends no request to the
+// release, because the VM does not know which sessions are active at other VMs.
 // The trial (the first stage, with few sessions) may miss a release that turns bad later or fails
 // only under more load. Even such a release must get no more than its allowed share of
 // all requests of the rollout. The allowed share therefore limits the durations of the trial,
@@ -66,8 +66,8 @@
 	completionFraction = 0.2
 )
 
-// stage is a part of a release rollout. It begins at start, a fraction of the rollout's duration.
-// From then on, the fraction share of the sessions uses the release.
+// stage is a part of a release rollout. The stage begins at start, a fraction of the rollout's
+// duration. From the start on, share is the fraction of the sessions that use the release.
 type stage struct{ start, share float64 }
 
 // planStages returns the stages of a release rollout, and the fraction of the rollout's duration
@@ -310,7 +310,7 @@
 	return Merge(known, c.received.Filter(func(o Observer) bool { return o == totalObserver(dc) }))
 }
 
-// localEvidence returns the counts of this VM.
+// localEvidence returns this VM's own counts of good and bad responses.
 func (c *Canary) localEvidence(self Observer) Evidence {
 	return Evidence{{self, c.versionKey(), trialStep, c.trialCounts}, {self, c.versionKey(), baselineStep, c.baselineCounts}}
 }
@@ -318,13 +318,14 @@
 // isDataCentreTotal reports whether the observer stands for all VMs of a data centre.
 func (o Observer) isDataCentreTotal() bool { return strings.HasPrefix(string(o.VM), "total of ") }
 
-// versionKey returns the identifier of the rollout in evidence.
+// versionKey returns the identifier of the rollout in evidence (counts of good and bad responses).
 func (c *Canary) versionKey() contract.VersionID {
 	return contract.VersionID(string(c.order.Service) + "/" + c.order.Release)
 }
 
-// MergeEvidence merges the counts of other VMs. Evidence may arrive late, repeatedly and in any
-// order. MergeEvidence returns true if the evidence makes the release count as bad.
+// MergeEvidence merges the counts of good and bad responses of other VMs.
+// The counts may arrive late, repeatedly and in any order.
+// MergeEvidence returns true if the merged counts make the release count as bad.
 func (c *Canary) MergeEvidence(e Evidence, self Observer, dc contract.DataCentreID) bool {
 	c.dataCentre = dc
 	for _, count := range e {
@@ -344,8 +345,8 @@
 	return NewSequentialTest(&c.testParams).Evaluate(c.trialTotals()) == Bad
 }
 
-// trialTotals returns the counts of all VMs for the release on trial. It first updates
-// the acceptable failure rate of the test.
+// trialTotals returns the counts of all VMs for the release on trial. Before that, trialTotals
+// updates the acceptable failure rate of the test.
 func (c *Canary) trialTotals() Counts {
 	c.updateGoodRate(c.totalCounts(baselineStep, c.baselineCounts))
 	return c.totalCounts(trialStep, c.trialCounts)
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -20,9 +20,9 @@
 	Counts   Counts             `cbor:"4,keyasint"`
 }
 
-// Evidence is a set of counts of good and bad responses, with one entry for each observer,
-// version and step. Merging keeps the larger counts,
-// so evidence may arrive repeatedly and in any order.
+// Evidence is a set of counts of good and bad responses, with one entry for each observer, version
+// and step. Merging two sets keeps the larger counts.
+// Sets may therefore arrive repeatedly and in any order.
 type Evidence []ObservedCounts
 
 // countKey identifies an entry of Evidence.
--- a/rollout/slowness.go
+++ b/rollout/slowness.go
@@ -35,7 +35,7 @@
 const (
 	// minSlowStdDevs is the smallest distance of a slow duration above the mean,
 	// in standard deviations.
-	// For any release, about one in forty durations lies that far above the mean.
+	// Of the durations of any release, about one in forty lies that far above the mean.
 	minSlowStdDevs = 2.0
 	// minBaselineSamples is how many durations of a kind are needed before any is compared.
 	minBaselineSamples = 20
--- a/rollout/sprt.go
+++ b/rollout/sprt.go
@@ -20,10 +20,10 @@
 // responses (A. Wald, Sequential Tests of Statistical Hypotheses, 1945).
 // The test takes its error bounds from config.Rollout.
 // FalseAlarmProbability is the bound for the whole rollout: the tests of all steps share one half
-// of it, and the CUSUM alarms share the other half.
+// of this probability, and the CUSUM alarms share the other half.
 // MissProbability bounds, at each step, the chance of passing a version whose rate is BadRate.
-// Both bounds hold up to the factors 1/(1-MissProbability) and 1/(1-FalseAlarmProbability)
-// of Wald's bounds.
+// Both bounds hold up to the factors 1/(1-MissProbability) and 1/(1-FalseAlarmProbability) of
+// Wald's bounds.
 type SequentialTest struct {
 	badIncrement, goodIncrement float64 // added to the log-likelihood ratio for each response
 	haltBound, passBound        float64 // bounds of the log-likelihood ratio: halt above, pass below
--- a/session/session.go
+++ b/session/session.go
@@ -14,7 +14,7 @@
 	"woaddoor/sign"
 )
 
-// Token is a session token. It records which model version a session uses.
+// Token is a session token, which records the model version that a session uses.
 type Token struct {
 	Session   string               `cbor:"1,keyasint"`
 	Workspace contract.WorkspaceID `cbor:"2,keyasint"`
--- a/workspace/queue.go
+++ b/workspace/queue.go
@@ -78,7 +78,8 @@
 	Rejected
 )
 
-// Queue holds the waiting requests and counts the running ones. It is not safe for concurrent use.
+// Queue holds the waiting requests and counts the running requests.
+// Queue is not safe for concurrent use.
 type Queue struct {
 	opts            Options
 	flows           map[contract.WorkspaceID]*flow
