--- a/entry/request.go
+++ b/entry/request.go
@@ -26,7 +26,8 @@
 	HeaderIdempotency = "Idempotency-Key"
 	// HeaderRepeatable is "no" for a request that must not run twice.
 	HeaderRepeatable = "Woaddoor-Repeatable"
-	// HeaderTicket carries the ticket that makes sure that a non-repeatable request runs at most once.
+	// HeaderTicket carries the ticket of a non-repeatable request.
+	// The ticket makes sure that the request runs at most once.
 	HeaderTicket = "Woaddoor-Ticket"
 	// HeaderSession is "new" to open a session, or the session token issued by the router.
 	HeaderSession = "Woaddoor-Session"
@@ -34,10 +35,11 @@
 	HeaderClass = "Woaddoor-Class"
 	// HeaderTimeout is how long the caller waits for the answer, such as "30s".
 	HeaderTimeout = "Woaddoor-Timeout"
-	// HeaderStream carries the token with which a caller resumes an interrupted stream, at any VM.
+	// HeaderStream carries the stream token with which a caller resumes an interrupted stream,
+	// at any VM.
 	HeaderStream = "Woaddoor-Stream"
-	// HeaderRequestID is the ID that the router gave the request. It and the headers below are set on
-	// responses only.
+	// HeaderRequestID is the ID that the router gave the request.
+	// HeaderRequestID and the headers below are set on responses only.
 	HeaderRequestID = "Woaddoor-Request"
 	// HeaderVersion is the model version that answered.
 	HeaderVersion = "Woaddoor-Version"
@@ -82,8 +84,8 @@
 	originalBillID bill.ID
 }
 
-// billID returns the ID of the request's bill record. Retries with the same idempotency key share it, so they
-// are billed once.
+// billID returns the ID of the request's bill record.
+// Retries with the same idempotency key share this ID, so they are billed once.
 func (r *request) billID() bill.ID {
 	if r.originalBillID != "" {
 		return r.originalBillID
@@ -95,7 +97,8 @@
 	return bill.ID(hex.EncodeToString(sum[:16]))
 }
 
-// handler answers one authenticated request. If it returns a refusal, it has not sent a response.
+// handler answers one authenticated request.
+// A handler that returns a refusal has not sent a response.
 type handler func(ctx context.Context, w http.ResponseWriter, r *http.Request, req *request) *contract.Refusal
 
 // callerRoutes returns the HTTP handler for callers.
@@ -108,8 +111,9 @@
 	return r
 }
 
-// withRequest wraps a handler. It assigns the request ID, authenticates the caller, limits and reads the body,
-// applies the deadline, and sends the refusal if the handler returns one.
+// withRequest wraps a handler. withRequest assigns the request ID, authenticates the caller,
+// limits and reads the body, applies the deadline, and sends the refusal if the handler returns
+// one.
 func (s *Server) withRequest(h handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.metrics.requests.Inc(1)
--- a/quarantine/crashes.go
+++ b/quarantine/crashes.go
@@ -18,9 +18,9 @@
 	SentAt, BrokenAt time.Time
 }
 
-// confirmTimeout bounds how long a suspected upstream crash may stay unconfirmed. An
-// upstream that restarts at once is listed as a new incarnation, or under another id,
-// within a few heartbeats of one second each.
+// confirmTimeout bounds how long a suspected upstream crash may stay unconfirmed.
+// An upstream that restarts at once appears in the upstream list within a few heartbeats of
+// one second each, as a new incarnation or under another id.
 const confirmTimeout = 5 * time.Second
 
 // maxSuspectsPerInstance bounds the suspect requests that are remembered per upstream instance.
@@ -49,8 +49,8 @@
 	return &CrashTracker{byInstance: make(map[contract.UpstreamInstance]*suspectedCrash)}
 }
 
-// ConnectionBroke records that the connection of a request to an upstream instance
-// broke. It reports whether the caller should probe the upstream's address now, and
+// ConnectionBroke records that the connection of a request to an upstream instance broke.
+// ConnectionBroke reports whether the caller should probe the upstream's address now, and
 // whether the crash is already confirmed.
 func (t *CrashTracker) ConnectionBroke(instance contract.UpstreamInstance, address string, s SuspectRequest) (probe, confirmed bool) {
 	crash := t.byInstance[instance]
@@ -69,8 +69,8 @@
 	return probe, false
 }
 
-// Confirm marks the crash of an upstream instance as confirmed and returns the requests
-// that were running on it. Later calls for the same instance return nil.
+// Confirm marks the crash of an upstream instance as confirmed and returns the requests that were
+// running on the instance. Later calls for the same instance return nil.
 func (t *CrashTracker) Confirm(instance contract.UpstreamInstance) []SuspectRequest {
 	crash := t.byInstance[instance]
 	if crash == nil || crash.confirmed {
@@ -82,7 +82,7 @@
 }
 
 // ReplacedInstances returns the suspected upstream instances whose address now belongs to another
-// instance in the upstream list, which confirms their crash.
+// instance in the upstream list. Such a replacement confirms the crash of the suspected instance.
 func (t *CrashTracker) ReplacedInstances(instanceAt func(address string) (contract.UpstreamInstance, bool)) []contract.UpstreamInstance {
 	var out []contract.UpstreamInstance
 	for instance, crash := range t.byInstance {
@@ -96,10 +96,11 @@
 	return out
 }
 
-// Any reports whether any upstream instance is tracked.
+// Any reports whether the tracker holds any upstream instance that may have crashed.
 func (t *CrashTracker) Any() bool { return len(t.byInstance) > 0 }
 
-// Expire forgets upstream instances whose newest broken connection is older than confirmTimeout.
+// Expire forgets suspected upstream instances whose newest broken connection is older than
+// confirmTimeout.
 func (t *CrashTracker) Expire(now time.Time) {
 	for instance, crash := range t.byInstance {
 		if now.Sub(crash.lastBroke) > confirmTimeout {
