--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,11 +1,11 @@
 // Package clock provides a time that is safe for checking the expiry of leases.
 //
 // A VM can be suspended and resumed. The monotonic clock of the operating system
-// stops during a suspension and the wall clock can be set, so neither of them alone
+// stops during a suspension and the wall clock can be set, so neither clock alone
 // measures how long a lease has been held. On Linux, System uses CLOCK_BOOTTIME if the
-// kernel provides it: it includes suspensions and is never set. Elsewhere System
+// kernel provides it: CLOCK_BOOTTIME includes suspensions and is never set. Elsewhere System
 // advances between two readings by the larger of the advances of the monotonic and the
-// wall clock. It may then run fast, which ends a lease early, but it never runs slow.
+// wall clock. System may then run fast, which ends a lease early, but never runs slow.
 package clock
 
 import (
--- a/command/command.go
+++ b/command/command.go
@@ -106,7 +106,7 @@
 }
 
 // pendingLine describes a VM on which a revision is not yet in force: the revision that
-// it has, and until when it may act on an older one.
+// the VM has, and until when the VM may act on an older revision.
 func pendingLine(p datacentre.PendingVM) string {
 	has := fmt.Sprintf("has revision %d", p.Revision)
 	if p.Revision == 0 {
@@ -209,8 +209,8 @@
 	Why string `help:"Why, for the audit trail." required:""`
 }
 
-// author returns the author, the reason and the time of a change that is made now. The
-// author defaults to the current user.
+// author returns the author, the reason and the time of a change of the configuration that is
+// made now. The author defaults to the current user.
 func (f authorFlags) author() history.ChangeInfo {
 	who := f.Who
 	if who == "" {
@@ -229,7 +229,7 @@
 	NoWait bool  `help:"Do not wait until it is in force."`
 }
 
-// Run applies the file and, unless NoWait is set, waits until it is in force.
+// Run applies the file and, unless NoWait is set, waits until the configuration is in force.
 func (c *applyCmd) Run(s *invocation) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -245,8 +245,8 @@
 	return s.waitUntilInForce(root)
 }
 
-// waitUntilInForce prints the progress of an accepted change until it is in force on
-// every VM. It returns a pendingError if the context ends before that.
+// waitUntilInForce prints the progress of an accepted change until the change is in force on
+// every VM. It returns a pendingError if the context ends first.
 func (s *invocation) waitUntilInForce(root document.Root) error {
 	if !s.json {
 		fmt.Fprintf(s.out, "accepted: revision %d, change %s\n", root.Revision, root.Change)
@@ -382,7 +382,7 @@
 // maxKeyBytes is the maximum length of a workspace's API key.
 const maxKeyBytes = 4096
 
-// Run reads the key from standard input and prints its hash.
+// Run reads a workspace's API key from standard input and prints the hash of the key.
 func (*hashKeyCmd) Run(s *invocation) error {
 	raw, err := io.ReadAll(io.LimitReader(os.Stdin, maxKeyBytes))
 	if err != nil {
--- a/command/explain.go
+++ b/command/explain.go
@@ -71,8 +71,8 @@
 	return explain.Changes(s.out, lines)
 }
 
-// usageCmd prints the holders of the lease and the usage reports from the log lines
-// of VMs.
+// usageCmd prints the holders of the lease (the VMs that act on behalf of all VMs) and the
+// usage reports from the log lines of VMs.
 type usageCmd struct {
 	Files  []string      `arg:"" optional:"" help:"Log files of VMs; standard input when there is none." type:"existingfile"`
 	Window time.Duration `help:"The length of a window of usage." default:"5s"`
@@ -93,7 +93,7 @@
 	return explain.Usage(s.out, lines, c.Window)
 }
 
-// readLogs returns the log lines of the files, or of standard input if there are none,
+// readLogs returns the log lines of the files, or of standard input if no files are given,
 // sorted by time.
 func readLogs(files []string) ([]*explain.Line, error) {
 	if len(files) == 0 {
--- a/command/vms.go
+++ b/command/vms.go
@@ -17,7 +17,7 @@
 	Addresses []string `arg:"" help:"Metrics addresses of VMs, each IP:PORT."`
 }
 
-// vmRow is the row of one VM: its metrics by name, or the error of fetching them.
+// vmRow is the row of one VM: its metrics by name, or the error of fetching the metrics.
 type vmRow struct {
 	Address string            `json:"address"`
 	Error   string            `json:"error,omitempty"`
--- a/config/build.go
+++ b/config/build.go
@@ -21,8 +21,8 @@
 	kindPool      = "pool"
 	kindService   = "service"
 	kindProgress  = "progress"
-	// KindConfiguration is the section that names the revision a file is based
-	// on. It is not part of the stored document.
+	// KindConfiguration is the section that names the revision on which a file is based.
+	// This section is not part of the stored document.
 	KindConfiguration = "configuration"
 )
 
@@ -275,8 +275,8 @@
 	c.Services[id] = s
 }
 
-// Repeatable reports whether a call of the service may run more than once: it
-// may, unless it matches a pattern in NotRepeatable.
+// Repeatable reports whether a call of the service may run more than once. A call may,
+// unless the call matches a pattern in NotRepeatable.
 func (s *Service) Repeatable(method, path string) bool {
 	for _, p := range s.NotRepeatable {
 		prefix, isPrefix := strings.CutSuffix(p.Path, "*")
--- a/config/check.go
+++ b/config/check.go
@@ -5,8 +5,8 @@
 	"woaddoor/document"
 )
 
-// checker checks the references between sections, such as from a workspace to
-// the versions that it may use.
+// checker checks the references between sections of a configuration file, such as from
+// a workspace to the versions that the workspace may use.
 type checker struct {
 	config  *Config
 	readers map[string]*SectionReader
@@ -110,12 +110,12 @@
 }
 
 // NextSections checks that file f may replace the accepted document. It returns
-// the sections of the new document: those of the file, and the stored progress
-// of each roll-out whose target version is the same in both.
+// the sections of the new document: the sections of the file, and the stored progress
+// of each roll-out whose target version is the same in the file and the accepted document.
 //
 // A version that is withdrawn in the accepted document must be withdrawn in the file
 // too. Otherwise applying an older file would bring a bad version back into service. A
-// corrected version needs a new number.
+// corrected version of a model needs a new version number.
 func NextSections(accepted *document.Document, f *File) (map[string]document.Section, error) {
 	old, err := FromDocument(accepted)
 	if err != nil {
--- a/config/config.go
+++ b/config/config.go
@@ -39,13 +39,13 @@
 const (
 	// BillRefuse refuses the request, so that no unbilled request runs.
 	BillRefuse BillPolicy = "refuse"
-	// BillServe serves the request, and counts its amount as at risk of not
-	// being billed.
+	// BillServe serves the request, and counts the amount of the request as at risk,
+	// because it may never be billed.
 	BillServe BillPolicy = "serve"
 )
 
-// Workspace is a customer: the versions that it may use, and its share of the
-// capacity.
+// Workspace is a customer: the versions of models that the customer may use, and the
+// customer's share of the capacity.
 type Workspace struct {
 	ID      contract.WorkspaceID
 	KeyHash KeyHash
@@ -95,12 +95,12 @@
 	ServeWithoutUpdate time.Duration
 }
 
-// MaxServeWithoutUpdate is the longest that a version may be served without a
-// configuration update. Because of this bound, only changes that are more recent
-// have to be read to compute when a withdrawal is in force on every VM.
+// MaxServeWithoutUpdate is the longest time that a version may be served without a
+// configuration update. Because of this bound, only changes more recent than
+// MaxServeWithoutUpdate have to be read to compute when a withdrawal is in force on every VM.
 const MaxServeWithoutUpdate = 48 * time.Hour
 
-// DefaultServeWithoutUpdate applies to a version without the setting. It bounds
+// DefaultServeWithoutUpdate applies to a version that sets no ServeWithoutUpdate. It bounds
 // how long a data centre from which the platform is unreachable keeps serving, and
 // how long a withdrawal may stay pending.
 const DefaultServeWithoutUpdate = 2 * time.Minute
@@ -118,8 +118,8 @@
 	Model contract.ModelID
 	From  contract.VersionID
 	To    contract.VersionID
-	// Steps are the rising percentages of new sessions that the new version gets
-	// at each step.
+	// Steps are the rising percentages of new sessions that the new version gets, one
+	// percentage for each step of the roll-out.
 	Steps []float64
 	// GoodRate and BadRate are the rates of bad answers that the sequential test
 	// distinguishes: a version at GoodRate passes, and one at BadRate is halted.
@@ -144,7 +144,7 @@
 )
 
 // Progress is the current step and state of a roll-out. Only the system writes
-// it; an operator's file must not contain it.
+// the progress; an operator's file must not contain any.
 type Progress struct {
 	Model contract.ModelID
 	To    contract.VersionID
@@ -152,7 +152,7 @@
 	State RolloutState
 }
 
-// PoolKind is whether a pool holds model engines or plain services.
+// PoolKind states whether a pool holds model engines or plain services.
 type PoolKind string
 
 // The kinds of pools.
@@ -165,8 +165,8 @@
 // fencing token.
 type FencingMode string
 
-// The fencing modes. Engines refuse orders with an outdated fencing token if it is
-// enforced, and otherwise do not check it.
+// The fencing modes. Engines refuse orders with an outdated fencing token if fencing is
+// enforced, and otherwise do not check the token.
 const (
 	FencingEnforced FencingMode = "refuses"
 	FencingIgnored  FencingMode = "ignores"
@@ -203,8 +203,8 @@
 type Service struct {
 	ID    contract.ServiceID
 	Pools []contract.PoolID
-	// NotRepeatable lists the calls that must run at most once, so a failed one is
-	// not retried.
+	// NotRepeatable lists the calls that must run at most once. A VM does not retry such a
+	// call after a failure.
 	NotRepeatable []CallPattern
 	// Price is the price of one call, in millionths of the currency unit. Zero
 	// means free of charge.
@@ -236,7 +236,7 @@
 
 // LongestServeWithoutUpdate returns the maximum of ServeWithoutUpdate over all
 // versions. A VM that does not receive the next change stops acting on this
-// configuration within that time.
+// configuration within LongestServeWithoutUpdate.
 func (c *Config) LongestServeWithoutUpdate() time.Duration {
 	longest := time.Duration(0)
 	for id := range c.Versions {
--- a/config/ini.go
+++ b/config/ini.go
@@ -105,7 +105,7 @@
 }
 
 // indexLines records the line number of each section and key, and returns a
-// fault for each that appears twice.
+// fault for each section or key that appears twice.
 func (f *File) indexLines(text []byte) Faults {
 	var faults Faults
 	section := ""
@@ -144,8 +144,8 @@
 	return Faults{fault}
 }
 
-// Line returns the line number of a key. If the key is absent it returns the
-// line of the section, and if that is absent too, 1.
+// Line returns the line number of a key. If the key is absent, Line returns the line
+// number of the section, and if the section is absent too, 1.
 func (f *File) Line(section, key string) int {
 	if n, ok := f.lines[sectionKey{section, key}]; ok {
 		return n
@@ -157,5 +157,5 @@
 }
 
 // Sections returns the sections by name, in the form in which a document stores
-// them. The caller must not modify the map.
+// sections. The caller must not modify the map.
 func (f *File) Sections() map[string]document.Section { return f.sections }
--- a/config/reader.go
+++ b/config/reader.go
@@ -12,7 +12,7 @@
 )
 
 // SectionReader reads typed values from one section and collects a fault for each
-// invalid one. Keys of the section that were never read are faults too; see
+// invalid value. Keys of the section that were never read are faults too; see
 // RejectUnknownKeys.
 type SectionReader struct {
 	file     *File
@@ -77,7 +77,7 @@
 	return ok
 }
 
-// List returns the comma-separated values of key, without the empty ones.
+// List returns the comma-separated values of key, without empty values.
 func (r *SectionReader) List(key string) []string {
 	var items []string
 	for _, item := range strings.Split(r.String(key, ""), ",") {
--- a/daemon/duties.go
+++ b/daemon/duties.go
@@ -20,9 +20,9 @@
 // dutiesLeaseName is the name of the lease whose holder acts on behalf of all VMs.
 const dutiesLeaseName = "duties"
 
-// dutyTimeoutDivisor is the duration of the lease divided by the timeout of a call. The
-// timeout is less than the margin at the end of the lease in which no call is started,
-// so a call ends before the lease does.
+// dutyTimeoutDivisor is the duration of the lease divided by the timeout of a call to the
+// platform. This timeout is shorter than the margin at the end of the lease in which the VM
+// starts no call, so each call ends before the lease ends.
 const dutyTimeoutDivisor = 4
 
 // dutyTimeout is the timeout of a call to the platform on behalf of all VMs, and of the
@@ -56,7 +56,7 @@
 }
 
 // usageRecorder returns the callback that counts a request when an upstream begins to run
-// it. It is nil if usage is not reported.
+// the request. The callback is nil if the VMs do not report usage.
 func (v *vmProcess) usageRecorder() func(contract.WorkspaceID, time.Time) {
 	if v.usage == nil {
 		return nil
@@ -65,7 +65,7 @@
 }
 
 // newLeader returns the component that acts on behalf of all VMs while this VM holds the
-// lease. It is nil if the deployment configures no duties.
+// lease. newLeader returns nil if the deployment configures no duties.
 func (v *vmProcess) newLeader() *leader.Leader {
 	if v.lease == nil {
 		return nil
@@ -107,7 +107,7 @@
 	return 0
 }
 
-// listAge returns the time since the store last confirmed the list of upstreams.
+// listAge returns the time since the platform's object store last confirmed the list of upstreams.
 func (v *vmProcess) listAge() time.Duration {
 	_, age := v.site.ConfirmationAges()
 	return age
@@ -119,7 +119,7 @@
 }
 
 // leaseMetrics returns the metrics of the lease: its holder, its fencing token, and how
-// long it has been unchanged.
+// long the lease has been unchanged.
 func (v *vmProcess) leaseMetrics() []string {
 	if v.lease == nil {
 		return nil
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -21,8 +21,8 @@
 	v.countCall("store", fmt.Sprintf("call=%q,kind=%q", c.Verb, c.Kind), err)
 }
 
-// countCall increments the counter of calls to target, such as "store", or that of its
-// failed calls if err is not nil.
+// countCall increments the counter of calls to target, such as "store". If err is not nil, it
+// increments the counter of failed calls to target instead.
 func (v *vmProcess) countCall(target, labels string, err error) {
 	name := target + "_calls_total"
 	if err != nil {
@@ -101,8 +101,8 @@
 	}
 }
 
-// peerMetrics returns the traffic between VMs, by kind of message and by whether it stays
-// in the data centre or leaves it, and the role of this VM among the VMs.
+// peerMetrics returns the messages and bytes that this VM sends to other VMs, by kind of message
+// and by whether the message leaves the data centre, and the role of this VM among the VMs.
 func (v *vmProcess) peerMetrics() []string {
 	var lines []string
 	for _, s := range v.peers.SentTraffic() {
--- a/daemon/vm.go
+++ b/daemon/vm.go
@@ -70,8 +70,8 @@
 	registry     metrics.Registry
 	stopping     atomic.Bool
 	// lease is the lease whose holder acts on behalf of all VMs, and usage counts the
-	// requests for its usage reports. They are nil if the deployment does not configure
-	// them.
+	// requests for the holder's usage reports. Each of lease and usage is nil if the
+	// deployment does not configure it.
 	lease *leader.LeaseClient
 	usage *leader.UsageLedger
 	// callers is the listener for callers, which tracks their connections.
@@ -83,8 +83,8 @@
 const gcPercent = 50
 
 // memoryLimitShare is the fraction of the machine's memory that is set as the memory limit of
-// the garbage collector. The rest is for the kernel's connection buffers, which count
-// towards the machine's memory as well.
+// the garbage collector. The rest of the memory is for the kernel's connection buffers,
+// which count towards the machine's memory as well.
 const memoryLimitShare = 0.6
 
 // logFlushTimeout is the longest wait for queued log lines to be written at the end of the
@@ -166,8 +166,8 @@
 	return nil
 }
 
-// Limits of callers' connections. They are fixed, because the limits in the configuration
-// are not known yet when the HTTP servers are created. Clients stay within these limits.
+// Limits of callers' connections. These limits are fixed, because the limits in the configuration
+// are not known yet when the HTTP servers are created. Clients stay within the fixed limits.
 const (
 	headerTimeout  = 10 * time.Second
 	idleTimeout    = 3 * time.Minute
@@ -231,7 +231,7 @@
 }
 
 // balancerDetectionTime is how long the load balancer keeps sending connections to a VM that
-// is no longer ready: it checks every second and needs two failed checks.
+// is no longer ready: the balancer checks every second and needs two failed checks.
 const balancerDetectionTime = 2500 * time.Millisecond
 
 // waitForSignals handles signals until SIGTERM or SIGINT, and then shuts the process down.
@@ -250,7 +250,7 @@
 }
 
 // reload reads the settings again, checks them, and logs whether they differ from the
-// current ones. Changed settings take effect at the next start, because addresses and
+// current settings. Changed settings take effect at the next start, because addresses and
 // bounds cannot change while the process runs.
 func (v *vmProcess) reload() {
 	s, err := settings.LoadVM(v.settingsPath)
@@ -263,7 +263,7 @@
 
 // shutDown ends the process without aborting a request. It first reports to the load
 // balancer that the VM is not ready, and closes connections after the balancer has
-// stopped sending new ones.
+// stopped sending new connections.
 func (v *vmProcess) shutDown() {
 	v.stopping.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), v.settings.Bounds.ShutdownGrace-shutdownMargin)
--- a/drain/drain.go
+++ b/drain/drain.go
@@ -63,9 +63,9 @@
 }
 
 // Accept waits for the next connection. At the connection limit it closes the
-// connection that has been idle longest to make room. If none is idle, it closes the
-// new connection before anything is read from it, so that the client can safely try
-// another VM.
+// connection that has been idle longest to make room. If no connection is idle, Accept
+// closes the new connection before anything is read from it, so that the client can
+// safely try another VM.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		accepted, err := l.Listener.Accept()
@@ -86,8 +86,8 @@
 	}
 }
 
-// admit registers a connection and reports whether it did. At the connection limit it
-// closes the connection that has been idle longest, or returns false if none is idle.
+// admit registers a connection and reports whether it did. At the connection limit admit
+// closes the connection that has been idle longest, or returns false if no connection is idle.
 func (l *Listener) admit(c *conn, now time.Time) bool {
 	l.mu.Lock()
 	var longestIdle *conn
@@ -145,8 +145,8 @@
 // requests then, because they might not finish before the process exits.
 func (l *Listener) Draining() bool { return l.draining.Load() }
 
-// Drain stops accepting connections and closes the open ones as they become idle, until
-// none is left or ctx is done. It reports whether all connections were closed.
+// Drain stops accepting connections and closes the open connections as they become idle, until
+// no connection is left or ctx is done. It reports whether all connections were closed.
 func (l *Listener) Drain(ctx context.Context) bool {
 	l.draining.Store(true)
 	_ = l.Listener.Close() // accepted connections stay open
@@ -165,7 +165,7 @@
 }
 
 // closeClosable closes the connections that have no request in progress and returns how
-// many remain.
+// many connections remain.
 func (l *Listener) closeClosable(now time.Time) int {
 	var closing []*conn
 	l.mu.Lock()
@@ -182,8 +182,8 @@
 	return left
 }
 
-// closable reports whether no request is in progress on the connection and none has
-// arrived on it.
+// closable reports whether no request is in progress on the connection and no further
+// request has arrived on the connection.
 func (c *conn) closable(now time.Time) bool {
 	return c.serverIdle.Load() && now.Sub(time.Unix(0, c.lastRead.Load())) > minIdle && !c.hasUnread()
 }
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,6 +1,6 @@
 // Package explain analyses the log lines of VMs. It prints the steps of a request
-// with the state that its VM knew at each step, the changes of that state, why
-// requests failed or were late, and the usage reports.
+// with the state that the request's VM knew at each step, the changes of this state,
+// why requests failed or were late, and the usage reports.
 package explain
 
 import (
@@ -22,7 +22,7 @@
 	At    time.Time
 	Event string
 	VM    string
-	// Fields are the other fields, in the order in which they were written.
+	// Fields are the remaining fields of the log line, in the order in which they were written.
 	Fields []Field
 }
 
@@ -99,7 +99,7 @@
 }
 
 // Request prints each log line of a request, followed by the states that were known to
-// the VM at that time. It reports whether there is any line of the request.
+// the VM when it wrote the line. Request reports whether there is any line of the request.
 func Request(w io.Writer, lines []*Line, id contract.RequestID) (bool, error) {
 	p := &printer{w: w, lines: lines}
 	found := false
@@ -180,7 +180,7 @@
 const startShownFor = time.Minute
 
 // printKnownState prints the states that were known to the VM when it wrote the log line
-// at index, and since when they were known.
+// at index, and since when the VM knew each state.
 func (p *printer) printKnownState(index int) {
 	l := p.lines[index]
 	for _, e := range stateEvents {
--- a/explain/losses.go
+++ b/explain/losses.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Causes of lost requests, which are those that failed or were late. Each lost request
-// has one cause. That of a late request is the cause of the largest part of its delay.
+// Causes of lost requests. A lost request failed or was late. Each lost request has one
+// cause. The cause of a late request is the cause of the largest part of its delay.
 const (
 	causeQueue        = "late: waited at the engine"
 	causePrefill      = "late: its prompt was read"
@@ -30,8 +30,9 @@
 	retries     []*Line
 }
 
-// Losses prints, for each route, how many requests were answered in time and the
-// causes of the others. If a VM logged several outcomes of a request, the latest counts.
+// Losses prints, for each route, how many requests were answered in time, and the
+// causes of the other requests, which failed or were late. If a VM logged several outcomes
+// of a request, the latest outcome counts.
 func Losses(w io.Writer, lines []*Line) error {
 	requests := make(map[string]*requestLog)
 	for _, l := range lines {
@@ -58,8 +59,8 @@
 	return writeLosses(w, requests)
 }
 
-// routeLosses counts all requests of a route, those that were answered in time, and the
-// lost ones by cause.
+// routeLosses counts all requests of a route, the requests that were answered in time, and
+// the lost requests by cause.
 type routeLosses struct {
 	requests, inTime int
 	causes           map[string]int
@@ -70,7 +71,7 @@
 	routes := make(map[string]*routeLosses)
 	for _, r := range requests {
 		if r.outcome == nil {
-			continue // still running, or its VM was killed
+			continue // the request is still running, or its VM was killed
 		}
 		name := r.outcome.Value("route")
 		if routes[name] == nil {
--- a/explain/models.go
+++ b/explain/models.go
@@ -13,7 +13,8 @@
 type modelStats struct {
 	answers, escalated int
 	// confidences are the confidences that the model reported about its answers.
-	// timeRatios are the actual divided by the expected times until an answer began.
+	// timeRatios holds, for each answer, the actual time until the answer began, divided by
+	// the expected time.
 	confidences, timeRatios []float64
 	// deliveredPoor counts answers that were delivered with a confidence below
 	// poorConfidence.
@@ -21,13 +22,13 @@
 }
 
 // poorConfidence is the confidence below which an answer is more likely poor than
-// good. Few answers of the largest model are below it.
+// good. Few answers of the largest model have a confidence below poorConfidence.
 const poorConfidence = 0.5
 
-// Models prints, for each model, how many answers it began, how many of them were
-// discarded for a larger model's, how many were delivered though the model's confidence
-// was poor, the quartiles of its confidence, and the quartiles of the actual divided by
-// the expected time until an answer began.
+// Models prints, for each model, how many answers the model began, how many of its answers
+// were discarded for the answer of a larger model, how many were delivered though the model's
+// confidence was poor, and the quartiles of the model's confidence. Models also prints the
+// quartiles of a ratio: the actual time until an answer began, divided by the expected time.
 func Models(w io.Writer, lines []*Line) error {
 	models := make(map[string]*modelStats)
 	last := make(map[string]*Line) // the latest attempt of each request at a VM
--- a/explain/usage.go
+++ b/explain/usage.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Log events of the lease and of the usage reports.
+// Log events of the lease (whose holder acts on behalf of all VMs) and of the usage reports.
 const (
 	eventLease             = "lease"
 	eventUsageWindow       = "usage-window"
--- a/internal/bench/control.go
+++ b/internal/bench/control.go
@@ -157,7 +157,7 @@
 }
 
 // trafficGrowth returns the mean and the largest increase of a control server's bytes
-// between the readings a and b of trafficBytes.
+// between a and b, two results of trafficBytes.
 func trafficGrowth(a, b []int64) (mean, largest float64) {
 	for i := range a {
 		mean += float64(b[i]-a[i]) / float64(len(a))
@@ -183,12 +183,12 @@
 	return float64(m.HeapInuse+m.StackInuse) / (1 << 20)
 }
 
-// configTemplate is a configuration. Each change sets another number of seconds for which
-// the version may be served without a recent configuration (serve-without-word).
+// configTemplate is a configuration. Each change of the configuration sets another number of
+// seconds for which a VM may serve the version without a recent configuration (serve-without-word).
 const configTemplate = "[workspace w]\nkey-hash = 0000000000000000000000000000000000000000000000000000000000000000\nallow = m@1\n\n[model m]\nserve = m@1\n\n[version m@1]\nserve-without-word = %ds\n"
 
 // applyChange makes the n-th change of the configuration and returns the time until every
-// control server has it.
+// control server has the changed configuration.
 func (c *controlFleet) applyChange(ctx context.Context, n int) (time.Duration, error) {
 	op := c.operator()
 	base, err := history.Load(ctx, op.Store)
@@ -255,7 +255,7 @@
 	calls2 := c.store.Counts()
 	mean, largest := trafficGrowth(bytes0, bytes1)
 	idleRates := ratesBetween(calls0, calls1, seconds)
-	// The calls caused by the changes are those in excess of the rate of an idle fleet.
+	// Calls in excess of the rate of an idle fleet are caused by the configuration changes.
 	changeCalls := callsBetween(calls1, calls2) - idleRates.total*(float64(changesPerSize)+totalDuration(changeTimes).Seconds())
 	fmt.Printf("| %d x %d | %.2f | %.0f | %.0f | %.2f | %.1f | %.1f | %.1f | %.2f | %v | %v | %.1f |\n", dcs, vms,
 		100*(cpu1-cpu0).Seconds()/seconds/n, mean/seconds, largest/seconds, heapAndStackMiB()/n,
@@ -272,7 +272,7 @@
 	return total
 }
 
-// callRates holds calls to the platform per second, by kind.
+// callRates holds the calls to the platform per second, by kind of call.
 type callRates struct{ reads, watches, lists, writes, total float64 }
 
 // ratesBetween returns the rates of calls between two counts that were taken seconds apart.
--- a/internal/bench/entry.go
+++ b/internal/bench/entry.go
@@ -19,7 +19,7 @@
 	requestPairs = 2000   // pairs of a direct and a routed request
 	cpuRequests  = 20_000 // requests over which the processor time is measured
 	chunkStreams = 40     // streams for each number of concurrent streams
-	chunkTokens  = 4000   // tokens of each of these streams, one to a chunk
+	chunkTokens  = 4000   // tokens of each stream in the chunk measurement, one token to a chunk
 	openStreams  = 1000   // largest number of open streams in the memory measurement
 )
 
--- a/internal/fleet/caller.go
+++ b/internal/fleet/caller.go
@@ -66,9 +66,9 @@
 	return nil
 }
 
-// WaitForPeers waits until every VM knows the entry processes of its peers: those
-// that vote on tickets (arbiters) and those that hold copies of its bill records
-// (keepers).
+// WaitForPeers waits until every VM knows the entry processes of its peers: the processes
+// that vote on tickets (arbiters), and the processes that hold copies of the VM's bill
+// records (keepers).
 func (f *Fleet) WaitForPeers(ctx context.Context) error {
 	for _, vm := range f.VMs {
 		err := WaitFor(ctx, func() bool {
@@ -83,7 +83,7 @@
 }
 
 // expectedKeepers returns how many peers hold a copy of each bill record once
-// all peers are known: one in the VM's own data centre and one in another.
+// all peers are known: a peer in the VM's own data centre and a peer in another data centre.
 func (f *Fleet) expectedKeepers() int {
 	n := 0
 	if f.opts.VMs > 1 {
@@ -100,8 +100,8 @@
 // Members is the number of VMs known to be live. Arbiters and Keepers are the numbers of
 // processes that vote on this VM's tickets and that hold copies of its bill records.
 // ConfigurationAge is the time since the configuration was last confirmed as the newest.
-// BillsHeld counts the bill records stored on the VM, BillsAtRisk those of its records that
-// no peer holds and that are not filed with the platform.
+// BillsHeld counts the bill records stored on the VM. BillsAtRisk counts the VM's bill records
+// that no peer holds and that are not filed with the platform.
 type Status struct {
 	Revision         contract.Revision `json:"revision"`
 	Members          int               `json:"members"`
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -155,8 +155,8 @@
 
 // Ports are allocated from a range below the system's ephemeral ports, starting
 // at a position derived from the process ID. Otherwise another fleet or an outgoing
-// connection could take a port after it is chosen and before its program starts.
-// endPort is exclusive.
+// connection could take a port after the port is chosen and before its program starts.
+// The range ends before endPort.
 const (
 	firstPort = 10_000
 	endPort   = 20_000
--- a/internal/measure/cascades.go
+++ b/internal/measure/cascades.go
@@ -83,7 +83,7 @@
 	planCascade = cascade.Plan{First: "small", Check: true, Fallback: "large"}
 )
 
-// delayedRating is a rating that arrives before request number dueAt is sent.
+// delayedRating is a rating of an answer that arrives just before request number dueAt is sent.
 type delayedRating struct {
 	dueAt int
 	class int
--- a/internal/measure/choice.go
+++ b/internal/measure/choice.go
@@ -11,7 +11,7 @@
 	"woaddoor/upstream"
 )
 
-// Parameters of the choice measurement. They are the sizes of the deployment in
+// Parameters of the choice measurement. These sizes are those of the deployment in
 // examples/consorcio.ini.
 const (
 	engines          = 20
--- a/internal/measure/fairness.go
+++ b/internal/measure/fairness.go
@@ -24,9 +24,9 @@
 	return int(part)
 }
 
-// quietLatency offers half of its fair share of the load for every workspace but the last,
-// and ten times its share for the last one if loud is true. It returns the latency
-// quantiles of the quiet workspaces: all but the last.
+// quietLatency offers half of the fair share of the load for every workspace but the last, and,
+// if loud is true, ten times the fair share for the last workspace. quietLatency returns the
+// latency quantiles of the quiet workspaces, which are all but the last.
 func quietLatency(seed uint64, capacity int, loud bool) model.Quantiles {
 	s := newSite(seed, engines, vms, 1, time.Second, newWoaddoorChooser)
 	queuedVMs := newQueuedVMs(s, seed, capacity, workspaceCount)
--- a/internal/measure/lookup.go
+++ b/internal/measure/lookup.go
@@ -11,8 +11,8 @@
 // and rendezvous hashing, for finding the owner of a key.
 //
 // In Chord# a node's pointer i leads to the node 2^i positions further on the ring.
-// Pointer 0 is the node's successor. Pointer i+1 is pointer i of the node that
-// pointer i leads to.
+// Pointer 0 leads to the node's successor. To get pointer i+1, a node follows its
+// pointer i, and takes over pointer i of the node there.
 func lookup(seed uint64) []*table {
 	t := &table{
 		title:       "Finding the owner of a key",
@@ -38,7 +38,7 @@
 		from, to := r.IntN(n), r.IntN(n)
 		hops := 0
 		for left := (to - from + n) % n; left > 0; {
-			// Follow the longest pointer that does not pass the owner.
+			// Follow the longest pointer that does not pass the owner of the key.
 			left -= 1 << int(math.Log2(float64(left)))
 			hops++
 		}
--- a/internal/measure/model/model.go
+++ b/internal/measure/model/model.go
@@ -1,7 +1,7 @@
 // Package model simulates engines and callers as a queueing model in simulated
 // time, to measure the decision packages. Its engines use continuous batching,
 // queue requests, cache prefixes up to a limit and report their load with a
-// delay. It models nothing else.
+// delay. The package models nothing else of an engine.
 package model
 
 import (
@@ -89,9 +89,9 @@
 	Tokens int
 	// Priority orders the queue: requests with a lower value run first.
 	Priority int
-	// Abandoned reports whether the caller has stopped waiting. The engine calls it
-	// before it takes a request from its queue. Nil means that the engine is not
-	// notified of cancellations.
+	// Abandoned reports whether the caller has stopped waiting. The engine calls Abandoned
+	// before the engine takes the request from its queue. A nil Abandoned means that the
+	// engine is not notified of cancellations.
 	Abandoned func() bool
 }
 
@@ -105,8 +105,8 @@
 // EngineOptions configure an Engine.
 type EngineOptions struct {
 	// Slots is how many requests run at once, PerToken the time to generate a token.
-	// Prefill is the time to the first token, CachedPrefill that of a request whose
-	// prefix is cached. CacheCapacity is the number of cached prefixes.
+	// Prefill is the time to the first token, and CachedPrefill the time to the first token
+	// of a request whose prefix is cached. CacheCapacity is the number of cached prefixes.
 	Slots                            int
 	PerToken, Prefill, CachedPrefill time.Duration
 	CacheCapacity                    int
@@ -189,8 +189,8 @@
 	})
 }
 
-// dequeue removes and returns the oldest request of the lowest Priority value. It
-// first drops the requests that are abandoned.
+// dequeue removes and returns the oldest request of the lowest Priority value. Before that,
+// dequeue drops the requests that are abandoned.
 func (e *Engine) dequeue() (pendingRequest, bool) {
 	e.queue = slices.DeleteFunc(e.queue, func(pending pendingRequest) bool {
 		return pending.request.Abandoned != nil && pending.request.Abandoned()
--- a/internal/measure/plot.go
+++ b/internal/measure/plot.go
@@ -58,7 +58,7 @@
 	var lines []any
 	for _, strategy := range choosers {
 		if strategy.name == "least reported" {
-			continue // its times are seconds, off the scale of the others
+			continue // the times of this strategy are seconds, off the scale of the other strategies
 		}
 		var points plotter.XYs
 		for _, load := range []float64{0.3, 0.5, 0.7, 0.8, 0.9, 0.95, 1, 1.05} {
--- a/internal/measure/retries.go
+++ b/internal/measure/retries.go
@@ -59,9 +59,9 @@
 	return at >= faultStart && at < faultStart+faultDuration
 }
 
-// send makes one attempt and calls done once: when the attempt ends, or with failed set
-// after timeout. If cancel is true, the engine drops an attempt that has timed out from its
-// queue.
+// send makes one attempt and calls done once: when the attempt ends, or, with failed set,
+// after timeout. If cancel is true, the engine removes an attempt that has timed out from the
+// engine's queue.
 func (t *retryTrial) send(vm chooser, timeout time.Duration, cancel bool, done func(failed bool)) {
 	ended := false
 	finish := func(failed bool) {
@@ -197,8 +197,8 @@
 	}
 }
 
-// attempt sends a request for the number-th time. After a failure it sends it again if
-// the retry budget allows it.
+// attempt makes the attempt with the given number at a request. After a failure it sends the
+// request again if the retry budget allows a retry.
 func (t *retryTrial) attempt(vm *retryingVM, number int, deadline time.Time, done func(good bool)) {
 	t.send(vm.chooser, deadline.Sub(t.site.clock.Now()), true, func(failed bool) {
 		if !failed {
--- a/internal/measure/rollouts.go
+++ b/internal/measure/rollouts.go
@@ -18,9 +18,9 @@
 	rolloutTimeLimit  = 4 * time.Hour
 	rolloutVMs        = 6
 	rolloutTick       = time.Second
-	propagationDelay  = 2 * time.Second // until a halt or a step has reached all VMs
+	propagationDelay  = 2 * time.Second // until a halt or the next rollout step has reached all VMs
 	fixedStepDuration = 10 * time.Minute
-	fixedHaltRate     = 0.10 // a fixed ramp halts when the bad share of a step exceeds this
+	fixedHaltRate     = 0.10 // a fixed ramp halts when more than this share of a step's answers is bad
 )
 
 // rolloutPlan is the plan of the simulated rollouts.
@@ -62,8 +62,8 @@
 	duration   time.Duration
 }
 
-// runFixedRamp takes a step every fixedStepDuration and halts when the share of bad
-// answers in a step exceeds fixedHaltRate.
+// runFixedRamp takes a rollout step (a larger percentage for the new version) every
+// fixedStepDuration, and halts when the share of bad answers in a step exceeds fixedHaltRate.
 func runFixedRamp(r *rand.Rand, v versionModel) rolloutResult {
 	res := rolloutResult{}
 	for step, percent := range rolloutPlan.Steps {
@@ -89,9 +89,9 @@
 	return res
 }
 
-// runSequentialTest takes steps by the product's sequential test over the merged evidence
-// of all VMs. Each VM's monitor can halt the version by itself. A step or a halt reaches
-// all VMs after propagationDelay.
+// runSequentialTest takes rollout steps by the product's sequential test over the merged evidence
+// (counts of good and bad answers) of all VMs. Each VM's monitor can halt the version by itself.
+// A rollout step or a halt reaches all VMs after propagationDelay.
 func runSequentialTest(r *rand.Rand, v versionModel) rolloutResult {
 	res := rolloutResult{}
 	now := time.Unix(0, 0)
--- a/internal/measure/stalls.go
+++ b/internal/measure/stalls.go
@@ -50,7 +50,7 @@
 }
 
 // stalls measures how long a stall detector takes to notice a stalled stream, and how
-// often it takes a healthy stream for stalled.
+// often the detector takes a healthy stream for stalled.
 func stalls(seed uint64) []*table {
 	t := &table{
 		title:       "Stalled streams",
--- a/internal/rounds/experiment.go
+++ b/internal/rounds/experiment.go
@@ -10,9 +10,9 @@
 	"woaddoor/settings"
 )
 
-// experiment compares variants of the policy settings on the same deployments, days and
-// seeds. Its file has a section [way NAME] for each variant, and a section for each
-// deployment:
+// experiment compares variants of the policy settings on the same deployments, simulated days of
+// the users' bench, and seeds. The file of an experiment has a section [way NAME] for each variant
+// of the policy settings, and a section for each deployment:
 //
 //	[experiment]
 //	days = quiet-1, scale-1
@@ -29,8 +29,8 @@
 //	site = further/platterhop-eu.toml
 //	small = no
 //
-// The baseline, which changes no setting, is always included. The other variants are
-// compared with it.
+// The baseline, which changes no setting, is always included. The experiment compares each other
+// variant of the policy settings with the baseline.
 type experiment struct {
 	days        []string
 	seeds, jobs int
@@ -38,10 +38,10 @@
 	deployments []deployment
 }
 
-// variant is one set of policy settings.
+// variant is one set of policy settings in an experiment.
 type variant struct {
 	name string
-	// settings are the lines that the variant adds to the section [policy].
+	// settings are the lines that the variant adds to the section [policy] of the settings file.
 	settings []string
 }
 
@@ -115,7 +115,7 @@
 	return d
 }
 
-// reportFile returns the file name of the report of a day that a variant runs.
+// reportFile returns the file name of the bench's report of one simulated day under one variant.
 func (x *experiment) reportFile(v variant, p plannedDay) string {
 	name := strings.Map(func(c rune) rune {
 		if c == ' ' || c == '/' {
--- a/internal/rounds/main.go
+++ b/internal/rounds/main.go
@@ -1,20 +1,22 @@
 // Command rounds measures a build of the product with the users' benchmark
-// program (the bench). It runs the days (scenarios) of a site file, each with
-// several seeds, and prints a Markdown table of the mean worth (the bench's
-// score), the parts of the worth, the prices taken off, and the broken rules. The
-// figures in docs/POLICY.md come from this command.
+// program (the bench). The command runs the simulated days (scenarios) of a site
+// file, each with several seeds. It prints a Markdown table of the mean worth (the
+// bench's score of a day), the parts of the worth, the prices that the bench takes
+// off the worth, and the broken rules. The figures in docs/POLICY.md come from
+// this command.
 //
 // Run it at the root of a checkout:
 //
 //	go run ./internal/rounds --bench BENCH --site SITE --why "round 34: ..."
 //
-// With a regression set it runs all deployments of the set, compares their worth with
-// the reference worth, and fails when a rule is broken or a worth has dropped:
+// With a regression set the command runs all deployments of the set, compares the worth (score)
+// of each with its reference worth, and fails when a rule is broken or a worth has dropped:
 //
 //	go run ./internal/rounds --bench BENCH --set days/landing.ini --sites FOLDER --why "landing"
 //
-// With an experiment it runs several variants of the policy settings on the same days
-// and seeds, and writes their differences to the baseline as Markdown, CSV and SVG:
+// With an experiment the command runs several variants of the policy settings on the same
+// simulated days and seeds. It writes the differences between each variant and the baseline as
+// Markdown, CSV and SVG:
 //
 //	go run ./internal/rounds --bench BENCH --experiment days/ablation.ini --sites FOLDER --out FOLDER --why "..."
 package main
@@ -52,7 +54,7 @@
 	Why        string   `help:"What the run is for; it goes into the journal." required:""`
 }
 
-// dayRun is the run of one day with one seed.
+// dayRun is the run of one simulated day of the bench with one seed.
 type dayRun struct {
 	day    string
 	seed   int
@@ -118,7 +120,7 @@
 	return errors.Join(failed, err, plotDifferences(filepath.Join(a.Out, "worth.svg"), x, results))
 }
 
-// plannedRuns returns the runs for all days and seeds of the command line.
+// plannedRuns returns one run for each simulated day and each seed of the command line.
 func (a *arguments) plannedRuns() []*dayRun {
 	var runs []*dayRun
 	for _, day := range a.Days {
@@ -172,8 +174,8 @@
 	fmt.Fprintln(os.Stderr)
 }
 
-// runDay lets the bench run one day with the checkout in the folder dir, and reads the
-// report that the bench writes to file.
+// runDay lets the bench run one simulated day with the checkout in the folder dir, and reads
+// the report that the bench writes to file.
 func (a *arguments) runDay(dir, day string, seed int, file string) (*report, error) {
 	args := []string{"run", a.Site, day, "--report", file, "--jobs", "1", "--why", a.Why}
 	if seed > 0 {
@@ -195,7 +197,7 @@
 	return r, nil // err is ignored: the bench also exits with an error status when a rule is broken
 }
 
-// reportsOf returns the reports of those runs of a day that did not fail.
+// reportsOf returns the reports of the successful runs of one simulated day.
 func reportsOf(runs []*dayRun, day string) []*report {
 	var out []*report
 	for _, run := range runs {
--- a/internal/rounds/paired.go
+++ b/internal/rounds/paired.go
@@ -14,15 +14,15 @@
 // confidenceLevel is the level of the printed confidence intervals.
 const confidenceLevel = 0.95
 
-// difference is the mean difference of a metric between two variants, over pairs of equal
-// day and seed.
+// difference is the mean difference of a metric between two variants of the policy settings. Each
+// pair of values is of the same simulated day and the same seed.
 type difference struct {
 	mean, halfWidth float64 // halfWidth is half the width of the confidence interval
 	pairs           int
 }
 
-// pairedDifference returns the mean difference of a metric, variant b minus variant a, over
-// the days of one deployment. Days that only one of the variants has run do not count.
+// pairedDifference returns the mean difference of a metric, variant b minus variant a, over the
+// simulated days of one deployment. A day that only one of the two variants has run does not count.
 func pairedDifference(results []result, deployment, a, b string, metric func(*report) float64) difference {
 	var s sampleStats
 	for _, r := range results {
@@ -64,14 +64,14 @@
 	return fmt.Sprintf("%+.3f ± %.3f", d.mean, d.halfWidth)
 }
 
-// metric is a figure by which variants are compared.
+// metric is a figure by which variants of the policy settings are compared.
 type metric struct {
 	name  string
 	value func(*report) float64
 }
 
-// metricsOf returns the metrics of a report: its worth (the bench's score), the parts of
-// the worth, and the prices. The worth of a day with a broken rule is not set to zero here:
+// metricsOf returns the metrics of a day's report: the worth (the bench's score), the parts of
+// the worth, and the prices. metricsOf does not set the worth of a day with a broken rule to zero:
 // brokenDays lists the broken rules instead.
 func metricsOf(r *report) []metric {
 	figures := []metric{{"worth", func(r *report) float64 { return r.Worth }}}
@@ -91,8 +91,8 @@
 	return figures
 }
 
-// printDifferences prints one table for each variant with its differences to the baseline:
-// a row for each deployment, a column for each metric.
+// printDifferences prints one table for each variant of the policy settings, with the differences
+// between the variant and the baseline: a row for each deployment, a column for each metric.
 func printDifferences(w io.Writer, x *experiment, results []result) {
 	if len(results) == 0 {
 		return
@@ -115,7 +115,7 @@
 	}
 }
 
-// brokenDays lists the days of a variant that broke a rule or ended with a fault.
+// brokenDays lists the simulated days of a variant that broke a rule or ended with a fault.
 func brokenDays(results []result, deployment, variant string) string {
 	var out []string
 	for _, r := range results {
@@ -133,7 +133,7 @@
 	return strings.Join(out, ", ")
 }
 
-// writeCSV writes a line for each day that was run.
+// writeCSV writes one line of CSV for each simulated day that was run.
 func writeCSV(w io.Writer, results []result) error {
 	out := csv.NewWriter(w)
 	for n, r := range results {
--- a/internal/rounds/report.go
+++ b/internal/rounds/report.go
@@ -10,11 +10,11 @@
 	"strings"
 )
 
-// report holds the fields of the bench's report of a day that this command uses.
+// report holds those fields of the bench's report of one simulated day that this command uses.
 type report struct {
-	// Worth is the bench's score of the day.
+	// Worth is the bench's score of the simulated day.
 	Worth float64 `json:"G"`
-	// Fault is the error with which the day ended, or nil.
+	// Fault is the error with which the simulated day ended, or nil.
 	Fault  *string
 	Parts  []part
 	Prices []price
@@ -25,22 +25,22 @@
 	Classes []class
 }
 
-// part is one component of the worth (score) of a day.
+// part is one component of the worth (score) of a simulated day.
 type part struct {
 	name   string
 	weight float64 // weight of the value in the worth
 	value  float64
 }
 
-// price is what the bench takes off the worth (score) of a day for the use of a resource.
+// price is what the bench takes off the worth (score) of a simulated day for the use of a resource.
 type price struct {
 	name   string
 	amount float64 // amount of the resource that was used
 	taken  float64 // part of the worth that was taken off
 }
 
-// class holds the results of one kind of request: how many were sent, and
-// their worth (score).
+// class holds the results of one kind of request: how many requests were sent, and
+// the worth (score) of these requests.
 type class struct {
 	Name  string
 	Count int `json:"n"`
@@ -68,7 +68,7 @@
 	return r, nil
 }
 
-// worth returns the bench's score of a day, or zero if a rule was broken or the day ended
+// worth returns the bench's score of a simulated day, or zero if the day broke a rule or ended
 // with a fault.
 func (r *report) worth() float64 {
 	if len(r.Breaks) > 0 || r.Fault != nil {
@@ -77,8 +77,8 @@
 	return r.Worth
 }
 
-// shownPrices are the prices that get a column of their own: the bench's name of the price
-// and the head of the column. All other prices are summed in one column.
+// shownPrices are the prices that get a column of their own in the printed table: the bench's
+// name of the price and the head of the column. One more column has the sum of all other prices.
 var shownPrices = []struct{ name, head string }{
 	{"worth paid for the use of models", "models"},
 	{"GB between zones", "bytes"},
@@ -105,8 +105,8 @@
 	return math.Sqrt(max(s.squares-s.n*s.mean()*s.mean(), 0) / (s.n - 1))
 }
 
-// printTable prints a row for each day, then the means over all days and over the days
-// with trouble: those whose names do not begin with "quiet".
+// printTable prints a row for each simulated day, then the means over all days and over the days
+// with trouble. The name of a day with trouble does not begin with "quiet".
 func printTable(w io.Writer, days []string, runs []*dayRun) {
 	columns := []string{"day", "worth", "spread"}
 	for _, p := range firstReport(runs).Parts {
@@ -130,7 +130,8 @@
 	printRow(w, "with trouble", troubled)
 }
 
-// firstReport returns the first report of a run that did not fail, or an empty one.
+// firstReport returns the report of the first successful run, or an empty report if no run
+// succeeded.
 func firstReport(runs []*dayRun) *report {
 	for _, run := range runs {
 		if run.err == nil {
@@ -140,7 +141,7 @@
 	return &report{}
 }
 
-// printRow prints the means over reports as one row of the table.
+// printRow prints the mean of each figure over several reports as one row of the table.
 func printRow(w io.Writer, name string, reports []*report) {
 	if len(reports) == 0 {
 		return
@@ -162,7 +163,8 @@
 	fmt.Fprintf(w, "| %s |\n", strings.Join(cells, " | "))
 }
 
-// priceCells returns the means of the shown prices, and of the sum of all others.
+// priceCells returns the mean of each of the shownPrices, and the mean of the sum of all other
+// prices.
 func priceCells(reports []*report) []string {
 	sums := make([]sampleStats, len(shownPrices)+1)
 	for _, r := range reports {
@@ -202,7 +204,7 @@
 	return strings.Join(cells, " ")
 }
 
-// brokenCell returns how many days had each broken rule, a fault or a missed duty.
+// brokenCell returns how many simulated days broke each rule, ended with a fault or missed a duty.
 func brokenCell(reports []*report) string {
 	counts := make(map[string]int)
 	for _, r := range reports {
--- a/internal/rounds/set.go
+++ b/internal/rounds/set.go
@@ -22,14 +22,14 @@
 	jobs  int
 	// small selects the small version of a large deployment.
 	small bool
-	// referenceWorth is the mean worth (score), over the days that are not quiet, with
-	// which new runs are compared.
+	// referenceWorth is the mean worth (score) over the simulated days that are not quiet. The
+	// command compares the mean worth of new runs with referenceWorth.
 	referenceWorth float64
 }
 
 // maxWorthDrop is by how much the mean worth (score) of a deployment may drop below the
-// reference. It is the users' own limit, and about three times the standard deviation of a
-// mean of 15 days.
+// reference. This limit is the users' own. It is about three times the standard deviation of a
+// mean over 15 simulated days.
 const maxWorthDrop = 0.03
 
 // Limits and defaults of the keys in regression sets and experiments.
@@ -39,7 +39,7 @@
 	defaultSeeds, minSeeds = 1, 1
 )
 
-// allDays are the standard days of the bench.
+// allDays are the standard simulated days of the bench.
 var allDays = []string{"quiet-1", "trouble-1", "scale-1", "trouble-2", "scale-2", "trouble-3"}
 
 // readSet parses a regression set: one section for each deployment, sorted by name.
@@ -98,8 +98,8 @@
 	return passes, nil
 }
 
-// evaluate returns the table row of a deployment, and whether it passes: all days were run,
-// no rule was broken, and the worth did not drop by more than maxWorthDrop.
+// evaluate returns the table row of a deployment, and whether the deployment passes: all simulated
+// days were run, no rule was broken, and the worth (score) dropped by at most maxWorthDrop.
 func evaluate(d deployment, runs []*dayRun) (row string, passes bool) {
 	var worth sampleStats
 	var failures []string
--- a/internal/rounds/variants.go
+++ b/internal/rounds/variants.go
@@ -10,16 +10,16 @@
 	"strings"
 )
 
-// result is the report of one day that a variant ran on a deployment with one seed.
+// result is the report of one simulated day of one variant, deployment and seed.
 type result struct {
 	variant, deployment, day string
 	seed                     int
 	report                   *report
 }
 
-// runExperiment runs the days that have no report yet, and returns the results of all
-// days. The reports stay in the folder Out, so that an interrupted experiment can be
-// resumed.
+// runExperiment runs the simulated days that have no report yet, and returns the results of all
+// days. The reports stay in the folder of the flag --out, so that an interrupted experiment can
+// be resumed.
 func (a *arguments) runExperiment(x *experiment) ([]result, error) {
 	if err := os.MkdirAll(a.Out, 0o755); err != nil {
 		return nil, fmt.Errorf("folder for reports: %w", err)
@@ -34,7 +34,8 @@
 	return all, failed
 }
 
-// runVariant runs the missing days of one variant, and returns the results of all its days.
+// runVariant runs the missing simulated days of one variant of the policy settings, and returns
+// the results of all days of the variant.
 func (a *arguments) runVariant(x *experiment, v variant) ([]result, error) {
 	if missing := x.missingDays(a.Out, v); len(missing) > 0 {
 		if err := a.runDays(x, v, missing); err != nil {
@@ -54,7 +55,7 @@
 	return results, failed
 }
 
-// plannedDay is a day of a deployment with a seed, which every variant runs.
+// plannedDay is a simulated day of a deployment with a seed. Every variant runs each plannedDay.
 type plannedDay struct {
 	deployment deployment
 	day        string
@@ -65,7 +66,7 @@
 	return fmt.Sprintf("%s, %s, seed %d", p.deployment.name, p.day, p.seed)
 }
 
-// plannedDays returns all days that every variant runs.
+// plannedDays returns all simulated days that every variant of the policy settings runs.
 func (x *experiment) plannedDays() []plannedDay {
 	var days []plannedDay
 	for _, d := range x.deployments {
@@ -78,7 +79,7 @@
 	return days
 }
 
-// missingDays returns the days of a variant that have no report yet.
+// missingDays returns the simulated days of a variant that have no report yet.
 func (x *experiment) missingDays(out string, v variant) []plannedDay {
 	return slices.DeleteFunc(x.plannedDays(), func(p plannedDay) bool {
 		_, err := os.Stat(filepath.Join(out, x.reportFile(v, p)))
@@ -86,8 +87,8 @@
 	})
 }
 
-// runDays runs days of a variant in a clone of the current commit, a few at a time, and
-// prints the progress.
+// runDays runs simulated days of a variant in a clone of the current commit, a few days at a
+// time, and prints the progress.
 func (a *arguments) runDays(x *experiment, v variant, days []plannedDay) error {
 	dir, err := a.cloneAndBuild(v)
 	if err != nil {
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -92,7 +92,7 @@
 	c.mu.Unlock()
 	resp, err := client.Do(req)
 	if err != nil {
-		return // a failed connection makes no claim that could be checked
+		return // without an answer there is nothing that could be checked
 	}
 	defer resp.Body.Close()
 	if incarnation, err := strconv.Atoi(resp.Header.Get(headerUpstreamIncarnation)); err == nil {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -19,9 +19,9 @@
 	inject func()
 }
 
-// faultGroup is the cause that several kinds of faults have in common. Each group has its own random
-// stream, whose number is the group's value, so that adding kinds to one group does not change the
-// faults that a seed draws from the others.
+// faultGroup is the cause that several kinds of faults have in common. Each group has its own
+// stream of random numbers, identified by the group's value. Adding kinds of faults to one group
+// therefore does not change the faults that a seed draws from the other groups.
 type faultGroup uint64
 
 const (
@@ -31,7 +31,7 @@
 	limitGroup                          // upstreams advertise rate limits
 )
 
-// faultKind is a kind of fault. The argument n selects the target, d is the duration.
+// faultKind is a kind of fault. The argument n selects the target of the fault, d is its duration.
 type faultKind struct {
 	group  faultGroup
 	inject func(n int, d time.Duration)
@@ -133,9 +133,9 @@
 	return faults
 }
 
-// fixedFaults returns the faults that every run includes. Without them a guarantee could go
-// unchecked, because a seed may not draw the kind, or may draw it only for upstreams that end
-// right afterwards.
+// fixedFaults returns the faults that every run includes. Without fixed faults a guarantee could
+// go unchecked, because a seed may not draw the kind of fault that the check needs, or may draw
+// this kind of fault only for upstreams that end right afterwards.
 func (f *fleet) fixedFaults(seed uint64, length time.Duration) []fault {
 	kinds := f.faultKinds()
 	var faults []fault
@@ -143,7 +143,7 @@
 		n := int(seed%1000) + 5*i
 		faults = append(faults, fault{length * time.Duration(i+1) / 8, fmt.Sprintf("%s n=%d for 1s", name, n), func() { kinds[name].inject(n, time.Second) }})
 	}
-	// The last one comes after all other faults, so that none of them ends its upstream.
+	// The last fixed fault comes after all other faults, so that no other fault ends its upstream.
 	for i, after := range []time.Duration{length / 16, length * 3 / 16, length * 5 / 16, length} {
 		const name = "upstream-limited"
 		n := int(seed%1000) + 3*i
@@ -208,7 +208,7 @@
 // evacuate makes the operator evacuate a data centre, for longer than evacuationTimeout.
 func (f *fleet) evacuate(dataCentre string, d time.Duration) {
 	if !f.upstreams.startEvacuation(dataCentre) {
-		return // already under way
+		return // an evacuation of the data centre is already under way
 	}
 	f.store.StartEvacuation(dataCentre)
 	time.AfterFunc(evacuationTimeout+settleTime+d, func() {
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -65,7 +65,7 @@
 	exited  chan struct{}
 	// exemptUntil is the end of the time in which a fault exempts this VM from the time limits.
 	exemptUntil time.Time
-	terminating bool // has received SIGTERM
+	terminating bool // the process has received SIGTERM
 }
 
 // newDeployment returns the configuration that the operator declares, with the given workspace
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -16,8 +16,8 @@
 	// limitLeeway is the time after a VM first receives an advertised limit during which its
 	// requests do not count against the limit.
 	limitLeeway = 500 * time.Millisecond
-	// limitWindow is the time over which arrivals are counted. At most limitFactor times the
-	// number of requests that the advertised rate allows in it, plus limitSlack, may arrive.
+	// limitWindow is the time over which arrivals are counted. In each window may arrive at most
+	// limitFactor times the requests that the advertised rate allows, plus limitSlack requests.
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
@@ -41,7 +41,7 @@
 // against it.
 type advertisedLimit struct {
 	perSecond   float64
-	firstSentAt time.Time // when an answer first carried it
+	firstSentAt time.Time // when an answer first carried the limit
 	sentToVM    map[string]time.Time
 	arrivals    []limitArrival
 }
@@ -85,8 +85,8 @@
 }
 
 // checkArrival checks a request that has reached an upstream incarnation through a link. The link
-// is nil once the upstream has ended. Requests from VMs that have been restarted or paused since
-// do not count.
+// is nil once the upstream has ended. A request does not count if its VM has been restarted or
+// paused since the caller sent the request.
 func (l *limitTracker) checkArrival(r *replica.Request, incarnation int, link *proxy) {
 	vmIncarnation, now := r.Header.Get(headerVMIncarnation), time.Now()
 	l.mu.Lock()
--- a/internal/soak/notices.go
+++ b/internal/soak/notices.go
@@ -16,7 +16,7 @@
 	// answer in which that upstream announces that it is leaving.
 	drainTimeout = 2 * time.Second
 	// backoffLeeway is how long requests may still arrive after an upstream has asked for a
-	// back-off, and maxBackoffRequests is how many may arrive during the rest of it.
+	// back-off. maxBackoffRequests is how many may arrive during the rest of the back-off.
 	backoffLeeway      = 500 * time.Millisecond
 	maxBackoffRequests = 2
 )
@@ -35,7 +35,8 @@
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// vmIncarnations is the current incarnation of each VM by name. A pause starts a new one too.
+	// vmIncarnations is the current incarnation of each VM by name. Each pause of a VM starts a
+	// new incarnation too.
 	vmIncarnations map[string]int
 	// sentAt is when callers sent their requests, by request id.
 	sentAt map[string]time.Time
@@ -147,7 +148,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if vmIncarnation != s.currentIncarnation(vm) {
-		return // the VM has been restarted or paused since
+		return // the VM has been restarted or paused since the caller sent the request
 	}
 	now, pair := time.Now(), incarnationPair{vmIncarnation, incarnation}
 	if leavingSince, ok := s.leavingSince[pair]; ok {
--- a/internal/soak/recorder.go
+++ b/internal/soak/recorder.go
@@ -24,7 +24,7 @@
 	guaranteeResources   = "heap size and goroutine count stay bounded"
 )
 
-// guarantees lists all guarantees. A run that does not check each of them at least once fails.
+// guarantees lists all guarantees. A run that does not check each guarantee at least once fails.
 var guarantees = []string{
 	guaranteeAtMostOnce, guaranteeNotRun, guaranteeOwnAnswer, guaranteeEventOrder, guaranteeQuarantine, guaranteeRevokedKey, guaranteeRetryBudget, guaranteeRecovery, guaranteeDrain, guaranteeBackoff,
 	guaranteeRateLimit, guaranteeEvacuation, guaranteeResources,
--- a/internal/soak/upstreams.go
+++ b/internal/soak/upstreams.go
@@ -70,7 +70,7 @@
 	hanging     bool // accepts requests and never answers
 	incarnation int
 	leaving     bool          // announces in all its answers that it will end soon
-	backoff     time.Duration // rejects most requests and asks for this back-off; zero for none
+	backoff     time.Duration // back-off asked for when the upstream rejects most requests; zero for none
 }
 
 func newUpstreams(store *objects.Store, rec *recorder, seed uint64) *upstreams {
@@ -87,8 +87,8 @@
 	return u.startIncarnation(position)
 }
 
-// startIncarnation starts a new upstream at a position. At an even-numbered position it has the
-// same id as the one before and a new incarnation, at an odd-numbered one it has a new id.
+// startIncarnation starts a new upstream at a position. At an even-numbered position the upstream
+// has the id of its predecessor and a new incarnation, at an odd-numbered position a new id.
 func (u *upstreams) startIncarnation(position *upstreamPosition) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -233,8 +233,9 @@
 // answerBody returns the full answer to a request.
 func answerBody(id string) string { return "answer to " + id }
 
-// stream answers with events, starting after the last one that the caller has received. At random it
-// closes the connection in the middle of an event, or repeats the last event that the caller has.
+// stream answers with events, starting after the last event that the caller has received. At random
+// stream closes the connection in the middle of an event, or repeats the last event that the caller
+// has.
 func (u *upstreams) stream(c *replica.Conn, r *replica.Request, chance int, headers []string) bool {
 	from := r.LastEventID()
 	c.BeginStream(r.ID(), headers...)
@@ -293,9 +294,9 @@
 	position.hanging = hanging
 }
 
-// startDrain makes an upstream announce in its answers that it is leaving, and ends it after the
-// drain time. Its store entry keeps the state ready for longer than drainTimeout, as it would while
-// the store is unreachable.
+// startDrain makes an upstream announce in its answers that it is leaving, and ends the upstream
+// after the drain time. The upstream's entry in the store keeps the state ready for longer than
+// drainTimeout, as if the store were unreachable.
 func (u *upstreams) startDrain(position *upstreamPosition, extra time.Duration) {
 	entryDelay := drainTimeout + time.Second + extra
 	u.mu.Lock()
@@ -330,8 +331,8 @@
 	time.AfterFunc(d, func() { u.limits.stop(incarnation) })
 }
 
-// startEvacuation records that a data centre is being evacuated. It returns false if it already
-// was.
+// startEvacuation records that a data centre is being evacuated. It returns false if the
+// evacuation had begun before.
 func (u *upstreams) startEvacuation(dataCentre string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -350,7 +351,7 @@
 	delete(u.evacuatedAt, dataCentre)
 }
 
-// setBackoff makes upstreams reject most requests and ask for a back-off; zero ends that.
+// setBackoff makes upstreams reject most requests and ask for a back-off; zero ends the back-off.
 func (u *upstreams) setBackoff(positions []*upstreamPosition, backoff time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -359,8 +360,9 @@
 	}
 }
 
-// checkQuarantine checks that few poison requests arrived later than settleTime after they had
-// crashed three upstreams. It applies during faults too, because a quarantine entry outlasts them.
+// checkQuarantine checks that few poison requests arrived later than settleTime after poison
+// requests had crashed three upstreams. The check applies during faults too, because a quarantine
+// entry outlasts faults.
 func (u *upstreams) checkQuarantine() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/standin/duties/duties.go
+++ b/internal/standin/duties/duties.go
@@ -46,7 +46,7 @@
 }
 
 // Platform is the stand-in, an http.Handler. LeaseDuration is the shortest time that must pass
-// between two calls of a VM for the same target if another VM made one in between.
+// between two calls of a VM for the same target if another VM made a call in between.
 type Platform struct {
 	LeaseDuration time.Duration
 
@@ -56,8 +56,8 @@
 	scaleOrders map[ScaleTarget]ScaleOrder
 	violations  []string
 	calls       int
-	// histories holds the earlier calls by the kind of call and its target, such as a service in a
-	// data centre.
+	// histories holds the earlier calls by the kind and the target of the call. A target is, for
+	// example, a service in a data centre.
 	histories map[string]*callHistory
 }
 
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -34,16 +34,16 @@
 	IgnoreFencing bool
 }
 
-// Faults are the faults of the engine. Some apply to a number of requests and count down, the
-// others apply until they are replaced.
+// Faults are the faults of the engine. Some faults apply to a number of requests and count down,
+// the other faults apply until they are replaced.
 type Faults struct {
 	// DropBeforeRead is how many of the next connections are closed before the request is read.
 	DropBeforeRead int
 	// DropAfterRun is how many of the next requests run but get no answer, because the connection
 	// is closed.
 	DropAfterRun int
-	// TruncateAt is the number of tokens after which the connection of each stream is closed. If it
-	// is not zero, any other answer ends half-way.
+	// TruncateAt is the number of tokens after which the connection of each stream is closed. If
+	// TruncateAt is not zero, any answer other than a stream ends half-way.
 	TruncateAt int
 	// StallAt is the number of tokens after which each stream stalls until the caller disconnects.
 	// Zero means never.
--- a/internal/standin/rating/rating.go
+++ b/internal/standin/rating/rating.go
@@ -1,5 +1,5 @@
 // Package rating is a stand-in for the rating service. It rates the answers of each version with a
-// score that the test sets, and counts them.
+// score that the test sets, and counts the rated answers.
 package rating
 
 import (
--- a/internal/standin/replica/replica.go
+++ b/internal/standin/replica/replica.go
@@ -74,8 +74,8 @@
 }
 
 // Requests returns the requests for this replica that it has received so far. Requests for another
-// replica that had its address before are refused and not included, because a loopback port may
-// have belonged to another test or program before.
+// replica that had the same address before are refused and not included. The reason is that a
+// loopback port may have belonged to another test or program before.
 func (r *Replica) Requests() []*Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -32,7 +32,7 @@
 	FreezeVMList bool
 }
 
-// Counts are the numbers of calls received so far. Lists includes the calls for the VM list.
+// Counts are the numbers of calls received so far. The number Lists includes calls for the VM list.
 type Counts struct{ Reads, Writes, Watches, Lists int }
 
 // Store is the stand-in. Use New to create one.
@@ -172,7 +172,7 @@
 	return o, nil
 }
 
-// Create writes a new object. It fails with store.ErrExists if there is one of that name.
+// Create writes a new object. It fails with store.ErrExists if an object has that name already.
 func (v *View) Create(ctx context.Context, name string, value []byte) (contract.ObjectVersion, error) {
 	return v.write(ctx, name, value, func(_ store.Object, exists bool) error {
 		if exists {
@@ -252,8 +252,8 @@
 	return names[:min(len(names), store.ListPageSize)], nil
 }
 
-// Watch waits until an object has a version other than the given one. If there is none within the
-// wait time, it fails with store.ErrUnchanged.
+// Watch waits until an object has a version other than the given one. If the version stays the same
+// for the wait time, Watch fails with store.ErrUnchanged.
 func (v *View) Watch(ctx context.Context, name string, after contract.ObjectVersion, wait time.Duration) (store.Object, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/trial/main.go
+++ b/internal/trial/main.go
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// applyConfiguration applies the first configuration, waits until it is in force, and sends the
-// first requests.
+// applyConfiguration applies the first configuration, waits until the configuration is in force,
+// and sends the first requests.
 func applyConfiguration(ctx context.Context, dir string, f *fleet.Fleet) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -88,7 +88,7 @@
 	return sendRequests(ctx, f)
 }
 
-// requestCount is how many requests sendRequests sends. Before that,
+// requestCount is how many requests sendRequests sends. Before sendRequests runs,
 // Fleet.WaitUntilServing has sent one request through each VM.
 const requestCount = 3
 
--- a/internal/trial/platform.go
+++ b/internal/trial/platform.go
@@ -26,7 +26,7 @@
 	store         *http.Server
 }
 
-// workspaceKey is the key of the workspace whose requests the trial sends.
+// workspaceKey is the key of the workspace whose requests this command (trial) sends.
 const workspaceKey = "trial-key"
 
 // startPlatform starts a stand-in store, an upstream and a woaddoor-vm, and sends one stream
--- a/keys/address.go
+++ b/keys/address.go
@@ -27,8 +27,8 @@
 	return &AddressIdentity{certificate: tls.Certificate{Certificate: [][]byte{der}, PrivateKey: privateKey}, isKnown: isKnown}, nil
 }
 
-// VerifyPeer returns the IP address of a peer, or ErrUnknownPeer if it does not belong to a
-// known VM.
+// VerifyPeer returns the IP address of a peer, or ErrUnknownPeer if this address does not belong
+// to a known VM.
 func (a *AddressIdentity) VerifyPeer(_ [][]byte, address net.Addr) (string, error) {
 	host, _, err := net.SplitHostPort(address.String())
 	if err != nil {
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -75,8 +75,8 @@
 	return Pin(hex.EncodeToString(sum[:])), nil
 }
 
-// GenerateFiles writes a new key pair for each name, a file with all their pins, and a new
-// signing key into dir.
+// GenerateFiles writes into dir a new key pair for each name, a file with the pins of all key
+// pairs, and a new signing key.
 func GenerateFiles(dir string, names []string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
--- a/logs/logs.go
+++ b/logs/logs.go
@@ -33,8 +33,8 @@
 
 // recoveringEncoder still writes a line if a field makes the wrapped encoder panic, as a
 // slice of a named string type does. A panic in a request handler closes the client's
-// connection: 43 requests that were refused during the evacuation of a data centre got no
-// response because of one.
+// connection: because of such a panic, 43 requests that were refused during the evacuation of
+// a data centre got no response.
 type recoveringEncoder struct{ zapcore.Encoder }
 
 // Clone returns a copy of the encoder and its fields.
@@ -51,8 +51,8 @@
 	return e.Encoder.EncodeEntry(entry, fields)
 }
 
-// ErrorFields returns the log fields for an error: its text, and the step and the peer if it
-// wraps a contract.StepError.
+// ErrorFields returns the log fields for an error: its text, and, if the error wraps a
+// contract.StepError, the failed step of the operation and the peer.
 func ErrorFields(err error) []zap.Field {
 	fields := []zap.Field{zap.String("error", err.Error())}
 	var stepErr *contract.StepError
--- a/logs/queue.go
+++ b/logs/queue.go
@@ -35,8 +35,8 @@
 	writing            sync.WaitGroup
 }
 
-// NewQueued returns a logger that writes to w through a bounded queue, and that queue,
-// which must be closed before the process exits.
+// NewQueued returns a logger that writes to w through a bounded queue, and the queue. The
+// caller must close the queue before the process exits.
 func NewQueued(w io.Writer, fields ...zap.Field) (*zap.Logger, *LineQueue) {
 	q := &LineQueue{out: w, lines: make(chan *buffer.Buffer, maxQueuedLines), stop: make(chan struct{})}
 	q.writing.Add(1)
@@ -145,7 +145,7 @@
 }
 
 // Write encodes an entry and queues the line. It adds the number of lines dropped since
-// the last line that reported it.
+// the last line that reported such a number.
 func (c *queueCore) Write(e zapcore.Entry, fields []zapcore.Field) error {
 	if n := c.queue.droppedSinceReport.Swap(0); n > 0 {
 		fields = append(fields[:len(fields):len(fields)], zap.Int64("lines_left_out", n))
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -38,7 +38,7 @@
 	NewerChanges                   []document.Change
 }
 
-// Error lists the changes that the file does not include.
+// Error lists the accepted changes that the operator's file does not include.
 func (e *StaleError) Error() string {
 	lines := []string{fmt.Sprintf("the file is based on revision %d, but revision %d is accepted; changes since then:", e.BaseRevision, e.AcceptedRevision)}
 	for _, c := range e.NewerChanges {
@@ -79,8 +79,8 @@
 }
 
 // Apply makes a file the accepted configuration, entirely or not at all. from is
-// the revision that the file is based on. If it is negative, the file's
-// [configuration] section names that revision.
+// the revision on which the file is based. If from is negative, the file's
+// [configuration] section names the revision.
 func (o *Operator) Apply(ctx context.Context, name string, text []byte, from int64, info history.ChangeInfo) (document.Root, error) {
 	p, err := o.Plan(ctx, name, text)
 	if err != nil {
@@ -96,7 +96,7 @@
 }
 
 // checkBaseRevision refuses a file that is not based on the accepted revision,
-// because it would undo the changes that were accepted since its base revision.
+// because such a file would undo the changes that were accepted since its base revision.
 func (o *Operator) checkBaseRevision(ctx context.Context, name string, text []byte, from int64, p *Plan) error {
 	if p.BaseRevision == 0 {
 		return nil // no configuration has been accepted yet
@@ -160,8 +160,8 @@
 }
 
 // maxWithdrawAttempts is how often a withdrawal is attempted while other changes
-// conflict with it. It can be retried on any newer configuration, because it changes
-// only the state of one version.
+// conflict with it. A withdrawal can be retried on any newer configuration, because a
+// withdrawal changes only the state of one version.
 const maxWithdrawAttempts = 10
 
 // ErrUnknownVersion means that the configuration does not declare the version.
@@ -194,7 +194,7 @@
 const statePrefix = "state = "
 
 // sectionsWithWithdrawal returns the sections of d with version v withdrawn, and
-// whether that differs from d.
+// whether these sections differ from the sections of d.
 func sectionsWithWithdrawal(d *document.Document, v contract.VersionID) (map[string]document.Section, bool, error) {
 	name := config.VersionSectionName(v)
 	old, ok := d.Section(name)
@@ -214,8 +214,8 @@
 	return sections, text != old, nil
 }
 
-// RevisionStatus returns the VMs on which a revision is in force, and those on which it is
-// pending.
+// RevisionStatus returns the VMs on which a revision is in force, and the VMs on which the
+// revision is pending.
 func (o *Operator) RevisionStatus(ctx context.Context, root document.Root) (datacentre.RevisionStatus, error) {
 	statuses, err := o.statuses(ctx)
 	if err != nil {
@@ -264,8 +264,9 @@
 const maxClockSkew = 2 * time.Second
 
 // olderExpireAt returns the time from which no VM can act on a configuration
-// older than root. A VM without updates acts on a configuration for at most its
-// LongestServeWithoutUpdate, counted from the acceptance of the next one.
+// older than root. A VM without updates acts on a configuration for at most the
+// LongestServeWithoutUpdate of this configuration, counted from the acceptance of the next
+// configuration.
 func (o *Operator) olderExpireAt(ctx context.Context, root document.Root) (time.Time, error) {
 	latest := time.Time{}
 	nextAcceptedAt := time.Time{}
@@ -290,7 +291,7 @@
 }
 
 // historyLookback is how far back older configurations are read. No VM can act on
-// one that was replaced longer ago.
+// a configuration that was replaced longer ago than historyLookback.
 const historyLookback = config.MaxServeWithoutUpdate + time.Hour
 
 func (o *Operator) longestServeWithoutUpdate(ctx context.Context, c document.Change) (time.Duration, error) {
--- a/settings/duties.go
+++ b/settings/duties.go
@@ -16,12 +16,12 @@
 	// Names are the duties to perform, under the platform's names for them, such
 	// as metering and autoscale.
 	Names []string
-	// Lease is how long a VM holds the lease without renewing it in the store. A
-	// setting below minLease is raised to minLease, because a longer lease breaks
-	// no guarantee.
+	// Lease is how long a VM holds the lease without renewing the lease in the platform's
+	// object store. A setting below minLease is raised to minLease, because a longer lease
+	// breaks no guarantee.
 	Lease time.Duration
 	// UsageWindow is the length of a usage reporting window. UsageReportDeadline is
-	// how long after the end of a window its report is due.
+	// how long after the end of a window the report of the window is due.
 	UsageWindow, UsageReportDeadline time.Duration
 }
 
@@ -37,8 +37,8 @@
 	defaultLease               = 3 * time.Second
 	defaultUsageWindow         = 5 * time.Second
 	defaultUsageReportDeadline = 10 * time.Second
-	// minLease is the minimum duration of the lease. One third of it is enough for a
-	// call to the platform, and another third for a renewal.
+	// minLease is the minimum duration of the lease. One third of minLease is enough for a
+	// call to the platform, and another third for a renewal of the lease.
 	minLease = time.Second
 )
 
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,7 +1,7 @@
 // Package settings reads the settings file of a daemon: its addresses, its data
-// centre, its keys and its peers. The file is read once, at the start, and all of
-// its errors are reported together. What may change while a daemon runs is part
-// of the configuration instead; see package config.
+// centre, its keys and its peers. The file is read once, at the start, and all
+// errors in the file are reported together. Values that may change while a daemon
+// runs are part of the configuration instead; see package config.
 package settings
 
 import (
@@ -45,13 +45,13 @@
 	MaxInFlight int
 	// MaxQueue is the maximum number of queued requests. Zero means 1024.
 	MaxQueue int
-	// MaxTickets is the maximum number of tickets whose state this VM stores as one
-	// of their arbiters. Zero means 200000.
+	// MaxTickets is the maximum number of tickets whose state this VM stores as an
+	// arbiter (a VM that votes on a ticket). Zero means 200000.
 	MaxTickets int
 	// MaxBills is the maximum number of bill records kept in memory until they are
 	// filed with the platform. Zero means 100000.
 	MaxBills int
-	// DrainTimeout is the longest that a planned shutdown waits for requests in flight.
+	// DrainTimeout is the longest time that a planned shutdown waits for requests in flight.
 	// Zero means 1 h.
 	DrainTimeout time.Duration
 	// StallAfter is the gap between two chunks of a stream after which the
@@ -74,7 +74,7 @@
 	Watchers int
 	// WatchWait is how long one watch request stays open. Zero means 1 s.
 	WatchWait time.Duration
-	// BillFilingInterval is the longest that bill records wait to be filed in one batch.
+	// BillFilingInterval is the longest time that bill records wait to be filed in one batch.
 	// Zero means 1 s.
 	BillFilingInterval time.Duration
 }
--- a/settings/vm.go
+++ b/settings/vm.go
@@ -31,8 +31,8 @@
 	Bounds  Bounds
 	// Duties configures what one VM does on behalf of all VMs.
 	Duties Duties
-	// Policy is the upstream selection policy. It lists the mechanisms that are
-	// disabled: none, except in experiments that measure the benefit of one.
+	// Policy is the upstream selection policy. It lists the disabled mechanisms: no mechanism
+	// is disabled, except in experiments that measure the benefit of one mechanism.
 	Policy upstream.Policy
 	// ValueCostRatio is the value of a request of the highest rank divided by the
 	// cost of an answer from the most expensive model. MaxEscalationPrice is the price
@@ -56,7 +56,7 @@
 	maxEscalationPriceSetting            = 10
 )
 
-// CheckPolicy validates lines of a [policy] section, each of the form "key = value".
+// CheckPolicy validates the lines of a [policy] section. Each line has the form "key = value".
 func CheckPolicy(lines string) error {
 	f, err := config.ParseINI("policy", []byte("[policy]\n"+lines+"\n"))
 	if err != nil {
@@ -104,8 +104,8 @@
 )
 
 // CapacityUnits returns the capacity of the machine, in whole units, for work on
-// behalf of other VMs. The scarcer of CPU time and link speed determines it. 0 means that
-// the capacity is not known.
+// behalf of other VMs. The scarcer of CPU time and link speed determines the capacity. 0 means
+// that the capacity is not known.
 func (m Machine) CapacityUnits() int {
 	return int(min(m.CPUCores/coresPerCapacityUnit, m.LinkMbps/linkMbpsPerCapacityUnit))
 }
@@ -126,9 +126,9 @@
 	Callers, Ready string
 	// Links is the UDP address for links from other VMs.
 	Links string
-	// Seeds are link addresses of VMs to contact at the start. Some of them may be down
-	// or no longer belong to a VM, and the VM's own address is among them if it is a
-	// seed itself.
+	// Seeds are link addresses of VMs to contact at the start. Some of these addresses may be
+	// down or no longer belong to a VM. If this VM is a seed itself, its own address is one of
+	// the Seeds.
 	Seeds []string
 	// Metrics is the TCP address that serves metrics. Empty means none.
 	Metrics string
@@ -136,34 +136,35 @@
 
 // Bounds holds the limits that the deployment guarantees to its users.
 type Bounds struct {
-	// UpstreamDrain is the longest that an upstream may still receive requests after
-	// the store has listed it as leaving.
+	// UpstreamDrain is the longest time that an upstream may still receive requests after
+	// the platform's object store has listed the upstream as leaving (about to stop).
 	UpstreamDrain time.Duration
 	// ShutdownGrace is the time from the signal to stop until the process must end.
 	ShutdownGrace time.Duration
 	// ConfigurationApply is the longest time until a new configuration is in force.
 	ConfigurationApply time.Duration
 	// RetryRatio, RetryWindow and RetrySlack limit the retries of all VMs together.
-	// In each window of length RetryWindow, they may be at most RetryRatio times the
-	// number of requests, plus RetrySlack.
+	// In each window of length RetryWindow, all VMs together may make at most RetryRatio
+	// times the number of requests, plus RetrySlack, retries.
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetrySlack  float64
-	// CanaryShare is the maximum fraction of requests that a bad release may receive.
+	// CanaryShare is the maximum fraction of requests that a bad release of the upstreams'
+	// software may receive.
 	CanaryShare float64
 	// MaxBackoff is the longest back-off that a VM grants to an upstream which asks
-	// for one.
+	// the VM for a back-off.
 	MaxBackoff time.Duration
-	// Evacuation is the longest that upstreams of a data centre may still receive
-	// requests after its evacuation is ordered. Zero disables evacuations.
+	// Evacuation is the longest time that upstreams of a data centre may still receive
+	// requests after the evacuation of the data centre is ordered. Zero disables evacuations.
 	Evacuation time.Duration
-	// ColdOvershoot and ColdSlack limit the requests that all VMs together send to a
-	// cold upstream in any second: ColdOvershoot times the rate that it can handle,
-	// plus ColdSlack requests.
+	// ColdOvershoot and ColdSlack limit the requests that all VMs together send to a cold
+	// (recently started) upstream in any second: ColdOvershoot times the rate that the
+	// upstream can handle, plus ColdSlack requests.
 	ColdOvershoot, ColdSlack float64
 }
 
-// Defaults of omitted bounds. They are the smallest values of the known
+// Defaults of omitted bounds. Each default is the smallest value in the known
 // deployments.
 const (
 	defaultUpstreamDrain      = 2 * time.Second
@@ -172,8 +173,8 @@
 	defaultRetryWindow        = 10 * time.Second
 	defaultRetryRatio         = 0.1
 	defaultCanaryShare        = 0.1
-	// defaultColdOvershoot limits a cold upstream to exactly the rate that it
-	// can handle.
+	// defaultColdOvershoot limits the requests to a cold (recently started) upstream to
+	// exactly the rate that the upstream can handle.
 	defaultColdOvershoot = 1
 	maxPort              = 65535
 )
@@ -229,7 +230,7 @@
 }
 
 // readListen reads the [listen] section. The metrics address is the host of the
-// readiness address with its own port.
+// readiness address with the port of the metrics.
 func readListen(v *VM, r *config.SectionReader) {
 	v.Listen = Listen{Callers: readAddress(r, "callers"), Ready: readAddress(r, "ready"), Links: readAddress(r, "links")}
 	v.Listen.Seeds = readSeeds(r, v.Listen.Links)
--- a/sign/sign.go
+++ b/sign/sign.go
@@ -1,5 +1,5 @@
-// Package sign creates and verifies signed texts, such as session tokens. Clients
-// carry them from one VM to another, because VMs share no state.
+// Package sign creates and verifies signed texts, such as session tokens. Clients carry
+// signed texts from one VM to another, because VMs share no state.
 //
 // The signature is an HMAC-SHA256 with a key that all VMs share. The content of a text
 // is not encrypted, but only the VMs can create or alter a text.
--- a/store/http.go
+++ b/store/http.go
@@ -79,8 +79,8 @@
 	return c.getObject(ctx, name, "", "")
 }
 
-// Watch waits for a version of the object other than after, for at most the shorter of
-// wait and maxWatchWait.
+// Watch waits for a version of the object that differs from the argument after. It waits for
+// at most the shorter of wait and maxWatchWait.
 func (c *Client) Watch(ctx context.Context, name string, after contract.ObjectVersion, wait time.Duration) (Object, error) {
 	return c.getObject(ctx, name, ETag(after), "?"+ParamWait+"="+min(wait, maxWatchWait).String())
 }
@@ -136,8 +136,8 @@
 	return ParseETag(respHeader.Get(HeaderETag))
 }
 
-// List returns the names of objects that begin with prefix and sort after the name
-// after.
+// List returns the names of objects that begin with prefix and sort after the name in the
+// argument after.
 func (c *Client) List(ctx context.Context, prefix, after string) ([]string, error) {
 	query := url.Values{ParamPrefix: {prefix}, ParamAfter: {after}}
 	var names []string
@@ -166,11 +166,11 @@
 }
 
 // errPreconditionFailed means that the condition of a write did not hold. putObject
-// returns ErrExists or ErrConflict instead of it.
+// returns ErrExists or ErrConflict instead of errPreconditionFailed.
 var errPreconditionFailed = fmt.Errorf("precondition failed")
 
 // do sends a request and returns the body and the headers of a successful response. It
-// maps the other statuses to errors.
+// maps the statuses of unsuccessful responses to errors.
 func (c *Client) do(req *http.Request) ([]byte, http.Header, error) {
 	resp, err := c.httpClient.Do(req)
 	if err != nil {
--- a/store/store.go
+++ b/store/store.go
@@ -1,8 +1,8 @@
 // Package store is the client of the platform's service: an object API with versions,
 // conditional updates and watches, and a list of VMs.
 //
-// All durable state of the system is stored there. The platform counts every call, and
-// counts a waiting watch as one call, so callers bound how often they call.
+// The platform stores all durable state of the system. The platform counts every call, and
+// counts a waiting watch as one call, so callers bound how often they call the platform.
 package store
 
 import (
@@ -44,12 +44,12 @@
 	// Update replaces the object if it still has the given version, or else
 	// returns ErrConflict.
 	Update(ctx context.Context, name string, value []byte, version contract.ObjectVersion) (contract.ObjectVersion, error)
-	// List returns the names that begin with prefix and sort after the name
-	// after, sorted, at most ListPageSize of them.
+	// List returns a sorted page of at most ListPageSize names. The names begin with
+	// prefix and sort after the name in the argument after.
 	List(ctx context.Context, prefix, after string) ([]string, error)
-	// Watch waits for at most the duration wait until the version of the object
-	// is not after, and returns the object. It returns ErrUnchanged if the version
-	// is still the same.
+	// Watch waits until the version of the object differs from the argument after, and
+	// returns the object. It returns ErrUnchanged if the version is still the same when
+	// the duration wait has passed.
 	Watch(ctx context.Context, name string, after contract.ObjectVersion, wait time.Duration) (Object, error)
 }
 
