--- a/clock/clock.go
+++ b/clock/clock.go
@@ -54,8 +54,8 @@
 	})
 }
 
-// newTwoClockSystem returns a clock that advances with the faster of the two clocks that
-// readClocks reads.
+// newTwoClockSystem returns a clock that advances with the faster
+// of the two clocks that readClocks reads.
 func newTwoClockSystem(read func() (wall, mono time.Time)) *System {
 	wall, mono := read()
 	return &System{readClocks: read, lastWall: wall, lastMono: mono, now: wall}
@@ -66,7 +66,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	// Read the clocks under the lock, so that a concurrent call cannot apply an older
-	// reading after a newer one.
+	// reading after a newer reading.
 	wall, mono := s.readClocks()
 	elapsed := max(mono.Sub(s.lastMono), wall.Sub(s.lastWall), 0)
 	s.lastWall, s.lastMono = wall, mono
@@ -74,8 +74,7 @@
 	return s.now
 }
 
-// Fake is a clock for tests that only moves when Advance is called. It is safe for
-// concurrent use.
+// Fake is a clock for tests that only moves when Advance is called. It is safe for concurrent use.
 type Fake struct {
 	mu  sync.Mutex
 	now time.Time
--- a/command/explain.go
+++ b/command/explain.go
@@ -56,8 +56,7 @@
 	return explain.Models(s.out, lines)
 }
 
-// changesCmd prints the changes of the configuration and of upstreams from the log
-// lines of VMs.
+// changesCmd prints the changes of the configuration and of upstreams from the log lines of VMs.
 type changesCmd struct {
 	Files []string `arg:"" optional:"" help:"Log files of VMs; standard input when there is none." type:"existingfile"`
 }
@@ -93,8 +92,8 @@
 	return explain.Usage(s.out, lines, c.Window)
 }
 
-// readLogs returns the log lines of the files, or of standard input if no files are given,
-// sorted by time.
+// readLogs returns the log lines of the files,
+// or of standard input if no files are given, sorted by time.
 func readLogs(files []string) ([]*explain.Line, error) {
 	if len(files) == 0 {
 		return readLog(os.Stdin, "standard input")
--- a/config/build.go
+++ b/config/build.go
@@ -26,8 +26,8 @@
 	KindConfiguration = "configuration"
 )
 
-// ProgressSectionName returns the name of the section that stores the progress of
-// the roll-out of model m.
+// ProgressSectionName returns the name of the section
+// that stores the progress of the roll-out of model m.
 func ProgressSectionName(m contract.ModelID) string { return kindProgress + " " + string(m) }
 
 // VersionSectionName returns the name of the section that declares version v.
--- a/config/config.go
+++ b/config/config.go
@@ -31,8 +31,8 @@
 // are never stored in a file or written to a log.
 type KeyHash string
 
-// BillPolicy is what a VM does with a request when neither a peer nor the platform can
-// store its bill record.
+// BillPolicy is what a VM does with a request
+// when neither a peer nor the platform can store its bill record.
 type BillPolicy string
 
 // The policies for requests whose bill record cannot be stored.
@@ -62,8 +62,7 @@
 	BillPolicy BillPolicy
 }
 
-// Model declares a model, its prices, and the version that serves it outside a
-// roll-out.
+// Model declares a model, its prices, and the version that serves it outside a roll-out.
 type Model struct {
 	ID             contract.ModelID
 	ServingVersion contract.VersionID
@@ -79,7 +78,7 @@
 const (
 	// Serving versions accept new sessions and requests.
 	Serving VersionState = "serving"
-	// Draining versions continue their open sessions and accept no new ones.
+	// Draining versions continue their open sessions and accept no new sessions.
 	Draining VersionState = "draining"
 	// Withdrawn versions never accept new work again.
 	Withdrawn VersionState = "withdrawn"
@@ -106,10 +105,10 @@
 const DefaultServeWithoutUpdate = 2 * time.Minute
 
 // Cascade is a list of models. A request is sent to a cheaper model first, and to a
-// more expensive one only if the answer is poor.
+// more expensive model only if the answer is poor.
 type Cascade struct {
 	Name string
-	// Models has at least two models, ordered by cost, cheapest first.
+	// Models has at least two models, ordered by cost, the cheapest model first.
 	Models []contract.ModelID
 }
 
@@ -122,14 +121,14 @@
 	// percentage for each step of the roll-out.
 	Steps []float64
 	// GoodRate and BadRate are the rates of bad answers that the sequential test
-	// distinguishes: a version at GoodRate passes, and one at BadRate is halted.
+	// distinguishes: a version at GoodRate passes, and a version at BadRate is halted.
 	GoodRate, BadRate float64
 	// FalseAlarmProbability is the accepted probability of halting a good version.
 	FalseAlarmProbability float64
 	// MissProbability is the accepted probability of passing a bad version.
 	MissProbability float64
-	// RatingTimeout is how long no rating of the new version may arrive before the
-	// roll-out is halted.
+	// RatingTimeout is how long no rating of the new version may arrive
+	// before the roll-out is halted.
 	RatingTimeout time.Duration
 }
 
@@ -161,8 +160,7 @@
 	ServicePool PoolKind = "service"
 )
 
-// FencingMode is how a pool's engines treat an order that carries an outdated
-// fencing token.
+// FencingMode is how a pool's engines treat an order that carries an outdated fencing token.
 type FencingMode string
 
 // The fencing modes. Engines refuse orders with an outdated fencing token if fencing is
@@ -198,16 +196,15 @@
 	URL string
 }
 
-// Service is a plain HTTP service without a model, served by pools of kind
-// "service".
+// Service is a plain HTTP service without a model, served by pools of kind "service".
 type Service struct {
 	ID    contract.ServiceID
 	Pools []contract.PoolID
-	// NotRepeatable lists the calls that must run at most once. A VM does not retry such a
-	// call after a failure.
+	// NotRepeatable lists the calls that must run at most once.
+	// A VM does not retry such a call after a failure.
 	NotRepeatable []CallPattern
-	// Price is the price of one call, in millionths of the currency unit. Zero
-	// means free of charge.
+	// Price is the price of one call, in millionths
+	// of the currency unit. Zero means free of charge.
 	Price contract.Money
 }
 
--- a/config/ini.go
+++ b/config/ini.go
@@ -54,8 +54,7 @@
 	return fs
 }
 
-// File is a parsed INI file: its sections, and the line number of each section
-// and key.
+// File is a parsed INI file: its sections, and the line number of each section and key.
 type File struct {
 	Name     string
 	sections map[string]document.Section
--- a/config/reader.go
+++ b/config/reader.go
@@ -12,8 +12,7 @@
 )
 
 // SectionReader reads typed values from one section and collects a fault for each
-// invalid value. Keys of the section that were never read are faults too; see
-// RejectUnknownKeys.
+// invalid value. Keys of the section that were never read are faults too; see RejectUnknownKeys.
 type SectionReader struct {
 	file     *File
 	section  string
@@ -139,8 +138,7 @@
 	return x
 }
 
-// RisingPercentages returns the comma-separated percentages of key, which must be
-// strictly rising.
+// RisingPercentages returns the comma-separated percentages of key, which must be strictly rising.
 func (r *SectionReader) RisingPercentages(key string) []float64 {
 	var steps []float64
 	for _, item := range r.List(key) {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -28,8 +28,7 @@
 	exitSettings = 2 // the settings or the keys are invalid
 )
 
-// daemonArguments are the command-line arguments of woaddoor-entry and
-// woaddoor-control.
+// daemonArguments are the command-line arguments of woaddoor-entry and woaddoor-control.
 type daemonArguments struct {
 	Settings string `arg:"" help:"The VM's settings file (INI), shared by both daemons." type:"path"`
 	Check    bool   `help:"Check the settings and the keys, print every fault, and end."`
@@ -58,8 +57,8 @@
 	})
 }
 
-// run parses the arguments, loads the settings and the keys, and runs the daemon. It
-// returns the exit code.
+// run parses the arguments, loads the settings and the keys,
+// and runs the daemon. It returns the exit code.
 func run(name, description string, args []string, newServer serverFactory) int {
 	var a daemonArguments
 	parser := kong.Must(&a, kong.Name(name), kong.Description(description), kong.UsageOnError())
--- a/daemon/duties.go
+++ b/daemon/duties.go
@@ -30,7 +30,7 @@
 func (v *vmProcess) dutyTimeout() time.Duration { return v.settings.Duties.Lease / dutyTimeoutDivisor }
 
 // buildDuties creates the client of the lease whose holder acts on behalf of all VMs, and
-// the ledger of usage, if the deployment configures duties.
+// the ledger that counts usage, if the deployment configures duties.
 func (v *vmProcess) buildDuties(store *platform.Store, self members.Member) {
 	d := v.settings.Duties
 	if d.Address == "" {
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -31,7 +31,7 @@
 	metrics.GetOrRegisterCounter(fmt.Sprintf("%s{%s}", name, labels), v.registry).Inc(1)
 }
 
-// recordUnreadableObject logs and counts an object of the store that cannot be decoded.
+// recordUnreadableObject logs and counts an object of the platform's store that cannot be decoded.
 func (v *vmProcess) recordUnreadableObject(kind string, err error) {
 	metrics.GetOrRegisterCounter(fmt.Sprintf("objects_malformed_total{kind=%q,by=%q}", kind, "store"), v.registry).Inc(1)
 	v.log.Error("object-unreadable", zap.String("kind", kind), zap.Error(err))
--- a/daemon/vm.go
+++ b/daemon/vm.go
@@ -87,8 +87,7 @@
 // which count towards the machine's memory as well.
 const memoryLimitShare = 0.6
 
-// logFlushTimeout is the longest wait for queued log lines to be written at the end of the
-// process.
+// logFlushTimeout is the longest wait for queued log lines to be written at the end of the process.
 const logFlushTimeout = 200 * time.Millisecond
 
 // runVM runs woaddoor-vm until a signal ends it, and returns the exit code.
@@ -174,8 +173,8 @@
 	maxHeaderBytes = 64 << 10
 )
 
-// listen opens the listeners of the VM. The error about an address that is in use names
-// its settings key.
+// listen opens the listeners of the VM. The error about an address
+// that is in use names its settings key.
 func (v *vmProcess) listen() error {
 	front := &platform.Handler{
 		Relay: v.relay, Table: v.site.Table, WaitReady: v.site.AwaitReady, Now: time.Now, CloseConnections: v.stopping.Load,
@@ -220,8 +219,8 @@
 
 // serveReadiness answers the readiness check of the load balancer, which sends new
 // connections only to VMs that are ready. A VM is not ready while it stops, before it
-// knows a configuration and the upstreams, and while all upstreams of a service have been
-// unreachable for a while.
+// knows a configuration and the upstreams,
+// and while all upstreams of a service have been unreachable for a while.
 func (v *vmProcess) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if v.stopping.Load() || !v.site.Ready() || v.relay.Isolated() {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/drain/drain.go
+++ b/drain/drain.go
@@ -21,8 +21,7 @@
 // Timings of a shutdown.
 const (
 	// minIdle is how long no byte must have been read from a connection before it may
-	// be closed. The server may have read a request and not yet reported the
-	// connection as active.
+	// be closed. The server may have read a request and not yet reported the connection as active.
 	minIdle = 300 * time.Millisecond
 	// pollInterval is how often a shutdown checks which connections can be closed.
 	pollInterval = 25 * time.Millisecond
@@ -41,8 +40,8 @@
 	conns map[*conn]bool
 }
 
-// NewListener wraps l in a Listener that keeps at most maxConns connections open. Zero means
-// no limit.
+// NewListener wraps l in a Listener that keeps at most maxConns connections open.
+// Zero means no limit.
 func NewListener(l net.Listener, maxConns int) *Listener {
 	return &Listener{Listener: l, maxConns: maxConns, conns: make(map[*conn]bool)}
 }
@@ -64,8 +63,8 @@
 
 // Accept waits for the next connection. At the connection limit it closes the
 // connection that has been idle longest to make room. If no connection is idle, Accept
-// closes the new connection before anything is read from it, so that the client can
-// safely try another VM.
+// closes the new connection before anything is read from it,
+// so that the client can safely try another VM.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		accepted, err := l.Listener.Accept()
@@ -128,8 +127,8 @@
 }
 
 // ConnState records the state of a connection, as reported by the server. While the
-// server drains, it closes a connection that becomes idle, unless the next request has
-// already arrived on it.
+// server drains, it closes a connection that becomes idle,
+// unless the next request has already arrived on it.
 func (l *Listener) ConnState(nc net.Conn, s http.ConnState) {
 	c, ok := nc.(*conn)
 	if !ok {
@@ -164,8 +163,8 @@
 	}
 }
 
-// closeClosable closes the connections that have no request in progress and returns how
-// many connections remain.
+// closeClosable closes the connections that have no request in progress
+// and returns how many connections remain.
 func (l *Listener) closeClosable(now time.Time) int {
 	var closing []*conn
 	l.mu.Lock()
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,5 +1,5 @@
 // Package explain analyses the log lines of VMs. It prints the steps of a request
-// with the state that the request's VM knew at each step, the changes of this state,
+// with the state that the request's VM knew at each step of the request, the changes of this state,
 // why requests failed or were late, and the usage reports.
 package explain
 
@@ -43,8 +43,7 @@
 const maxLineBytes = 1 << 20
 
 // Read parses the log lines of one file. A file may contain other output: lines
-// that are not log lines are skipped and counted, and any prefix before
-// "time=" is ignored.
+// that are not log lines are skipped and counted, and any prefix before "time=" is ignored.
 func Read(r io.Reader) (lines []*Line, skipped int, err error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
@@ -152,8 +151,8 @@
 type stateEvent struct {
 	event string
 	// matchField is a field, such as upstream. The state is printed only with log
-	// lines that have the same value of this field. Empty means with all log lines
-	// of requests at the VM.
+	// lines that have the same value of this field.
+	// Empty means with all log lines of requests at the VM.
 	matchField string
 	// shownFields are the fields of the event that are printed.
 	shownFields []string
@@ -219,8 +218,7 @@
 
 // auditEvents are the events that Changes prints: changes of the configuration,
 // upstreams, orders and evacuations, the states that upstreams report of themselves,
-// quarantined request contents, the start and stop of VMs, and their connection to the
-// store.
+// quarantined request contents, the start and stop of VMs, and their connection to the store.
 var auditEvents = map[string]bool{
 	"configuration": true, "upstream": true, "order": true, "order-noted": true, "release-bad": true, "enlisted": true,
 	"request-held": true, "request-released": true, "evacuation": true,
--- a/explain/losses.go
+++ b/explain/losses.go
@@ -167,8 +167,8 @@
 	return largest
 }
 
-// millisField returns a field in milliseconds as a duration. It returns 0 if the field is
-// missing or not a number.
+// millisField returns a field in milliseconds as a duration.
+// It returns 0 if the field is missing or not a number.
 func millisField(l *Line, key string) time.Duration {
 	n, err := strconv.ParseInt(l.Value(key), 10, 64)
 	if err != nil {
--- a/explain/models.go
+++ b/explain/models.go
@@ -13,11 +13,10 @@
 type modelStats struct {
 	answers, escalated int
 	// confidences are the confidences that the model reported about its answers.
-	// timeRatios holds, for each answer, the actual time until the answer began, divided by
-	// the expected time.
+	// timeRatios holds, for each answer, the actual time until the answer began,
+	// divided by the expected time.
 	confidences, timeRatios []float64
-	// deliveredPoor counts answers that were delivered with a confidence below
-	// poorConfidence.
+	// deliveredPoor counts answers that were delivered with a confidence below poorConfidence.
 	deliveredPoor int
 }
 
--- a/internal/bench/control.go
+++ b/internal/bench/control.go
@@ -70,8 +70,8 @@
 	return c, nil
 }
 
-// firstPort is the first UDP port of the control servers' links. It is below the range of
-// ephemeral ports.
+// firstPort is the first UDP port of the control servers' links.
+// It is below the range of ephemeral ports.
 const firstPort = 21_000
 
 // addServer starts the control server of VM i and its stand-in entry process.
--- a/internal/bench/entry.go
+++ b/internal/bench/entry.go
@@ -69,8 +69,8 @@
 	return time.Since(began), n, err
 }
 
-// newCallers returns a caller that sends directly to an engine, and one that sends through
-// the first VM.
+// newCallers returns a caller that sends directly to an engine,
+// and a caller that sends through the first VM.
 func newCallers(f *fleet.Fleet) (direct, routed caller) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2000}}
 	direct = caller{f.EngineURL("dc1-engine-1"), "", "chat-small@1", client}
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// runParallel has each of callers goroutines call do n/callers times. It returns the first
-// error, if any.
+// runParallel has each of callers goroutines call do n/callers times.
+// It returns the first error, if any.
 func runParallel(callers, n int, do func() error) error {
 	var wg sync.WaitGroup
 	errs := make(chan error, callers)
--- a/internal/fleet/caller.go
+++ b/internal/fleet/caller.go
@@ -67,8 +67,8 @@
 }
 
 // WaitForPeers waits until every VM knows the entry processes of its peers: the processes
-// that vote on tickets (arbiters), and the processes that hold copies of the VM's bill
-// records (keepers).
+// that vote on tickets (arbiters), and the processes that hold copies
+// of the VM's bill records (keepers).
 func (f *Fleet) WaitForPeers(ctx context.Context) error {
 	for _, vm := range f.VMs {
 		err := WaitFor(ctx, func() bool {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -207,8 +207,7 @@
 	return &operator.Operator{Store: client, VMs: client, Now: time.Now}
 }
 
-// StartVM starts both processes of a VM. It also restarts a VM whose processes
-// have ended.
+// StartVM starts both processes of a VM. It also restarts a VM whose processes have ended.
 func (f *Fleet) StartVM(vm *VM) error {
 	if err := f.StartControl(vm); err != nil {
 		return err
@@ -235,8 +234,8 @@
 	return filepath.Join(f.opts.WorkDir, string(vm.Name)+"-"+program+".log")
 }
 
-// CutFromPeers blocks the links between data centre dc and all others when cut
-// is true, and restores them when cut is false.
+// CutFromPeers blocks the links between data centre dc and all other data centres when
+// cut is true, and restores these links when cut is false.
 func (f *Fleet) CutFromPeers(dc contract.DataCentreID, cut bool) {
 	for _, a := range f.VMs {
 		for _, b := range f.VMs {
--- a/internal/fleet/layout.go
+++ b/internal/fleet/layout.go
@@ -11,8 +11,8 @@
 	"woaddoor/keys"
 )
 
-// vmAddresses holds the network addresses of one VM. The links of its two
-// processes are advertised at relays, which tests can block.
+// vmAddresses holds the network addresses of one VM. The VM's two processes advertise the
+// addresses of relays as their link addresses, and tests can block the relays.
 type vmAddresses struct {
 	callers, entryHealth, controlHealth string
 	entryLink, controlLink              string
--- a/internal/measure/cascades.go
+++ b/internal/measure/cascades.go
@@ -10,8 +10,7 @@
 	"woaddoor/internal/measure/model"
 )
 
-// Parameters of the cascade measurement. Costs are in units of one answer of the
-// small model.
+// Parameters of the cascade measurement. Costs are in units of one answer of the small model.
 const (
 	cascadeRequests   = 40_000
 	costSmall         = 1.0
@@ -76,7 +75,7 @@
 }
 
 // Plans of the policies: only one model, or the small model with a check of its answer and
-// the large model after a bad one.
+// the large model after a bad answer.
 var (
 	planLarge   = cascade.Plan{First: "large"}
 	planSmall   = cascade.Plan{First: "small"}
@@ -139,7 +138,7 @@
 	policies := []struct {
 		name     string
 		make     func() policy
-		baseline bool // a baseline for the regret: the cheapest one that reaches the target
+		baseline bool // regret is relative to the cheapest baseline that reaches the target
 	}{
 		{"always large", func() policy { return fixedPolicy{func(int) cascade.Plan { return planLarge }} }, true},
 		{"always small", func() policy { return fixedPolicy{func(int) cascade.Plan { return planSmall }} }, true},
--- a/internal/measure/choice.go
+++ b/internal/measure/choice.go
@@ -11,8 +11,8 @@
 	"woaddoor/upstream"
 )
 
-// Parameters of the choice measurement. These sizes are those of the deployment in
-// examples/consorcio.ini.
+// Parameters of the choice measurement.
+// These sizes are those of the deployment in examples/consorcio.ini.
 const (
 	engines          = 20
 	vms              = 7
@@ -45,14 +45,13 @@
 	random  *rand.Rand
 	engines []*model.Engine
 	vms     []chooser
-	// silentEngines is the number of engines, counted from the first, that send no
-	// load reports.
+	// silentEngines is the number of engines, counted from the first, that send no load reports.
 	silentEngines int
 }
 
 // chooser is the strategy by which one VM chooses an engine. Engines are numbered from 0.
 type chooser interface {
-	// pick returns the engine for a request with a prompt prefix, or -1 if there is none.
+	// pick returns the engine for a request with a prompt prefix, or -1 if no engine can be chosen.
 	pick(now time.Time, prefix uint64) int
 	// sent records that a request was sent to engine i.
 	sent(i int, prefix uint64)
@@ -137,8 +136,7 @@
 func (l *leastInFlight) done(i int, _ time.Duration, _ bool, _ time.Time) { l.inFlight[i]-- }
 func (*leastInFlight) report(int, int, int, time.Duration, time.Time)     {}
 
-// leastReported chooses the engine that last reported the fewest running and waiting
-// requests.
+// leastReported chooses the engine that last reported the fewest running and waiting requests.
 type leastReported struct{ load []int }
 
 func (l *leastReported) pick(time.Time, uint64) int {
@@ -157,8 +155,8 @@
 }
 
 // newSite returns a site of n engines and m VMs. The first engine is slower by the
-// factor slow. Load reports reach the VMs with a delay of lag. make returns a VM's
-// chooser among n engines.
+// factor slow. Load reports reach the VMs with a delay of lag.
+// make returns a VM's chooser among n engines.
 func newSite(seed uint64, n, m, slow int, lag time.Duration, make func(n int, r *rand.Rand) chooser) *site {
 	s := &site{clock: model.NewClock(), random: rand.New(rand.NewPCG(seed, 1))}
 	for i := range n {
@@ -190,8 +188,7 @@
 }
 
 // sendRequest sends a request through a VM and calls done with the time to the first
-// token, the total time and the result. Engines take preferred requests from their queues
-// first.
+// token, the total time and the result. Engines take preferred requests from their queues first.
 func (s *site) sendRequest(vm chooser, preferred bool, done func(first, total time.Duration, result model.Result)) {
 	// The product of two random numbers makes a few prefixes common and most rare.
 	prefix := uint64(float64(distinctPrefixes)*s.random.Float64()*s.random.Float64()) + 1
@@ -235,8 +232,8 @@
 	return first, total, float64(cached) / float64(max(count, 1))
 }
 
-// uncachedCapacity returns the request rate, per second, that n engines carry when no
-// prefix is cached.
+// uncachedCapacity returns the request rate, per second,
+// that n engines carry when no prefix is cached.
 func uncachedCapacity(n int) float64 { return float64(n*slots) / uncachedServiceTime.Seconds() }
 
 // choosers are the strategies that are compared.
--- a/internal/measure/fairness.go
+++ b/internal/measure/fairness.go
@@ -86,7 +86,7 @@
 	return float64(good) / loadDuration.Seconds(), float64(refusals) / float64(max(offers, 1))
 }
 
-// fairness measures how a loud workspace affects quiet ones, and goodput under overload.
+// fairness measures how a loud workspace affects quiet workspaces, and the goodput under overload.
 func fairness(seed uint64) []*table {
 	t := &table{
 		title:       "A neighbour at ten times its share",
--- a/internal/measure/lookup.go
+++ b/internal/measure/lookup.go
@@ -29,8 +29,8 @@
 	return []*table{t}
 }
 
-// chordHops returns the mean and the maximum number of hops over random lookups in a
-// Chord# ring of n nodes.
+// chordHops returns the mean and the maximum number of hops
+// over random lookups in a Chord# ring of n nodes.
 func chordHops(n int, r *rand.Rand) (mean float64, most int) {
 	const keys = 10_000
 	total := 0
--- a/internal/measure/loss.go
+++ b/internal/measure/loss.go
@@ -13,7 +13,7 @@
 // Parameters of the capacity-loss measurement.
 const (
 	lossStart       = 40 * time.Second // when the engines fail
-	lossDuration    = 60 * time.Second // how long they are down
+	lossDuration    = 60 * time.Second // how long the failed engines are down
 	lossRunDuration = 200 * time.Second
 	lossLoad        = 0.8 // as a part of uncachedCapacity
 	lossRetries     = 3   // retries of a refused caller
@@ -23,7 +23,8 @@
 type trafficKind struct {
 	name  string
 	class workspace.Class
-	// share is the part of the total load, divided among this many workspaces.
+	// share is the part of the total load that is of this kind,
+	// divided among the workspaces of this kind of traffic.
 	share      float64
 	workspaces int
 }
@@ -35,10 +36,12 @@
 	{"bulk of the large workspace", workspace.Bulk, 0.30, 1},
 }
 
-// tally counts one kind's requests, by the second in which each was first offered.
+// tally counts the requests of one kind of traffic,
+// by the second in which each request was first offered.
 type tally struct{ offered, answered []int }
 
-// answeredShare returns the share answered of the requests first offered in [from, to).
+// answeredShare returns the fraction, from 0 to 1, of answered requests
+// among the requests first offered in [from, to).
 func (t tally) answeredShare(from, to time.Duration) float64 {
 	offered, answered := 0, 0
 	for s := int(from.Seconds()); s < int(to.Seconds()); s++ {
@@ -48,8 +51,8 @@
 	return float64(answered) / float64(max(offered, 1))
 }
 
-// loss measures which traffic is refused when engines fail, and how the answered share
-// recovers.
+// loss measures which traffic is refused when engines fail,
+// and how the share of answered requests recovers.
 func loss(seed uint64) []*table {
 	var tables []*table
 	for _, lost := range []struct {
@@ -92,8 +95,9 @@
 	return float64(largest)
 }
 
-// runLossTrial offers all kinds of traffic while the first lost engines are down for
-// lossDuration. It returns a tally for each kind, and the offers in each second.
+// runLossTrial offers all kinds of traffic. The first engines, as many as lost states, are down
+// for lossDuration. runLossTrial returns a tally for each kind of traffic,
+// and the number of offers in each second.
 func runLossTrial(seed uint64, capacity, lost int) ([]tally, []int) {
 	s := newSite(seed, engines, vms, 1, time.Second, newWoaddoorChooser)
 	queuedVMs := newQueuedVMs(s, seed, capacity, workspaceCount)
@@ -133,7 +137,8 @@
 	return tallies, offers
 }
 
-// setDown makes the first n engines fail requests and send no reports, or restores them.
+// setDown makes the first n engines fail requests and send no load reports,
+// or restores these engines.
 func (s *site) setDown(n int, down bool) {
 	for i := range n {
 		s.engines[i].Down = down
--- a/internal/measure/model/model.go
+++ b/internal/measure/model/model.go
@@ -209,8 +209,8 @@
 	return pending, true
 }
 
-// touchPrefix reports whether prefix is cached, and makes it the most recently
-// used entry of the cache.
+// touchPrefix reports whether prefix is cached,
+// and makes it the most recently used entry of the cache.
 func (e *Engine) touchPrefix(prefix uint64) bool {
 	if i := slices.Index(e.prefixes, prefix); i >= 0 {
 		e.prefixes = append(slices.Delete(e.prefixes, i, i+1), prefix)
@@ -252,8 +252,7 @@
 // InSystem returns the number of requests that run or wait now.
 func (e *Engine) InSystem() int { return e.running + len(e.queue) }
 
-// Arrivals calls do at the times of a Poisson process with rate events per
-// second, for d.
+// Arrivals calls do at the times of a Poisson process with rate events per second, for d.
 func Arrivals(clock *Clock, random *rand.Rand, rate float64, d time.Duration, do func()) {
 	end := clock.Now().Add(d)
 	var next func()
--- a/internal/measure/retries.go
+++ b/internal/measure/retries.go
@@ -36,7 +36,7 @@
 	inFault           struct{ offered, sends int } // arrivals and sends while the fault was active
 }
 
-// newRetryTrial returns a trial on n engines in which fault is switched on at faultStart
+// newRetryTrial returns a retryTrial on n engines in which fault is switched on at faultStart
 // and off after faultDuration.
 func newRetryTrial(seed uint64, n int, make func(int, *rand.Rand) chooser, fault func([]*model.Engine, bool)) *retryTrial {
 	t := &retryTrial{site: newSite(seed, n, vms, 1, time.Second, make), random: rand.New(rand.NewPCG(seed, 60)), fault: fault}
@@ -60,8 +60,8 @@
 }
 
 // send makes one attempt and calls done once: when the attempt ends, or, with failed set,
-// after timeout. If cancel is true, the engine removes an attempt that has timed out from the
-// engine's queue.
+// after timeout. If cancel is true, the engine removes an attempt
+// that has timed out from the engine's queue.
 func (t *retryTrial) send(vm chooser, timeout time.Duration, cancel bool, done func(failed bool)) {
 	ended := false
 	finish := func(failed bool) {
@@ -109,8 +109,7 @@
 	return b
 }
 
-// sendNaively sends a request and retries immediately after any failure, up to
-// retriesLeft times.
+// sendNaively sends a request and retries immediately after any failure, up to retriesLeft times.
 func (t *retryTrial) sendNaively(retriesLeft int, bucket int) {
 	vm := t.site.vms[t.random.IntN(vms)]
 	t.send(vm, naiveTimeout, false, func(failed bool) {
@@ -136,8 +135,8 @@
 	lastID  workspace.ID
 }
 
-// newRetryingVMs returns a retryingVM for each VM of the site. Each checks its queue for
-// expired requests every 20 ms.
+// newRetryingVMs returns a retryingVM for each VM of the site. Each retryingVM checks its queue
+// for expired requests every 20 ms.
 func (t *retryTrial) newRetryingVMs() []*retryingVM {
 	var retryingVMs []*retryingVM
 	for _, vm := range t.site.vms {
@@ -153,16 +152,15 @@
 	return retryingVMs
 }
 
-// resolve calls the waiting function of a queued request. runs is false when the request
-// expired.
+// resolve calls the waiting function of a queued request. runs is false when the request expired.
 func (vm *retryingVM) resolve(id workspace.ID, runs bool) {
 	do := vm.waiting[id]
 	delete(vm.waiting, id)
 	do(runs)
 }
 
-// sendWithBudget offers a request to the admission queue of vm, and retries it within
-// the retry budget.
+// sendWithBudget offers a request to the admission queue of vm,
+// and retries it within the retry budget.
 func (t *retryTrial) sendWithBudget(vm *retryingVM, bucket int) {
 	now := t.site.clock.Now()
 	deadline := now.Add(requestDeadline)
@@ -217,7 +215,7 @@
 
 // recoveryTime returns the time from the end of the fault to the first of ten
 // consecutive seconds in which at least 95 in 100 of the arriving requests are answered.
-// It returns -1 if there is none.
+// It returns -1 if no ten such seconds exist.
 func (t *retryTrial) recoveryTime() time.Duration {
 	const steady = 10
 	first := int((faultStart + faultDuration) / bucketWidth)
--- a/internal/measure/rollouts.go
+++ b/internal/measure/rollouts.go
@@ -29,8 +29,7 @@
 	GoodRate: 0.02, BadRate: 0.08, FalseAlarmProbability: 0.01, MissProbability: 0.01, RatingTimeout: 30 * time.Minute,
 }
 
-// versionModel gives the share of bad answers of a new version, by rollout step and
-// workspace.
+// versionModel gives the share of bad answers of a new version, by rollout step and workspace.
 type versionModel struct {
 	name     string
 	badShare func(step, workspace int) float64
--- a/internal/measure/stalls.go
+++ b/internal/measure/stalls.go
@@ -73,8 +73,7 @@
 }
 
 // runStreams simulates streams. It returns how long each caller of a stalled stream waited
-// at the stall, how many healthy streams were taken for stalled, and how many streams were
-// healthy.
+// at the stall, how many healthy streams were taken for stalled, and how many streams were healthy.
 func runStreams(seed uint64, make func(now time.Time) stallDetector) (waits []time.Duration, alarms, healthy int) {
 	r := rand.New(rand.NewPCG(seed, 70))
 	for i := range streamCount {
--- a/internal/rounds/main.go
+++ b/internal/rounds/main.go
@@ -2,8 +2,7 @@
 // program (the bench). The command runs the simulated days (scenarios) of a site
 // file, each with several seeds. It prints a Markdown table of the mean worth (the
 // bench's score of a day), the parts of the worth, the prices that the bench takes
-// off the worth, and the broken rules. The figures in docs/POLICY.md come from
-// this command.
+// off the worth, and the broken rules. The figures in docs/POLICY.md come from this command.
 //
 // Run it at the root of a checkout:
 //
@@ -15,8 +14,8 @@
 //	go run ./internal/rounds --bench BENCH --set days/landing.ini --sites FOLDER --why "landing"
 //
 // With an experiment the command runs several variants of the policy settings on the same
-// simulated days and seeds. It writes the differences between each variant and the baseline as
-// Markdown, CSV and SVG:
+// simulated days and seeds. It writes the differences between each variant
+// and the baseline as Markdown, CSV and SVG:
 //
 //	go run ./internal/rounds --bench BENCH --experiment days/ablation.ini --sites FOLDER --out FOLDER --why "..."
 package main
--- a/internal/rounds/paired.go
+++ b/internal/rounds/paired.go
@@ -55,8 +55,8 @@
 	return "no difference seen"
 }
 
-// String returns the mean and, if there are at least two pairs, half the width of its
-// confidence interval.
+// String returns the mean and, if there are at least two pairs,
+// half the width of its confidence interval.
 func (d difference) String() string {
 	if math.IsInf(d.halfWidth, 1) {
 		return fmt.Sprintf("%+.3f", d.mean)
--- a/internal/rounds/plot.go
+++ b/internal/rounds/plot.go
@@ -54,8 +54,8 @@
 	return p.Save(plotWidth, plotHeight, file)
 }
 
-// addIntervals adds the points of the n-th variant of the policy settings to a plot, with error
-// bars.
+// addIntervals adds the points of the n-th variant of the policy settings to a plot,
+// with error bars.
 func addIntervals(p *plot.Plot, n int, name string, points intervals) error {
 	dots, err := plotter.NewScatter(points.XYs)
 	if err != nil {
--- a/internal/rounds/report.go
+++ b/internal/rounds/report.go
@@ -28,7 +28,7 @@
 // part is one component of the worth (score) of a simulated day.
 type part struct {
 	name   string
-	weight float64 // weight of the value in the worth
+	weight float64 // weight of the part's value in the worth (score) of the day
 	value  float64
 }
 
@@ -36,7 +36,7 @@
 type price struct {
 	name   string
 	amount float64 // amount of the resource that was used
-	taken  float64 // part of the worth that was taken off
+	taken  float64 // what the price takes off the worth (score) of the day
 }
 
 // class holds the results of one kind of request: how many requests were sent, and
@@ -68,8 +68,8 @@
 	return r, nil
 }
 
-// worth returns the bench's score of a simulated day, or zero if the day broke a rule or ended
-// with a fault.
+// worth returns the bench's score of a simulated day,
+// or zero if the day broke a rule or ended with a fault.
 func (r *report) worth() float64 {
 	if len(r.Breaks) > 0 || r.Fault != nil {
 		return 0
@@ -130,8 +130,8 @@
 	printRow(w, "with trouble", troubled)
 }
 
-// firstReport returns the report of the first successful run, or an empty report if no run
-// succeeded.
+// firstReport returns the report of the first successful run,
+// or an empty report if no run succeeded.
 func firstReport(runs []*dayRun) *report {
 	for _, run := range runs {
 		if run.err == nil {
@@ -163,8 +163,8 @@
 	fmt.Fprintf(w, "| %s |\n", strings.Join(cells, " | "))
 }
 
-// priceCells returns the mean of each of the shownPrices, and the mean of the sum of all other
-// prices.
+// priceCells returns the mean of each of the shownPrices,
+// and the mean of the sum of all other prices.
 func priceCells(reports []*report) []string {
 	sums := make([]sampleStats, len(shownPrices)+1)
 	for _, r := range reports {
--- a/internal/rounds/set.go
+++ b/internal/rounds/set.go
@@ -12,7 +12,7 @@
 	"woaddoor/config"
 )
 
-// deployment is one deployment of a regression set or an experiment.
+// deployment is a deployment on which a regression set or an experiment runs.
 type deployment struct {
 	name string
 	// site is the name of the site file, relative to the folder of --sites.
--- a/internal/rounds/variants.go
+++ b/internal/rounds/variants.go
@@ -18,8 +18,8 @@
 }
 
 // runExperiment runs the simulated days that have no report yet, and returns the results of all
-// days. The reports stay in the folder of the flag --out, so that an interrupted experiment can
-// be resumed.
+// days. The reports stay in the folder of the flag --out,
+// so that an interrupted experiment can be resumed.
 func (a *arguments) runExperiment(x *experiment) ([]result, error) {
 	if err := os.MkdirAll(a.Out, 0o755); err != nil {
 		return nil, fmt.Errorf("folder for reports: %w", err)
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -37,7 +37,7 @@
 const meanCallInterval = 40 * time.Millisecond
 
 // runNormal sends ordinary requests to randomly chosen VMs until ctx ends. It reuses connections,
-// and now and then closes the idle ones.
+// and now and then closes idle connections.
 func (c *callers) runNormal(ctx context.Context, random *rand.Rand) {
 	client := &http.Client{Transport: &http.Transport{}, Timeout: 6 * time.Second}
 	for ctx.Err() == nil {
@@ -54,8 +54,8 @@
 // poisonInterval is the time between two poison requests.
 const poisonInterval = 400 * time.Millisecond
 
-// runPoison sends poison requests, which crash the upstream that runs them, to randomly chosen VMs
-// until ctx ends.
+// runPoison sends poison requests, which crash the upstream that runs them,
+// to randomly chosen VMs until ctx ends.
 func (c *callers) runPoison(ctx context.Context, random *rand.Rand) {
 	for ctx.Err() == nil {
 		v := c.fleet.vms[random.IntN(len(c.fleet.vms))]
@@ -116,7 +116,7 @@
 		if !strings.HasPrefix(path, "/once/") {
 			return // a repeatable request may have run before this answer
 		}
-		time.Sleep(50 * time.Millisecond) // leaves time for a delayed send to arrive
+		time.Sleep(50 * time.Millisecond) // leaves time for a delayed send to reach an upstream
 		rec.check(guaranteeNotRun, c.fleet.upstreams.runCount(id) == 0, id, fmt.Sprintf("ran although the answer has status %d", resp.StatusCode))
 	case resp.StatusCode != http.StatusOK || err != nil:
 		return // an error, or a stream that is visibly incomplete
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -169,8 +169,8 @@
 // maxFaultInterval is the upper bound on the time between two faults of a group.
 const maxFaultInterval = 3 * time.Second
 
-// exemptAll exempts all VMs from the time limits while a fault of the store lasts, and for
-// settleTime after it.
+// exemptAll exempts all VMs from the time limits while a fault
+// of the store lasts, and for settleTime after it.
 func (f *fleet) exemptAll(duration time.Duration) {
 	for _, v := range f.vms {
 		v.exempt(duration)
@@ -239,8 +239,8 @@
 	f.restart(v)
 }
 
-// terminate asks a VM's process to shut down, kills it once the grace period is over, and restarts
-// it.
+// terminate asks a VM's process to shut down, kills it once the grace period is over,
+// and restarts it.
 func (f *fleet) terminate(v *vm) {
 	v.exempt(gracePeriod)
 	v.mu.Lock()
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -68,14 +68,14 @@
 	terminating bool // the process has received SIGTERM
 }
 
-// newDeployment returns the configuration that the operator declares, with the given workspace
-// keys.
+// newDeployment returns the configuration that the operator declares,
+// with the given workspace keys.
 func newDeployment(version int, keys ...string) objects.Deployment {
 	return objects.Deployment{Version: version, Workspace: "w1", Keys: keys, MaxAttempts: 3}
 }
 
-// newFleet starts the given number of VMs, and twice as many upstreams spread over three data
-// centres.
+// newFleet starts the given number of VMs, and twice as many upstreams spread
+// over three data centres.
 func newFleet(folder string, vms int, seed uint64, rec *recorder) (*fleet, error) {
 	f := &fleet{folder: folder, store: objects.New(), recorder: rec, workspaceKeys: []string{keyKept, keyRevoked}}
 	f.writeConfiguration()
@@ -203,8 +203,8 @@
 	<-exited
 }
 
-// exempt exempts the VM from the time limits while a fault of the given duration lasts, and for
-// settleTime after it.
+// exempt exempts the VM from the time limits while a fault
+// of the given duration lasts, and for settleTime after it.
 func (v *vm) exempt(duration time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -10,8 +10,8 @@
 	"woaddoor/internal/standin/replica"
 )
 
-// Limits on the requests that reach an upstream that advertises a rate limit, from all VMs
-// together.
+// Limits on the requests that reach an upstream that advertises a rate limit,
+// from all VMs together.
 const (
 	// limitLeeway is the time after a VM first receives an advertised limit during which its
 	// requests do not count against the limit.
@@ -26,8 +26,8 @@
 // limitValues are the limits that upstreams advertise, in requests per second.
 var limitValues = []float64{2, 0, 8, 0.4}
 
-// limitTracker records the rate limits that upstreams advertise and checks the requests that
-// arrive afterwards.
+// limitTracker records the rate limits that upstreams advertise
+// and checks the requests that arrive afterwards.
 type limitTracker struct {
 	notices *noticeTracker
 
@@ -37,8 +37,8 @@
 	advertised map[int]*advertisedLimit
 }
 
-// advertisedLimit is a limit that one upstream incarnation advertises, and the requests that count
-// against it.
+// advertisedLimit is a limit that one upstream incarnation advertises,
+// and the requests that count against it.
 type advertisedLimit struct {
 	perSecond   float64
 	firstSentAt time.Time // when an answer first carried the limit
--- a/internal/soak/main.go
+++ b/internal/soak/main.go
@@ -32,8 +32,8 @@
 	Seed uint64        `help:"Decides every fault and its moment; 0 draws one."`
 	For  time.Duration `help:"How long faults come." default:"30s"`
 	VMs  int           `help:"How many VMs." name:"vms" default:"6"`
-	// Callers is independent of VMs, so that a run can start and fail many VMs under the load of
-	// few callers.
+	// Callers is independent of VMs, so that a run can start
+	// and fail many VMs under the load of few callers.
 	Callers int    `help:"How many callers in all; 0 means three for each VM." default:"0"`
 	Folder  string `help:"Where logs go." default:"bench-out/soak"`
 }
@@ -153,8 +153,8 @@
 	}
 }
 
-// revokeKey removes keyRevoked from the configuration the first time it is called, and returns
-// whether it did.
+// revokeKey removes keyRevoked from the configuration the first time it is called,
+// and returns whether it did.
 func (c *callers) revokeKey() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/soak/notices.go
+++ b/internal/soak/notices.go
@@ -9,8 +9,8 @@
 	"woaddoor/internal/standin/replica"
 )
 
-// Limits on the requests that reach an upstream after it has announced that it is leaving, or has
-// asked for a back-off.
+// Limits on the requests that reach an upstream after it has announced
+// that it is leaving, or has asked for a back-off.
 const (
 	// drainTimeout is how long a VM may go on sending to an upstream after the VM has relayed an
 	// answer in which that upstream announces that it is leaving.
@@ -35,13 +35,13 @@
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// vmIncarnations is the current incarnation of each VM by name. Each pause of a VM starts a
-	// new incarnation too.
+	// vmIncarnations is the current incarnation of each VM by name.
+	// Each pause of a VM starts a new incarnation too.
 	vmIncarnations map[string]int
 	// sentAt is when callers sent their requests, by request id.
 	sentAt map[string]time.Time
-	// leavingSince is when a VM first relayed an answer in which an upstream announces that it is
-	// leaving.
+	// leavingSince is when a VM first relayed an answer in
+	// which an upstream announces that it is leaving.
 	leavingSince map[incarnationPair]time.Time
 	backoffs     map[incarnationPair][]*backoff
 	// undisturbed holds, by the name of the VM, a function that returns whether no fault currently
@@ -49,8 +49,8 @@
 	undisturbed map[string]func() bool
 }
 
-// incarnationPair identifies an incarnation of an upstream and the incarnation of the VM that it
-// answered.
+// incarnationPair identifies an incarnation of an upstream and the incarnation
+// of the VM that it answered.
 type incarnationPair struct {
 	vm       string
 	upstream int
@@ -77,16 +77,16 @@
 	s.undisturbed[v.name] = v.undisturbed
 }
 
-// startIncarnation records that a VM starts, pauses or resumes, each of which begins a new
-// incarnation.
+// startIncarnation records that a VM starts, pauses or resumes,
+// each of which begins a new incarnation.
 func (s *noticeTracker) startIncarnation(vm string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.vmIncarnations[vm]++
 }
 
-// recordSend records that a caller sends a request, and returns the incarnation of the VM that it
-// goes to.
+// recordSend records that a caller sends a request,
+// and returns the incarnation of the VM that it goes to.
 func (s *noticeTracker) recordSend(id, vm string) (vmIncarnation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +94,7 @@
 	return s.currentIncarnation(vm)
 }
 
-// isCurrent reports whether an incarnation is the current one of its VM.
+// isCurrent reports whether an incarnation is the current incarnation of its VM.
 func (s *noticeTracker) isCurrent(vmIncarnation string) bool {
 	vm, _, _ := strings.Cut(vmIncarnation, " ")
 	s.mu.Lock()
@@ -140,8 +140,8 @@
 	}
 }
 
-// checkArrival checks a request that has reached an upstream through a link. The link is nil once
-// the upstream has ended.
+// checkArrival checks a request that has reached an upstream through a link.
+// The link is nil once the upstream has ended.
 func (s *noticeTracker) checkArrival(r *replica.Request, incarnation int, link *proxy) {
 	vmIncarnation := r.Header.Get(headerVMIncarnation)
 	vm, _, _ := strings.Cut(vmIncarnation, " ")
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -9,7 +9,7 @@
 
 // proxy is a TCP link on loopback that can inject faults. Delays and blocking apply to open and
 // new connections alike. Silencing applies only to the connections that are open at that time, and
-// lasts until they are closed.
+// lasts until these connections are closed.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -29,8 +29,8 @@
 	silent         bool // guarded by the proxy's mu
 }
 
-// newProxy opens a link to the address target. It listens on listenAddress; "127.0.0.1:0" picks a
-// free port.
+// newProxy opens a link to the address target. It listens on listenAddress;
+// "127.0.0.1:0" picks a free port.
 func newProxy(listenAddress, target string) (*proxy, error) {
 	l, err := net.Listen("tcp", listenAddress)
 	if err != nil {
@@ -47,7 +47,7 @@
 	for {
 		c, err := p.listener.Accept()
 		if err != nil {
-			return // closed
+			return // the link is closed
 		}
 		go p.handle(c)
 	}
@@ -95,8 +95,8 @@
 // blockedPollInterval is how often a blocked connection checks whether it may forward again.
 const blockedPollInterval = 10 * time.Millisecond
 
-// waitToForward waits until the next chunk may be forwarded. It returns false if the connection is
-// silenced.
+// waitToForward waits until the next chunk may be forwarded.
+// It returns false if the connection is silenced.
 func (p *proxy) waitToForward(c *proxyConn) bool {
 	for {
 		p.mu.Lock()
--- a/internal/soak/upstreams.go
+++ b/internal/soak/upstreams.go
@@ -44,7 +44,7 @@
 	runCounts map[string]int
 	arrivals  []arrival
 	// poisonArrivals is when poison requests arrived, and poisonExits when upstreams crashed while
-	// running one.
+	// running a poison request.
 	poisonArrivals, poisonExits []time.Time
 	ignorePoison                bool
 	// failing makes every repeatable request fail.
@@ -118,8 +118,9 @@
 	u.store.PutUpstream(objects.Upstream{ID: position.id, Address: position.link.address(), DataCentre: position.dataCentre, Incarnation: incarnation})
 }
 
-// kill ends the upstream at a position at once and starts another one after a delay. Until then the
-// store still has its entry although nothing answers at its address.
+// kill ends the upstream at a position at once and starts another upstream after a delay. Until
+// then the store still has the entry of the ended upstream,
+// although nothing answers at the address in the entry.
 func (u *upstreams) kill(position *upstreamPosition, restartAfter time.Duration) {
 	u.mu.Lock()
 	running, link, id := position.replica, position.link, position.id
@@ -196,8 +197,8 @@
 	return true
 }
 
-// noticeHeaders returns the headers by which a leaving upstream announces this. The caller holds
-// mu.
+// noticeHeaders returns the headers by which a leaving upstream announces this.
+// The caller holds mu.
 func (u *upstreams) noticeHeaders(position *upstreamPosition) []string {
 	if !position.leaving {
 		return nil
@@ -213,13 +214,13 @@
 	c.RejectNotRun(r.ID(), headers...)
 }
 
-// Percentages of requests whose answer is lost or incomplete, and of those whose answer is preceded
-// by the answer to another request.
+// Percentages of requests whose answer is lost or incomplete, and of requests whose answer is
+// preceded by the answer to another request.
 const (
 	lostAnswerPercent    = 2
 	crossedAnswerPercent = 2
-	// backoffRejectPercent is the percentage of requests that an upstream rejects while it asks
-	// for a back-off.
+	// backoffRejectPercent is the percentage of requests
+	// that an upstream rejects while it asks for a back-off.
 	backoffRejectPercent = 70
 )
 
@@ -234,8 +235,8 @@
 func answerBody(id string) string { return "answer to " + id }
 
 // stream answers with events, starting after the last event that the caller has received. At random
-// stream closes the connection in the middle of an event, or repeats the last event that the caller
-// has.
+// stream closes the connection in the middle of an event,
+// or repeats the last event that the caller has.
 func (u *upstreams) stream(c *replica.Conn, r *replica.Request, chance int, headers []string) bool {
 	from := r.LastEventID()
 	c.BeginStream(r.ID(), headers...)
@@ -261,8 +262,8 @@
 	return u.runCounts[id]
 }
 
-// pick returns the first position with a running upstream, searching from index n, or nil if there
-// is none.
+// pick returns the first position with a running upstream, searching from index n,
+// or nil if there is none.
 func (u *upstreams) pick(n int) *upstreamPosition {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -361,8 +362,8 @@
 }
 
 // checkQuarantine checks that few poison requests arrived later than settleTime after poison
-// requests had crashed three upstreams. The check applies during faults too, because a quarantine
-// entry outlasts faults.
+// requests had crashed three upstreams. The check applies during faults too,
+// because a quarantine entry outlasts faults.
 func (u *upstreams) checkQuarantine() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/standin/duties/duties.go
+++ b/internal/standin/duties/duties.go
@@ -1,6 +1,6 @@
 // Package duties is a stand-in for the platform's API that receives usage reports and scale
-// orders, which one VM sends on behalf of all. It accepts every fencing token and records
-// violations of the protocol instead of rejecting them. Tests can inject faults.
+// orders, which one VM sends on behalf of all VMs. The stand-in accepts every fencing token and
+// records violations of the protocol instead of rejecting them. Tests can inject faults.
 package duties
 
 import (
@@ -17,8 +17,8 @@
 type Faults struct {
 	// Down answers every call with 503.
 	Down bool
-	// DropAnswers is how many of the next calls are processed but get no answer, because the
-	// connection is closed.
+	// DropAnswers is how many of the next calls are processed but get no answer,
+	// because the connection is closed.
 	DropAnswers int
 	// Refuse is the status that answers every call; zero for none.
 	Refuse int
@@ -61,8 +61,8 @@
 	histories map[string]*callHistory
 }
 
-// callHistory records which VMs made calls of one kind for the same target, and with which fencing
-// tokens.
+// callHistory records which VMs made calls of one kind for the same target,
+// and with which fencing tokens.
 type callHistory struct {
 	maxToken     uint64
 	lastHolder   string
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -28,7 +28,7 @@
 	TokenTime, PrefillTime time.Duration
 	// PrefixCacheSize is how many prompt prefixes are cached. Zero means 32.
 	PrefixCacheSize int
-	// ReportLag is how old the reported load is. Zero means none.
+	// ReportLag is how old the reported load is. Zero means no lag.
 	ReportLag time.Duration
 	// IgnoreFencing makes the engine accept orders with an outdated fencing token.
 	IgnoreFencing bool
@@ -39,14 +39,14 @@
 type Faults struct {
 	// DropBeforeRead is how many of the next connections are closed before the request is read.
 	DropBeforeRead int
-	// DropAfterRun is how many of the next requests run but get no answer, because the connection
-	// is closed.
+	// DropAfterRun is how many of the next requests run but get no answer,
+	// because the connection is closed.
 	DropAfterRun int
 	// TruncateAt is the number of tokens after which the connection of each stream is closed. If
 	// TruncateAt is not zero, any answer other than a stream ends half-way.
 	TruncateAt int
-	// StallAt is the number of tokens after which each stream stalls until the caller disconnects.
-	// Zero means never.
+	// StallAt is the number of tokens after which each stream stalls
+	// until the caller disconnects. Zero means never.
 	StallAt int
 	// Refuse is how many of the next requests are answered with 503.
 	Refuse int
@@ -161,8 +161,8 @@
 	return e.prefixHits
 }
 
-// countDown decrements the counter of a fault and returns whether the fault occurs. The caller
-// holds mu.
+// countDown decrements the counter of a fault and returns whether the fault occurs.
+// The caller holds mu.
 func countDown(n *int) bool {
 	if *n == 0 {
 		return false
@@ -223,8 +223,8 @@
 	}
 }
 
-// cancelWait removes a waiter from the queue. If the waiter has just been given a slot, it
-// releases that slot.
+// cancelWait removes a waiter from the queue.
+// If the waiter has just been given a slot, it releases that slot.
 func (e *Engine) cancelWait(waiting *waiter) {
 	e.mu.Lock()
 	i := slices.Index(e.queue, waiting)
@@ -286,8 +286,8 @@
 	return h.Sum64()
 }
 
-// usePrefix marks a prefix as the most recently used, adds it to the cache if needed, and returns
-// whether it was cached.
+// usePrefix marks a prefix as the most recently used, adds it to the cache if needed,
+// and returns whether it was cached.
 func (e *Engine) usePrefix(hash uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -326,8 +326,7 @@
 	}
 }
 
-// applyOrder loads or unloads a version. It returns false if the order's fencing token is
-// outdated.
+// applyOrder loads or unloads a version. It returns false if the order's fencing token is outdated.
 func (e *Engine) applyOrder(order engine.Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -343,8 +342,8 @@
 	return true
 }
 
-// answerTokens returns the first n tokens of the answer to a prompt. They depend only on the
-// prompt and n.
+// answerTokens returns the first n tokens of the answer to a prompt.
+// They depend only on the prompt and n.
 func answerTokens(messages []engine.Message, n int) []string {
 	raw, _ := json.Marshal(messages)
 	h := fnv.New32a()
--- a/internal/standin/engine/generation.go
+++ b/internal/standin/engine/generation.go
@@ -9,8 +9,8 @@
 	"woaddoor/engine"
 )
 
-// generation is the run of one request. It continues after its connection has closed, so that a
-// stream can be resumed.
+// generation is the run of one request. It continues after its connection has closed,
+// so that a stream can be resumed.
 type generation struct {
 	id, version  string
 	created      int64
@@ -26,8 +26,8 @@
 	progress  chan struct{}
 }
 
-// startGeneration counts a run of the request and stores it under the request id, so that its
-// stream can be resumed.
+// startGeneration counts a run of the request and stores it under the request id,
+// so that its stream can be resumed.
 func (e *Engine) startGeneration(id, version string, req engine.ChatRequest, tokens int) *generation {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &generation{
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -116,7 +116,7 @@
 	return id
 }
 
-// selectVersion returns the version that runs, or "" if the requested one is not loaded.
+// selectVersion returns the version that runs, or "" if the requested version is not loaded.
 func (e *Engine) selectVersion(requested string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/objects/sample.go
+++ b/internal/standin/objects/sample.go
@@ -17,8 +17,8 @@
 // SampleHost is the host of the routes in a SampleDeployment or a Deployment.
 const SampleHost = "a.example"
 
-// PutSample writes the configuration, as the operator would, and the upstream's entry, as the
-// upstream would.
+// PutSample writes the configuration, as the operator would,
+// and the upstream's entry, as the upstream would.
 func (s *Store) PutSample(sample SampleDeployment) {
 	config := map[string]any{
 		"Version": 1,
@@ -83,8 +83,8 @@
 	})
 }
 
-// DeleteUpstream removes an upstream's entry, as the platform does once the upstream stops
-// reporting.
+// DeleteUpstream removes an upstream's entry,
+// as the platform does once the upstream stops reporting.
 func (s *Store) DeleteUpstream(id string) { s.Delete(kindUpstreams, id) }
 
 // StartEvacuation orders the evacuation of a data centre, as the operator would, so that its
--- a/internal/standin/objects/store.go
+++ b/internal/standin/objects/store.go
@@ -36,8 +36,8 @@
 	Down bool
 	// Hang leaves every call unanswered until the fault is cleared or the caller disconnects.
 	Hang bool
-	// DropAnswers is how many of the next writes are applied but get no answer, because the
-	// connection is closed.
+	// DropAnswers is how many of the next writes are applied but get no answer,
+	// because the connection is closed.
 	DropAnswers int
 	// StallWatches makes watches wait until they time out, even if there are changes.
 	StallWatches bool
--- a/internal/standin/replica/caller.go
+++ b/internal/standin/replica/caller.go
@@ -37,7 +37,7 @@
 func HasSignature(resp *http.Response) bool { return resp.Header.Get("X-Response-Signature") != "" }
 
 // LastEventID returns the number of the last stream event that the caller has received, or 0 if
-// there is none.
+// the caller has received no event.
 func (r *Request) LastEventID() int {
 	n, err := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	if err != nil {
--- a/internal/standin/replica/replica.go
+++ b/internal/standin/replica/replica.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// CloseListener closes the listener, so that new connections are refused. Open connections stay open.
+// CloseListener closes the listener, so that new connections are refused.
+// Open connections stay open.
 func (r *Replica) CloseListener() { _ = r.listener.Close() }
 
 // SetHandler replaces the handler.
@@ -146,12 +147,12 @@
 // LeavingHeader is the header line by which an upstream announces that it will end soon.
 const LeavingHeader = "Server-Leaving: 1"
 
-// RetryAfterHeader returns the header line by which an upstream that rejects a request asks for a
-// back-off.
+// RetryAfterHeader returns the header line by which an upstream
+// that rejects a request asks for a back-off.
 func RetryAfterHeader(d time.Duration) string { return fmt.Sprintf("Retry-After: %g", d.Seconds()) }
 
-// LimitHeader returns the header line by which an upstream advertises how many requests per second it
-// accepts from all VMs together.
+// LimitHeader returns the header line by which an upstream advertises how many requests per second
+// the upstream accepts from all VMs together.
 func LimitHeader(perSecond float64) string { return fmt.Sprintf("Server-Limit: %g", perSecond) }
 
 // BeginStream sends the status line and headers of a chunked event stream.
@@ -172,8 +173,8 @@
 // EndStream sends the final chunk of a stream.
 func (c *Conn) EndStream() { fmt.Fprint(c, "0\r\n\r\n") }
 
-// WaitClosed waits for at most bound until the peer closes the connection, and returns whether the
-// peer closed it.
+// WaitClosed waits for at most bound until the peer closes the connection,
+// and returns whether the peer closed it.
 func (c *Conn) WaitClosed(bound time.Duration) bool {
 	_ = c.SetReadDeadline(time.Now().Add(bound))
 	var buf [1]byte
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,5 +1,5 @@
-// Package service is a stand-in for a plain HTTP service. It counts the runs of each call, and
-// tests can inject faults.
+// Package service is a stand-in for a plain HTTP service.
+// It counts the runs of each call, and tests can inject faults.
 package service
 
 import (
@@ -17,8 +17,8 @@
 
 // Faults are the faults of the service, in effect until they are replaced.
 type Faults struct {
-	// DropAfterRun is how many of the next calls run but get no answer, because the connection is
-	// closed.
+	// DropAfterRun is how many of the next calls run but get no answer,
+	// because the connection is closed.
 	DropAfterRun int
 	// DropBeforeRead is how many of the next connections are closed before the call is read.
 	DropBeforeRead int
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -1,6 +1,6 @@
 // Package store is a stand-in for the platform's store: objects with versions, conditional updates
-// and watches, and a VM list. It counts calls and limits the rate of writes, and tests can inject
-// faults.
+// and watches, and a VM list. It counts calls and limits the rate of writes,
+// and tests can inject faults.
 package store
 
 import (
@@ -25,8 +25,8 @@
 	DropRepliesPrefix string
 	// Latency is the time by which each call is delayed.
 	Latency time.Duration
-	// StaleReads answers reads and watches from the state at the time when the fault was set, as a
-	// lagging replica would.
+	// StaleReads answers reads and watches from the state at the time
+	// when the fault was set, as a lagging replica would.
 	StaleReads bool
 	// FreezeVMList answers with the VM list as it was when the fault was set.
 	FreezeVMList bool
@@ -126,8 +126,7 @@
 	client string
 }
 
-// beginCall delays a call by the set latency, and fails if the store is unreachable for the
-// client.
+// beginCall delays a call by the set latency, and fails if the store is unreachable for the client.
 func (v *View) beginCall(ctx context.Context) error {
 	s := v.store
 	s.mu.Lock()
@@ -158,8 +157,8 @@
 	return s.lookup(name)
 }
 
-// lookup returns an object for a read or watch, from the stale state if that fault is set. The
-// caller holds mu.
+// lookup returns an object for a read or watch, from the stale state if the fault StaleReads is
+// set. The caller holds mu.
 func (s *Store) lookup(name string) (store.Object, error) {
 	objects := s.objects
 	if s.faults.StaleReads {
@@ -182,8 +181,8 @@
 	})
 }
 
-// Update replaces an object. It fails with store.ErrConflict if the object does not have the given
-// version.
+// Update replaces an object. It fails with store.ErrConflict
+// if the object does not have the given version.
 func (v *View) Update(ctx context.Context, name string, value []byte, version contract.ObjectVersion) (contract.ObjectVersion, error) {
 	return v.write(ctx, name, value, func(o store.Object, exists bool) error {
 		if !exists || o.Version != version {
--- a/internal/trial/main.go
+++ b/internal/trial/main.go
@@ -1,6 +1,6 @@
 // Command trial starts a small fleet of the real programs on loopback, with stand-ins for external
-// systems, applies a configuration, sends a chat, a stream and a plain call, and keeps running
-// until it is interrupted.
+// systems, applies a configuration, sends a chat, a stream and a plain call,
+// and keeps running until it is interrupted.
 package main
 
 import (
@@ -115,8 +115,8 @@
 	return showBills(ctx, f)
 }
 
-// showBills waits until all requests are filed, and prints the bills and the latest changes of the
-// configuration.
+// showBills waits until all requests are filed,
+// and prints the bills and the latest changes of the configuration.
 func showBills(ctx context.Context, f *fleet.Fleet) error {
 	operator := f.Operator()
 	if err := fleet.WaitFor(ctx, func() bool {
--- a/internal/trial/platform.go
+++ b/internal/trial/platform.go
@@ -17,8 +17,8 @@
 	"woaddoor/internal/standin/replica"
 )
 
-// platformSetup is one woaddoor-vm with stand-ins for the store and an upstream of the users'
-// platform.
+// platformSetup is one woaddoor-vm with stand-ins for the store
+// and an upstream of the users' platform.
 type platformSetup struct {
 	vm            *exec.Cmd
 	callerAddress string
@@ -29,8 +29,8 @@
 // workspaceKey is the key of the workspace whose requests this command (trial) sends.
 const workspaceKey = "trial-key"
 
-// startPlatform starts a stand-in store, an upstream and a woaddoor-vm, and sends one stream
-// through them.
+// startPlatform starts a stand-in store, an upstream and a woaddoor-vm, and receives one stream
+// from the upstream through the woaddoor-vm.
 func startPlatform(ctx context.Context, dir string) (*platformSetup, error) {
 	p := &platformSetup{}
 	if err := p.start(dir); err != nil {
--- a/keys/address.go
+++ b/keys/address.go
@@ -27,8 +27,8 @@
 	return &AddressIdentity{certificate: tls.Certificate{Certificate: [][]byte{der}, PrivateKey: privateKey}, isKnown: isKnown}, nil
 }
 
-// VerifyPeer returns the IP address of a peer, or ErrUnknownPeer if this address does not belong
-// to a known VM.
+// VerifyPeer returns the IP address of a peer,
+// or ErrUnknownPeer if this address does not belong to a known VM.
 func (a *AddressIdentity) VerifyPeer(_ [][]byte, address net.Addr) (string, error) {
 	host, _, err := net.SplitHostPort(address.String())
 	if err != nil {
@@ -51,8 +51,7 @@
 		// twice as long. That is too slow on a VM with a fifth of a core that
 		// dozens of other VMs call at once after a loss of power.
 		CurvePreferences: []tls.CurveID{tls.X25519},
-		// There is no certificate authority and no pinned key: the address
-		// identifies the peer.
+		// There is no certificate authority and no pinned key: the address identifies the peer.
 		InsecureSkipVerify: true,
 		VerifyPeerCertificate: func([][]byte, [][]*x509.Certificate) error {
 			return nil
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -37,8 +37,8 @@
 	Certificate tls.Certificate
 	// Pins maps each pinned key to the name of the peer that it belongs to.
 	Pins map[Pin]string
-	// SigningKey is the key that signs session tokens and tickets. All processes of
-	// the fleet share it.
+	// SigningKey is the key that signs session tokens and tickets.
+	// All processes of the fleet share it.
 	SigningKey []byte
 }
 
@@ -50,16 +50,14 @@
 	signingKeySize = 32 // bytes
 )
 
-// ErrUnknownPeer means that a peer presented no pinned key, or that its IP address
-// belongs to no known VM.
+// ErrUnknownPeer means that a peer presented no pinned key,
+// or that its IP address belongs to no known VM.
 var ErrUnknownPeer = errors.New("peer's key is not pinned")
 
-// certificateLifetime is long because keys are revoked by removing their pins, not by
-// expiry.
+// certificateLifetime is long because keys are revoked by removing their pins, not by expiry.
 const certificateLifetime = 20 * 365 * 24 * time.Hour
 
-// HashAPIKey returns the hash of a workspace's API key. Settings identify the API key by
-// this hash.
+// HashAPIKey returns the hash of a workspace's API key. Settings identify the API key by this hash.
 func HashAPIKey(key string) config.KeyHash {
 	sum := sha256.Sum256([]byte(key))
 	return config.KeyHash(hex.EncodeToString(sum[:]))
@@ -100,8 +98,8 @@
 	return os.WriteFile(filepath.Join(dir, SigningFile), []byte(hex.EncodeToString(signingKey)+"\n"), 0o600)
 }
 
-// writeKeyPair generates a certificate and its private key, writes both to a PEM file,
-// and returns the pin.
+// writeKeyPair generates a certificate and its private key,
+// writes both to a PEM file, and returns the pin.
 func writeKeyPair(path, name string) (Pin, error) {
 	der, privateKey, err := newCertificate(name)
 	if err != nil {
@@ -119,8 +117,7 @@
 	return PinOf(der)
 }
 
-// newCertificate returns a new self-signed certificate in DER encoding, and its private
-// key.
+// newCertificate returns a new self-signed certificate in DER encoding, and its private key.
 func newCertificate(name string) ([]byte, ed25519.PrivateKey, error) {
 	publicKey, privateKey, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -181,8 +178,8 @@
 }
 
 // VerifyPeer returns the name of the peer whose pinned key is in the first certificate, or
-// ErrUnknownPeer if that key is not pinned. It compares the key with every pin, each in
-// constant time.
+// ErrUnknownPeer if that key is not pinned.
+// It compares the key with every pin, each in constant time.
 func (s *KeySet) VerifyPeer(raw [][]byte, _ net.Addr) (string, error) {
 	if len(raw) == 0 {
 		return "", ErrUnknownPeer
--- a/logs/logs.go
+++ b/logs/logs.go
@@ -14,8 +14,8 @@
 	"woaddoor/contract"
 )
 
-// New returns a logger that writes to w and adds the fields to every line, directly after
-// the time and the event.
+// New returns a logger that writes to w and adds the fields to every line,
+// directly after the time and the event.
 func New(w io.Writer, fields ...zap.Field) *zap.Logger {
 	core := zapcore.NewCore(newEncoder(), zapcore.Lock(zapcore.AddSync(w)), zapcore.InfoLevel)
 	return zap.New(core).With(fields...)
--- a/logs/queue.go
+++ b/logs/queue.go
@@ -18,8 +18,7 @@
 	// reservedForWarnings is the part of the queue that only warnings and errors may
 	// use, so that lines of lower levels are dropped first.
 	reservedForWarnings = maxQueuedLines / 4
-	// maxBatchBytes is the size at which a batch of lines is written. One more line may
-	// exceed it.
+	// maxBatchBytes is the size at which a batch of lines is written. One more line may exceed it.
 	maxBatchBytes = 32 << 10
 )
 
@@ -79,8 +78,7 @@
 	}
 }
 
-// fillBatch appends queued lines to batch until it reaches maxBatchBytes or the queue is
-// empty.
+// fillBatch appends queued lines to batch until it reaches maxBatchBytes or the queue is empty.
 func (q *LineQueue) fillBatch(batch []byte) []byte {
 	for len(batch) < maxBatchBytes {
 		select {
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -1,6 +1,6 @@
 // Package operator implements the operations of the woaddoor command: it plans and
-// applies configuration files, withdraws versions, and shows which revision is in
-// force on which VM.
+// applies configuration files, withdraws versions,
+// and shows which revision is in force on which VM.
 package operator
 
 import (
@@ -32,7 +32,7 @@
 var ErrNoBaseRevision = errors.New("the file does not name the revision that it is based on")
 
 // StaleError means that a file is based on an older revision than the accepted
-// one. Applying it would undo the changes that were accepted since that revision.
+// revision. Applying the file would undo the changes that were accepted since the older revision.
 type StaleError struct {
 	BaseRevision, AcceptedRevision contract.Revision
 	NewerChanges                   []document.Change
@@ -59,8 +59,7 @@
 	sections     map[string]document.Section
 }
 
-// Plan validates a file and compares it with the accepted configuration, without
-// changing anything.
+// Plan validates a file and compares it with the accepted configuration, without changing anything.
 func (o *Operator) Plan(ctx context.Context, name string, text []byte) (*Plan, error) {
 	_, f, err := config.Parse(name, text)
 	if err != nil {
@@ -167,8 +166,7 @@
 // ErrUnknownVersion means that the configuration does not declare the version.
 var ErrUnknownVersion = errors.New("the configuration does not declare the version")
 
-// Withdraw withdraws a version, even if others change the configuration at the
-// same time.
+// Withdraw withdraws a version, even if other operators change the configuration at the same time.
 func (o *Operator) Withdraw(ctx context.Context, v contract.VersionID, info history.ChangeInfo) (document.Root, error) {
 	for n := 1; ; n++ {
 		base, err := history.Load(ctx, o.Store)
@@ -214,8 +212,8 @@
 	return sections, text != old, nil
 }
 
-// RevisionStatus returns the VMs on which a revision is in force, and the VMs on which the
-// revision is pending.
+// RevisionStatus returns the VMs on which a revision is in force,
+// and the VMs on which the revision is pending.
 func (o *Operator) RevisionStatus(ctx context.Context, root document.Root) (datacentre.RevisionStatus, error) {
 	statuses, err := o.statuses(ctx)
 	if err != nil {
@@ -265,8 +263,8 @@
 
 // olderExpireAt returns the time from which no VM can act on a configuration
 // older than root. A VM without updates acts on a configuration for at most the
-// LongestServeWithoutUpdate of this configuration, counted from the acceptance of the next
-// configuration.
+// LongestServeWithoutUpdate of this configuration,
+// counted from the acceptance of the next configuration.
 func (o *Operator) olderExpireAt(ctx context.Context, root document.Root) (time.Time, error) {
 	latest := time.Time{}
 	nextAcceptedAt := time.Time{}
--- a/peek/peek.go
+++ b/peek/peek.go
@@ -1,5 +1,4 @@
-// Package peek checks whether unread bytes have arrived on a connection, without
-// consuming them.
+// Package peek checks whether unread bytes have arrived on a connection, without consuming them.
 package peek
 
 import (
--- a/settings/duties.go
+++ b/settings/duties.go
@@ -10,15 +10,14 @@
 // Duties configures the duties that one VM, the holder of a lease, performs on
 // behalf of all VMs by calls to the platform. The zero value means no duties.
 type Duties struct {
-	// Address is the TCP address of the platform that receives the calls. Empty
-	// means no duties.
+	// Address is the TCP address of the platform that receives the calls. Empty means no duties.
 	Address string
 	// Names are the duties to perform, under the platform's names for them, such
 	// as metering and autoscale.
 	Names []string
 	// Lease is how long a VM holds the lease without renewing the lease in the platform's
-	// object store. A setting below minLease is raised to minLease, because a longer lease
-	// breaks no guarantee.
+	// object store. A setting below minLease is raised to minLease,
+	// because a longer lease breaks no guarantee.
 	Lease time.Duration
 	// UsageWindow is the length of a usage reporting window. UsageReportDeadline is
 	// how long after the end of a window the report of the window is due.
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -36,8 +36,7 @@
 	Health string
 	// LinkAddress is the UDP address for links from other daemons of the system.
 	LinkAddress string
-	// AdvertisedLink is the link address announced to other daemons. Empty means
-	// LinkAddress.
+	// AdvertisedLink is the link address announced to other daemons. Empty means LinkAddress.
 	AdvertisedLink string
 	// MaxBody is the maximum size of a request body. Zero means 1 MiB.
 	MaxBody contract.Bytes
@@ -51,12 +50,11 @@
 	// MaxBills is the maximum number of bill records kept in memory until they are
 	// filed with the platform. Zero means 100000.
 	MaxBills int
-	// DrainTimeout is the longest time that a planned shutdown waits for requests in flight.
-	// Zero means 1 h.
+	// DrainTimeout is the longest time that a planned shutdown waits
+	// for requests in flight. Zero means 1 h.
 	DrainTimeout time.Duration
 	// StallAfter is the gap between two chunks of a stream after which the
-	// upstream counts as stalled, regardless of the stream's usual pace. Zero means
-	// 10 s.
+	// upstream counts as stalled, regardless of the stream's usual pace. Zero means 10 s.
 	StallAfter time.Duration
 }
 
@@ -66,16 +64,14 @@
 	Health string
 	// LinkAddress is the UDP address for links from other daemons of the system.
 	LinkAddress string
-	// AdvertisedLink is the link address announced to other daemons. Empty means
-	// LinkAddress.
+	// AdvertisedLink is the link address announced to other daemons. Empty means LinkAddress.
 	AdvertisedLink string
-	// Watchers is how many VMs of a data centre watch the platform for changes.
-	// Zero means 2.
+	// Watchers is how many VMs of a data centre watch the platform for changes. Zero means 2.
 	Watchers int
 	// WatchWait is how long one watch request stays open. Zero means 1 s.
 	WatchWait time.Duration
-	// BillFilingInterval is the longest time that bill records wait to be filed in one batch.
-	// Zero means 1 s.
+	// BillFilingInterval is the longest time that bill records wait
+	// to be filed in one batch. Zero means 1 s.
 	BillFilingInterval time.Duration
 }
 
--- a/settings/vm.go
+++ b/settings/vm.go
@@ -15,8 +15,8 @@
 )
 
 // VM holds the settings of woaddoor-vm, the only process of a VM on the users'
-// platform. It contains every limit that a deployment can set; the rest of the code has
-// only defaults.
+// platform. It contains every limit that a deployment can set;
+// the rest of the code has only defaults.
 type VM struct {
 	Name       contract.VMID
 	DataCentre contract.DataCentreID
@@ -29,15 +29,15 @@
 	Store   string
 	Machine Machine
 	Bounds  Bounds
-	// Duties configures what one VM does on behalf of all VMs.
+	// Duties configures the calls to the platform that one VM makes on behalf of all VMs.
 	Duties Duties
 	// Policy is the upstream selection policy. It lists the disabled mechanisms: no mechanism
 	// is disabled, except in experiments that measure the benefit of one mechanism.
 	Policy upstream.Policy
 	// ValueCostRatio is the value of a request of the highest rank divided by the
 	// cost of an answer from the most expensive model. MaxEscalationPrice is the price
-	// of an escalation when the retry budget is almost used up, as a fraction of the
-	// value of the request.
+	// of an escalation when the retry budget is almost used up,
+	// as a fraction of the value of the request.
 	ValueCostRatio, MaxEscalationPrice float64
 }
 
@@ -97,7 +97,7 @@
 	callerDescriptorShare = 0.5
 )
 
-// Resources of one capacity unit. The smallest known machines have these.
+// Resources of one capacity unit. The smallest known machines have these resources.
 const (
 	coresPerCapacityUnit    = 0.1  // cores
 	linkMbpsPerCapacityUnit = 10.0 // megabits per second
@@ -119,16 +119,16 @@
 	return max(int(callerDescriptorShare*float64(m.FileDescriptors-reservedDescriptors)), 1)
 }
 
-// Listen holds the addresses on which a VM listens, and those of other VMs to contact.
+// Listen holds the addresses on which a VM listens, and the addresses of other VMs to contact.
 type Listen struct {
-	// Callers is the TCP address for requests, and Ready the one for the load
+	// Callers is the TCP address for requests, and Ready the TCP address for the load
 	// balancer's readiness checks.
 	Callers, Ready string
 	// Links is the UDP address for links from other VMs.
 	Links string
 	// Seeds are link addresses of VMs to contact at the start. Some of these addresses may be
-	// down or no longer belong to a VM. If this VM is a seed itself, its own address is one of
-	// the Seeds.
+	// down or no longer belong to a VM. If this VM is a seed itself,
+	// its own address is one of the Seeds.
 	Seeds []string
 	// Metrics is the TCP address that serves metrics. Empty means none.
 	Metrics string
@@ -149,11 +149,11 @@
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetrySlack  float64
-	// CanaryShare is the maximum fraction of requests that a bad release of the upstreams'
-	// software may receive.
+	// CanaryShare is the maximum fraction of requests that a bad release
+	// of the upstreams' software may receive.
 	CanaryShare float64
-	// MaxBackoff is the longest back-off that a VM grants to an upstream which asks
-	// the VM for a back-off.
+	// MaxBackoff is the longest back-off that a VM grants
+	// to an upstream which asks the VM for a back-off.
 	MaxBackoff time.Duration
 	// Evacuation is the longest time that upstreams of a data centre may still receive
 	// requests after the evacuation of the data centre is ordered. Zero disables evacuations.
@@ -164,8 +164,7 @@
 	ColdOvershoot, ColdSlack float64
 }
 
-// Defaults of omitted bounds. Each default is the smallest value in the known
-// deployments.
+// Defaults of omitted bounds. Each default is the smallest value in the known deployments.
 const (
 	defaultUpstreamDrain      = 2 * time.Second
 	defaultShutdownGrace      = 8 * time.Second
--- a/sign/sign.go
+++ b/sign/sign.go
@@ -15,8 +15,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrInvalidSignature means that a text is malformed, or was not signed with this key for this
-// purpose.
+// ErrInvalidSignature means that a text is malformed,
+// or was not signed with this key for this purpose.
 var ErrInvalidSignature = errors.New("signature is not valid")
 
 // maxTextLength is the maximum length of a signed text in bytes.
@@ -52,8 +52,8 @@
 	return content + separator + base64.RawURLEncoding.EncodeToString(k.mac(content)), nil
 }
 
-// Verify verifies a signed text and decodes its content into v. It decodes nothing if the
-// signature is not valid.
+// Verify verifies a signed text and decodes its content into v.
+// It decodes nothing if the signature is not valid.
 func (k *Key) Verify(text string, v any) error {
 	content, signature, ok := strings.Cut(text, separator)
 	if !ok || len(text) > maxTextLength {
--- a/store/http.go
+++ b/store/http.go
@@ -41,8 +41,7 @@
 	return contract.ObjectVersion(n), err
 }
 
-// Client accesses the platform's object API over HTTP. Entity tags carry the object
-// versions.
+// Client accesses the platform's object API over HTTP. Entity tags carry the object versions.
 type Client struct {
 	baseURL    string
 	httpClient *http.Client
@@ -57,8 +56,8 @@
 	Timeout time.Duration
 }
 
-// defaultTimeout is the Timeout if Options sets none. The platform normally answers
-// within milliseconds.
+// defaultTimeout is the Timeout if Options sets none.
+// The platform normally answers within milliseconds.
 const defaultTimeout = 2 * time.Second
 
 // NewClient returns a client for the platform's API at opts.URL.
@@ -85,8 +84,8 @@
 	return c.getObject(ctx, name, ETag(after), "?"+ParamWait+"="+min(wait, maxWatchWait).String())
 }
 
-// getObject reads an object. A non-empty tag is sent as If-None-Match; query is
-// appended to the URL.
+// getObject reads an object. A non-empty tag is sent as If-None-Match;
+// query is appended to the URL.
 func (c *Client) getObject(ctx context.Context, name, tag, query string) (Object, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+ObjectsPath+name+query, nil)
 	if err != nil {
@@ -108,8 +107,7 @@
 	return c.putObject(ctx, name, value, HeaderIfNoneMatch, "*", ErrExists)
 }
 
-// Update replaces the object if it still has the given version, or else returns
-// ErrConflict.
+// Update replaces the object if it still has the given version, or else returns ErrConflict.
 func (c *Client) Update(ctx context.Context, name string, value []byte, version contract.ObjectVersion) (contract.ObjectVersion, error) {
 	return c.putObject(ctx, name, value, HeaderIfMatch, ETag(version), ErrConflict)
 }
@@ -136,8 +134,8 @@
 	return ParseETag(respHeader.Get(HeaderETag))
 }
 
-// List returns the names of objects that begin with prefix and sort after the name in the
-// argument after.
+// List returns the names of objects that begin with prefix
+// and sort after the name in the argument after.
 func (c *Client) List(ctx context.Context, prefix, after string) ([]string, error) {
 	query := url.Values{ParamPrefix: {prefix}, ParamAfter: {after}}
 	var names []string
--- a/store/store.go
+++ b/store/store.go
@@ -13,7 +13,7 @@
 	"woaddoor/contract"
 )
 
-// Object is a named value in the store, and its version.
+// Object is a named value in the platform's object store, and the version of this value.
 type Object struct {
 	Name    string
 	Version contract.ObjectVersion
@@ -36,13 +36,12 @@
 // out, and never repeat the write without reading. A write that arrives late is
 // harmless, because every write is conditional.
 type Store interface {
-	// Read returns an object, or ErrNotFound. The answer may come from a lagging
-	// replica of the platform.
+	// Read returns an object, or ErrNotFound.
+	// The answer may come from a lagging replica of the platform.
 	Read(ctx context.Context, name string) (Object, error)
 	// Create writes a new object, or returns ErrExists.
 	Create(ctx context.Context, name string, value []byte) (contract.ObjectVersion, error)
-	// Update replaces the object if it still has the given version, or else
-	// returns ErrConflict.
+	// Update replaces the object if it still has the given version, or else returns ErrConflict.
 	Update(ctx context.Context, name string, value []byte, version contract.ObjectVersion) (contract.ObjectVersion, error)
 	// List returns a sorted page of at most ListPageSize names. The names begin with
 	// prefix and sort after the name in the argument after.
