--- a/settings/vm.go
+++ b/settings/vm.go
@@ -144,8 +144,8 @@
 	// ConfigurationApply is the longest time until a new configuration is in force.
 	ConfigurationApply time.Duration
 	// RetryRatio, RetryWindow and RetrySlack limit the retries of all VMs together.
-	// In each window of length RetryWindow, all VMs together may make at most RetryRatio
-	// times the number of requests, plus RetrySlack, retries.
+	// In each window of length RetryWindow, the number of retries may be at most
+	// RetryRatio times the number of requests, plus RetrySlack.
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetrySlack  float64
