--- a/config/build.go
+++ b/config/build.go
@@ -21,13 +21,13 @@
 	kindPool      = "pool"
 	kindService   = "service"
 	kindProgress  = "progress"
-	// KindConfiguration is the section that names the revision a file is based
-	// on. It is not part of the stored document.
+	// KindConfiguration is the section that names the revision on which a file is based.
+	// This section is not part of the stored document.
 	KindConfiguration = "configuration"
 )
 
-// ProgressSectionName returns the name of the section that stores the progress of
-// the roll-out of model m.
+// ProgressSectionName returns the name of the section
+// that stores the progress of the roll-out of model m.
 func ProgressSectionName(m contract.ModelID) string { return kindProgress + " " + string(m) }
 
 // VersionSectionName returns the name of the section that declares version v.
@@ -275,8 +275,8 @@
 	c.Services[id] = s
 }
 
-// Repeatable reports whether a call of the service may run more than once: it
-// may, unless it matches a pattern in NotRepeatable.
+// Repeatable reports whether a call of the service may run more than once. A call may,
+// unless the call matches a pattern in NotRepeatable.
 func (s *Service) Repeatable(method, path string) bool {
 	for _, p := range s.NotRepeatable {
 		prefix, isPrefix := strings.CutSuffix(p.Path, "*")
--- a/config/config.go
+++ b/config/config.go
@@ -31,21 +31,21 @@
 // are never stored in a file or written to a log.
 type KeyHash string
 
-// BillPolicy is what a VM does with a request when neither a peer nor the platform can
-// store its bill record.
+// BillPolicy is what a VM does with a request
+// when neither a peer nor the platform can store its bill record.
 type BillPolicy string
 
 // The policies for requests whose bill record cannot be stored.
 const (
 	// BillRefuse refuses the request, so that no unbilled request runs.
 	BillRefuse BillPolicy = "refuse"
-	// BillServe serves the request, and counts its amount as at risk of not
-	// being billed.
+	// BillServe serves the request, and counts the amount of the request as at risk,
+	// because it may never be billed.
 	BillServe BillPolicy = "serve"
 )
 
-// Workspace is a customer: the versions that it may use, and its share of the
-// capacity.
+// Workspace is a customer: the versions of models that the customer may use, and the
+// customer's share of the capacity.
 type Workspace struct {
 	ID      contract.WorkspaceID
 	KeyHash KeyHash
@@ -62,8 +62,7 @@
 	BillPolicy BillPolicy
 }
 
-// Model declares a model, its prices, and the version that serves it outside a
-// roll-out.
+// Model declares a model, its prices, and the version that serves it outside a roll-out.
 type Model struct {
 	ID             contract.ModelID
 	ServingVersion contract.VersionID
@@ -79,7 +78,7 @@
 const (
 	// Serving versions accept new sessions and requests.
 	Serving VersionState = "serving"
-	// Draining versions continue their open sessions and accept no new ones.
+	// Draining versions continue their open sessions and accept no new sessions.
 	Draining VersionState = "draining"
 	// Withdrawn versions never accept new work again.
 	Withdrawn VersionState = "withdrawn"
@@ -95,21 +94,21 @@
 	ServeWithoutUpdate time.Duration
 }
 
-// MaxServeWithoutUpdate is the longest that a version may be served without a
-// configuration update. Because of this bound, only changes that are more recent
-// have to be read to compute when a withdrawal is in force on every VM.
+// MaxServeWithoutUpdate is the longest time that a version may be served without a
+// configuration update. Because of this bound, only changes more recent than
+// MaxServeWithoutUpdate have to be read to compute when a withdrawal is in force on every VM.
 const MaxServeWithoutUpdate = 48 * time.Hour
 
-// DefaultServeWithoutUpdate applies to a version without the setting. It bounds
+// DefaultServeWithoutUpdate applies to a version that sets no ServeWithoutUpdate. It bounds
 // how long a data centre from which the platform is unreachable keeps serving, and
 // how long a withdrawal may stay pending.
 const DefaultServeWithoutUpdate = 2 * time.Minute
 
 // Cascade is a list of models. A request is sent to a cheaper model first, and to a
-// more expensive one only if the answer is poor.
+// more expensive model only if the answer is poor.
 type Cascade struct {
 	Name string
-	// Models has at least two models, ordered by cost, cheapest first.
+	// Models has at least two models, ordered by cost, the cheapest model first.
 	Models []contract.ModelID
 }
 
@@ -118,18 +117,18 @@
 	Model contract.ModelID
 	From  contract.VersionID
 	To    contract.VersionID
-	// Steps are the rising percentages of new sessions that the new version gets
-	// at each step.
+	// Steps are the rising percentages of new sessions that the new version gets, one
+	// percentage for each step of the roll-out.
 	Steps []float64
 	// GoodRate and BadRate are the rates of bad answers that the sequential test
-	// distinguishes: a version at GoodRate passes, and one at BadRate is halted.
+	// distinguishes: a version at GoodRate passes, and a version at BadRate is halted.
 	GoodRate, BadRate float64
 	// FalseAlarmProbability is the accepted probability of halting a good version.
 	FalseAlarmProbability float64
 	// MissProbability is the accepted probability of passing a bad version.
 	MissProbability float64
-	// RatingTimeout is how long no rating of the new version may arrive before the
-	// roll-out is halted.
+	// RatingTimeout is how long no rating of the new version may arrive
+	// before the roll-out is halted.
 	RatingTimeout time.Duration
 }
 
@@ -144,7 +143,7 @@
 )
 
 // Progress is the current step and state of a roll-out. Only the system writes
-// it; an operator's file must not contain it.
+// the progress; an operator's file must not contain any.
 type Progress struct {
 	Model contract.ModelID
 	To    contract.VersionID
@@ -152,7 +151,7 @@
 	State RolloutState
 }
 
-// PoolKind is whether a pool holds model engines or plain services.
+// PoolKind states whether a pool holds model engines or plain services.
 type PoolKind string
 
 // The kinds of pools.
@@ -161,12 +160,11 @@
 	ServicePool PoolKind = "service"
 )
 
-// FencingMode is how a pool's engines treat an order that carries an outdated
-// fencing token.
+// FencingMode is how a pool's engines treat an order that carries an outdated fencing token.
 type FencingMode string
 
-// The fencing modes. Engines refuse orders with an outdated fencing token if it is
-// enforced, and otherwise do not check it.
+// The fencing modes. Engines refuse orders with an outdated fencing token if fencing is
+// enforced, and otherwise do not check the token.
 const (
 	FencingEnforced FencingMode = "refuses"
 	FencingIgnored  FencingMode = "ignores"
@@ -198,16 +196,15 @@
 	URL string
 }
 
-// Service is a plain HTTP service without a model, served by pools of kind
-// "service".
+// Service is a plain HTTP service without a model, served by pools of kind "service".
 type Service struct {
 	ID    contract.ServiceID
 	Pools []contract.PoolID
-	// NotRepeatable lists the calls that must run at most once, so a failed one is
-	// not retried.
+	// NotRepeatable lists the calls that must run at most once.
+	// A VM does not retry such a call after a failure.
 	NotRepeatable []CallPattern
-	// Price is the price of one call, in millionths of the currency unit. Zero
-	// means free of charge.
+	// Price is the price of one call, in millionths
+	// of the currency unit. Zero means free of charge.
 	Price contract.Money
 }
 
@@ -236,7 +233,7 @@
 
 // LongestServeWithoutUpdate returns the maximum of ServeWithoutUpdate over all
 // versions. A VM that does not receive the next change stops acting on this
-// configuration within that time.
+// configuration within LongestServeWithoutUpdate.
 func (c *Config) LongestServeWithoutUpdate() time.Duration {
 	longest := time.Duration(0)
 	for id := range c.Versions {
--- a/daemon/vm.go
+++ b/daemon/vm.go
@@ -70,8 +70,8 @@
 	registry     metrics.Registry
 	stopping     atomic.Bool
 	// lease is the lease whose holder acts on behalf of all VMs, and usage counts the
-	// requests for its usage reports. They are nil if the deployment does not configure
-	// them.
+	// requests for the holder's usage reports. Each of lease and usage is nil if the
+	// deployment does not configure it.
 	lease *leader.LeaseClient
 	usage *leader.UsageLedger
 	// callers is the listener for callers, which tracks their connections.
@@ -83,12 +83,11 @@
 const gcPercent = 50
 
 // memoryLimitShare is the fraction of the machine's memory that is set as the memory limit of
-// the garbage collector. The rest is for the kernel's connection buffers, which count
-// towards the machine's memory as well.
+// the garbage collector. The rest of the memory is for the kernel's connection buffers,
+// which count towards the machine's memory as well.
 const memoryLimitShare = 0.6
 
-// logFlushTimeout is the longest wait for queued log lines to be written at the end of the
-// process.
+// logFlushTimeout is the longest wait for queued log lines to be written at the end of the process.
 const logFlushTimeout = 200 * time.Millisecond
 
 // runVM runs woaddoor-vm until a signal ends it, and returns the exit code.
@@ -166,16 +165,16 @@
 	return nil
 }
 
-// Limits of callers' connections. They are fixed, because the limits in the configuration
-// are not known yet when the HTTP servers are created. Clients stay within these limits.
+// Limits of callers' connections. These limits are fixed, because the limits in the configuration
+// are not known yet when the HTTP servers are created. Clients stay within the fixed limits.
 const (
 	headerTimeout  = 10 * time.Second
 	idleTimeout    = 3 * time.Minute
 	maxHeaderBytes = 64 << 10
 )
 
-// listen opens the listeners of the VM. The error about an address that is in use names
-// its settings key.
+// listen opens the listeners of the VM. The error about an address
+// that is in use names its settings key.
 func (v *vmProcess) listen() error {
 	front := &platform.Handler{
 		Relay: v.relay, Table: v.site.Table, WaitReady: v.site.AwaitReady, Now: time.Now, CloseConnections: v.stopping.Load,
@@ -220,8 +219,8 @@
 
 // serveReadiness answers the readiness check of the load balancer, which sends new
 // connections only to VMs that are ready. A VM is not ready while it stops, before it
-// knows a configuration and the upstreams, and while all upstreams of a service have been
-// unreachable for a while.
+// knows a configuration and the upstreams,
+// and while all upstreams of a service have been unreachable for a while.
 func (v *vmProcess) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if v.stopping.Load() || !v.site.Ready() || v.relay.Isolated() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -231,7 +230,7 @@
 }
 
 // balancerDetectionTime is how long the load balancer keeps sending connections to a VM that
-// is no longer ready: it checks every second and needs two failed checks.
+// is no longer ready: the balancer checks every second and needs two failed checks.
 const balancerDetectionTime = 2500 * time.Millisecond
 
 // waitForSignals handles signals until SIGTERM or SIGINT, and then shuts the process down.
@@ -250,7 +249,7 @@
 }
 
 // reload reads the settings again, checks them, and logs whether they differ from the
-// current ones. Changed settings take effect at the next start, because addresses and
+// current settings. Changed settings take effect at the next start, because addresses and
 // bounds cannot change while the process runs.
 func (v *vmProcess) reload() {
 	s, err := settings.LoadVM(v.settingsPath)
@@ -263,7 +262,7 @@
 
 // shutDown ends the process without aborting a request. It first reports to the load
 // balancer that the VM is not ready, and closes connections after the balancer has
-// stopped sending new ones.
+// stopped sending new connections.
 func (v *vmProcess) shutDown() {
 	v.stopping.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), v.settings.Bounds.ShutdownGrace-shutdownMargin)
--- a/drain/drain.go
+++ b/drain/drain.go
@@ -21,8 +21,7 @@
 // Timings of a shutdown.
 const (
 	// minIdle is how long no byte must have been read from a connection before it may
-	// be closed. The server may have read a request and not yet reported the
-	// connection as active.
+	// be closed. The server may have read a request and not yet reported the connection as active.
 	minIdle = 300 * time.Millisecond
 	// pollInterval is how often a shutdown checks which connections can be closed.
 	pollInterval = 25 * time.Millisecond
@@ -41,8 +40,8 @@
 	conns map[*conn]bool
 }
 
-// NewListener wraps l in a Listener that keeps at most maxConns connections open. Zero means
-// no limit.
+// NewListener wraps l in a Listener that keeps at most maxConns connections open.
+// Zero means no limit.
 func NewListener(l net.Listener, maxConns int) *Listener {
 	return &Listener{Listener: l, maxConns: maxConns, conns: make(map[*conn]bool)}
 }
@@ -63,9 +62,9 @@
 }
 
 // Accept waits for the next connection. At the connection limit it closes the
-// connection that has been idle longest to make room. If none is idle, it closes the
-// new connection before anything is read from it, so that the client can safely try
-// another VM.
+// connection that has been idle longest to make room. If no connection is idle, Accept
+// closes the new connection before anything is read from it,
+// so that the client can safely try another VM.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		accepted, err := l.Listener.Accept()
@@ -86,8 +85,8 @@
 	}
 }
 
-// admit registers a connection and reports whether it did. At the connection limit it
-// closes the connection that has been idle longest, or returns false if none is idle.
+// admit registers a connection and reports whether it did. At the connection limit admit
+// closes the connection that has been idle longest, or returns false if no connection is idle.
 func (l *Listener) admit(c *conn, now time.Time) bool {
 	l.mu.Lock()
 	var longestIdle *conn
@@ -128,8 +127,8 @@
 }
 
 // ConnState records the state of a connection, as reported by the server. While the
-// server drains, it closes a connection that becomes idle, unless the next request has
-// already arrived on it.
+// server drains, it closes a connection that becomes idle,
+// unless the next request has already arrived on it.
 func (l *Listener) ConnState(nc net.Conn, s http.ConnState) {
 	c, ok := nc.(*conn)
 	if !ok {
@@ -145,8 +144,8 @@
 // requests then, because they might not finish before the process exits.
 func (l *Listener) Draining() bool { return l.draining.Load() }
 
-// Drain stops accepting connections and closes the open ones as they become idle, until
-// none is left or ctx is done. It reports whether all connections were closed.
+// Drain stops accepting connections and closes the open connections as they become idle, until
+// no connection is left or ctx is done. It reports whether all connections were closed.
 func (l *Listener) Drain(ctx context.Context) bool {
 	l.draining.Store(true)
 	_ = l.Listener.Close() // accepted connections stay open
@@ -164,8 +163,8 @@
 	}
 }
 
-// closeClosable closes the connections that have no request in progress and returns how
-// many remain.
+// closeClosable closes the connections that have no request in progress
+// and returns how many connections remain.
 func (l *Listener) closeClosable(now time.Time) int {
 	var closing []*conn
 	l.mu.Lock()
@@ -182,8 +181,8 @@
 	return left
 }
 
-// closable reports whether no request is in progress on the connection and none has
-// arrived on it.
+// closable reports whether no request is in progress on the connection and no further
+// request has arrived on the connection.
 func (c *conn) closable(now time.Time) bool {
 	return c.serverIdle.Load() && now.Sub(time.Unix(0, c.lastRead.Load())) > minIdle && !c.hasUnread()
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -155,8 +155,8 @@
 
 // Ports are allocated from a range below the system's ephemeral ports, starting
 // at a position derived from the process ID. Otherwise another fleet or an outgoing
-// connection could take a port after it is chosen and before its program starts.
-// endPort is exclusive.
+// connection could take a port after the port is chosen and before its program starts.
+// The range ends before endPort.
 const (
 	firstPort = 10_000
 	endPort   = 20_000
@@ -207,8 +207,7 @@
 	return &operator.Operator{Store: client, VMs: client, Now: time.Now}
 }
 
-// StartVM starts both processes of a VM. It also restarts a VM whose processes
-// have ended.
+// StartVM starts both processes of a VM. It also restarts a VM whose processes have ended.
 func (f *Fleet) StartVM(vm *VM) error {
 	if err := f.StartControl(vm); err != nil {
 		return err
@@ -235,8 +234,8 @@
 	return filepath.Join(f.opts.WorkDir, string(vm.Name)+"-"+program+".log")
 }
 
-// CutFromPeers blocks the links between data centre dc and all others when cut
-// is true, and restores them when cut is false.
+// CutFromPeers blocks the links between data centre dc and all other data centres when
+// cut is true, and restores these links when cut is false.
 func (f *Fleet) CutFromPeers(dc contract.DataCentreID, cut bool) {
 	for _, a := range f.VMs {
 		for _, b := range f.VMs {
--- a/internal/measure/fairness.go
+++ b/internal/measure/fairness.go
@@ -24,9 +24,9 @@
 	return int(part)
 }
 
-// quietLatency offers half of its fair share of the load for every workspace but the last,
-// and ten times its share for the last one if loud is true. It returns the latency
-// quantiles of the quiet workspaces: all but the last.
+// quietLatency offers half of the fair share of the load for every workspace but the last, and,
+// if loud is true, ten times the fair share for the last workspace. quietLatency returns the
+// latency quantiles of the quiet workspaces, which are all but the last.
 func quietLatency(seed uint64, capacity int, loud bool) model.Quantiles {
 	s := newSite(seed, engines, vms, 1, time.Second, newWoaddoorChooser)
 	queuedVMs := newQueuedVMs(s, seed, capacity, workspaceCount)
@@ -86,7 +86,7 @@
 	return float64(good) / loadDuration.Seconds(), float64(refusals) / float64(max(offers, 1))
 }
 
-// fairness measures how a loud workspace affects quiet ones, and goodput under overload.
+// fairness measures how a loud workspace affects quiet workspaces, and the goodput under overload.
 func fairness(seed uint64) []*table {
 	t := &table{
 		title:       "A neighbour at ten times its share",
--- a/internal/measure/stalls.go
+++ b/internal/measure/stalls.go
@@ -50,7 +50,7 @@
 }
 
 // stalls measures how long a stall detector takes to notice a stalled stream, and how
-// often it takes a healthy stream for stalled.
+// often the detector takes a healthy stream for stalled.
 func stalls(seed uint64) []*table {
 	t := &table{
 		title:       "Stalled streams",
@@ -73,8 +73,7 @@
 }
 
 // runStreams simulates streams. It returns how long each caller of a stalled stream waited
-// at the stall, how many healthy streams were taken for stalled, and how many streams were
-// healthy.
+// at the stall, how many healthy streams were taken for stalled, and how many streams were healthy.
 func runStreams(seed uint64, make func(now time.Time) stallDetector) (waits []time.Duration, alarms, healthy int) {
 	r := rand.New(rand.NewPCG(seed, 70))
 	for i := range streamCount {
--- a/internal/standin/duties/duties.go
+++ b/internal/standin/duties/duties.go
@@ -1,6 +1,6 @@
 // Package duties is a stand-in for the platform's API that receives usage reports and scale
-// orders, which one VM sends on behalf of all. It accepts every fencing token and records
-// violations of the protocol instead of rejecting them. Tests can inject faults.
+// orders, which one VM sends on behalf of all VMs. The stand-in accepts every fencing token and
+// records violations of the protocol instead of rejecting them. Tests can inject faults.
 package duties
 
 import (
@@ -17,8 +17,8 @@
 type Faults struct {
 	// Down answers every call with 503.
 	Down bool
-	// DropAnswers is how many of the next calls are processed but get no answer, because the
-	// connection is closed.
+	// DropAnswers is how many of the next calls are processed but get no answer,
+	// because the connection is closed.
 	DropAnswers int
 	// Refuse is the status that answers every call; zero for none.
 	Refuse int
@@ -46,7 +46,7 @@
 }
 
 // Platform is the stand-in, an http.Handler. LeaseDuration is the shortest time that must pass
-// between two calls of a VM for the same target if another VM made one in between.
+// between two calls of a VM for the same target if another VM made a call in between.
 type Platform struct {
 	LeaseDuration time.Duration
 
@@ -56,13 +56,13 @@
 	scaleOrders map[ScaleTarget]ScaleOrder
 	violations  []string
 	calls       int
-	// histories holds the earlier calls by the kind of call and its target, such as a service in a
-	// data centre.
+	// histories holds the earlier calls by the kind and the target of the call. A target is, for
+	// example, a service in a data centre.
 	histories map[string]*callHistory
 }
 
-// callHistory records which VMs made calls of one kind for the same target, and with which fencing
-// tokens.
+// callHistory records which VMs made calls of one kind for the same target,
+// and with which fencing tokens.
 type callHistory struct {
 	maxToken     uint64
 	lastHolder   string
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -1,6 +1,6 @@
 // Package store is a stand-in for the platform's store: objects with versions, conditional updates
-// and watches, and a VM list. It counts calls and limits the rate of writes, and tests can inject
-// faults.
+// and watches, and a VM list. It counts calls and limits the rate of writes,
+// and tests can inject faults.
 package store
 
 import (
@@ -25,14 +25,14 @@
 	DropRepliesPrefix string
 	// Latency is the time by which each call is delayed.
 	Latency time.Duration
-	// StaleReads answers reads and watches from the state at the time when the fault was set, as a
-	// lagging replica would.
+	// StaleReads answers reads and watches from the state at the time
+	// when the fault was set, as a lagging replica would.
 	StaleReads bool
 	// FreezeVMList answers with the VM list as it was when the fault was set.
 	FreezeVMList bool
 }
 
-// Counts are the numbers of calls received so far. Lists includes the calls for the VM list.
+// Counts are the numbers of calls received so far. The number Lists includes calls for the VM list.
 type Counts struct{ Reads, Writes, Watches, Lists int }
 
 // Store is the stand-in. Use New to create one.
@@ -126,8 +126,7 @@
 	client string
 }
 
-// beginCall delays a call by the set latency, and fails if the store is unreachable for the
-// client.
+// beginCall delays a call by the set latency, and fails if the store is unreachable for the client.
 func (v *View) beginCall(ctx context.Context) error {
 	s := v.store
 	s.mu.Lock()
@@ -158,8 +157,8 @@
 	return s.lookup(name)
 }
 
-// lookup returns an object for a read or watch, from the stale state if that fault is set. The
-// caller holds mu.
+// lookup returns an object for a read or watch, from the stale state if the fault StaleReads is
+// set. The caller holds mu.
 func (s *Store) lookup(name string) (store.Object, error) {
 	objects := s.objects
 	if s.faults.StaleReads {
@@ -172,7 +171,7 @@
 	return o, nil
 }
 
-// Create writes a new object. It fails with store.ErrExists if there is one of that name.
+// Create writes a new object. It fails with store.ErrExists if an object has that name already.
 func (v *View) Create(ctx context.Context, name string, value []byte) (contract.ObjectVersion, error) {
 	return v.write(ctx, name, value, func(_ store.Object, exists bool) error {
 		if exists {
@@ -182,8 +181,8 @@
 	})
 }
 
-// Update replaces an object. It fails with store.ErrConflict if the object does not have the given
-// version.
+// Update replaces an object. It fails with store.ErrConflict
+// if the object does not have the given version.
 func (v *View) Update(ctx context.Context, name string, value []byte, version contract.ObjectVersion) (contract.ObjectVersion, error) {
 	return v.write(ctx, name, value, func(o store.Object, exists bool) error {
 		if !exists || o.Version != version {
@@ -252,8 +251,8 @@
 	return names[:min(len(names), store.ListPageSize)], nil
 }
 
-// Watch waits until an object has a version other than the given one. If there is none within the
-// wait time, it fails with store.ErrUnchanged.
+// Watch waits until an object has a version other than the given one. If the version stays the same
+// for the wait time, Watch fails with store.ErrUnchanged.
 func (v *View) Watch(ctx context.Context, name string, after contract.ObjectVersion, wait time.Duration) (store.Object, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/trial/main.go
+++ b/internal/trial/main.go
@@ -1,6 +1,6 @@
 // Command trial starts a small fleet of the real programs on loopback, with stand-ins for external
-// systems, applies a configuration, sends a chat, a stream and a plain call, and keeps running
-// until it is interrupted.
+// systems, applies a configuration, sends a chat, a stream and a plain call,
+// and keeps running until it is interrupted.
 package main
 
 import (
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// applyConfiguration applies the first configuration, waits until it is in force, and sends the
-// first requests.
+// applyConfiguration applies the first configuration, waits until the configuration is in force,
+// and sends the first requests.
 func applyConfiguration(ctx context.Context, dir string, f *fleet.Fleet) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -88,7 +88,7 @@
 	return sendRequests(ctx, f)
 }
 
-// requestCount is how many requests sendRequests sends. Before that,
+// requestCount is how many requests sendRequests sends. Before sendRequests runs,
 // Fleet.WaitUntilServing has sent one request through each VM.
 const requestCount = 3
 
@@ -115,8 +115,8 @@
 	return showBills(ctx, f)
 }
 
-// showBills waits until all requests are filed, and prints the bills and the latest changes of the
-// configuration.
+// showBills waits until all requests are filed,
+// and prints the bills and the latest changes of the configuration.
 func showBills(ctx context.Context, f *fleet.Fleet) error {
 	operator := f.Operator()
 	if err := fleet.WaitFor(ctx, func() bool {
--- a/logs/queue.go
+++ b/logs/queue.go
@@ -18,8 +18,7 @@
 	// reservedForWarnings is the part of the queue that only warnings and errors may
 	// use, so that lines of lower levels are dropped first.
 	reservedForWarnings = maxQueuedLines / 4
-	// maxBatchBytes is the size at which a batch of lines is written. One more line may
-	// exceed it.
+	// maxBatchBytes is the size at which a batch of lines is written. One more line may exceed it.
 	maxBatchBytes = 32 << 10
 )
 
@@ -35,8 +34,8 @@
 	writing            sync.WaitGroup
 }
 
-// NewQueued returns a logger that writes to w through a bounded queue, and that queue,
-// which must be closed before the process exits.
+// NewQueued returns a logger that writes to w through a bounded queue, and the queue. The
+// caller must close the queue before the process exits.
 func NewQueued(w io.Writer, fields ...zap.Field) (*zap.Logger, *LineQueue) {
 	q := &LineQueue{out: w, lines: make(chan *buffer.Buffer, maxQueuedLines), stop: make(chan struct{})}
 	q.writing.Add(1)
@@ -79,8 +78,7 @@
 	}
 }
 
-// fillBatch appends queued lines to batch until it reaches maxBatchBytes or the queue is
-// empty.
+// fillBatch appends queued lines to batch until it reaches maxBatchBytes or the queue is empty.
 func (q *LineQueue) fillBatch(batch []byte) []byte {
 	for len(batch) < maxBatchBytes {
 		select {
@@ -145,7 +143,7 @@
 }
 
 // Write encodes an entry and queues the line. It adds the number of lines dropped since
-// the last line that reported it.
+// the last line that reported such a number.
 func (c *queueCore) Write(e zapcore.Entry, fields []zapcore.Field) error {
 	if n := c.queue.droppedSinceReport.Swap(0); n > 0 {
 		fields = append(fields[:len(fields):len(fields)], zap.Int64("lines_left_out", n))
