--- a/relay/buffered.go
+++ b/relay/buffered.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// isFinal reports whether an answer is delivered even if other attempts are possible.
+// isFinal reports whether an answer goes to the caller even if the request could be sent again.
 func (h *ResponseHead) isFinal(j *job) bool {
 	return !h.NotRun && (h.Status < http.StatusInternalServerError || !j.Route.Repeatable())
 }
@@ -94,7 +94,7 @@
 	return a.head, body, r.recordAnswer(j, a, err)
 }
 
-// recordAnswer records how an attempt ended whose answer is not an event stream.
+// recordAnswer records the end of an attempt whose answer is not an event stream.
 func (r *Relay) recordAnswer(j *job, a *attempt, err error) error {
 	took := r.opts.Now().Sub(a.startedAt)
 	h := a.head
--- a/relay/cold.go
+++ b/relay/cold.go
@@ -8,16 +8,17 @@
 	"woaddoor/upstream"
 )
 
-// ColdBounds limits the requests per second that a cold upstream receives from all VMs
-// together, relative to the configured rate that it can handle. The zero value allows that
-// rate and no more.
+// ColdBounds limits the requests per second that a cold upstream (one
+// that handles little for a while after its start) receives from all VMs together.
+// The limit is relative to the configured rate that a cold upstream can handle.
+// The zero ColdBounds allows the configured rate and no more.
 type ColdBounds struct {
-	// Overshoot is the multiple of the configured rate that is allowed, at least 1. Slack is
-	// added to the result, in requests per second.
+	// Overshoot is the allowed multiple of the configured rate, at least 1.
+	// Slack is added to the multiplied rate, in requests per second.
 	Overshoot, Slack float64
 }
 
-// boundFor returns the bound on the requests to a cold upstream of a service.
+// boundFor returns the bound on the requests per second to a cold upstream of a service.
 func (b ColdBounds) boundFor(s *route.Service) upstream.ColdBound {
 	if s == nil || s.Cold.PerSecond <= 0 {
 		return upstream.ColdBound{}
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -13,8 +13,9 @@
 )
 
 // probeTimeout limits the connection attempt that determines whether an upstream has crashed.
-// A running machine responds within the network delay, or after one second if its first packet
-// was lost. An upstream that has crashed is back after a few seconds.
+// A running machine responds within the network delay,
+// or after one second if its first packet was lost.
+// An upstream that has crashed is back after a few seconds.
 const probeTimeout = 1500 * time.Millisecond
 
 // contentFingerprint returns the fingerprint (hash) of the request's content.
@@ -26,16 +27,19 @@
 	return *j.cachedFingerprint
 }
 
-// staleConnectionWindow is the time after a send within which a broken connection does not
-// prove that the upstream was running at the time of the send. If the connection no longer
-// exists on the machine, its reset arrives within the network delay, a few milliseconds. When
-// all connections to a data centre were refused, requests were tried on the idle connections
+// staleConnectionWindow is the time after a send within which a broken connection does not prove
+// that the upstream was running at the time of the send.
+// If the connection no longer exists on the machine,
+// the reset of the connection arrives within the network delay, a few milliseconds.
+// When all connections to a data centre were refused, requests were tried on the idle connections
 // of one upstream after another, and each attempt broke off within 2 ms.
 const staleConnectionWindow = 25 * time.Millisecond
 
-// recordBrokenConnection records that the connection to an upstream broke off while a request
-// used it. One connection attempt to its address determines whether the upstream has crashed. The
-// caller holds mu.
+// recordBrokenConnection records that the connection to an upstream broke off
+// while a request used the connection.
+// One connection attempt to the address
+// of the upstream determines whether the upstream has crashed.
+// The caller holds mu.
 func (r *Relay) recordBrokenConnection(j *job, e upstream.Entry) {
 	now := r.opts.Now()
 	if !j.upstreamSeen && now.Sub(j.sentAt) < staleConnectionWindow || !r.endIsUnplanned(e) {
@@ -54,9 +58,10 @@
 	}
 }
 
-// endIsUnplanned reports whether the end of an upstream would be a crash. Upstreams that are
-// leaving, and upstreams of a release that another release has replaced, end as planned. The
-// caller holds mu.
+// endIsUnplanned reports whether the end of an upstream would be a crash.
+// Upstreams that are leaving, and upstreams of a release
+// that another release has replaced, end as planned.
+// The caller holds mu.
 func (r *Relay) endIsUnplanned(e upstream.Entry) bool {
 	listed, ok := r.entries[e.ID]
 	if !ok || listed.Incarnation != e.Incarnation || r.table.IsLeaving(e.ID) || r.rolledBack[e.Service][e.Release] {
@@ -98,8 +103,7 @@
 	}
 }
 
-// recordCrash records that an upstream crashed while it executed requests. The caller holds
-// mu.
+// recordCrash records that an upstream crashed while it executed requests. The caller holds mu.
 func (r *Relay) recordCrash(instance contract.UpstreamInstance, evidence string, suspects []quarantine.SuspectRequest) {
 	for _, s := range suspects {
 		r.recordSuspect(instance, s, s.BrokenAt)
--- a/relay/evacuation.go
+++ b/relay/evacuation.go
@@ -11,19 +11,23 @@
 	"woaddoor/contract"
 )
 
-// evacuation is the state of an evacuated data centre: its upstreams must receive no more
-// requests.
+// evacuation is the state of an evacuated data centre,
+// whose upstreams must receive no more requests.
 type evacuation struct {
-	startedAt time.Time // when this VM learned of it
+	startedAt time.Time // when this VM learned of the evacuation
 }
 
-// The load of an evacuated data centre moves to the others gradually. Moved all at once, it
-// would reach engines that have not yet cached the shared parts of its prompts.
+// The load of an evacuated data centre moves to the other data centres gradually.
+// If the load moved at once, prompts would reach engines
+// that have not yet cached the shared parts of these prompts.
 const (
-	// rampDivisor defines the duration of the move as a fraction of the evacuation bound. Half
-	// of the bound may pass before a broken watch on the store is restored.
+	// The load of an evacuated data centre moves within
+	// the evacuation bound divided by rampDivisor.
+	// Half of the evacuation bound may pass before a VM's broken watch
+	// for changes in the platform's object store is restored.
 	rampDivisor = 5
-	// maxRamp is the longest duration of the move. A longer move has no benefit.
+	// maxRamp is the longest time in which the load of an evacuated data centre moves.
+	// A longer time has no benefit.
 	maxRamp = time.Second
 )
 
@@ -35,13 +39,14 @@
 	return min(r.opts.EvacuationBound/rampDivisor, maxRamp)
 }
 
-// movedFraction returns the fraction of the load that has moved to other data centres.
+// movedFraction returns the fraction of an evacuated data centre's load
+// that has moved to other data centres.
 func (e evacuation) movedFraction(ramp time.Duration, now time.Time) float64 {
 	return min(max(float64(now.Sub(e.startedAt))/float64(ramp), 0), 1)
 }
 
-// SetEvacuated replaces the set of evacuated data centres. Their upstreams receive no new
-// requests, and running requests continue.
+// SetEvacuated replaces the set of evacuated data centres.
+// Upstreams of an evacuated data centre receive no new requests; their running requests continue.
 func (r *Relay) SetEvacuated(centres []contract.DataCentreID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,8 +73,8 @@
 // EvacuationStatus describes the progress of an evacuation as seen by this VM.
 type EvacuationStatus struct {
 	DataCentre contract.DataCentreID
-	// Elapsed is the time since this VM learned of the evacuation. Running is the number of its
-	// requests that still run in the data centre.
+	// Elapsed is the time since this VM learned of the evacuation.
+	// Running is the number of requests of this VM that still run in the evacuated data centre.
 	Elapsed time.Duration
 	Running int
 }
@@ -86,11 +91,13 @@
 	return out
 }
 
-// filterPools removes the pools that are in evacuated data centres or outside the regions of the
-// request, and then the candidates that have no pools left: in a query, an empty pool list would
-// match all pools of all services. While the load moves, the request id determines whether a
-// request has already moved, so that all decisions on a request use the same pools. The caller
-// holds mu.
+// filterPools removes the pools that are in evacuated data centres
+// or outside the regions that the request allows.
+// It then removes the candidates that have no pools left,
+// because an empty pool list in a query would match all pools of all services.
+// While the load of an evacuated data centre moves,
+// the request ID determines whether a request has already moved.
+// All decisions on one request therefore use the same pools. The caller holds mu.
 func (r *Relay) filterPools(j *job, order []candidatePools, now time.Time) []candidatePools {
 	for i := range order {
 		order[i].pools = r.allowedPools(j.Request, order[i].pools)
@@ -104,8 +111,10 @@
 	return slices.DeleteFunc(order, func(c candidatePools) bool { return len(c.pools) == 0 })
 }
 
-// notEvacuated returns the pools that a request may still use during evacuations. The request
-// moves once the moved fraction of the load exceeds its own fraction. The caller holds mu.
+// notEvacuated returns the pools that a request may still use during evacuations.
+// A request moves once the fraction of the load
+// that has moved exceeds the requestFraction of the request.
+// The caller holds mu.
 func (r *Relay) notEvacuated(ids []contract.PoolID, fraction float64, now time.Time) []contract.PoolID {
 	if len(r.evacuations) == 0 {
 		return ids
@@ -117,7 +126,7 @@
 	})
 }
 
-// requestFraction returns a number from 0 to 1 that is derived from the request id alone.
+// requestFraction returns a number from 0 to 1 that is derived from the request ID alone.
 func requestFraction(id contract.RequestID) float64 {
 	return float64(xxhash.Sum64String(string(id))) / math.MaxUint64
 }
--- a/relay/gossip.go
+++ b/relay/gossip.go
@@ -8,9 +8,9 @@
 	"woaddoor/upstream"
 )
 
-// SentPrompt describes a prompt that a VM has sent to an upstream, as reported to other VMs. The
-// report shows them how much prefill precedes their own prompts, and what the upstream will
-// cache.
+// SentPrompt describes a prompt that a VM has sent to an upstream, as reported to other VMs.
+// The report shows the other VMs how much prefill precedes their own prompts at the upstream,
+// and what the upstream will cache.
 type SentPrompt struct {
 	Upstream contract.UpstreamID `cbor:"1,keyasint"`
 	Model    contract.ModelID    `cbor:"2,keyasint"`
@@ -18,15 +18,15 @@
 	Parts    []prefill.Part      `cbor:"4,keyasint"`
 	// PrefillTime is the prefill time that the sending VM expects.
 	PrefillTime time.Duration `cbor:"5,keyasint"`
-	// TokenTime is the model's prefill time per token as measured by the sending VM; zero if
-	// it has too few samples.
+	// TokenTime is the model's prefill time per token of prompt, as measured by the sending VM.
+	// Zero means that the sending VM has too few samples.
 	TokenTime time.Duration `cbor:"6,keyasint,omitempty"`
 	// Incarnation identifies the instance of the upstream that received the prompt.
 	Incarnation int64 `cbor:"7,keyasint,omitempty"`
 }
 
-// ConfidenceReport is the confidence that a model reported for one of its answers, as exchanged
-// between VMs.
+// ConfidenceReport is the confidence that a model reported for one of its answers,
+// as exchanged between VMs.
 type ConfidenceReport struct {
 	Model contract.ModelID `cbor:"1,keyasint"`
 	// Largest is the model whose answers define good quality.
@@ -46,8 +46,9 @@
 	}
 }
 
-// recordConfidence records the confidence that a model reported for an answer, and passes it
-// on to other VMs. The caller holds mu.
+// recordConfidence records the confidence that a model reported for an answer,
+// and passes the confidence on to other VMs.
+// The caller holds mu.
 func (r *Relay) recordConfidence(m, largest contract.ModelID, confidence float64) {
 	if confidence < 0 {
 		return // the model does not report its confidence
@@ -58,8 +59,9 @@
 	}
 }
 
-// minReportedPrefill is the shortest prefill that is reported to other VMs. A shorter one
-// delays other requests by no more than one or two engine steps.
+// minReportedPrefill is the shortest prefill that is reported to other VMs.
+// A shorter prefill delays other requests
+// by no more than one or two computation steps of the engine.
 const minReportedPrefill = 25 * time.Millisecond
 
 // MergeSent records the prompts that another VM has sent to upstreams.
--- a/relay/latency.go
+++ b/relay/latency.go
@@ -6,8 +6,8 @@
 	"woaddoor/rollout"
 )
 
-// latencyStats is a running estimate of the time to the first answer, for one route and model
-// or for all prompts.
+// latencyStats is a running estimate of the time to the first answer,
+// for one route and model or for all prompts.
 type latencyStats struct {
 	mean, deviation float64 // in seconds
 	samples         int
@@ -17,24 +17,26 @@
 const (
 	// latencyWeight is the weight of a new sample in the mean and the deviation.
 	latencyWeight = 0.05
-	// timeoutDeviations is the number of deviations above the mean at which an attempt times
-	// out.
+	// timeoutDeviations is the number of deviations above the mean at which an attempt times out.
 	timeoutDeviations = 6
-	// The timeout lies between minTimeoutPart and maxTimeoutPart of the route's objective.
-	// With a lower minimum, a busy upstream would be mistaken for a silent one. When all
-	// upstreams are slow, the measured latency determines the timeout, because moving a
-	// request from one queue to the end of another only adds work. initialTimeoutPart applies
-	// until the latency is known.
+	// minTimeoutPart and maxTimeoutPart bound the timeout,
+	// as multiples of the route's latency objective.
+	// With a lower minimum, a busy upstream would be mistaken for a silent upstream.
+	// When all upstreams are slow, the measured latency determines the timeout,
+	// because moving a request from one queue to the end of another only adds work.
+	// initialTimeoutPart times the objective is the timeout until the latency is known.
 	minTimeoutPart     = 0.4
 	initialTimeoutPart = 0.8
 	maxTimeoutPart     = 4.0
-	// minLatencySamples is the number of samples from which the estimate is used.
+	// minLatencySamples is the number of latency samples
+	// from which on the measured latency is used.
 	minLatencySamples = 10
 )
 
-// latencyOf returns the latency estimate for the job's route and model. All jobs with a prompt
-// share one estimate: that of the delay beyond the expected time to the first token. The caller
-// holds mu.
+// latencyOf returns the latency estimate for the job's route and model.
+// All jobs with a prompt share one estimate
+// of the delay beyond the expected time to the first token.
+// The caller holds mu.
 func (r *Relay) latencyOf(j *job) *latencyStats {
 	key := j.Route.Name + "|" + string(j.model)
 	if j.PromptTokens > 0 {
@@ -51,8 +53,8 @@
 // allPromptsKey is the key of the latency estimate that all prompts share.
 const allPromptsKey = ""
 
-// timeout returns how long an upstream may take to begin its answer, for a route with the given
-// objective.
+// timeout returns how long an upstream may take to begin its answer,
+// for a route with the given latency objective.
 func (s *latencyStats) timeout(objective time.Duration) time.Duration {
 	seconds := initialTimeoutPart * objective.Seconds()
 	if s.samples >= minLatencySamples {
@@ -62,7 +64,7 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// observe adds a sample to the estimate.
+// observe adds a latency sample to the estimate.
 func (s *latencyStats) observe(latency time.Duration) {
 	s.samples++
 	if s.samples == 1 {
@@ -79,7 +81,8 @@
 	r.withLock(func() { r.latencyOf(j).observe(max(latency-j.pending.estimate.TimeToFirstToken(), 0)) })
 }
 
-// observeRelease passes an answer to the comparison between a canary release and the others.
+// observeRelease passes an answer to the comparison between a canary release
+// and the other releases of the service.
 func (r *Relay) observeRelease(j *job, a *attempt, failed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -104,8 +107,8 @@
 	timePerEvent      = "|event"
 )
 
-// addTime adds a measured time of an attempt to the comparison between a canary release and the
-// others.
+// addTime adds a measured time of an attempt
+// to the comparison between a canary release and the other releases.
 func (a *attempt) addTime(j *job, kind string, d time.Duration) {
 	a.times = append(a.times, rollout.Latency{Kind: j.Route.Name + "|" + string(j.model) + kind, Seconds: d.Seconds()})
 }
--- a/relay/limits.go
+++ b/relay/limits.go
@@ -7,8 +7,8 @@
 	"woaddoor/upstream"
 )
 
-// recordLimit records the rate limit that the head of an answer states for its upstream. The
-// caller holds mu.
+// recordLimit records the rate limit that the head of an answer states for its upstream.
+// The caller holds mu.
 func (r *Relay) recordLimit(j *job, h *ResponseHead, e upstream.Entry) {
 	change := r.table.ApplyLimitAnswer(e.Instance(), h.Notices.Limit, j.sentAt, r.opts.Now())
 	if change.Changed {
@@ -19,8 +19,8 @@
 	}
 }
 
-// MergeLimits merges the upstreams' rate limits known to another VM. fresh is set if the other VM
-// has just received them in answers.
+// MergeLimits merges the upstreams' rate limits known to another VM.
+// The argument fresh is set if the other VM has just received these rate limits in answers.
 func (r *Relay) MergeLimits(known []upstream.LimitUpdate, fresh bool, from contract.VMID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -44,8 +44,8 @@
 	return r.table.Limits(maxLimitsPerUpdate)
 }
 
-// LimitsDigest returns a digest of the rate limits in force. It is equal on VMs that know the
-// same limits.
+// LimitsDigest returns a digest of the rate limits in force.
+// Two VMs that know the same rate limits have equal digests.
 func (r *Relay) LimitsDigest() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,8 +62,9 @@
 	}, source...)...)
 }
 
-// recordLimitClaim records whether the selection of an upstream has used one request of this VM's
-// share of the upstream's rate limit. The caller holds mu.
+// recordLimitClaim records whether the selection of an upstream has used one request
+// of this VM's share of the upstream's rate limit (the requests per second that this VM may send).
+// The caller holds mu.
 func (r *Relay) recordLimitClaim(j *job, instance contract.UpstreamInstance) {
 	j.limitClaimed = r.table.HasLimit(instance)
 	if j.limitClaimed {
@@ -71,8 +72,10 @@
 	}
 }
 
-// claimLimit reports whether the upstream's rate limit allows the request: either the request has
-// used this VM's share when the upstream was selected, or it does so now. The caller holds mu.
+// claimLimit reports whether the upstream's rate limit allows the request.
+// If the request was not counted against this VM's share of the rate limit
+// when the upstream was selected, claimLimit tries to count it now.
+// The caller holds mu.
 func (r *Relay) claimLimit(j *job, e upstream.Entry) bool {
 	if j.limitClaimed || !r.table.HasLimit(e.Instance()) {
 		return true
@@ -81,8 +84,8 @@
 	return j.limitClaimed
 }
 
-// releaseLimitClaim returns what a request that was not sent has claimed of this VM's share of a
-// rate limit.
+// releaseLimitClaim undoes the count of a request against this VM's share
+// of a rate limit if the request was not sent.
 func (r *Relay) releaseLimitClaim(j *job) {
 	if !j.limitClaimed {
 		return
--- a/relay/log.go
+++ b/relay/log.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// decisionContext returns log fields with the state on which the decisions for a request were
-// based, and its age.
+// decisionContext returns log fields with the state on which the decisions
+// for a request were based, and the age of that state.
 func (r *Relay) decisionContext(j *job) []zap.Field {
 	fields := []zap.Field{}
 	if r.opts.ListAge != nil {
@@ -79,8 +79,9 @@
 
 func roundToHundredths(x float64) float64 { return math.Round(x*100) / 100 }
 
-// logFirstToken logs the estimated times of an attempt with a prompt, and the measured time until
-// its answer began. The caller holds mu.
+// logFirstToken logs the estimated times of an attempt with a prompt,
+// and the measured time until its answer began.
+// The caller holds mu.
 func (r *Relay) logFirstToken(j *job, h *ResponseHead) {
 	pending := j.pending
 	r.log.Info("attempt", zap.String("request", string(j.ID)), zap.String("upstream", string(pending.upstream)), zap.String("model", string(j.model)), zap.String("why", j.modelReason),
--- a/relay/metrics.go
+++ b/relay/metrics.go
@@ -27,8 +27,9 @@
 	escalations metrics.Counter
 	stalls      metrics.Counter
 	firstAnswer metrics.Histogram
-	// promptWait is the expected queueing time of prompts at the chosen engine, promptTokens
-	// counts their tokens, and cachedTokens the tokens that were expected to be cached there.
+	// promptWait is the expected queueing time of prompts at the chosen engine.
+	// promptTokens counts the tokens of these prompts,
+	// and cachedTokens the prompt tokens that the engine was expected to have cached.
 	promptWait                 metrics.Histogram
 	promptTokens, cachedTokens metrics.Counter
 	// prefillPrice is the cost that the prefill of a prompt imposes on the requests queued
@@ -37,11 +38,13 @@
 	wholeAnswer  metrics.Histogram
 	// upstreamsCrashed counts the upstreams that crashed while they executed requests.
 	upstreamsCrashed metrics.Counter
-	// leaveNotices counts the answers in which an upstream first stated that it is leaving,
-	// and backoffNotices the answers that requested a longer back-off than before.
-	// sendsToLeaving and sendsToBackedOff count the selections of leaving upstreams and of
-	// those in back-off. sendsBlocked counts the requests that were not sent because a notice
-	// arrived after their upstream was selected.
+	// leaveNotices counts the answers in which an upstream first stated
+	// that it is leaving (will stop).
+	// backoffNotices counts the answers that requested a longer back-off than before.
+	// sendsToLeaving counts the selections of upstreams that are leaving,
+	// sendsToBackedOff the selections of upstreams that had requested a back-off.
+	// sendsBlocked counts the requests that were not sent
+	// because a notice arrived from the upstream after the upstream was selected.
 	leaveNotices, backoffNotices, sendsToLeaving, sendsToBackedOff, sendsBlocked metrics.Counter
 	// limitChanges counts the changes of upstreams' rate limits, and sendsToLimited the
 	// selections of upstreams with a rate limit.
--- a/relay/models.go
+++ b/relay/models.go
@@ -14,27 +14,29 @@
 
 // Parameters of the choice of a model.
 const (
-	// explorationShare is the share of requests whose first answer comes from a model other
-	// than the smallest and the largest, while fewer than explorationSamples answers of that
-	// model are known. Without such requests the quality of its answers could not be learned.
+	// explorationShare is the fraction of requests that try a medium model (neither the smallest
+	// nor the largest) first, while fewer than explorationSamples answers of that model are known.
+	// Without such requests the quality of the answers of medium models could not be learned.
 	explorationShare   = 0.03
 	explorationSamples = 25
 )
 
-// modelOption is a model that could answer a job, with its expected cost, quality and latency.
+// modelOption is a model that could answer a request,
+// with the expected cost, quality and latency of the answer.
 type modelOption struct {
 	model contract.ModelID
 	cascade.ModelOption
 	// timeToFirst is the expected time from the send to the first part of the answer.
-	// queueWait is the part of that time for which the prompt is queued.
+	// queueWait is the part of timeToFirst for which the prompt waits in the queue of the engine.
 	timeToFirst, queueWait time.Duration
 	// available is set if an upstream would now accept a request for the model.
 	available bool
 }
 
-// chooseModel selects the model that answers first. If no model can begin an answer before the
-// deadline, it returns the delay after which the caller may retry, and true. The caller holds
-// mu.
+// chooseModel selects the model that answers first.
+// If no model can begin an answer before the deadline,
+// chooseModel returns true and the delay after which the caller may retry.
+// The caller holds mu.
 func (r *Relay) chooseModel(j *job) (retryAfter time.Duration, unreachable bool) {
 	models := j.Route.Models
 	if !j.ChooseModel || len(models) == 0 {
@@ -58,7 +60,8 @@
 	reasonEscalation  = "escalation"
 )
 
-// explorationModel occasionally returns a model of which few answers are known.
+// explorationModel occasionally returns a model of which few answers are known,
+// so that the quality of its answers is learned.
 func (r *Relay) explorationModel(j *job, models []contract.ModelID) (contract.ModelID, bool) {
 	if len(models) < 3 || !r.opts.Policy.Has(upstream.Exploration) || r.random.Float64() >= explorationShare {
 		return "", false
@@ -72,10 +75,11 @@
 	return "", false
 }
 
-// bestFirstModel returns the model with the highest expected value as the first to answer, and
-// the reason. The caller holds mu.
+// bestFirstModel returns the model with the highest expected value as the first to answer,
+// and the reason.
+// The caller holds mu.
 func (r *Relay) bestFirstModel(j *job, options []modelOption, now time.Time) (contract.ModelID, string) {
-	mayEscalate := j.mayDiscardAnswer() && r.opts.Policy.Has(upstream.Escalation) // an answer can be discarded for one of a larger model
+	mayEscalate := j.mayDiscardAnswer() && r.opts.Policy.Has(upstream.Escalation) // an answer can be replaced by the answer of a larger model
 	resendPrice := r.resendPrice(j, now)
 	model, reason, bestValue := options[0].model, reasonAlone, options[0].Value()
 	for i, option := range options {
@@ -97,9 +101,12 @@
 	return model, reason
 }
 
-// resendPrice returns the price of one more send to the job's service: a later request may then
-// be unable to make such a send. While callers that were refused because of the upstreams' rate
-// limits wait to retry, the send displaces one of their requests. The caller holds mu.
+// resendPrice returns the price of sending a request to the job's service once more.
+// One more send has a price because the retry budget
+// may then not allow a later request to be sent again.
+// While callers that were refused because of the upstreams' rate limits wait to retry,
+// one more send displaces a request of these callers.
+// The caller holds mu.
 func (r *Relay) resendPrice(j *job, now time.Time) float64 {
 	if r.table.CountLimited() > 0 && r.retrySchedule(j.service).Pending(now) {
 		return 1 / j.relativeValue
@@ -111,10 +118,11 @@
 func (j *job) mayDiscardAnswer() bool { return j.Route.Repeatable() && j.Route.MaxAttempts > 1 }
 
 // deadlineUnreachable reports whether no engine could begin to prefill the request's prompt
-// before the deadline, and returns the delay after which the caller may retry. Only queueing
-// time counts: without a queue, an attempt corrects a wrong estimate. The retry times of
-// callers that are refused together are spread over the length of the queue. The caller holds
-// mu.
+// before the deadline, and returns the delay after which the caller may retry.
+// Only the queueing time counts: if there is no queue, the request is sent even if the estimate
+// of its prefill time is too long, so that the answer corrects a wrong estimate.
+// The retry times of callers that are refused together are spread over the length of the queue.
+// The caller holds mu.
 func (r *Relay) deadlineUnreachable(j *job, options []modelOption, now time.Time) (retryAfter time.Duration, unreachable bool) {
 	if !r.opts.Policy.Has(upstream.EarlyRefusal) {
 		return 0, false
@@ -134,8 +142,9 @@
 	return retryAfter, true
 }
 
-// modelOptions returns the models of a job, smallest first, with what is expected of each if
-// the request is sent now. The caller holds mu.
+// modelOptions returns the models of a job, smallest first,
+// with the expected cost, quality and latency of each model if the request is sent now.
+// The caller holds mu.
 func (r *Relay) modelOptions(j *job, now time.Time) []modelOption {
 	models := j.Route.Models
 	largest := models[len(models)-1]
@@ -151,7 +160,8 @@
 	return out
 }
 
-// afterDelay returns the option as expected if the request is sent after a delay.
+// afterDelay returns the expected cost, quality
+// and latency of a model if the request is sent after a delay.
 func (o modelOption) afterDelay(j *job, delay time.Duration, now time.Time) cascade.ModelOption {
 	begins := now.Add(delay + o.timeToFirst)
 	expected := o.ModelOption
@@ -160,9 +170,9 @@
 	return expected
 }
 
-// relativeCost returns the cost of a model relative to the most expensive one. Without
-// configured costs it is derived from the position among the models, which are ordered by
-// size.
+// relativeCost returns the cost of a model relative to the most expensive one.
+// Without configured costs the relative cost is derived
+// from the position among the models, which are ordered by size.
 func (r *Relay) relativeCost(j *job, index int) float64 {
 	models := j.Route.Models
 	if c, ok := r.modelCosts[j.service][models[index]]; ok {
@@ -171,12 +181,13 @@
 	return math.Pow(defaultCostStep, float64(len(models)-1-index))
 }
 
-// defaultCostStep is the cost of a model relative to the next larger one if no costs are
-// configured. Known deployments have ratios of 0.13 and 0.5.
+// defaultCostStep is the cost of a model relative
+// to the next larger one if no costs are configured.
+// In known deployments, a model costs 0.13 or 0.5 times as much as the next larger model.
 const defaultCostStep = 0.25
 
-// highestModelCost returns the cost of the most expensive model of the job's service, or 1 if
-// no costs are configured.
+// highestModelCost returns the cost of the most expensive model of the job's service,
+// or 1 if no costs are configured.
 func (r *Relay) highestModelCost(j *job) float64 {
 	highest := 0.0
 	for _, c := range r.modelCosts[j.service] {
@@ -188,8 +199,8 @@
 	return highest
 }
 
-// estimateModel returns the estimate for a model at the upstream that would be chosen for the
-// job. The caller holds mu.
+// estimateModel returns the estimate for a model at the upstream that would be chosen for the job.
+// The caller holds mu.
 func (r *Relay) estimateModel(j *job, m contract.ModelID, now time.Time) (upstream.Estimate, bool) {
 	candidate := *j
 	candidate.model = m
@@ -201,8 +212,9 @@
 	return upstream.Estimate{}, false
 }
 
-// decideEscalation decides whether to discard the answer that begins with a head and to ask a
-// larger model instead. It returns that model and takes the extra send from the retry budget.
+// decideEscalation decides whether to discard the answer
+// that begins with a head and to ask a larger model instead.
+// decideEscalation returns the larger model and takes the extra send from the retry budget.
 func (r *Relay) decideEscalation(j *job, h *ResponseHead) (contract.ModelID, bool) {
 	models := j.Route.Models
 	if !j.ChooseModel || len(models) == 0 {
@@ -231,8 +243,9 @@
 	return c != nil && c.Order().Release == j.release
 }
 
-// escalationModel returns the larger model for which it is worth discarding the answer, or ""
-// if there is none. The caller holds mu.
+// escalationModel returns the larger model for which it is worth discarding the answer,
+// or "" if there is none.
+// The caller holds mu.
 func (r *Relay) escalationModel(j *job, h *ResponseHead, now time.Time) contract.ModelID {
 	options := r.modelOptions(j, now)
 	current := 0
--- a/relay/notices.go
+++ b/relay/notices.go
@@ -10,8 +10,8 @@
 	"woaddoor/upstream"
 )
 
-// recordNotices records the notices in the head of an answer, even if the answer is not
-// delivered.
+// recordNotices records the notices in the head of an answer
+// (what the upstream states about itself, such as a back-off), even if the answer is not delivered.
 func (r *Relay) recordNotices(j *job, h *ResponseHead, e upstream.Entry) {
 	if h.NoticeError != nil {
 		r.log.Warn("word-not-understood", zap.String("upstream", string(e.ID)), zap.String("request", string(j.ID)), zap.Int("status", h.Status), zap.Error(h.NoticeError))
@@ -43,9 +43,10 @@
 	}
 }
 
-// Backoff is a back-off that an upstream requested from one VM, as reported to other VMs. A
-// back-off binds only the VM from which it is requested, but shows the others that the upstream
-// may reject their requests too.
+// Backoff is a back-off (a time without requests)
+// that an upstream requested from one VM, as reported to other VMs.
+// A back-off binds only the VM from which it is requested,
+// but shows the other VMs that the upstream may reject their requests too.
 type Backoff struct {
 	Instance contract.UpstreamInstance `cbor:"1,keyasint"`
 	// Remaining is the remaining time of the back-off.
@@ -71,8 +72,8 @@
 var errUnavailableMeanwhile = errors.New("upstream stopped accepting requests while a connection to it was awaited")
 
 // checkStillAvailable returns an error if the selected upstream no longer accepts the request.
-// Opening a connection may take 250 ms, and notices in the answers to other requests may
-// arrive during that time.
+// Opening a connection may take 250 ms,
+// and notices in the answers to other requests may arrive during that time.
 func (r *Relay) checkStillAvailable(j *job, e upstream.Entry) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,8 +84,8 @@
 	return errUnavailableMeanwhile
 }
 
-// countUnwantedSend counts a selection of an upstream whose notices ask for no more requests. The
-// caller holds mu.
+// countUnwantedSend counts a selection of an upstream whose notices ask for no more requests.
+// The caller holds mu.
 func (r *Relay) countUnwantedSend(id contract.UpstreamID, now time.Time) {
 	backedOff, leaving := r.table.NoticeState(id, now)
 	if backedOff {
@@ -102,8 +103,8 @@
 	}
 }
 
-// CountBackedOff returns how many of the listed upstreams have requested a back-off that is in
-// force, and how many have stated that they are leaving.
+// CountBackedOff returns how many of the listed upstreams have requested a back-off
+// that is in force, and how many upstreams have stated that they are leaving (will stop).
 func (r *Relay) CountBackedOff() (backedOff, leaving int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/relay/prompt_load.go
+++ b/relay/prompt_load.go
@@ -12,15 +12,16 @@
 
 // promptLoad is the prefill work that this VM sends to the engines of a service.
 type promptLoad struct {
-	// prefillSeconds and prompts are the expected prefill time and the number of prompts in
-	// the current span, which began at spanStart.
+	// prefillSeconds is the expected prefill time
+	// and prompts the number of the prompts sent in the current averaging span.
+	// The averaging span began at spanStart.
 	prefillSeconds, prompts float64
 	spanStart               time.Time
-	// rate is the work per second during the last complete span.
+	// rate is the prefill work per second during the last complete averaging span.
 	rate scaling.Load
 }
 
-// rotate ends the current span if it has lasted promptLoadSpan.
+// rotate ends the current averaging span if the span has lasted promptLoadSpan.
 func (l *promptLoad) rotate(now time.Time) {
 	passed := now.Sub(l.spanStart)
 	if passed < promptLoadSpan {
@@ -30,8 +31,9 @@
 	l.prefillSeconds, l.prompts, l.spanStart = 0, 0, now
 }
 
-// recordPromptLoad records a prompt and the time that an engine of the service is expected to
-// spend on its prefill. The caller holds mu.
+// recordPromptLoad records a prompt and the time
+// that an engine of the service is expected to spend on its prefill.
+// The caller holds mu.
 func (r *Relay) recordPromptLoad(s contract.ServiceID, prefill time.Duration, now time.Time) {
 	load := r.promptLoads[s]
 	if load == nil {
@@ -43,7 +45,7 @@
 	load.prompts++
 }
 
-// OfferedLoad returns the work that this VM sends to the upstreams of each service.
+// OfferedLoad returns the prefill work that this VM sends to the upstreams of each service.
 func (r *Relay) OfferedLoad() map[contract.ServiceID]scaling.Load {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -9,8 +9,9 @@
 	"woaddoor/quarantine"
 )
 
-// prepareFingerprint computes the fingerprint of the request's content if any content is
-// suspected of crashing upstreams. It runs before mu is acquired, because the body may be long.
+// prepareFingerprint computes the fingerprint of the request's content
+// if any content is suspected of crashing upstreams.
+// prepareFingerprint runs before mu is acquired, because the body may be long.
 func (r *Relay) prepareFingerprint(j *job) {
 	suspecting := false
 	r.withLock(func() { suspecting = !r.quarantineCases.Empty() })
@@ -19,9 +20,10 @@
 	}
 }
 
-// checkQuarantine returns a refusal if the request's content is quarantined. It runs before
-// each attempt, whatever its purpose: a first attempt, a retry, an escalation, or the
-// resumption of a stream. The caller holds mu.
+// checkQuarantine returns a refusal if the request's content is quarantined.
+// The check runs before each attempt: a first attempt,
+// a retry, an escalation, or the resumption of a stream.
+// The caller holds mu.
 func (r *Relay) checkQuarantine(j *job, now time.Time) *contract.Refusal {
 	if r.quarantineCases.Empty() || !r.quarantineCases.Blocks(j.contentFingerprint(), now) {
 		return nil
@@ -29,24 +31,27 @@
 	return refuseQuarantined(j, r.quarantineCases.Record(j.contentFingerprint()))
 }
 
-// risksLastUpstream reports whether a request could crash the last available upstream of its
-// service, because its content has crashed others before. One fewer upstream degrades
-// the service for other requests, but no upstream at all ends it. The caller holds mu.
+// risksLastUpstream reports whether a request could crash the last available upstream
+// of its service, because the content of the request has crashed other upstreams before.
+// A service with one upstream fewer serves other requests less well;
+// a service without any upstream serves none.
+// The caller holds mu.
 func (r *Relay) risksLastUpstream(j *job, id contract.UpstreamID, c candidatePools, now time.Time) bool {
 	if r.quarantineCases.Empty() || r.quarantineCases.CrashCount(j.contentFingerprint()) < quarantine.CrashLimit-1 {
 		return false
 	}
 	excluded := []contract.UpstreamID{id}
 	for _, e := range r.quarantineCases.Record(j.contentFingerprint()).Crashes {
-		if r.isCurrent(e.Upstream, e.Incarnation) { // still in the list although it has crashed
+		if r.isCurrent(e.Upstream, e.Incarnation) { // still in the upstream list although it has crashed
 			excluded = append(excluded, e.Upstream)
 		}
 	}
 	return !r.table.HasAlternative(r.poolQuery(c, excluded), true, now)
 }
 
-// recordSuspect records that an upstream crashed while it executed a request, and notifies the
-// other VMs if that is urgent. The caller holds mu.
+// recordSuspect records that an upstream crashed while it executed a request,
+// and notifies the other VMs at once if the report is urgent.
+// The caller holds mu.
 func (r *Relay) recordSuspect(instance contract.UpstreamInstance, suspect quarantine.SuspectRequest, now time.Time) {
 	source := quarantine.Source{Service: suspect.Service, Workspace: suspect.Workspace, Route: suspect.Route, ObservedBy: r.opts.Self.VM}
 	if !r.quarantineCases.RecordCrash(suspect.Fingerprint, source, quarantine.Crash{UpstreamInstance: instance, SentAt: suspect.SentAt, BrokenAt: suspect.BrokenAt}, now) {
@@ -59,8 +64,8 @@
 	}
 }
 
-// clearSuspect records that an upstream has executed the job's request successfully, which
-// clears its content of suspicion.
+// clearSuspect records that an upstream has executed the job's request successfully,
+// so that the request's content is no longer suspected of crashing upstreams.
 func (r *Relay) clearSuspect(j *job) {
 	r.prepareFingerprint(j)
 	r.mu.Lock()
@@ -79,8 +84,8 @@
 	}
 }
 
-// notifySuspected requests that the other VMs be notified at once of suspected content. The
-// caller holds mu.
+// notifySuspected requests that the other VMs be notified at once of suspected content.
+// The caller holds mu.
 func (r *Relay) notifySuspected() {
 	if r.opts.OnSuspect != nil {
 		r.opts.OnSuspect()
@@ -124,15 +129,15 @@
 	return urgent
 }
 
-// SetQuarantined records that content is marked as quarantined in the store.
+// SetQuarantined records that content is marked as quarantined in the platform's object store.
 func (r *Relay) SetQuarantined(h quarantine.QuarantinedContent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.quarantineCases.SetStored(h, r.opts.Now())
 }
 
-// RemoveQuarantined records that content is no longer marked as quarantined in the store as of a
-// revision.
+// RemoveQuarantined records that content is no longer marked as quarantined
+// in the platform's object store, as of a revision of the store.
 func (r *Relay) RemoveQuarantined(p quarantine.Fingerprint, at contract.Revision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -141,22 +146,24 @@
 	}
 }
 
-// QuarantinedExcept returns the quarantined content that was known to be in the store but is not in
-// the given set.
+// QuarantinedExcept returns the quarantined content that this VM knew
+// to be in the platform's object store but that is not in the given set.
 func (r *Relay) QuarantinedExcept(stored map[quarantine.Fingerprint]bool) []quarantine.Fingerprint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.quarantineCases.StoredExcept(stored)
 }
 
-// QuarantineUpdates are the changes to be written to the store's records of quarantined content.
-// Add holds the content to add, Remove the content to remove, and Trials the content for which to
-// request a trial.
+// QuarantineUpdates are the changes to be written to the records
+// of quarantined content in the platform's object store.
+// Add holds the content to quarantine and Remove the content to release from quarantine.
+// Trials holds the content for which to request a trial, that is, one attempt to execute it.
 type QuarantineUpdates struct {
 	Add, Remove, Trials []quarantine.QuarantinedContent
 }
 
-// QuarantineUpdates returns the changes that this VM must write to the store now.
+// QuarantineUpdates returns the changes that this VM must now write
+// to the records of quarantined content in the platform's object store.
 func (r *Relay) QuarantineUpdates() QuarantineUpdates {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -166,8 +173,8 @@
 	return QuarantineUpdates{r.quarantineCases.ToStore(), r.quarantineCases.ToDelete(), r.quarantineCases.TrialRequests()}
 }
 
-// SetTrialGranted records whether the store has granted this VM a trial of quarantined content, that
-// is, one attempt to execute it.
+// SetTrialGranted records whether the platform's object store has granted this VM a trial
+// of quarantined content, that is, one attempt to execute it.
 func (r *Relay) SetTrialGranted(p quarantine.Fingerprint, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/relay/reachability.go
+++ b/relay/reachability.go
@@ -15,17 +15,19 @@
 
 // Timing of the reachability checks.
 const (
-	// probeInterval is the interval between probes of data centres that appear unreachable. A
-	// data centre that is back is detected within one interval. Each probe opens a connection
-	// to an upstream, which has a cost.
+	// probeInterval is the interval between probes of data centres that appear unreachable.
+	// A data centre that is reachable again is detected within one interval.
+	// Each probe has a cost, because it opens a connection to an upstream.
 	probeInterval = 250 * time.Millisecond
-	// isolationDelay is how long a VM must be isolated before it reports its isolation. A
-	// single lost packet does not count as isolation.
+	// isolationDelay is how long a VM must be isolated (reach no upstream of a service)
+	// before it reports its isolation.
+	// A single lost packet does not count as isolation.
 	isolationDelay = 500 * time.Millisecond
 )
 
-// ProbeDataCentres probes data centres that appear unreachable until ctx ends, so that no request
-// is needed to find out that they are reachable again.
+// ProbeDataCentres probes data centres that appear unreachable,
+// so that no request is needed to find out that a data centre is reachable again.
+// It returns when ctx ends.
 func (r *Relay) ProbeDataCentres(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, probeInterval)
@@ -50,8 +52,7 @@
 	r.log.Debug("data-centre-away", append(logs.ErrorFields(err), zap.String("data_centre", string(dc)))...)
 }
 
-// suspectDataCentre schedules a probe of the data centre of an upstream that has become
-// silent.
+// suspectDataCentre schedules a probe of the data centre of an upstream that has become silent.
 func (r *Relay) suspectDataCentre(e upstream.Entry) {
 	if e.DataCentre != r.opts.DataCentre {
 		r.withLock(func() { r.table.SuspectDataCentre(e.DataCentre) })
@@ -79,16 +80,20 @@
 	}
 }
 
-// isIsolated reports whether no upstream of a service can be reached because all other data
-// centres are unreachable. While the VM's own data centre is evacuated, its upstreams do not
-// count: the operator's order applies even if no other upstream is left, and a VM that is not
-// ready directs callers to VMs that can serve them. The caller holds mu.
+// isIsolated reports whether no upstream of a service can be reached
+// because all other data centres are unreachable.
+// While the VM's own data centre is evacuated,
+// the upstreams of that data centre do not count as reachable.
+// The operator's order to evacuate applies even if no other upstream is left.
+// If a VM reports that it is not ready, callers are directed to VMs that can serve them.
+// The caller holds mu.
 func (r *Relay) isIsolated(s contract.ServiceID, now time.Time) bool {
 	return r.table.Isolated(r.opts.DataCentre, r.notEvacuated(poolsExcept(r.poolsByRelease[s], r.rolledBack[s]), 0, now), now)
 }
 
-// Isolated reports whether this VM has been isolated from all upstreams of a service for at least
-// isolationDelay. Callers are better served by a VM that can reach some of them.
+// Isolated reports whether this VM has been isolated
+// from all upstreams of a service for at least isolationDelay.
+// Callers are better served by a VM that can reach some upstreams.
 func (r *Relay) Isolated() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/relay/refusals.go
+++ b/relay/refusals.go
@@ -10,7 +10,7 @@
 	"woaddoor/upstream"
 )
 
-// Delays after which a refused caller can usefully retry.
+// Delays after which a retry of a refused caller may succeed.
 const (
 	// retryAfterBusy is the approximate time until a slot at an upstream becomes free.
 	retryAfterBusy = 250 * time.Millisecond
@@ -18,8 +18,7 @@
 	retryAfterListUpdate = 600 * time.Millisecond
 )
 
-// refuseQuarantined refuses a request whose content has crashed the upstreams that executed
-// it.
+// refuseQuarantined refuses a request whose content has crashed the upstreams that executed it.
 func refuseQuarantined(j *job, c *quarantine.Record) *contract.Refusal {
 	f := &contract.Refusal{
 		Kind: contract.RefusedQuarantined, Outcome: j.outcome, Step: contract.StepPick,
@@ -31,8 +30,7 @@
 // retryAfterRestart is the approximate time in which a crashed upstream restarts.
 const retryAfterRestart = 2 * time.Second
 
-// refuseLastUpstream refuses a request that could crash the last available upstream of its
-// service.
+// refuseLastUpstream refuses a request that could crash the last available upstream of its service.
 func refuseLastUpstream(j *job) *contract.Refusal {
 	f := &contract.Refusal{
 		Kind: contract.RefusedQuarantined, Outcome: j.outcome, Step: contract.StepPick,
@@ -59,8 +57,7 @@
 	return f.WithRetryAfter(retryAfterRegion)
 }
 
-// retryAfterRegion is the delay before a retry if the service has no upstream in an allowed
-// region.
+// retryAfterRegion is the delay before a retry if the service has no upstream in an allowed region.
 const retryAfterRegion = time.Minute
 
 // refuseNoUpstream refuses a request that no upstream can accept now. The caller holds mu.
@@ -87,10 +84,12 @@
 	return f.WithRetryAfter(r.retryAfter(j.service, o, retryAfterListUpdate, now))
 }
 
-// retryAfter returns the delay before a retry. It is defaultDelay unless all upstreams of the
-// service reject requests. If all of them back off, retries start when the first back-off period
-// ends, spread over a period as long as the back-off itself, up to maxRetrySpread. The retries
-// then arrive no faster than new requests. The caller holds mu.
+// retryAfter returns the delay before a retry.
+// The delay is defaultDelay unless all upstreams of the service reject requests.
+// If all upstreams have requested a back-off, retries start when the first back-off ends.
+// The retries are spread over a period as long as that back-off,
+// up to maxRetrySpread, so that they arrive no faster than new requests.
+// The caller holds mu.
 func (r *Relay) retryAfter(s contract.ServiceID, o upstream.Outlook, defaultDelay time.Duration, now time.Time) time.Duration {
 	if !o.NoneAccepting() {
 		return defaultDelay
@@ -101,19 +100,19 @@
 	return o.NextBackoffEnd + time.Duration(r.random.Float64()*float64(min(o.NextBackoffLength, maxRetrySpread)))
 }
 
-// retryAfterAtLimit returns the delay before a retry at upstreams that have reached their rate
-// limits. Each VM schedules the retries of its callers at the rate of its share of these limits.
-// The caller holds mu.
+// retryAfterAtLimit returns the delay before a retry at upstreams
+// that have reached their rate limits.
+// Each VM spaces the retries of its callers by its share of these rate limits. The caller holds mu.
 func (r *Relay) retryAfterAtLimit(s contract.ServiceID, o upstream.Outlook, now time.Time) time.Duration {
 	return r.retrySchedule(s).NextDelay(o.PerSecond/float64(max(r.opts.VMs(), 1)), maxRetrySpread, r.random.Float64(), now)
 }
 
-// maxRetrySpread limits the period over which retries after a back-off are spread. A longer
-// period would exceed the time for which most callers wait.
+// maxRetrySpread limits the period over which retries after a back-off are spread.
+// A longer spread would exceed the time for which most callers wait.
 const maxRetrySpread = 5 * time.Second
 
-// retrySchedule returns the schedule of retries by refused callers of a service. The caller
-// holds mu.
+// retrySchedule returns the schedule of retries by refused callers of a service.
+// The caller holds mu.
 func (r *Relay) retrySchedule(s contract.ServiceID) *retry.RetryScheduler {
 	schedule, ok := r.retrySchedules[s]
 	if !ok {
@@ -123,8 +122,8 @@
 	return schedule
 }
 
-// refuseLongQueue refuses a request whose deadline will pass before any engine can begin its
-// prefill.
+// refuseLongQueue refuses a request whose deadline will pass
+// before any engine can begin the prefill of its prompt.
 func refuseLongQueue(j *job, retryAfter time.Duration) *contract.Refusal {
 	f := &contract.Refusal{
 		Kind: contract.RefusedLimitReached, Outcome: contract.OutcomeNotRun, Step: contract.StepPick,
--- a/relay/regions.go
+++ b/relay/regions.go
@@ -6,9 +6,11 @@
 	"woaddoor/contract"
 )
 
-// AllowedIn reports whether a request may be executed, and its content stored, in a region. Both
-// its route and its workspace must allow the region. If neither restricts regions, all are
-// allowed. An unknown region is allowed only if neither restricts regions.
+// AllowedIn reports whether a request may be executed, and its content stored, in a region.
+// Both the route and the workspace of the request must allow the region.
+// If neither the route nor the workspace restricts regions,
+// all regions are allowed, even an unknown region.
+// Otherwise an unknown region is not allowed.
 func (q *Request) AllowedIn(region string) bool {
 	return allows(q.Route.Regions, region) && allows(q.Regions, region)
 }
@@ -30,8 +32,9 @@
 	})
 }
 
-// outsideRegions reports whether the service has upstreams but none in the regions that the
-// request allows. The caller holds mu.
+// outsideRegions reports whether the service has upstreams,
+// but no upstream in the regions that the request allows.
+// The caller holds mu.
 func (r *Relay) outsideRegions(j *job) bool {
 	if !j.regionRestricted() {
 		return false
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -25,7 +25,8 @@
 	DataCentre contract.DataCentreID
 	// Regions maps each data centre to its region.
 	Regions map[contract.DataCentreID]string
-	// Self identifies this instance of the VM in the rollout evidence that the VM counts.
+	// Self identifies this instance of the VM as the source
+	// of its rollout evidence (its counts of good and bad answers).
 	Self rollout.Observer
 	Log  *zap.Logger
 	Now  func() time.Time
@@ -38,49 +39,53 @@
 	// CanaryShare is the largest share of a service's requests that a bad release may receive
 	// over the whole rollout order.
 	CanaryShare float64
-	// OnBadAnswer is called at each bad answer of a canary release, so that the other VMs are
-	// notified at once. It must not block. May be nil.
+	// OnBadAnswer is called at each bad answer of a canary release,
+	// so that the other VMs are notified at once.
+	// It must not block. May be nil.
 	OnBadAnswer func()
-	// OnSuspect is called when the other VMs must be notified at once of content that is
-	// suspected of crashing upstreams. It must not block. May be nil.
+	// OnSuspect is called when the other VMs must be notified at once of content
+	// that is suspected of crashing upstreams.
+	// It must not block. May be nil.
 	OnSuspect func()
-	// ListAge returns the age of the upstream list that was last read from the store. May be
-	// nil.
+	// ListAge returns the age of the upstream list
+	// that was last read from the platform's object store.
+	// May be nil.
 	ListAge func() time.Duration
-	// OnSent is called with each prompt that is sent to an upstream and whose prefill is long
-	// enough to report to other VMs. It must not block. May be nil.
+	// OnSent is called with each prompt that is sent to an upstream
+	// if the prefill of the prompt is long enough to report to other VMs.
+	// It must not block. May be nil.
 	OnSent func(SentPrompt)
-	// GossipScope returns the upstreams of which other VMs report the prompts that they send
-	// to them. Nil means the zero upstream.GossipScope.
+	// GossipScope returns for which upstreams other VMs report their prompts to this VM.
+	// Nil means the zero upstream.GossipScope.
 	GossipScope func() upstream.GossipScope
 	// EvacuationBound is the time after which the upstreams of an evacuated data centre must
 	// receive no more requests; zero means that there is no bound.
 	EvacuationBound time.Duration
-	// ValueCostRatio is the value of a request of the highest priority as a multiple of what
-	// the most expensive model's answer to it costs. Zero means
-	// cascade.DefaultValueCostRatio.
+	// ValueCostRatio is the value of a request of the highest priority,
+	// as a multiple of the cost of the most expensive model's answer to the request.
+	// Zero means cascade.DefaultValueCostRatio.
 	ValueCostRatio float64
-	// MaxBackoff caps the back-off that an upstream can request. Zero means
-	// upstream.DefaultMaxBackoff.
+	// MaxBackoff caps the back-off that an upstream can request.
+	// Zero means upstream.DefaultMaxBackoff.
 	MaxBackoff time.Duration
 	// MaxEscalationPrice is the price of an escalation when the retry budget is used up, as a
 	// fraction of the request's value.
 	MaxEscalationPrice float64
-	// ColdBounds limits the requests to cold upstreams, in addition to the limits of the
-	// configuration.
+	// ColdBounds limits the requests to cold upstreams,
+	// in addition to the limits of the configuration.
 	ColdBounds ColdBounds
 	// ColdOwners returns the VMs that divide the bounds of the cold and the rate-limited
 	// upstreams of this data centre among themselves. Nil means that this VM is the only one.
 	ColdOwners func() upstream.Owners
-	// OnBackoff is called with each back-off that an upstream requests. It must not block. May be
-	// nil.
+	// OnBackoff is called with each back-off that an upstream requests. It must not block.
+	// May be nil.
 	OnBackoff func(Backoff)
-	// OnLimit is called with each rate limit of an upstream that must be reported to other
-	// VMs. If remote is set, it must be reported to the VMs of other data centres too. It
-	// must not block. May be nil.
+	// OnLimit is called with each rate limit of an upstream that must be reported to other VMs.
+	// If remote is set, the rate limit must be reported to the VMs of other data centres too.
+	// OnLimit must not block. May be nil.
 	OnLimit func(known upstream.LimitUpdate, remote bool)
-	// OnConfidence is called with the confidence that a model reports for each of its answers. It
-	// must not block. May be nil.
+	// OnConfidence is called with the confidence that a model reports for each of its answers.
+	// It must not block. May be nil.
 	OnConfidence func(ConfidenceReport)
 	// OnExecution is called with the workspace of each request that an upstream has begun to
 	// execute, and the time at which execution began. It must not block. May be nil.
@@ -97,14 +102,15 @@
 	log     *zap.Logger
 	Metrics *Metrics
 
-	// mu guards the decision state below. It is held for one decision at a time and never
-	// across I/O.
+	// mu guards the decision state below.
+	// It is held for one decision at a time and never across I/O.
 	mu      sync.Mutex
 	random  *rand.Rand
 	table   *upstream.Table
 	entries map[contract.UpstreamID]upstream.Entry
 	pools   map[contract.UpstreamID]*exchange.Pool
-	// closedPoolDials counts the connections that were dialed by pools that are now closed.
+	// closedPoolDials counts the connections
+	// that were opened by connection pools that are now closed.
 	closedPoolDials  int64
 	poolsByRelease   map[contract.ServiceID]map[string][]contract.PoolID
 	connectionLimits map[contract.ServiceID]int
@@ -114,27 +120,27 @@
 	// because all upstreams of the service were at their rate limits.
 	retrySchedules map[contract.ServiceID]*retry.RetryScheduler
 	canaries       map[contract.ServiceID]*rollout.Canary
-	// rolledBack holds the releases found to be bad, by service. Their upstreams drain, and a
-	// later rollout order for another release does not return them to service.
+	// rolledBack holds the releases found to be bad, by service.
+	// Upstreams of a bad release drain;
+	// a later rollout order for another release does not return these upstreams to service.
 	rolledBack map[contract.ServiceID]map[string]bool
-	// completedReleases holds the release of the last completed rollout, by service. Sessions
-	// stay on it during a later rollout, whatever other releases still run.
+	// completedReleases holds the release of the last completed rollout, by service.
+	// Sessions stay on the completed release during a later rollout,
+	// whatever other releases still run.
 	completedReleases map[contract.ServiceID]string
 	latencies         map[string]*latencyStats
-	// confidences relates the confidence that models report for their answers to the quality
-	// of those answers.
+	// confidences relates the confidence that models report
+	// for their answers to the quality of those answers.
 	confidences *cascade.ConfidenceEstimator
-	// gossipScope defines the upstreams of which other VMs report the prompts that they send
-	// to them.
+	// gossipScope defines for which upstreams other VMs report their prompts to this VM.
 	gossipScope upstream.GossipScope
-	// isolatedSince is when this VM could no longer reach any upstream of some service; zero
-	// while it is not isolated.
+	// isolatedSince is the time since which this VM has reached no upstream of some service;
+	// zero while this VM is not isolated.
 	isolatedSince time.Time
 	// evacuations holds the data centres whose upstreams must receive no more requests.
 	evacuations map[contract.DataCentreID]evacuation
-	// possibleCrashes holds the upstreams whose connections broke off and that may have
-	// crashed. quarantineCases holds the content of the requests that upstreams executed when
-	// they crashed.
+	// possibleCrashes holds the upstreams whose connections broke off and that may have crashed.
+	// quarantineCases holds the content of the requests that upstreams executed when they crashed.
 	possibleCrashes *quarantine.CrashTracker
 	quarantineCases *quarantine.Table
 	// promptLoads holds, by service, the prefill work that this VM sends to the engines.
@@ -179,8 +185,9 @@
 	f()
 }
 
-// connectionShare is the part of an upstream's connections that all VMs together plan to use. The
-// remainder is reserved for VMs that are not yet known.
+// connectionShare is the fraction of an upstream's connections
+// that all known VMs together plan to use.
+// The other connections are reserved for VMs that are not yet known.
 const connectionShare = 0.85
 
 // isCurrent reports whether the listed instance of an upstream has the given incarnation. Reports
@@ -202,8 +209,7 @@
 	return p
 }
 
-// Connections returns how many connections to upstreams are open, and how many were opened so
-// far.
+// Connections returns how many connections to upstreams are open, and how many were opened so far.
 func (r *Relay) Connections() (open int, dialed int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -268,10 +274,12 @@
 	return end, refused
 }
 
-// sendingVMs returns how many VMs send requests to the engines in this VM's gossip scope. The
-// price of engine time depends on the demand from these VMs. Counting all VMs of five data
-// centres for the engines of one data centre made the price five times too high. The caller holds
-// mu.
+// sendingVMs returns how many VMs send requests to the engines in this VM's gossip scope,
+// that is, the engines for which other VMs report their prompts to this VM.
+// The price of engine time depends on the demand from the VMs that use the engine.
+// Counting all VMs of five data centres for the engines
+// of one data centre made the price five times too high.
+// The caller holds mu.
 func (r *Relay) sendingVMs() int {
 	if r.gossipScope.VMs > 0 {
 		return r.gossipScope.VMs
@@ -282,8 +290,8 @@
 // errDeadline is the cancellation cause of a request whose deadline has passed.
 var errDeadline = errors.New("deadline passed")
 
-// retryBudget returns the retry budget of a service and creates it if there is none. The
-// caller holds mu.
+// retryBudget returns the retry budget of a service and creates it if there is none.
+// The caller holds mu.
 func (r *Relay) retryBudget(s contract.ServiceID) *retry.ResendWindow {
 	budget, ok := r.retryBudgets[s]
 	if !ok {
--- a/relay/request.go
+++ b/relay/request.go
@@ -1,11 +1,13 @@
-// Package relay carries a request through a VM. It admits the request, chooses the model and the
-// upstream, sends the request and checks the answer. It then delivers or resumes the answer,
-// retries, escalates to a larger model, or ends the request. The package is independent of the
-// wire protocols: a front end decodes callers' requests into Request and encodes the answers, and
-// an UpstreamProtocol does the same for upstreams.
+// Package relay carries a request through a VM.
+// The relay admits the request, chooses the model and the upstream,
+// sends the request and checks the answer.
+// The relay then delivers or resumes the answer, retries,
+// escalates to a larger model, or ends the request.
+// The package is independent of the wire protocols: a front end decodes callers' requests
+// into Request and encodes the answers, and an UpstreamProtocol does the same for upstreams.
 //
 // The packages upstream, retry, stream, cascade and rollout make the decisions and do no I/O.
-// Package relay passes them the events that they need.
+// Package relay passes events to these packages.
 package relay
 
 import (
@@ -22,8 +24,8 @@
 type Request struct {
 	ID        contract.RequestID
 	Workspace contract.WorkspaceID
-	// Regions are the regions to which the workspace restricts its requests; empty means any
-	// region.
+	// Regions are the regions to which the workspace restricts its requests;
+	// empty means any region.
 	Regions []string
 	// Priority of the request; 0 is the most urgent.
 	Priority int
@@ -39,22 +41,23 @@
 	Arrived time.Time
 	// Deadline is the earlier of the caller's deadline and the route's timeout.
 	Deadline time.Time
-	// LastEvent is the id of the last stream event that the caller has received; nil if there
-	// is none.
+	// LastEvent is the ID of the last stream event that the caller has received;
+	// nil if the caller has received none.
 	LastEvent *int64
 
 	// ChooseModel is set if the router chooses the model.
 	ChooseModel bool
-	// PromptTokens is the size of the prompt, and OutputTokens the largest size of the answer;
-	// zero means unknown.
+	// PromptTokens is the size of the prompt and OutputTokens the largest size of the answer,
+	// both in tokens; zero means unknown.
 	PromptTokens, OutputTokens int
-	// PromptParts are the parts of the prompt in order. The last part belongs to this request
-	// alone.
+	// PromptParts are the parts of the prompt in order.
+	// The last part belongs to this request alone.
 	PromptParts []prefill.Part
-	// SharedPromptKey is a key of the part of the prompt that is shared with other requests;
-	// zero if there is none.
+	// SharedPromptKey is a key of the part of the prompt
+	// that is shared with other requests; zero if no part is shared.
 	SharedPromptKey uint64
-	// Session is a key shared by all requests of one session; zero if there is none.
+	// Session is a key shared by all requests of one session;
+	// zero if the request belongs to no session.
 	Session uint64
 }
 
@@ -68,29 +71,29 @@
 	Signed bool
 	// NotRun is set if the upstream states that it did not execute the request.
 	NotRun bool
-	// AddressReused is set if another upstream now uses the address to which the request was
-	// sent.
+	// AddressReused is set if another upstream now uses the address to which the request was sent.
 	AddressReused bool
-	// Confidence is the confidence that the model reports for its answer, from 0 to 1;
-	// negative if it reports none.
+	// Confidence is the confidence that the model reports for its answer,
+	// from 0 to 1; negative if the model reports none.
 	Confidence float64
 	// WeightsVersion is the version of the model weights that produced the answer; empty if the
 	// upstream does not report it.
 	WeightsVersion string
-	// Load is the load that the upstream reports; nil if it reports none.
+	// Load is the load that the upstream reports; nil if the upstream reports none.
 	Load *Load
-	// Notices holds the notices with which the upstream asks senders to back off, to observe
-	// a rate limit or to expect its shutdown. NoticeError is the error of a notice that could
-	// not be parsed.
+	// Notices holds the notices with which the upstream asks senders to back off,
+	// to observe a rate limit or to expect its shutdown.
+	// NoticeError is the error of a notice that could not be parsed.
 	Notices     upstream.Notices
 	NoticeError error
 }
 
-// Load is the number of running and waiting requests and of slots at an upstream.
+// Load is the number of running requests, of waiting requests,
+// and of slots for concurrent requests at an upstream.
 type Load struct{ Running, Waiting, Slots int }
 
-// Caller receives the answer to a request. An error of any of its methods means that the
-// caller has disconnected.
+// Caller receives the answer to a request.
+// An error of any method of Caller means that the caller has disconnected.
 type Caller interface {
 	// SendResponse delivers a complete answer.
 	SendResponse(h *ResponseHead, body []byte) error
@@ -108,8 +111,7 @@
 const (
 	// Delivered means that the caller has received a complete answer.
 	Delivered RequestEnd = iota
-	// Refused means that the request was refused; the refusal has yet to be sent to the
-	// caller.
+	// Refused means that the request was refused; the refusal has yet to be sent to the caller.
 	Refused
 	// StreamCut means that a stream was started but cannot be completed. The connection must be
 	// broken, so that the stream does not look complete.
--- a/relay/rollouts.go
+++ b/relay/rollouts.go
@@ -8,7 +8,7 @@
 	"woaddoor/upstream"
 )
 
-// SetOrder records a rollout order, or a newer state of a known one.
+// SetOrder records a rollout order, or a newer state of a known rollout order.
 func (r *Relay) SetOrder(o rollout.ReleaseOrder) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -24,8 +24,9 @@
 	r.canaries[o.Service] = rollout.NewCanary(o, r.opts.CanaryShare, r.opts.Now())
 }
 
-// recordOrderState records whether the release of a rollout order is rolled back, completed, or
-// still being rolled out. The caller holds mu.
+// recordOrderState records whether the release of a rollout order is rolled back,
+// completed, or still being rolled out.
+// The caller holds mu.
 func (r *Relay) recordOrderState(o rollout.ReleaseOrder) {
 	if r.rolledBack[o.Service] == nil {
 		r.rolledBack[o.Service] = make(map[string]bool)
@@ -41,12 +42,13 @@
 	}
 }
 
-// Verdict is a rollout order that should end, and the state in which it should end.
+// Verdict is a rollout order that should end,
+// and the state (completed or rolled back) in which it should end.
 type Verdict struct {
 	Order rollout.ReleaseOrder
 	State rollout.OrderState
-	// Canary counts the answers of the canary release that this VM has seen, and Others those
-	// of other releases.
+	// Canary counts the answers of the canary release that this VM has seen,
+	// Others the answers of the other releases.
 	Canary, Others rollout.Counts
 }
 
@@ -64,7 +66,8 @@
 	return out
 }
 
-// Evidence returns the evidence about canary releases that this VM reports to another.
+// Evidence returns the evidence about canary releases (counts of good and bad answers)
+// that this VM reports to another VM.
 func (r *Relay) Evidence(to rollout.Recipient) rollout.Evidence {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,8 +85,8 @@
 	Age     time.Duration      `cbor:"3,keyasint"`
 }
 
-// OrderAges returns the ages of the open rollout orders that this VM has measured with its own
-// clock.
+// OrderAges returns the ages of the open rollout orders
+// that this VM has measured with its own clock.
 func (r *Relay) OrderAges() []OrderAge {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,8 +111,9 @@
 	}
 }
 
-// MergeEvidence merges the evidence of other VMs and reports whether that raises the number of
-// known bad answers of canary releases.
+// MergeEvidence merges the evidence
+// of other VMs (counts of good and bad answers of canary releases).
+// It reports whether the number of known bad answers of canary releases has risen.
 func (r *Relay) MergeEvidence(e rollout.Evidence) (worse bool) {
 	if len(e) == 0 {
 		return false
@@ -134,11 +138,10 @@
 	}
 }
 
-// Refresh updates the comparison between upstreams and expires old state. It is called about
-// once a second.
+// Refresh updates the comparison between upstreams and expires old state.
+// Refresh is called about once a second.
 func (r *Relay) Refresh() {
-	// GossipScope and ColdOwners acquire their own locks, so they are called before mu is
-	// acquired.
+	// GossipScope and ColdOwners acquire their own locks, so they are called before mu is acquired.
 	var scope upstream.GossipScope
 	if r.opts.GossipScope != nil {
 		scope = r.opts.GossipScope()
@@ -158,8 +161,8 @@
 	r.quarantineCases.Expire(r.opts.Now())
 }
 
-// RolloutState reports whether a rollout of the service is in progress, and whether one has
-// completed.
+// RolloutState reports whether a rollout of the service is in progress,
+// and whether one has completed.
 func (r *Relay) RolloutState(s contract.ServiceID) (rollingOut, completed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/relay/selection.go
+++ b/relay/selection.go
@@ -19,8 +19,7 @@
 // isStream reports whether a request is answered with a stream of events.
 func isStream(r *Request) bool { return r.Route.Kind == route.Stream }
 
-// selectUpstream chooses the upstream of the next attempt and counts the request at that
-// upstream.
+// selectUpstream chooses the upstream of the next attempt and counts the request at that upstream.
 func (r *Relay) selectUpstream(j *job) (upstream.Entry, *contract.Refusal) {
 	r.prepareFingerprint(j)
 	r.mu.Lock()
@@ -54,16 +53,16 @@
 	return upstream.Entry{}, r.refuseNoUpstream(j, now)
 }
 
-// hasCandidate reports whether any upstream could be chosen for the next attempt. The caller
-// holds mu.
+// hasCandidate reports whether any upstream could be chosen for the next attempt.
+// The caller holds mu.
 func (r *Relay) hasCandidate(j *job, now time.Time) bool {
 	return slices.ContainsFunc(r.eligiblePools(j, now), func(c candidatePools) bool {
 		return r.table.CanPick(r.poolQuery(c, j.exclude), now)
 	})
 }
 
-// outlook summarizes when the upstreams that a request may use accept requests again. The
-// caller holds mu.
+// outlook summarizes when the upstreams that a request may use accept requests again.
+// The caller holds mu.
 func (r *Relay) outlook(j *job, now time.Time) upstream.Outlook {
 	var pools []contract.PoolID
 	for _, c := range r.eligiblePools(j, now) {
@@ -76,7 +75,7 @@
 }
 
 // hasAlternative reports whether an upstream that has not been tried could accept the request.
-// An upstream that is suspected of being faulty counts only if suspected is set.
+// Upstreams that are suspected of being faulty count only if the argument suspected is set.
 func (r *Relay) hasAlternative(j *job, suspected bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,15 +86,16 @@
 	})
 }
 
-// candidatePools are pools to choose from. release is empty if the pools may belong to several
-// releases.
+// candidatePools are pools of upstreams to choose from.
+// The field release is empty if the pools may belong to several releases.
 type candidatePools struct {
 	release string
 	pools   []contract.PoolID
 }
 
-// eligiblePools returns the pools that may receive the request, in the order in which they are
-// tried. The caller holds mu.
+// eligiblePools returns the pools that may receive the request,
+// in the order in which they are tried.
+// The caller holds mu.
 func (r *Relay) eligiblePools(j *job, now time.Time) []candidatePools {
 	byRelease := r.poolsByRelease[j.service]
 	canary := r.canaries[j.service]
@@ -136,7 +136,8 @@
 	return ids
 }
 
-// recordAttemptEnd records how an attempt ended. timeToFirst is the time until its answer began.
+// recordAttemptEnd records how an attempt ended.
+// The argument timeToFirst is the time until the answer to the attempt began.
 func (r *Relay) recordAttemptEnd(j *job, e upstream.Entry, result upstream.Result, timeToFirst time.Duration) {
 	r.withLock(func() {
 		r.recordPromptDropped(j)
@@ -163,8 +164,8 @@
 	return upstream.Query{Kind: config.EnginePool, Pools: c.pools, DataCentre: r.opts.DataCentre, Exclude: excluded}
 }
 
-// promptWork describes the work that a request with the job's model causes at an upstream. The
-// caller holds mu.
+// promptWork describes the work that a request with the job's model causes at an upstream.
+// The caller holds mu.
 func (r *Relay) promptWork(j *job, now time.Time) upstream.Work {
 	return upstream.Work{
 		Prompt:    prefill.Prompt{Model: j.model, Tokens: j.PromptTokens, Parts: j.PromptParts},
@@ -172,8 +173,9 @@
 	}
 }
 
-// recordPendingPrompt records the prefill work that an attempt adds to an upstream, and
-// reports it to other VMs if it is long. The caller holds mu.
+// recordPendingPrompt records the prefill work that an attempt adds to an upstream,
+// and reports the prompt to other VMs if the prefill is long.
+// The caller holds mu.
 func (r *Relay) recordPendingPrompt(j *job, id contract.UpstreamID, now time.Time) {
 	j.pending = pendingPrompt{}
 	if j.PromptTokens == 0 {
@@ -191,8 +193,7 @@
 	}
 }
 
-// recordAnswerBegin records that the answer to the current attempt has begun. The caller holds
-// mu.
+// recordAnswerBegin records that the answer to the current attempt has begun. The caller holds mu.
 func (r *Relay) recordAnswerBegin(j *job) {
 	pending := j.pending
 	j.pending.upstream = ""
@@ -202,8 +203,8 @@
 	}
 }
 
-// recordPromptDropped records that the current attempt ended before its answer began. The
-// caller holds mu.
+// recordPromptDropped records that the current attempt ended before its answer began.
+// The caller holds mu.
 func (r *Relay) recordPromptDropped(j *job) {
 	pending := j.pending
 	j.pending.upstream = ""
@@ -212,8 +213,8 @@
 	}
 }
 
-// checkRetry decides whether to make another attempt and takes it from the retry budget. It
-// returns the reason why there is no other attempt, or "".
+// checkRetry decides whether to make another attempt and takes the attempt from the retry budget.
+// It returns "" if there is another attempt, and otherwise the reason against one.
 func (r *Relay) checkRetry(j *job, repeatable bool) retry.Reason {
 	now := r.opts.Now()
 	attempt := retry.Attempt{Number: j.sends, Outcome: j.outcome, Repeatable: repeatable, Deadline: j.Deadline, ExpectedDuration: minAttemptTime}
--- a/relay/send.go
+++ b/relay/send.go
@@ -20,8 +20,8 @@
 	Model contract.ModelID
 	// Remaining is the remaining time for the upstream to answer.
 	Remaining time.Duration
-	// LastEvent is the id of the event after which a stream is resumed; nil if it starts at
-	// the beginning.
+	// LastEvent is the ID of the event after which a stream is resumed;
+	// nil if the stream starts at the beginning.
 	LastEvent *int64
 	// WeightsVersion is the version of the model weights with which a stream must be resumed.
 	WeightsVersion string
@@ -69,13 +69,13 @@
 	cachedFingerprint *quarantine.Fingerprint
 	// executionReported is set once OnExecution has been called for the request.
 	executionReported bool
-	// limitClaimed is set if the current attempt has used one request of this VM's share of
-	// its upstream's rate limit.
+	// limitClaimed is set if the current attempt has used one request
+	// of this VM's share of its upstream's rate limit.
 	limitClaimed bool
 }
 
-// pendingPrompt is a prompt that was sent and whose answer has not begun. The zero value means
-// that there is no such prompt.
+// pendingPrompt is a prompt that was sent and whose answer has not begun.
+// The zero pendingPrompt means that no prompt is pending.
 type pendingPrompt struct {
 	upstream    contract.UpstreamID // empty once the answer has begun or the attempt has ended
 	incarnation int64               // identifies the upstream's instance
@@ -95,8 +95,8 @@
 	cancel    context.CancelFunc
 }
 
-// maxUnreachable limits how many unreachable upstreams are tried for one request, in addition
-// to the route's attempts.
+// maxUnreachable limits how many unreachable upstreams are tried for one request,
+// in addition to the attempts that the route allows.
 const maxUnreachable = 4
 
 // maxIdleUnrepeatable is the longest idle time of a connection that may carry a request which
@@ -104,8 +104,8 @@
 // was sent on such a connection may have been executed.
 const maxIdleUnrepeatable = time.Second
 
-// send sends the request to an upstream and waits for the head of the answer. After timeout, it
-// continues to wait only while no other upstream could accept the request.
+// send sends the request to an upstream and waits for the head of the answer.
+// After the timeout, send continues to wait only while no other upstream could accept the request.
 func (r *Relay) send(ctx context.Context, j *job, e upstream.Entry, lastEvent *int64, timeout time.Duration) (*attempt, error) {
 	now := r.opts.Now()
 	pool := r.connectionPool(e)
@@ -155,9 +155,10 @@
 	}
 }
 
-// reportExecution reports, once for each request of a workspace, that an upstream has begun to
-// execute the request. The reported time is that of the first token of a stream and that of the
-// send otherwise.
+// reportExecution reports, once for each request of a workspace,
+// that an upstream has begun to execute the request.
+// The reported time is the time of the first token for a stream,
+// and the time of the send for any other answer.
 func (r *Relay) reportExecution(j *job, h *ResponseHead) {
 	if h.NotRun || j.executionReported || j.Workspace == "" || r.opts.OnExecution == nil {
 		return
--- a/relay/streaming.go
+++ b/relay/streaming.go
@@ -17,11 +17,10 @@
 var (
 	// errTruncated means that a stream ended within an event.
 	errTruncated = errors.New("stream ended within an event")
-	// errStalled means that an upstream paused for too long compared with the earlier pauses
-	// of the same stream.
+	// errStalled means that an upstream paused for too long compared
+	// with the earlier pauses of the same stream.
 	errStalled = errors.New("stream has stalled")
-	// errEscalated means that a smaller model's answer was discarded in favor of a larger
-	// model.
+	// errEscalated means that a smaller model's answer was discarded in favor of a larger model.
 	errEscalated = errors.New("answer of the smaller model discarded")
 	// errServerFailure means that the upstream answered with a 5xx status.
 	errServerFailure = errors.New("upstream answered with a server error")
@@ -29,8 +28,8 @@
 	errCallerGone = errors.New("caller has disconnected")
 )
 
-// streamTransfer forwards a streamed answer to the caller. The answer may come from several
-// upstreams in turn.
+// streamTransfer forwards a streamed answer to the caller.
+// The answer may come from several upstreams in turn.
 type streamTransfer struct {
 	relay  *Relay
 	job    *job
@@ -107,8 +106,7 @@
 	return s.caller.BeginStream(h)
 }
 
-// lastEvent returns the id of the event after which an upstream must resume the stream, or
-// nil.
+// lastEvent returns the ID of the event after which an upstream must resume the stream, or nil.
 func (s *streamTransfer) lastEvent() *int64 {
 	if last, ok := s.events.LastID(); ok {
 		return &last
@@ -116,8 +114,8 @@
 	return nil
 }
 
-// attemptStream forwards the stream of one upstream to its end. It returns nil once the
-// stream, or a final answer that is not a stream, is complete.
+// attemptStream forwards the stream of one upstream to its end.
+// It returns nil once the stream is complete, or a final answer that is not a stream is complete.
 func (s *streamTransfer) attemptStream(ctx context.Context, e upstream.Entry) error {
 	r, j := s.relay, s.job
 	began := r.opts.Now()
@@ -201,23 +199,24 @@
 	return err
 }
 
-// minComparedEvents is the smallest number of events of a stream whose time per event is
-// compared between releases.
+// minComparedEvents is the smallest number of events of a stream
+// whose time per event is compared between releases.
 const minComparedEvents = 6
 
-// Bounds of the longest tolerated pause between two events, as multiples of the route's target
-// gap. After such a pause the stream is late in any case. Upstreams pause for a second or more
-// while they prefill long prompts, so abandoning them sooner interrupts more streams than it
-// saves.
+// Bounds of the longest tolerated pause between two events of a stream,
+// as multiples of the route's target gap between events.
+// After a pause of that length the stream is late in any case.
+// Upstreams pause for a second or more while they prefill long prompts.
+// Abandoning an upstream sooner would interrupt more streams than it would save.
 const (
 	minPauseFactor = 1.6
 	maxPauseFactor = 2.2
-	// defaultMaxPause applies to routes without a target gap.
+	// defaultMaxPause applies to routes without a target gap between events.
 	defaultMaxPause = 5 * time.Second
 )
 
-// maxPause returns the longest tolerated pause between two events, given the target gap of the
-// route.
+// maxPause returns the longest tolerated pause between two events of a stream,
+// given the target gap of the route.
 func (r *Relay) maxPause(gap time.Duration) time.Duration {
 	if gap == 0 {
 		return defaultMaxPause
--- a/relay/upstream_list.go
+++ b/relay/upstream_list.go
@@ -10,18 +10,20 @@
 	"woaddoor/upstream"
 )
 
-// SetUpstreams replaces the list of upstreams, and updates the services to which they belong.
+// SetUpstreams replaces the list of upstreams,
+// and updates the services to which the upstreams belong.
 func (r *Relay) SetUpstreams(entries []upstream.Entry, services map[contract.ServiceID]*route.Service) {
 	r.setUpstreams(entries, services, false)
 }
 
-// SetPartialUpstreams sets a partial list of upstreams on a VM that has no list yet. Upstreams
-// that are added by the next list are not treated as newly started.
+// SetPartialUpstreams sets a partial list of upstreams on a VM that has no upstream list yet.
+// Upstreams that the next upstream list adds are not treated as newly started.
 func (r *Relay) SetPartialUpstreams(entries []upstream.Entry, services map[contract.ServiceID]*route.Service) {
 	r.setUpstreams(entries, services, true)
 }
 
-// setUpstreams replaces the list of upstreams. partial means that further upstreams exist.
+// setUpstreams replaces the list of upstreams.
+// The argument partial means that further upstreams exist.
 func (r *Relay) setUpstreams(entries []upstream.Entry, services map[contract.ServiceID]*route.Service, partial bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -58,8 +60,8 @@
 	r.detectReplaced()
 }
 
-// connectionLimitsFor returns how many connections this VM may have to one upstream of each
-// service.
+// connectionLimitsFor returns how many connections this VM
+// may have to one upstream of each service.
 func (r *Relay) connectionLimitsFor(services map[contract.ServiceID]*route.Service) map[contract.ServiceID]int {
 	vms := max(r.opts.VMs(), 1)
 	limits := make(map[contract.ServiceID]int, len(services))
@@ -69,10 +71,12 @@
 	return limits
 }
 
-// connectionsPerVM returns how many connections each of several VMs may have to an upstream. Each
-// VM gets an equal part of connectionShare of the accepted connections, at least 1, and at least
-// 2 if the upstream accepts that many from every VM, so that requests are not blocked while one
-// connection is being closed. If maxConnections is zero, no limit is known.
+// connectionsPerVM returns how many connections each of several VMs may have to an upstream.
+// The connections that the upstream accepts,
+// times connectionShare, are divided equally among the VMs.
+// Each VM gets at least 1 connection, and at least 2 if the upstream accepts 2 from every VM.
+// With a second connection, requests are not blocked while the first connection is being closed.
+// If maxConnections is zero, the upstream has no known limit.
 func connectionsPerVM(maxConnections, vms int) int {
 	if maxConnections == 0 {
 		return minConnections
@@ -80,8 +84,8 @@
 	return max(int(connectionShare*float64(maxConnections)/float64(vms)), min(maxConnections/vms, minConnections), 1)
 }
 
-// minConnections is the smallest number of connections to an upstream for each VM, if the
-// upstream accepts that many.
+// minConnections is the smallest number of connections that each VM may have to an upstream,
+// if the upstream accepts minConnections from every VM.
 const minConnections = 2
 
 // tableList converts entries to the list that the upstream table takes. The caller holds mu.
@@ -106,9 +110,10 @@
 	delete(r.pools, id)
 }
 
-// ChangeUpstreams applies a change to the full list that was last set, for the same services.
-// It returns false and changes nothing if the caller must set the full list instead, because
-// connections are now divided among a different number of VMs.
+// ChangeUpstreams applies a change to the full upstream list
+// that was last set, for the same services.
+// If connections are now divided among a different number of VMs, ChangeUpstreams changes nothing
+// and returns false; the caller must then set the full upstream list.
 func (r *Relay) ChangeUpstreams(changed []upstream.Entry, gone []contract.UpstreamID, services map[contract.ServiceID]*route.Service) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,7 +135,7 @@
 	return true
 }
 
-// updateEntry adds or replaces one entry. The caller holds mu.
+// updateEntry adds or replaces one entry of the upstream list. The caller holds mu.
 func (r *Relay) updateEntry(e upstream.Entry) {
 	old, known := r.entries[e.ID]
 	if p, ok := r.pools[e.ID]; ok && (old.Address != e.Address || old.Incarnation != e.Incarnation) {
@@ -143,7 +148,7 @@
 	r.addPool(e)
 }
 
-// removeEntry removes an upstream. The caller holds mu.
+// removeEntry removes an upstream from the upstream list. The caller holds mu.
 func (r *Relay) removeEntry(id contract.UpstreamID) {
 	old, known := r.entries[id]
 	if p, ok := r.pools[id]; ok {
@@ -155,8 +160,8 @@
 	}
 }
 
-// removePool removes the pool of a removed upstream if no other upstream is left in it. The
-// caller holds mu.
+// removePool removes the pool of a removed upstream if no other upstream is left in the pool.
+// The caller holds mu.
 func (r *Relay) removePool(e upstream.Entry) {
 	id := e.PoolID()
 	byRelease := r.poolsByRelease[e.Service]
--- a/relay/watchdog.go
+++ b/relay/watchdog.go
@@ -5,25 +5,29 @@
 	"time"
 )
 
-// recheckInterval is the interval between checks for an upstream that could answer instead of one
-// whose attempt is silent beyond its deadline. Upstreams that are skipped after failures become
-// available again within a few hundred milliseconds.
+// While an attempt is silent beyond its deadline,
+// the VM checks every recheckInterval whether another upstream could answer.
+// Upstreams that are skipped
+// after failures become available again within a few hundred milliseconds.
 const recheckInterval = 200 * time.Millisecond
 
-// hungFactor is the multiple of its timeout after which a silent attempt counts as hung instead
-// of slow. Even an upstream suspected of being faulty is then a better choice. When all upstreams
-// are slow, moving a request from one queue to the end of another only adds work.
+// hungFactor is the multiple of its timeout after
+// which a silent attempt counts as hung instead of slow.
+// For a hung attempt, even an upstream that is suspected of being faulty is a better choice.
+// When all upstreams are slow,
+// moving a request from one queue to the end of another only adds work.
 const hungFactor = 3
 
-// silenceWatchdog aborts an attempt that has been silent beyond its deadline as soon as
-// another upstream could answer. It never aborts an attempt whose request may not be sent
-// again.
+// silenceWatchdog aborts an attempt
+// that has been silent beyond its deadline as soon as another upstream could answer.
+// silenceWatchdog never aborts an attempt whose request may not be sent again.
 type silenceWatchdog struct {
 	relay *Relay
 	job   job // copy from the start of the attempt, never modified
 	abort func()
 
-	// mu guards the fields below. It is acquired before the relay's mutex, never after it.
+	// mu guards the fields below.
+	// This mutex is acquired before the relay's mutex, never after the relay's mutex.
 	mu           sync.Mutex
 	lastReceived time.Time // when the attempt last received data
 	deadline     time.Time
@@ -32,12 +36,12 @@
 	fired        bool
 }
 
-// mayResend reports whether a request may be sent again although the current attempt may have
-// been executed.
+// mayResend reports whether a request may be sent again
+// although the current attempt may have been executed.
 func (j *job) mayResend() bool { return j.Route.Repeatable() && j.sends+1 < j.Route.MaxAttempts }
 
-// watchSilence calls abort once an attempt has been silent beyond the deadline and another
-// upstream could answer.
+// watchSilence calls abort once an attempt has been silent beyond the deadline
+// and another upstream could answer.
 func (r *Relay) watchSilence(j *job, deadline time.Time, abort func()) *silenceWatchdog {
 	w := &silenceWatchdog{relay: r, job: *j, abort: abort, lastReceived: r.opts.Now(), deadline: deadline}
 	if j.mayResend() {
@@ -90,9 +94,9 @@
 	return w.fired
 }
 
-// firstAnswerTimeout returns how long an attempt may take to begin its answer. The expected
-// queueing and prefill time of a prompt is added: abandoning an attempt whose prompt is queued
-// causes the work to be done twice, at a time of overload.
+// firstAnswerTimeout returns how long an attempt may take to begin its answer.
+// The expected queueing and prefill time of a prompt is added, because abandoning an attempt
+// whose prompt is queued causes the prefill to be done twice, at a time of overload.
 func (r *Relay) firstAnswerTimeout(j *job) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
