--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -13,8 +13,9 @@
 	"woaddoor/peek"
 )
 
-// readBuffer is the size of a connection's read buffer in bytes. It is small because
-// responses arrive in small pieces and a VM holds several hundred connections.
+// readBuffer is the size of a connection's read buffer in bytes.
+// The buffer is small because responses arrive in small pieces
+// and a VM holds several hundred connections.
 const readBuffer = 4 << 10
 
 // connState is the state of a connection and of the current request on it.
@@ -31,17 +32,19 @@
 
 // Timeouts of connections.
 const (
-	// dialTimeout bounds setting up a connection. Within a site it takes milliseconds. A lost
-	// SYN packet is only sent again after a second, and by then another upstream has
-	// responded.
+	// dialTimeout bounds the time to set up a connection.
+	// Within a site, setting up a connection takes milliseconds.
+	// A lost SYN packet is only sent again after a second;
+	// by then another upstream would have responded.
 	dialTimeout = 250 * time.Millisecond
-	// ackTimeout is how long sent bytes may stay unacknowledged before the connection counts
-	// as broken. Otherwise an upstream that has lost power or network would only be noticed
-	// at the deadline of the caller.
+	// ackTimeout is how long sent bytes may stay unacknowledged
+	// before the connection counts as broken.
+	// Without ackTimeout, an upstream that has lost power
+	// or network would only be noticed at the caller's deadline.
 	ackTimeout = 3 * time.Second
-	// keepAliveShare is the share of the upstream's keep-alive timeout within which an idle
-	// connection is reused. It prevents a request from being sent while the upstream closes
-	// the connection.
+	// keepAliveShare is the fraction of the upstream's keep-alive timeout within
+	// which an idle connection is reused.
+	// The fraction is below 1, so that no request is sent while the upstream closes the connection.
 	keepAliveShare = 0.7
 )
 
@@ -107,8 +110,9 @@
 	return err
 }
 
-// cause returns the reason why a response could not be read. A failed write explains it
-// better than the error of the read.
+// cause returns the reason why a response could not be read.
+// If the write of the request failed,
+// the error of the write is a better explanation than the error of the read.
 func (c *conn) cause(err error) error {
 	select {
 	case writeErr := <-c.writeResult:
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -2,9 +2,9 @@
 // request at a time on each connection. If there is no response, it reports whether the
 // request may have been sent.
 //
-// It does not use http.Transport, which repeats some requests on its own, does not report
-// whether any byte was written, and cannot skip a response that belongs to another request
-// and read the next one on the same connection.
+// The package does not use http.Transport, which repeats some requests on its own
+// and does not report whether any byte was written. http.Transport also cannot skip a response
+// that belongs to another request and read the next response on the same connection.
 package exchange
 
 import (
@@ -35,8 +35,7 @@
 	// Zero means no bound.
 	MaxIdle time.Duration
 	// BeforeSend is called when a connection is available, just before the first byte is written.
-	// If it returns an error, the request is not sent. Nil means that the request is always
-	// sent.
+	// If it returns an error, the request is not sent. Nil means that the request is always sent.
 	BeforeSend func() error
 }
 
@@ -44,8 +43,8 @@
 type Response struct {
 	Status int
 	Header http.Header
-	// Delimited reports whether the end of the body is marked. Otherwise the body ends when
-	// the connection is closed.
+	// Delimited reports whether the end of the body is marked.
+	// An unmarked body ends when the connection is closed.
 	Delimited bool
 
 	body      io.ReadCloser
@@ -57,11 +56,11 @@
 
 // Error is returned for a request without a response.
 type Error struct {
-	// Sent reports whether any byte of the request may have reached the upstream. If it is
-	// false, the request has not run.
+	// Sent reports whether any byte of the request may have reached the upstream.
+	// If Sent is false, the request has not run.
 	Sent bool
-	// NewConnection reports whether the connection was opened for this request, which means that the
-	// upstream was reachable when the request was sent.
+	// NewConnection reports whether the connection was opened for this request,
+	// which means that the upstream was reachable when the request was sent.
 	NewConnection bool
 	Err           error
 }
@@ -93,8 +92,8 @@
 	ErrMismatchedResponse = errors.New("response belongs to another request")
 )
 
-// maxMismatched is how many responses to other requests are skipped on a connection before it
-// is closed.
+// maxMismatched is how many responses to other requests
+// are skipped on a connection before it is closed.
 const maxMismatched = 2
 
 // maxMismatchedBody bounds the body of a skipped response, in bytes.
@@ -103,9 +102,10 @@
 // MatchFunc reports whether a response belongs to the request.
 type MatchFunc func(header http.Header) bool
 
-// Do sends a request and returns the response with its headers. The body can be read until
-// ctx ends. Then the connection is closed, which tells the upstream that no one waits for the
-// response.
+// Do sends a request and returns the response with its headers.
+// The body can be read until ctx ends.
+// When ctx ends, the connection is closed,
+// which tells the upstream that no one waits for the response.
 func (p *Pool) Do(ctx context.Context, r *Request, match MatchFunc) (*Response, error) {
 	c, err := p.acquire(ctx, r.MaxIdle)
 	if err != nil {
@@ -175,9 +175,9 @@
 // maxKeepAlive is the longest keep-alive timeout of an upstream that is accepted as valid.
 const maxKeepAlive = 24 * time.Hour
 
-// parseKeepAlive returns how long the upstream keeps an idle connection open, or zero if it
-// does not announce it. The header may contain other parameters, such as in "timeout=5,
-// max=100".
+// parseKeepAlive returns how long the upstream keeps an idle connection open,
+// or zero if the upstream does not announce how long.
+// The header may contain other parameters, such as in "timeout=5, max=100".
 func parseKeepAlive(h http.Header) time.Duration {
 	for _, parameter := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
@@ -189,7 +189,7 @@
 	return 0
 }
 
-// Read reads the body. It returns io.EOF when the body is complete.
+// Read reads the body of the response. It returns io.EOF when the body is complete.
 func (r *Response) Read(p []byte) (int, error) {
 	n, err := r.body.Read(p)
 	if errors.Is(err, io.EOF) {
--- a/exchange/pool.go
+++ b/exchange/pool.go
@@ -68,7 +68,7 @@
 }
 
 // reserve takes the most recently used idle connection, or counts a new connection as open.
-// It reports busy if the limit is reached.
+// If the limit of connections is reached, reserve returns busy.
 func (p *Pool) reserve() (c *conn, busy bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,9 +111,10 @@
 	p.mu.Unlock()
 }
 
-// discardIdle closes all idle connections. It is called after a request on a reused
-// connection has timed out: the other idle connections are most likely broken too, which
-// would only show by further timeouts.
+// discardIdle closes all idle connections.
+// It is called after a request on a reused connection has timed out.
+// The other idle connections are then most likely broken too,
+// which would only show by further timeouts.
 func (p *Pool) discardIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,7 +130,7 @@
 	p.idle = nil
 }
 
-// Close closes the idle connections. Those in use are closed when their requests end.
+// Close closes the idle connections. Connections in use are closed when their requests end.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/prefill/prefixcache.go
+++ b/prefill/prefixcache.go
@@ -6,9 +6,10 @@
 	"woaddoor/contract"
 )
 
-// PrefixCache estimates the contents of one engine's prefix cache. All models share the engine's
-// memory, and the least recently used parts are evicted first. PrefixCache is not safe for
-// concurrent use; the caller holds a lock.
+// PrefixCache estimates the contents of one engine's prefix cache,
+// which keeps processed parts of prompts.
+// All models share the engine's memory, and the least recently used parts are evicted first.
+// PrefixCache is not safe for concurrent use; the caller holds a lock.
 type PrefixCache struct {
 	// capacity is the size of the engine's cache in tokens; zero means unlimited.
 	capacity     int
@@ -24,19 +25,19 @@
 	partKey uint64
 }
 
-// cacheEntry is an element of PrefixCache.lru. Its key is the zero value for
-// tokens that no other request shares.
+// cacheEntry is an element of PrefixCache.lru.
+// The key of an entry is the zero value for tokens that no other request shares.
 type cacheEntry struct {
 	key    cacheKey
 	tokens int
 }
 
-// minPartTokens is the size of the smallest part that is tracked. Smaller parts save too
-// little prefill to be worth the memory of a VM.
+// minPartTokens is the size of the smallest prompt part that is tracked.
+// Smaller prompt parts save too little prefill to be worth the memory of a VM.
 const minPartTokens = 48
 
-// NewPrefixCache returns the estimate for an engine with an empty cache. capacity is the size
-// of that cache in tokens; zero means unlimited.
+// NewPrefixCache returns the estimate for an engine with an empty cache.
+// The argument capacity is the size of the engine's cache in tokens; zero means unlimited.
 func NewPrefixCache(capacity int) *PrefixCache {
 	return &PrefixCache{capacity: capacity, entries: make(map[cacheKey]*list.Element)}
 }
@@ -44,8 +45,8 @@
 // SetCapacity sets the size of the engine's cache in tokens; zero means unlimited.
 func (c *PrefixCache) SetCapacity(capacity int) { c.capacity = capacity }
 
-// CachedTokens returns the number of tokens of a prompt that need no prefill: the
-// contiguous cached parts at its start.
+// CachedTokens returns the number of tokens of a prompt that need no prefill:
+// the tokens of the contiguous cached parts at the start of the prompt.
 func (c *PrefixCache) CachedTokens(p Prompt) int {
 	n := 0
 	for _, part := range p.Parts {
@@ -57,8 +58,9 @@
 	return min(n, p.Tokens)
 }
 
-// Insert records that the engine processes a prompt. The last part is unique to its request:
-// it occupies cache memory but is never found again.
+// Insert records that the engine processes a prompt.
+// The last part of the prompt is unique to its request,
+// so the last part occupies cache memory but is never found again.
 func (c *PrefixCache) Insert(p Prompt) {
 	shared := 0
 	for i, part := range p.Parts {
@@ -76,7 +78,7 @@
 	}
 }
 
-// use marks a part as the most recently used and adds it if it is missing.
+// use marks a prompt part as the most recently used, and adds the part if it is missing.
 func (c *PrefixCache) use(key cacheKey, tokens int) {
 	if e, ok := c.entries[key]; ok {
 		c.lru.MoveToBack(e)
@@ -86,7 +88,7 @@
 	c.cachedTokens += tokens
 }
 
-// addUnshared adds tokens that no other request shares. They only occupy cache memory.
+// addUnshared adds tokens that no other request shares. Such tokens only occupy cache memory.
 func (c *PrefixCache) addUnshared(tokens int) {
 	c.cachedTokens += tokens
 	if last := c.lru.Back(); last != nil {
--- a/prefill/queue.go
+++ b/prefill/queue.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Queue estimates the prefill queue of one engine, in the order of arrival. It is not safe
-// for concurrent use; the caller holds a lock.
+// Queue estimates the prefill queue of one engine, in the order of arrival.
+// Queue is not safe for concurrent use; the caller holds a lock.
 type Queue struct {
 	prompts []queuedPrompt
 	lastID  QueueID
@@ -22,7 +22,7 @@
 	id       QueueID
 	duration time.Duration
 	addedAt  time.Time
-	// doneAt is the expected end of its prefill.
+	// doneAt is the expected end of the prompt's prefill.
 	doneAt time.Time
 	// sentByThisVM reports whether this VM sent the prompt and will therefore see its answer begin.
 	sentByThisVM bool
@@ -36,9 +36,10 @@
 	return q.lastID
 }
 
-// expire removes prompts of other VMs whose prefill should be done, since this VM does not
-// see their answers. Those behind a prompt of this VM stay until its answer begins, because
-// that answer shows how far the engine has got.
+// expire removes prompts of other VMs whose prefill should be done,
+// since this VM does not see the answers to prompts of other VMs.
+// Prompts behind a prompt of this VM stay until the answer to this VM's prompt begins,
+// because that answer shows how far the engine has got.
 func (q *Queue) expire(now time.Time) {
 	n := 0
 	for n < len(q.prompts) && !q.prompts[n].sentByThisVM && !q.prompts[n].doneAt.After(now) {
@@ -56,14 +57,14 @@
 	return now
 }
 
-// Wait returns how long a prompt that arrives now would wait for its prefill. A prompt of
-// this VM that is overdue shows that the engine has more work than is known; the wait then
-// grows by the time that it is overdue.
+// Wait returns how long a prompt that arrives now would wait for its prefill.
+// An overdue prompt of this VM shows that the engine has more work than this VM knows of.
+// The wait then grows by the time by which the prompt is overdue.
 func (q *Queue) Wait(now time.Time) time.Duration {
 	wait := q.idleAt(now).Sub(now)
 	for _, p := range q.prompts {
 		if !now.After(p.doneAt) {
-			break // prompts behind this one are due later
+			break // the following prompts in the queue are due later
 		}
 		if p.sentByThisVM {
 			return wait + min(now.Sub(p.doneAt), maxOverdue)
@@ -72,21 +73,24 @@
 	return wait
 }
 
-// maxOverdue bounds how much an overdue prompt adds to the wait. Engines that stay silent
-// for longer are handled by the detection of silent upstreams.
+// maxOverdue bounds how much an overdue prompt adds to the wait.
+// Engines that stay silent for longer than maxOverdue
+// are handled by the detection of silent upstreams.
 const maxOverdue = 2 * time.Second
 
-// BusyInterval is a period in which an engine did nothing but process known prompts. The
-// zero value means that there is none.
+// BusyInterval is a period in which an engine did nothing but process known prompts.
+// The zero BusyInterval means that there is no such period.
 type BusyInterval struct {
-	// Actual is its actual duration and Expected its expected one. Newest is the part of
-	// Expected that belongs to the newest prompt.
+	// Actual is the actual and Expected the expected duration of the busy interval.
+	// Newest is the part of Expected that belongs to the newest prompt.
 	Actual, Expected, Newest time.Duration
 }
 
-// AnswerBegan records that the answer to a prompt has begun, so the prefill of that prompt and of
-// all before it is done. If the prompt was already queued when the previous answer began,
-// the engine was busy between the two answers, and AnswerBegan returns that interval.
+// AnswerBegan records that the answer to a prompt has begun,
+// so the prefill of that prompt and of all earlier prompts is done.
+// If the prompt was already queued when the previous answer began,
+// the engine was busy between the beginnings of the two answers.
+// AnswerBegan then returns that busy interval.
 func (q *Queue) AnswerBegan(id QueueID, now time.Time) BusyInterval {
 	i := q.indexOf(id)
 	if i < 0 {
@@ -124,8 +128,9 @@
 	return slices.IndexFunc(q.prompts, func(p queuedPrompt) bool { return p.id == id })
 }
 
-// reschedule recalculates the expected ends of the prompts from index first on; the first
-// of them starts at from.
+// reschedule recalculates the expected ends of the prefills of the prompts in the queue,
+// beginning with the prompt at index first.
+// The prefill of that prompt starts at the time from.
 func (q *Queue) reschedule(first int, from time.Time) {
 	for i := first; i < len(q.prompts); i++ {
 		from = from.Add(q.prompts[i].duration)
--- a/prefill/rates.go
+++ b/prefill/rates.go
@@ -7,24 +7,25 @@
 	"woaddoor/contract"
 )
 
-// Rates estimates the prefill time per token of each model from the times at which answers
-// begin. It is not safe for concurrent use; the caller holds a lock.
+// Rates estimates the prefill time per prompt token
+// of each model from the times at which answers begin.
+// Rates is not safe for concurrent use; the caller holds a lock.
 type Rates struct {
 	models map[contract.ModelID]*modelRate
-	// costs holds the prices of the models, from which unknown rates are derived.
+	// costs holds the prices of the models, from which unknown prefill rates are derived.
 	costs map[contract.ModelID]float64
 }
 
 // modelRate is the estimated prefill rate of a model, as the logarithm of seconds per token.
 type modelRate struct {
 	logSecondsPerToken float64
-	// secondsPerToken caches the exponential of logSecondsPerToken, since it is read far
-	// more often than it changes.
+	// secondsPerToken caches the exponential of logSecondsPerToken,
+	// since the rate is read far more often than the rate changes.
 	secondsPerToken float64
 	samples         int
 }
 
-// setLog sets the rate, clamped to plausible bounds.
+// setLog sets the prefill rate, clamped to plausible bounds.
 func (r *modelRate) setLog(logSecondsPerToken float64) {
 	r.logSecondsPerToken = min(max(logSecondsPerToken, math.Log(minSecondsPerToken)), math.Log(maxSecondsPerToken))
 	r.secondsPerToken = math.Exp(r.logSecondsPerToken)
@@ -32,32 +33,36 @@
 
 // Parameters of Rates.
 const (
-	// priorSecondsPerToken is the initial rate of the most expensive
-	// model. The first answers correct it.
+	// priorSecondsPerToken is the initial prefill rate of the most expensive model.
+	// The first answers correct this rate.
 	priorSecondsPerToken = 50e-6
 	// costExponent relates prefill times to prices: a model that costs fifteen times as
 	// much takes six to ten times as long.
 	costExponent = 0.75
-	// minObservedTokens is the shortest prefill from which a rate is learned. Below 1,000
-	// tokens, the network and the first engine step take as long as the prefill.
+	// minObservedTokens is the shortest prefill from which a prefill rate is learned, in tokens.
+	// Below 1,000 tokens, the network
+	// and the first computation step of the engine take as long as the prefill.
 	minObservedTokens = 1000
 	// minSampleWeight is the weight of a new sample after many samples. maxLogStep limits
 	// the effect of one sample on the logarithm of the rate, because an unknown queue or an
 	// unexpected cache hit distorts single samples.
 	minSampleWeight = 0.03
 	maxLogStep      = 0.4
-	// upperBoundWeight is the weight of a sample that only gives an upper bound. Some of
-	// these come from unexpected cache hits.
+	// upperBoundWeight is the weight of a sample
+	// that only gives an upper bound of the prefill rate.
+	// Some of these samples come from unexpected cache hits.
 	upperBoundWeight = 0.03
-	// initialLogStep replaces maxLogStep for the first samples and shrinks with their
-	// number, since the prior may be off by several times.
+	// initialLogStep replaces maxLogStep for the first samples.
+	// It shrinks with the number of samples,
+	// since the initial rate may be several times too high or too low.
 	initialLogStep = 1.5
-	// minSecondsPerToken and maxSecondsPerToken bound the rate, at a tenth of the fastest
-	// and ten times the slowest observed one.
+	// minSecondsPerToken and maxSecondsPerToken bound the prefill time per token.
+	// The bounds are a tenth of the shortest
+	// and ten times the longest observed prefill time per token.
 	minSecondsPerToken = 0.2e-6
 	maxSecondsPerToken = 2e-3
-	// BaseLatency is the time to the first token apart from prefill: the
-	// network and the first engine step.
+	// BaseLatency is the time to the first token apart from prefill:
+	// the time of the network and of the first computation step of the engine.
 	BaseLatency = 20 * time.Millisecond
 )
 
@@ -82,9 +87,11 @@
 	return r.priorOf(m)
 }
 
-// priorOf returns the initial rate of a model without samples. It scales the rate of the
-// model with the most samples by the ratio of their prices, or priorSecondsPerToken
-// relative to the most expensive model if no model has samples.
+// priorOf returns the initial prefill rate of a model without samples.
+// It scales the rate of the model with the most samples by the ratio
+// of the prices of the two models, raised to costExponent.
+// If no model has samples, priorOf scales priorSecondsPerToken
+// by the ratio to the price of the most expensive model.
 func (r *Rates) priorOf(m contract.ModelID) float64 {
 	cost := r.costs[m]
 	if cost <= 0 {
@@ -104,10 +111,12 @@
 	return refSecondsPerToken * math.Pow(cost/refCost, costExponent)
 }
 
-// RecordSample records the time from a send to the beginning of the answer, and the number of
-// prompt tokens that were expected not to be cached. If exact is true, neither a queue nor
-// cached parts were expected, so the time is a sample of the rate. Otherwise it is only an
-// upper bound: the prefill took no longer than the answer took to begin.
+// RecordSample records the time from a send to the beginning of the answer,
+// and the number of prompt tokens that were expected not to be cached.
+// If exact is true, neither a queue nor cached parts were expected,
+// so the time is a sample of the prefill rate.
+// If exact is false, the time is only an upper bound:
+// the prefill took no longer than the answer took to begin.
 func (r *Rates) RecordSample(m contract.ModelID, uncachedTokens int, elapsed time.Duration, exact bool) {
 	if uncachedTokens < minObservedTokens || elapsed <= BaseLatency {
 		return
@@ -125,8 +134,9 @@
 	rate.setLog(rate.logSecondsPerToken + max(1/float64(rate.samples+1), minSampleWeight)*min(max(observed-rate.logSecondsPerToken, -step), step))
 }
 
-// RecordRatio records the ratio of the actual to the expected duration of a busy interval of an
-// engine. If no engine is ever idle, these ratios are the only available samples.
+// RecordRatio records the ratio of the actual
+// to the expected duration of a busy interval of an engine.
+// If no engine is ever idle, these ratios are the only available samples.
 func (r *Rates) RecordRatio(m contract.ModelID, ratio float64) {
 	if ratio <= 0 {
 		return
@@ -137,7 +147,8 @@
 	rate.setLog(rate.logSecondsPerToken + max(1/float64(rate.samples+1), minSampleWeight)*min(max(math.Log(ratio), -step), step))
 }
 
-// rateOf returns the rate of a model, initialized with its prior.
+// rateOf returns the prefill rate of a model.
+// A model without samples gets the initial rate that priorOf returns.
 func (r *Rates) rateOf(m contract.ModelID) *modelRate {
 	rate, ok := r.models[m]
 	if !ok {
@@ -148,8 +159,9 @@
 	return rate
 }
 
-// OwnRate returns the prefill time per token if this VM has enough samples of its own. Rates
-// received from other VMs are not passed on, since VMs would then confirm each other's estimates.
+// OwnRate returns the prefill time per token if this VM has enough samples of its own.
+// Rates received from other VMs are not passed on,
+// since VMs would otherwise confirm each other's estimates.
 func (r *Rates) OwnRate(m contract.ModelID) (time.Duration, bool) {
 	rate, ok := r.models[m]
 	if !ok || rate.samples < minOwnSamples {
@@ -158,14 +170,14 @@
 	return time.Duration(rate.secondsPerToken * float64(time.Second)), true
 }
 
-// SetRemoteRate records a prefill time per token that another VM measured. It is used until this VM
-// has enough samples of its own.
+// SetRemoteRate records a prefill time per token that another VM measured.
+// The measured time of the other VM is used until this VM has enough samples of its own.
 func (r *Rates) SetRemoteRate(m contract.ModelID, perToken time.Duration) {
 	if rate := r.rateOf(m); rate.samples < minOwnSamples && perToken > 0 {
 		rate.setLog(math.Log(perToken.Seconds()))
 	}
 }
 
-// minOwnSamples is the number of own samples from which on rates
-// received from other VMs are ignored.
+// minOwnSamples is the number of samples of this VM
+// from which on rates received from other VMs are ignored.
 const minOwnSamples = 5
--- a/stream/events.go
+++ b/stream/events.go
@@ -14,30 +14,31 @@
 	ErrEventTooLong = errors.New("event of a stream is longer than 1 MiB")
 )
 
-// EventSplitter splits the bytes of a server-sent event stream into whole events. It
-// leaves the bytes unchanged and parses only the event ids. The zero value starts
-// before the first event.
+// EventSplitter splits the bytes of a server-sent event stream into whole events.
+// It leaves the bytes unchanged and parses only the event ids.
+// The zero value starts before the first event.
 type EventSplitter struct {
 	buf    []byte
 	lastID int64
 	hasID  bool
 }
 
-// SkipThrough continues the event stream after the event with the given id:
-// Feed drops all events up to it.
+// SkipThrough continues the event stream after the event with the given id.
+// Feed then drops all events up to the given id.
 func (e *EventSplitter) SkipThrough(id int64) { e.lastID, e.hasID = id, true }
 
 // DiscardPartial discards an incomplete event, because another upstream continues the event stream.
 func (e *EventSplitter) DiscardPartial() { e.buf = e.buf[:0] }
 
-// LastID returns the id of the newest whole event. It returns false if no event has had an id.
+// LastID returns the id of the newest whole event, or false if no event has had an id.
 func (e *EventSplitter) LastID() (int64, bool) { return e.lastID, e.hasID }
 
 // HasPartial reports whether an event has begun but not ended.
 func (e *EventSplitter) HasPartial() bool { return len(bytes.TrimSpace(e.buf)) > 0 }
 
-// Feed adds received bytes. It returns the bytes of the events that are now whole,
-// and their number. The bytes are valid until the next call.
+// Feed adds received bytes of the event stream.
+// It returns the bytes of the events that are now whole, and the number of these events.
+// The returned bytes are valid until the next call of Feed.
 func (e *EventSplitter) Feed(p []byte) (whole []byte, n int, err error) {
 	e.buf = append(e.buf, p...)
 	end := 0
@@ -65,8 +66,8 @@
 	return out, n, nil
 }
 
-// findEventEnd returns the offset and the length of the first blank line in b,
-// which ends an event. The offset is -1 if there is none.
+// findEventEnd returns the offset and the length of the first blank line in b, which ends an event.
+// The offset is -1 if b has no blank line.
 func findEventEnd(b []byte) (at, size int) {
 	lf := bytes.Index(b, []byte("\n\n"))
 	crlf := bytes.Index(b, []byte("\r\n\r\n"))
@@ -90,7 +91,7 @@
 	return true, nil
 }
 
-// eventID returns the id of an event. It returns false if there is no valid one.
+// eventID returns the id of an event, or false if the event has no valid id.
 func eventID(event []byte) (int64, bool) {
 	for line := range bytes.Lines(event) {
 		value, ok := bytes.CutPrefix(line, []byte("id:"))
--- a/stream/recover.go
+++ b/stream/recover.go
@@ -13,14 +13,15 @@
 const (
 	// Resume asks the same engine for the rest of the same generation.
 	Resume Action = iota
-	// Restart sends the original request to another upstream. It is possible only
-	// while the caller has received nothing.
+	// Restart sends the original request to another upstream.
+	// Restart is possible only while the caller has received nothing.
 	Restart
-	// Continue sends the request to another upstream, for the same version, with
-	// the text that the caller has already received as the start of the response.
+	// Continue sends the request to another upstream that serves the same version.
+	// The request includes the text that the caller
+	// has already received as the start of the response.
 	Continue
-	// GiveUp ends the stream and reports the known outcome. An incomplete response is never
-	// presented as complete.
+	// GiveUp ends the stream and reports the known outcome.
+	// An incomplete response is never presented as complete.
 	GiveUp
 )
 
@@ -32,7 +33,7 @@
 	ResumeAttempts int
 	// Recoveries is how often the stream was resumed or continued in total.
 	Recoveries int
-	// Permitted is true if the version may still receive new work.
+	// Permitted is true if the version that serves the stream may still receive new work.
 	Permitted bool
 	// Repeatable is true if the request may run more than once.
 	Repeatable bool
@@ -46,9 +47,10 @@
 
 // NextAction returns how to recover a broken stream.
 //
-// Resuming gives the engine no new work, so it is tried first and is allowed even for requests that
-// must not be repeated. Restarting or continuing on another upstream is new work: the version must
-// still be permitted and the request repeatable.
+// Resuming gives the engine no new work, so it is tried first
+// and is allowed even for requests that must not be repeated.
+// Restarting or continuing on another upstream is new work.
+// New work requires that the version may still receive new work and that the request is repeatable.
 func NextAction(b Interruption, now time.Time) Action {
 	if !now.Before(b.Deadline) || b.Recoveries >= maxRecoveries {
 		return GiveUp
--- a/stream/stall.go
+++ b/stream/stall.go
@@ -1,5 +1,6 @@
-// Package stream handles streamed responses: it splits them into events, detects stalls and decides
-// how to recover a broken stream. It is pure: its callers pass in the time.
+// Package stream handles streamed responses: it splits them into events,
+// detects stalls and decides how to recover a broken stream.
+// The package does no I/O and reads no clock: its callers pass in the time.
 package stream
 
 import (
@@ -9,12 +10,15 @@
 
 // StallOptions configure the detection of stalls.
 type StallOptions struct {
-	// MaxGap is the gap between chunks after which every stream counts as stalled. Zero means 10 s.
+	// MaxGap is the gap between two chunks of a stream after which every stream counts as stalled.
+	// Zero means 10 s.
 	MaxGap time.Duration
-	// MinGap is the gap below which no stream counts as stalled. Zero means 400 ms.
+	// MinGap is the gap between two chunks below which no stream counts as stalled.
+	// Zero means 400 ms.
 	MinGap time.Duration
-	// Deviations is how many mean deviations above the mean gap the threshold for a
-	// stall is. Zero means 16.
+	// Deviations sets the threshold for a stall:
+	// the mean gap plus Deviations times the mean deviation of the gaps.
+	// Zero means 16.
 	Deviations float64
 	// FirstChunk is the time limit for the first chunk. Zero means MaxGap.
 	FirstChunk time.Duration
@@ -25,23 +29,25 @@
 	defaultMaxGap     = 10 * time.Second
 	defaultMinGap     = 400 * time.Millisecond
 	defaultDeviations = 16.0
-	// minGaps is how many gaps are measured before the threshold adapts to them.
+	// minGaps is how many gaps between chunks are measured
+	// before the threshold for a stall adapts to the gaps.
 	minGaps = 4
-	// minMeanMultiple is the lowest threshold, as a multiple of the mean gap.
+	// minMeanMultiple is the lowest threshold for a stall, as a multiple of the mean gap.
 	minMeanMultiple = 8
 	// gapWeight is the weight of the newest gap in the mean gap and the deviation.
 	gapWeight = 0.15
 )
 
-// StallDetector measures the gaps between the chunks of one stream and sets a deadline for
-// the next chunk. A stream that is slow throughout is healthy; a stream that pauses
-// for much longer than its usual gaps is stalled.
+// StallDetector measures the gaps between the chunks of one stream
+// and sets a deadline for the next chunk.
+// A stream that is slow throughout is healthy; a stream
+// that pauses for much longer than its usual gaps is stalled.
 type StallDetector struct {
 	opts      StallOptions
 	lastChunk time.Time
-	gaps      int     // measured so far; -1 before the first chunk
+	gaps      int     // number of gaps measured so far; -1 before the first chunk
 	mean      float64 // seconds
-	deviation float64 // seconds, mean absolute
+	deviation float64 // mean absolute deviation from the mean gap, in seconds
 }
 
 // NewStallDetector returns a StallDetector for a stream that starts now.
@@ -69,7 +75,8 @@
 	}
 }
 
-// Deadline returns the deadline for the next chunk. After it, the stream counts as stalled.
+// Deadline returns the deadline for the next chunk.
+// After the deadline, the stream counts as stalled.
 func (d *StallDetector) Deadline() time.Time {
 	if d.gaps < 0 {
 		return d.lastChunk.Add(d.opts.FirstChunk)
