--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -127,8 +127,8 @@
 // abort makes reads and writes on the connection fail at once.
 func (c *conn) abort() { _ = c.Close() }
 
-// reusable reports whether the connection can take the next request: the current request was
-// written completely and no data followed the response.
+// reusable reports whether the connection can take the next request:
+// the current request was written completely and no data followed the response.
 func (c *conn) reusable() bool {
 	select {
 	case err := <-c.writeResult:
@@ -138,8 +138,8 @@
 	}
 }
 
-// healthy reports whether an idle connection is still open and has received no data. Data on
-// an idle connection belongs to no request.
+// healthy reports whether an idle connection is still open and has received no data.
+// Data on an idle connection belongs to no request.
 func (c *conn) healthy(now time.Time) bool {
 	if c.keepAlive > 0 && now.Sub(c.idleSince) > time.Duration(keepAliveShare*float64(c.keepAlive)) {
 		return false
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -1,6 +1,6 @@
-// Package exchange sends HTTP/1.1 requests to upstreams over persistent connections, one
-// request at a time on each connection. If there is no response, it reports whether the
-// request may have been sent.
+// Package exchange sends HTTP/1.1 requests to upstreams over persistent connections,
+// one request at a time on each connection.
+// If there is no response, the package reports whether the request may have been sent.
 //
 // The package does not use http.Transport, which repeats some requests on its own
 // and does not report whether any byte was written. http.Transport also cannot skip a response
@@ -134,8 +134,8 @@
 	return resp, nil
 }
 
-// timedOut reports whether a request failed because the upstream did not respond in time, and
-// not because its caller left or the connection was closed.
+// timedOut reports whether a request failed because the upstream did not respond in time,
+// and not because its caller left or the connection was closed.
 func timedOut(ctx context.Context, err error) bool {
 	if ctx.Err() != nil {
 		return !errors.Is(context.Cause(ctx), context.Canceled)
@@ -198,8 +198,8 @@
 	return n, err
 }
 
-// Abort makes current and further reads of the body fail with os.ErrDeadlineExceeded. It may
-// be called concurrently with Read.
+// Abort makes current and further reads of the body fail with os.ErrDeadlineExceeded.
+// It may be called concurrently with Read.
 func (r *Response) Abort() { _ = r.conn.SetReadDeadline(time.Unix(1, 0)) }
 
 // Close ends the exchange. The connection is kept for reuse only if the response was read
--- a/exchange/pool.go
+++ b/exchange/pool.go
@@ -10,7 +10,7 @@
 type Pool struct {
 	address string
 
-	// mu guards the fields below. It is not held during I/O.
+	// The mutex mu guards the fields below. It is not held during I/O.
 	mu     sync.Mutex
 	idle   []*conn // the most recently used connection is last
 	open   int
@@ -38,8 +38,8 @@
 	return p.open, p.dialed
 }
 
-// acquire returns a healthy idle connection, or opens a new one. Unless maxIdle is zero, the
-// idle connection must have been used within maxIdle.
+// acquire returns a healthy idle connection, or opens a new one.
+// Unless maxIdle is zero, the idle connection must have been used within maxIdle.
 func (p *Pool) acquire(ctx context.Context, maxIdle time.Duration) (*conn, error) {
 	for {
 		c, busy := p.reserve()
--- a/prefill/queue.go
+++ b/prefill/queue.go
@@ -48,8 +48,8 @@
 	q.prompts = slices.Delete(q.prompts, 0, n)
 }
 
-// idleAt returns when the prefill of all known prompts is expected to
-// end, or now if the queue is empty.
+// idleAt returns when the prefill of all known prompts is expected to end,
+// or now if the queue is empty.
 func (q *Queue) idleAt(now time.Time) time.Time {
 	if n := len(q.prompts); n > 0 && q.prompts[n-1].doneAt.After(now) {
 		return q.prompts[n-1].doneAt
--- a/prefill/rates.go
+++ b/prefill/rates.go
@@ -36,16 +36,16 @@
 	// priorSecondsPerToken is the initial prefill rate of the most expensive model.
 	// The first answers correct this rate.
 	priorSecondsPerToken = 50e-6
-	// costExponent relates prefill times to prices: a model that costs fifteen times as
-	// much takes six to ten times as long.
+	// costExponent relates prefill times to prices.
+	// The prefill of a model that costs fifteen times as much takes six to ten times as long.
 	costExponent = 0.75
 	// minObservedTokens is the shortest prefill from which a prefill rate is learned, in tokens.
 	// Below 1,000 tokens, the network
 	// and the first computation step of the engine take as long as the prefill.
 	minObservedTokens = 1000
-	// minSampleWeight is the weight of a new sample after many samples. maxLogStep limits
-	// the effect of one sample on the logarithm of the rate, because an unknown queue or an
-	// unexpected cache hit distorts single samples.
+	// minSampleWeight is the weight of a new sample after many samples.
+	// maxLogStep limits the effect of one sample on the logarithm of the rate,
+	// because an unknown queue or an unexpected cache hit distorts single samples.
 	minSampleWeight = 0.03
 	maxLogStep      = 0.4
 	// upperBoundWeight is the weight of a sample
--- a/relay/buffered.go
+++ b/relay/buffered.go
@@ -16,8 +16,9 @@
 // errAnswerTooLong means that an answer exceeds maxBufferedAnswer.
 var errAnswerTooLong = errors.New("answer is longer than 8 MiB")
 
-// serveBuffered answers a request with one complete answer. The answer is buffered to its end, so
-// that a broken answer can be retried or reported as an error.
+// serveBuffered answers a request with one complete answer.
+// The answer is buffered to its end,
+// so that a broken answer can be retried or reported as an error.
 func (r *Relay) serveBuffered(ctx context.Context, j *job, c Caller) (RequestEnd, *contract.Refusal) {
 	var failure *ResponseHead // most recent answer with an error status
 	var failureBody []byte
@@ -63,8 +64,8 @@
 	return Delivered, nil
 }
 
-// contextEnd returns how a request ends after its context was canceled by the disconnection of
-// the caller or by the deadline.
+// contextEnd returns how a request ends after its context was canceled,
+// either because the caller disconnected or because the deadline passed.
 func (r *Relay) contextEnd(ctx context.Context, j *job) (RequestEnd, *contract.Refusal) {
 	if errors.Is(context.Cause(ctx), errDeadline) {
 		return Refused, refuseDeadline(j)
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -71,8 +71,8 @@
 	return completed == "" || completed == e.Release
 }
 
-// probeUpstream connects to the address of an upstream whose connections broke off, to
-// determine whether it has crashed.
+// probeUpstream connects to the address of an upstream
+// whose connections broke off, to determine whether it has crashed.
 func (r *Relay) probeUpstream(instance contract.UpstreamInstance, address string) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
@@ -84,8 +84,9 @@
 	r.withLock(func() { r.recordCrash(instance, "nothing listens", r.possibleCrashes.Confirm(instance)) })
 }
 
-// detectReplaced detects crashes from the upstream list: a new instance at the address of an
-// upstream shows that the earlier instance has ended. The caller holds mu.
+// detectReplaced detects crashes from the upstream list:
+// a new instance at the address of an upstream shows that the earlier instance has ended.
+// The caller holds mu.
 func (r *Relay) detectReplaced() {
 	if !r.possibleCrashes.Any() {
 		return
--- a/relay/metrics.go
+++ b/relay/metrics.go
@@ -32,8 +32,8 @@
 	// and cachedTokens the prompt tokens that the engine was expected to have cached.
 	promptWait                 metrics.Histogram
 	promptTokens, cachedTokens metrics.Counter
-	// prefillPrice is the cost that the prefill of a prompt imposes on the requests queued
-	// behind it, in thousandths of the value of a mean request.
+	// prefillPrice is the cost that the prefill of a prompt imposes on the requests
+	// queued behind the prompt, in thousandths of the value of a mean request.
 	prefillPrice metrics.Histogram
 	wholeAnswer  metrics.Histogram
 	// upstreamsCrashed counts the upstreams that crashed while they executed requests.
@@ -46,8 +46,8 @@
 	// sendsBlocked counts the requests that were not sent
 	// because a notice arrived from the upstream after the upstream was selected.
 	leaveNotices, backoffNotices, sendsToLeaving, sendsToBackedOff, sendsBlocked metrics.Counter
-	// limitChanges counts the changes of upstreams' rate limits, and sendsToLimited the
-	// selections of upstreams with a rate limit.
+	// limitChanges counts the changes of upstreams' rate limits,
+	// and sendsToLimited the selections of upstreams with a rate limit.
 	limitChanges, sendsToLimited metrics.Counter
 }
 
--- a/relay/models.go
+++ b/relay/models.go
@@ -236,8 +236,8 @@
 	return larger, true
 }
 
-// onTrial reports whether the job runs on a canary release. The answers of a canary release are
-// used only to judge the release. The caller holds mu.
+// onTrial reports whether the job runs on a canary release.
+// Answers of a canary release are used only to judge the release. The caller holds mu.
 func (r *Relay) onTrial(j *job) bool {
 	c := r.canaries[j.service]
 	return c != nil && c.Order().Release == j.release
--- a/relay/notices.go
+++ b/relay/notices.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// errUnavailableMeanwhile means that, while a request waited for a connection to an upstream, the
-// upstream stated that it accepts no more requests.
+// errUnavailableMeanwhile means that, while a request waited for a connection to an upstream,
+// the upstream stated that it accepts no more requests.
 var errUnavailableMeanwhile = errors.New("upstream stopped accepting requests while a connection to it was awaited")
 
 // checkStillAvailable returns an error if the selected upstream no longer accepts the request.
--- a/relay/refusals.go
+++ b/relay/refusals.go
@@ -47,8 +47,8 @@
 	return f.WithRetryAfter(retryAfterListUpdate)
 }
 
-// refuseRegion refuses a request whose service has no upstream in an allowed region. Only a
-// change of the configuration or of the deployment can help.
+// refuseRegion refuses a request whose service has no upstream in an allowed region.
+// Only a change of the configuration or of the deployment can make such a request succeed.
 func refuseRegion(j *job) *contract.Refusal {
 	f := &contract.Refusal{
 		Kind: contract.RefusedRegionNotAllowed, Outcome: j.outcome, Step: contract.StepPick,
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -58,8 +58,8 @@
 	// GossipScope returns for which upstreams other VMs report their prompts to this VM.
 	// Nil means the zero upstream.GossipScope.
 	GossipScope func() upstream.GossipScope
-	// EvacuationBound is the time after which the upstreams of an evacuated data centre must
-	// receive no more requests; zero means that there is no bound.
+	// EvacuationBound is the time after which the upstreams of an evacuated data centre
+	// must receive no more requests; zero means that there is no bound.
 	EvacuationBound time.Duration
 	// ValueCostRatio is the value of a request of the highest priority,
 	// as a multiple of the cost of the most expensive model's answer to the request.
@@ -68,14 +68,15 @@
 	// MaxBackoff caps the back-off that an upstream can request.
 	// Zero means upstream.DefaultMaxBackoff.
 	MaxBackoff time.Duration
-	// MaxEscalationPrice is the price of an escalation when the retry budget is used up, as a
-	// fraction of the request's value.
+	// MaxEscalationPrice is the price of an escalation
+	// when the retry budget is used up, as a fraction of the request's value.
 	MaxEscalationPrice float64
 	// ColdBounds limits the requests to cold upstreams,
 	// in addition to the limits of the configuration.
 	ColdBounds ColdBounds
-	// ColdOwners returns the VMs that divide the bounds of the cold and the rate-limited
-	// upstreams of this data centre among themselves. Nil means that this VM is the only one.
+	// ColdOwners returns the owners in this data centre, the VMs
+	// that divide the bounds on requests to cold and to rate-limited upstreams among themselves.
+	// Nil means that this VM is the only one.
 	ColdOwners func() upstream.Owners
 	// OnBackoff is called with each back-off that an upstream requests. It must not block.
 	// May be nil.
@@ -87,8 +88,9 @@
 	// OnConfidence is called with the confidence that a model reports for each of its answers.
 	// It must not block. May be nil.
 	OnConfidence func(ConfidenceReport)
-	// OnExecution is called with the workspace of each request that an upstream has begun to
-	// execute, and the time at which execution began. It must not block. May be nil.
+	// OnExecution is called with the workspace of each request
+	// that an upstream has begun to execute, and the time at which execution began.
+	// It must not block. May be nil.
 	OnExecution func(w contract.WorkspaceID, at time.Time)
 	// OnBadRelease is called when a release is found to be bad. It must not block. May be nil.
 	OnBadRelease func()
@@ -102,7 +104,7 @@
 	log     *zap.Logger
 	Metrics *Metrics
 
-	// mu guards the decision state below.
+	// The mutex mu guards the decision state below.
 	// It is held for one decision at a time and never across I/O.
 	mu      sync.Mutex
 	random  *rand.Rand
@@ -190,8 +192,8 @@
 // The other connections are reserved for VMs that are not yet known.
 const connectionShare = 0.85
 
-// isCurrent reports whether the listed instance of an upstream has the given incarnation. Reports
-// about an earlier instance do not apply to the listed one. The caller holds mu.
+// isCurrent reports whether the listed instance of an upstream has the given incarnation.
+// Reports about an earlier instance do not apply to the listed one. The caller holds mu.
 func (r *Relay) isCurrent(id contract.UpstreamID, incarnation int64) bool {
 	e, ok := r.entries[id]
 	return ok && e.Incarnation == incarnation
@@ -242,8 +244,8 @@
 // errSilent is the error of an attempt whose upstream sent nothing within the timeout.
 var errSilent = errors.New("upstream is silent")
 
-// Serve answers a request through an upstream and returns how the request ended. A refusal is
-// always returned with Refused, and may be returned with StreamCut.
+// Serve answers a request through an upstream and returns how the request ended.
+// A refusal is always returned with Refused, and may be returned with StreamCut.
 func (r *Relay) Serve(ctx context.Context, req *Request, c Caller) (RequestEnd, *contract.Refusal) {
 	ctx, cancel := context.WithDeadlineCause(ctx, req.Deadline, errDeadline)
 	defer cancel()
--- a/relay/request.go
+++ b/relay/request.go
@@ -66,8 +66,8 @@
 	Status int
 	// Header holds the header fields that are forwarded to the caller.
 	Header http.Header
-	// Signed is set if the answer carries the upstream's signature. Successful answers without
-	// a signature are not forwarded.
+	// Signed is set if the answer carries the upstream's signature.
+	// Successful answers without a signature are not forwarded.
 	Signed bool
 	// NotRun is set if the upstream states that it did not execute the request.
 	NotRun bool
@@ -76,8 +76,8 @@
 	// Confidence is the confidence that the model reports for its answer,
 	// from 0 to 1; negative if the model reports none.
 	Confidence float64
-	// WeightsVersion is the version of the model weights that produced the answer; empty if the
-	// upstream does not report it.
+	// WeightsVersion is the version of the model weights that produced the answer;
+	// empty if the upstream does not report it.
 	WeightsVersion string
 	// Load is the load that the upstream reports; nil if the upstream reports none.
 	Load *Load
@@ -97,8 +97,8 @@
 type Caller interface {
 	// SendResponse delivers a complete answer.
 	SendResponse(h *ResponseHead, body []byte) error
-	// BeginStream delivers the head of a stream, SendEvents delivers complete events, and
-	// EndStream ends the stream.
+	// BeginStream delivers the head of a stream,
+	// SendEvents delivers complete events, and EndStream ends the stream.
 	BeginStream(h *ResponseHead) error
 	SendEvents(events []byte) error
 	EndStream() error
@@ -113,8 +113,8 @@
 	Delivered RequestEnd = iota
 	// Refused means that the request was refused; the refusal has yet to be sent to the caller.
 	Refused
-	// StreamCut means that a stream was started but cannot be completed. The connection must be
-	// broken, so that the stream does not look complete.
+	// StreamCut means that a stream was started but cannot be completed.
+	// The connection must be broken, so that the stream does not look complete.
 	StreamCut
 	// CallerGone means that the caller has disconnected.
 	CallerGone
--- a/relay/rollouts.go
+++ b/relay/rollouts.go
@@ -14,7 +14,7 @@
 	defer r.mu.Unlock()
 	canary := r.canaries[o.Service]
 	if canary != nil && canary.Order().Revision > o.Revision {
-		return // late update of an earlier rollout order
+		return // a late update of an earlier rollout order
 	}
 	r.recordOrderState(o)
 	if canary != nil && canary.Order().Release == o.Release {
--- a/relay/selection.go
+++ b/relay/selection.go
@@ -238,8 +238,8 @@
 	return ""
 }
 
-// minAttemptTime is the shortest remaining time in which an attempt can succeed. It covers the
-// network delay and the shortest answer.
+// minAttemptTime is the shortest remaining time in which an attempt can succeed.
+// It covers the network delay and the shortest answer.
 const minAttemptTime = 30 * time.Millisecond
 
 // recordFailure adds a failed attempt to the state of the request.
--- a/relay/send.go
+++ b/relay/send.go
@@ -61,9 +61,9 @@
 	discardedConfidence float64   // reported for a smaller model's discarded answer
 	// pending is the prompt of the current attempt while its answer has not begun.
 	pending pendingPrompt
-	// sentAt is when the current attempt was sent. upstreamSeen is set once the upstream of
-	// the current attempt has responded. cachedFingerprint is the fingerprint of the
-	// request's content, computed on first use.
+	// sentAt is when the current attempt was sent.
+	// upstreamSeen is set once the upstream of the current attempt has responded.
+	// cachedFingerprint is the fingerprint of the request's content, computed on first use.
 	sentAt            time.Time
 	upstreamSeen      bool
 	cachedFingerprint *quarantine.Fingerprint
@@ -99,9 +99,10 @@
 // in addition to the attempts that the route allows.
 const maxUnreachable = 4
 
-// maxIdleUnrepeatable is the longest idle time of a connection that may carry a request which
-// must not be executed twice. Upstreams close idle connections at any time, and a request that
-// was sent on such a connection may have been executed.
+// maxIdleUnrepeatable is the longest idle time of a connection
+// that may carry a request which must not be executed twice.
+// Upstreams close idle connections at any time, and a request
+// that was sent on such a connection may have been executed.
 const maxIdleUnrepeatable = time.Second
 
 // send sends the request to an upstream and waits for the head of the answer.
--- a/stream/events.go
+++ b/stream/events.go
@@ -77,8 +77,8 @@
 	return lf, len("\n\n")
 }
 
-// accept records the id of an event and reports whether to pass the event on. An
-// event that was already delivered is dropped.
+// accept records the id of an event and reports whether to pass the event on.
+// An event that was already delivered is dropped.
 func (e *EventSplitter) accept(event []byte) (bool, error) {
 	id, ok := eventID(event)
 	if !ok {
--- a/stream/recover.go
+++ b/stream/recover.go
@@ -70,8 +70,8 @@
 	return GiveUp
 }
 
-// Outcome returns the outcome to report for a stream that was given up: the request ran if the
-// caller received part of the response.
+// Outcome returns the outcome to report for a stream that was given up:
+// the request ran if the caller received part of the response.
 func (b Interruption) Outcome() contract.Outcome {
 	if b.DeliveredChunks > 0 {
 		return contract.OutcomeRan
