--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -32,7 +32,7 @@
 	Header http.Header
 	Body   []byte
 	// MaxIdle bounds how long a connection may have been idle to be used for the request.
-	// Zero means no bound.
+	// A zero MaxIdle means no bound.
 	MaxIdle time.Duration
 	// BeforeSend is called when a connection is available, just before the first byte is written.
 	// If it returns an error, the request is not sent. Nil means that the request is always sent.
@@ -199,7 +199,7 @@
 }
 
 // Abort makes current and further reads of the body fail with os.ErrDeadlineExceeded.
-// It may be called concurrently with Read.
+// Abort may be called concurrently with Read.
 func (r *Response) Abort() { _ = r.conn.SetReadDeadline(time.Unix(1, 0)) }
 
 // Close ends the exchange. The connection is kept for reuse only if the response was read
--- a/exchange/pool.go
+++ b/exchange/pool.go
@@ -112,7 +112,7 @@
 }
 
 // discardIdle closes all idle connections.
-// It is called after a request on a reused connection has timed out.
+// discardIdle is called after a request on a reused connection has timed out.
 // The other idle connections are then most likely broken too,
 // which would only show by further timeouts.
 func (p *Pool) discardIdle() {
--- a/prefill/rates.go
+++ b/prefill/rates.go
@@ -53,7 +53,7 @@
 	// Some of these samples come from unexpected cache hits.
 	upperBoundWeight = 0.03
 	// initialLogStep replaces maxLogStep for the first samples.
-	// It shrinks with the number of samples,
+	// initialLogStep shrinks with the number of samples,
 	// since the initial rate may be several times too high or too low.
 	initialLogStep = 1.5
 	// minSecondsPerToken and maxSecondsPerToken bound the prefill time per token.
@@ -88,7 +88,7 @@
 }
 
 // priorOf returns the initial prefill rate of a model without samples.
-// It scales the rate of the model with the most samples by the ratio
+// priorOf scales the rate of the model with the most samples by the ratio
 // of the prices of the two models, raised to costExponent.
 // If no model has samples, priorOf scales priorSecondsPerToken
 // by the ratio to the price of the most expensive model.
--- a/relay/evacuation.go
+++ b/relay/evacuation.go
@@ -93,7 +93,7 @@
 
 // filterPools removes the pools that are in evacuated data centres
 // or outside the regions that the request allows.
-// It then removes the candidates that have no pools left,
+// filterPools then removes the candidates that have no pools left,
 // because an empty pool list in a query would match all pools of all services.
 // While the load of an evacuated data centre moves,
 // the request ID determines whether a request has already moved.
--- a/relay/gossip.go
+++ b/relay/gossip.go
@@ -19,7 +19,7 @@
 	// PrefillTime is the prefill time that the sending VM expects.
 	PrefillTime time.Duration `cbor:"5,keyasint"`
 	// TokenTime is the model's prefill time per token of prompt, as measured by the sending VM.
-	// Zero means that the sending VM has too few samples.
+	// A zero TokenTime means that the sending VM has too few samples.
 	TokenTime time.Duration `cbor:"6,keyasint,omitempty"`
 	// Incarnation identifies the instance of the upstream that received the prompt.
 	Incarnation int64 `cbor:"7,keyasint,omitempty"`
--- a/relay/reachability.go
+++ b/relay/reachability.go
@@ -27,7 +27,7 @@
 
 // ProbeDataCentres probes data centres that appear unreachable,
 // so that no request is needed to find out that a data centre is reachable again.
-// It returns when ctx ends.
+// ProbeDataCentres returns when ctx ends.
 func (r *Relay) ProbeDataCentres(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, probeInterval)
--- a/relay/regions.go
+++ b/relay/regions.go
@@ -10,7 +10,7 @@
 // Both the route and the workspace of the request must allow the region.
 // If neither the route nor the workspace restricts regions,
 // all regions are allowed, even an unknown region.
-// Otherwise an unknown region is not allowed.
+// If either restricts regions, an unknown region is not allowed.
 func (q *Request) AllowedIn(region string) bool {
 	return allows(q.Route.Regions, region) && allows(q.Regions, region)
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -36,37 +36,37 @@
 	VMs func() int
 	// Policy holds the decision mechanisms that are disabled.
 	Policy upstream.Policy
-	// CanaryShare is the largest share of a service's requests that a bad release may receive
+	// CanaryShare is the largest fraction of a service's requests that a bad release may receive
 	// over the whole rollout order.
 	CanaryShare float64
 	// OnBadAnswer is called at each bad answer of a canary release,
 	// so that the other VMs are notified at once.
-	// It must not block. May be nil.
+	// OnBadAnswer must not block and may be nil.
 	OnBadAnswer func()
 	// OnSuspect is called when the other VMs must be notified at once of content
 	// that is suspected of crashing upstreams.
-	// It must not block. May be nil.
+	// OnSuspect must not block and may be nil.
 	OnSuspect func()
 	// ListAge returns the age of the upstream list
 	// that was last read from the platform's object store.
-	// May be nil.
+	// ListAge may be nil.
 	ListAge func() time.Duration
 	// OnSent is called with each prompt that is sent to an upstream
 	// if the prefill of the prompt is long enough to report to other VMs.
-	// It must not block. May be nil.
+	// OnSent must not block and may be nil.
 	OnSent func(SentPrompt)
 	// GossipScope returns for which upstreams other VMs report their prompts to this VM.
-	// Nil means the zero upstream.GossipScope.
+	// A nil GossipScope means the zero upstream.GossipScope.
 	GossipScope func() upstream.GossipScope
 	// EvacuationBound is the time after which the upstreams of an evacuated data centre
 	// must receive no more requests; zero means that there is no bound.
 	EvacuationBound time.Duration
 	// ValueCostRatio is the value of a request of the highest priority,
 	// as a multiple of the cost of the most expensive model's answer to the request.
-	// Zero means cascade.DefaultValueCostRatio.
+	// A zero ValueCostRatio means cascade.DefaultValueCostRatio.
 	ValueCostRatio float64
 	// MaxBackoff caps the back-off that an upstream can request.
-	// Zero means upstream.DefaultMaxBackoff.
+	// A zero MaxBackoff means upstream.DefaultMaxBackoff.
 	MaxBackoff time.Duration
 	// MaxEscalationPrice is the price of an escalation
 	// when the retry budget is used up, as a fraction of the request's value.
@@ -76,23 +76,24 @@
 	ColdBounds ColdBounds
 	// ColdOwners returns the owners in this data centre, the VMs
 	// that divide the bounds on requests to cold and to rate-limited upstreams among themselves.
-	// Nil means that this VM is the only one.
+	// A nil ColdOwners means that this VM is the only one.
 	ColdOwners func() upstream.Owners
-	// OnBackoff is called with each back-off that an upstream requests. It must not block.
-	// May be nil.
+	// OnBackoff is called with each back-off that an upstream requests.
+	// OnBackoff must not block and may be nil.
 	OnBackoff func(Backoff)
 	// OnLimit is called with each rate limit of an upstream that must be reported to other VMs.
 	// If remote is set, the rate limit must be reported to the VMs of other data centres too.
-	// OnLimit must not block. May be nil.
+	// OnLimit must not block and may be nil.
 	OnLimit func(known upstream.LimitUpdate, remote bool)
 	// OnConfidence is called with the confidence that a model reports for each of its answers.
-	// It must not block. May be nil.
+	// OnConfidence must not block and may be nil.
 	OnConfidence func(ConfidenceReport)
 	// OnExecution is called with the workspace of each request
 	// that an upstream has begun to execute, and the time at which execution began.
-	// It must not block. May be nil.
+	// OnExecution must not block and may be nil.
 	OnExecution func(w contract.WorkspaceID, at time.Time)
-	// OnBadRelease is called when a release is found to be bad. It must not block. May be nil.
+	// OnBadRelease is called when a release is found to be bad.
+	// OnBadRelease must not block and may be nil.
 	OnBadRelease func()
 	// Seed seeds the random source. Zero means a seed from the clock.
 	Seed uint64
@@ -105,7 +106,7 @@
 	Metrics *Metrics
 
 	// The mutex mu guards the decision state below.
-	// It is held for one decision at a time and never across I/O.
+	// The mutex mu is held for one decision at a time and never across I/O.
 	mu      sync.Mutex
 	random  *rand.Rand
 	table   *upstream.Table
--- a/relay/rollouts.go
+++ b/relay/rollouts.go
@@ -113,7 +113,7 @@
 
 // MergeEvidence merges the evidence
 // of other VMs (counts of good and bad answers of canary releases).
-// It reports whether the number of known bad answers of canary releases has risen.
+// MergeEvidence reports whether the number of known bad answers of canary releases has risen.
 func (r *Relay) MergeEvidence(e rollout.Evidence) (worse bool) {
 	if len(e) == 0 {
 		return false
--- a/relay/selection.go
+++ b/relay/selection.go
@@ -214,7 +214,7 @@
 }
 
 // checkRetry decides whether to make another attempt and takes the attempt from the retry budget.
-// It returns "" if there is another attempt, and otherwise the reason against one.
+// checkRetry returns "" if there is another attempt, and otherwise the reason against one.
 func (r *Relay) checkRetry(j *job, repeatable bool) retry.Reason {
 	now := r.opts.Now()
 	attempt := retry.Attempt{Number: j.sends, Outcome: j.outcome, Repeatable: repeatable, Deadline: j.Deadline, ExpectedDuration: minAttemptTime}
@@ -239,7 +239,7 @@
 }
 
 // minAttemptTime is the shortest remaining time in which an attempt can succeed.
-// It covers the network delay and the shortest answer.
+// minAttemptTime covers the network delay and the shortest answer.
 const minAttemptTime = 30 * time.Millisecond
 
 // recordFailure adds a failed attempt to the state of the request.
--- a/relay/streaming.go
+++ b/relay/streaming.go
@@ -115,7 +115,8 @@
 }
 
 // attemptStream forwards the stream of one upstream to its end.
-// It returns nil once the stream is complete, or a final answer that is not a stream is complete.
+// attemptStream returns nil once the stream is complete,
+// or once a final answer that is not a stream is complete.
 func (s *streamTransfer) attemptStream(ctx context.Context, e upstream.Entry) error {
 	r, j := s.relay, s.job
 	began := r.opts.Now()
--- a/relay/watchdog.go
+++ b/relay/watchdog.go
@@ -27,7 +27,7 @@
 	abort func()
 
 	// mu guards the fields below.
-	// This mutex is acquired before the relay's mutex, never after the relay's mutex.
+	// The mutex mu is acquired before the relay's mutex, never after the relay's mutex.
 	mu           sync.Mutex
 	lastReceived time.Time // when the attempt last received data
 	deadline     time.Time
--- a/stream/events.go
+++ b/stream/events.go
@@ -15,7 +15,7 @@
 )
 
 // EventSplitter splits the bytes of a server-sent event stream into whole events.
-// It leaves the bytes unchanged and parses only the event ids.
+// EventSplitter leaves the bytes unchanged and parses only the event ids.
 // The zero value starts before the first event.
 type EventSplitter struct {
 	buf    []byte
@@ -37,7 +37,7 @@
 func (e *EventSplitter) HasPartial() bool { return len(bytes.TrimSpace(e.buf)) > 0 }
 
 // Feed adds received bytes of the event stream.
-// It returns the bytes of the events that are now whole, and the number of these events.
+// Feed returns the bytes of the events that are now whole, and the number of these events.
 // The returned bytes are valid until the next call of Feed.
 func (e *EventSplitter) Feed(p []byte) (whole []byte, n int, err error) {
 	e.buf = append(e.buf, p...)
--- a/stream/stall.go
+++ b/stream/stall.go
@@ -11,14 +11,14 @@
 // StallOptions configure the detection of stalls.
 type StallOptions struct {
 	// MaxGap is the gap between two chunks of a stream after which every stream counts as stalled.
-	// Zero means 10 s.
+	// A zero MaxGap means 10 s.
 	MaxGap time.Duration
 	// MinGap is the gap between two chunks below which no stream counts as stalled.
-	// Zero means 400 ms.
+	// A zero MinGap means 400 ms.
 	MinGap time.Duration
 	// Deviations sets the threshold for a stall:
 	// the mean gap plus Deviations times the mean deviation of the gaps.
-	// Zero means 16.
+	// A zero Deviations means 16.
 	Deviations float64
 	// FirstChunk is the time limit for the first chunk. Zero means MaxGap.
 	FirstChunk time.Duration
