--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -42,8 +42,8 @@
 	// Without ackTimeout, an upstream that has lost power
 	// or network would only be noticed at the caller's deadline.
 	ackTimeout = 3 * time.Second
-	// keepAliveShare is the fraction of the upstream's keep-alive timeout within
-	// which an idle connection is reused.
+	// keepAliveShare is the fraction of the upstream's keep-alive timeout
+	// within which an idle connection is reused.
 	// The fraction is below 1, so that no request is sent while the upstream closes the connection.
 	keepAliveShare = 0.7
 )
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -3,8 +3,9 @@
 // If there is no response, the package reports whether the request may have been sent.
 //
 // The package does not use http.Transport, which repeats some requests on its own
-// and does not report whether any byte was written. http.Transport also cannot skip a response
-// that belongs to another request and read the next response on the same connection.
+// and does not report whether any byte was written.
+// Moreover, http.Transport cannot skip a response that belongs to another request
+// and read the next response on the same connection.
 package exchange
 
 import (
--- a/relay/value.go
+++ b/relay/value.go
@@ -3,9 +3,10 @@
 // Callers do not state the value of a request.
 // The value is estimated from the cost of the most expensive model's answer,
 // which grows with the number of tokens, and from the priority of the route.
-// In the known deployments, the value of a generated answer is 9
-// to 21 times the cost at the first priority,
-// 6 times the cost at the second priority and 3 to 6 times the cost at the third priority.
+// In the known deployments, the value of a generated answer is
+// 9 to 21 times the cost of the most expensive model's answer at the first priority,
+// 6 times this cost at the second priority,
+// and 3 to 6 times this cost at the third priority.
 const (
 	// A prompt token costs a quarter of an output token.
 	// Costs are configured per 1,000 output tokens.
