--- a/cmd/woaddoor-control/main.go
+++ b/cmd/woaddoor-control/main.go
@@ -1,5 +1,5 @@
 // Command woaddoor-control synchronizes an entry VM with the platform: it watches the
-// configuration, reports the status of the VMs, files bill records and steps roll-outs.
+// configuration, reports the status of the VMs, files bill records and steps rollouts.
 package main
 
 import (
--- a/config/build.go
+++ b/config/build.go
@@ -27,7 +27,7 @@
 )
 
 // ProgressSectionName returns the name of the section
-// that stores the progress of the roll-out of model m.
+// that stores the progress of the rollout of model m.
 func ProgressSectionName(m contract.ModelID) string { return kindProgress + " " + string(m) }
 
 // VersionSectionName returns the name of the section that declares version v.
@@ -193,7 +193,7 @@
 	c.Cascades[name] = cascade
 }
 
-// Default settings of a roll-out.
+// Default settings of a rollout.
 const (
 	defaultGoodRate      = 0.02
 	defaultBadRate       = 0.10
--- a/config/check.go
+++ b/config/check.go
@@ -111,7 +111,7 @@
 
 // NextSections checks that file f may replace the accepted document. It returns
 // the sections of the new document: the sections of the file, and the stored progress
-// of each roll-out whose target version is the same in the file and the accepted document.
+// of each rollout whose target version is the same in the file and the accepted document.
 //
 // A version that is withdrawn in the accepted document must be withdrawn in the file
 // too. Otherwise applying an older file would bring a bad version back into service. A
--- a/config/config.go
+++ b/config/config.go
@@ -1,5 +1,5 @@
 // Package config parses and validates the configuration: workspaces, models,
-// versions, cascades, roll-outs, pools and services.
+// versions, cascades, rollouts, pools and services.
 //
 // An operator writes the configuration as an INI file; docs/OPERATIONS.md
 // describes each key. Every error names the file, the line and the key, and the
@@ -62,7 +62,7 @@
 	BillPolicy BillPolicy
 }
 
-// Model declares a model, its prices, and the version that serves it outside a roll-out.
+// Model declares a model, its prices, and the version that serves it outside a rollout.
 type Model struct {
 	ID             contract.ModelID
 	ServingVersion contract.VersionID
@@ -118,7 +118,7 @@
 	From  contract.VersionID
 	To    contract.VersionID
 	// Steps are the rising percentages of new sessions that the new version gets, one
-	// percentage for each step of the roll-out.
+	// percentage for each step of the rollout.
 	Steps []float64
 	// GoodRate and BadRate are the rates of bad answers that the sequential test
 	// distinguishes: a version at GoodRate passes, and a version at BadRate is halted.
@@ -128,21 +128,21 @@
 	// MissProbability is the accepted probability of passing a bad version.
 	MissProbability float64
 	// RatingTimeout is how long no rating of the new version may arrive
-	// before the roll-out is halted.
+	// before the rollout is halted.
 	RatingTimeout time.Duration
 }
 
-// RolloutState is the state of a roll-out.
+// RolloutState is the state of a rollout.
 type RolloutState string
 
-// The states of a roll-out. Halted and Done are final.
+// The states of a rollout. Halted and Done are final.
 const (
 	Ramping RolloutState = "ramping"
 	Halted  RolloutState = "halted"
 	Done    RolloutState = "done"
 )
 
-// Progress is the current step and state of a roll-out. Only the system writes
+// Progress is the current step and state of a rollout. Only the system writes
 // the progress; an operator's file must not contain any.
 type Progress struct {
 	Model contract.ModelID
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -94,7 +94,7 @@
 }
 
 // TestNextSectionsKeepsRolloutProgress checks that applying a file keeps the
-// stored progress of a roll-out that continues.
+// stored progress of a rollout that continues.
 func TestNextSectionsKeepsRolloutProgress(t *testing.T) {
 	is := is.New(t)
 	_, f, err := Parse("site.ini", []byte(validFile))
--- a/control/members.go
+++ b/control/members.go
@@ -54,7 +54,7 @@
 }
 
 // updateEntryState stores the state that the entry process of this VM reports.
-// updateEntryState also merges the process's halted versions and roll-out evidence (counts of good
+// updateEntryState also merges the process's halted versions and rollout evidence (counts of good
 // and bad responses).
 func (s *Server) updateEntryState(entry *protocol.EntryState) {
 	if entry == nil {
@@ -148,7 +148,7 @@
 }
 
 // remoteHeartbeat returns the heartbeat for VMs of other data centres. The heartbeat contains the
-// delegates of this data centre (the VMs that represent it) and its summed roll-out evidence
+// delegates of this data centre (the VMs that represent it) and its summed rollout evidence
 // (counts of good and bad responses). The caller holds mu.
 func (s *Server) remoteHeartbeat(now time.Time) protocol.Heartbeat {
 	s.table.SetSelf(s.selfMember())
@@ -161,7 +161,7 @@
 // The prefix cannot clash with a VM name, because VM names contain no slash.
 const totalPrefix = "total/"
 
-// dataCentreTotal returns the observer (the name in roll-out evidence) under which the summed
+// dataCentreTotal returns the observer (the name in rollout evidence) under which the summed
 // counts of a data centre are reported.
 func dataCentreTotal(dc contract.DataCentreID) rollout.Observer {
 	return rollout.Observer{VM: contract.VMID(totalPrefix + string(dc))}
@@ -215,7 +215,7 @@
 	return s.remoteHeartbeat(now)
 }
 
-// mergeHeartbeat merges the members, halted versions and roll-out evidence (counts of good and bad
+// mergeHeartbeat merges the members, halted versions and rollout evidence (counts of good and bad
 // responses) of a received heartbeat.
 // mergeHeartbeat ignores the summed evidence of this VM's own data centre,
 // because this VM already has the evidence of each VM in that data centre.
--- a/control/orders.go
+++ b/control/orders.go
@@ -24,7 +24,7 @@
 	maxConcurrentLoads = 2
 )
 
-// loadOnAllEngines orders the engines that hold the old version of a roll-out to load the new
+// loadOnAllEngines orders the engines that hold the old version of a rollout to load the new
 // version, a few engines at a time. loadOnAllEngines returns true once all of these engines hold
 // the new version.
 //
@@ -57,7 +57,7 @@
 	upstream config.Upstream
 }
 
-// enginesToLoad returns the engines that hold the old version of a roll-out but not the new
+// enginesToLoad returns the engines that hold the old version of a rollout but not the new
 // version. The second result is false if none of the engines that answer holds the old version.
 // enginesToLoad skips draining engines.
 func (s *Server) enginesToLoad(ctx context.Context, conf *config.Config, ro *config.Rollout) ([]orderTarget, bool) {
--- a/control/rollouts.go
+++ b/control/rollouts.go
@@ -17,13 +17,13 @@
 	"woaddoor/rollout"
 )
 
-// Interval and timeout for deciding and writing the steps of roll-outs.
+// Interval and timeout for deciding and writing the steps of rollouts.
 const (
 	rolloutInterval = time.Second
 	rolloutTimeout  = 5 * time.Second
 )
 
-// rolloutLoop advances the roll-outs while this VM is a watcher (one of the VMs that watch the
+// rolloutLoop advances the rollouts while this VM is a watcher (one of the VMs that watch the
 // platform's store for their data centre). Several watchers may decide on a step at the same time.
 // The conditional write of the root object lets only one of them succeed.
 func (s *Server) rolloutLoop(ctx context.Context) {
@@ -42,13 +42,13 @@
 	}
 }
 
-// decidedStep is the next progress of a roll-out and the reason for that progress.
+// decidedStep is the next progress of a rollout and the reason for that progress.
 type decidedStep struct {
 	progress config.Progress
 	reason   rollout.Reason
 }
 
-// decideSteps returns the next step, by model, of each roll-out that is due to advance.
+// decideSteps returns the next step, by model, of each rollout that is due to advance.
 func (s *Server) decideSteps(ctx context.Context) map[contract.ModelID]decidedStep {
 	var conf *config.Config
 	s.withLock(func() { conf = s.config })
@@ -65,7 +65,7 @@
 	return steps
 }
 
-// rolloutSituation returns the input for deciding the next step of a roll-out. The caller
+// rolloutSituation returns the input for deciding the next step of a rollout. The caller
 // holds mu.
 func (s *Server) rolloutSituation(conf *config.Config, ro *config.Rollout, loaded bool) rollout.StepInput {
 	now := s.clock.Now()
@@ -101,7 +101,7 @@
 	return false
 }
 
-// publishStep writes a decided step of a roll-out to the configuration for which the step was
+// publishStep writes a decided step of a rollout to the configuration for which the step was
 // decided. If the configuration has changed since, nothing is written, and rolloutLoop decides
 // again.
 func (s *Server) publishStep(ctx context.Context, m contract.ModelID, next decidedStep) error {
--- a/control/server.go
+++ b/control/server.go
@@ -1,7 +1,7 @@
 // Package control implements the control process of a VM.
 // The control process watches the configuration in the platform's store and passes the
 // configuration on to other processes, exchanges heartbeats with other VMs,
-// writes bill records to the store, and advances roll-outs.
+// writes bill records to the store, and advances rollouts.
 //
 // No client request waits for the control process. The control process may be frozen, killed or
 // unable to reach the platform while the entry process of its VM continues to serve requests.
@@ -99,7 +99,7 @@
 	receivedAt  time.Time
 }
 
-// stepObservation records when this VM first saw the current step of a roll-out,
+// stepObservation records when this VM first saw the current step of a rollout,
 // and when the counts of good and bad responses of that step last grew.
 type stepObservation struct {
 	progress     config.Progress
--- a/document/document.go
+++ b/document/document.go
@@ -2,7 +2,7 @@
 // single revision.
 //
 // A Document is immutable. The settings from the operator's file, and the decisions of the system
-// itself (the progress of roll-outs), are sections of the same document.
+// itself (the progress of rollouts), are sections of the same document.
 // Settings and decisions are therefore written by the same conditional write and distributed
 // together.
 package document
