--- a/control/members.go
+++ b/control/members.go
@@ -217,8 +217,8 @@
 
 // mergeHeartbeat merges the members, halted versions and rollout evidence (counts of good and bad
 // responses) of a received heartbeat.
-// mergeHeartbeat ignores the summed evidence of this VM's own data centre,
-// because this VM already has the evidence of each VM in that data centre.
+// mergeHeartbeat ignores the summed counts of this VM's own data centre,
+// because this VM already has the counts of good and bad responses from each VM there.
 func (s *Server) mergeHeartbeat(received protocol.Heartbeat) {
 	s.mergeMembers(received.Members, received.HaltedVersions)
 	ownTotal := dataCentreTotal(s.opts.Settings.DataCentre)
--- a/control/orders.go
+++ b/control/orders.go
@@ -20,7 +20,7 @@
 	orderTimeout      = 3 * time.Second
 	loadReportTimeout = time.Second
 	// maxConcurrentLoads is how many engines load a version at the same time.
-	// Loading engines share the limited rate of the store that holds the model weights.
+	// Engines that are loading a version share the limited rate of the store of model weights.
 	maxConcurrentLoads = 2
 )
 
--- a/internal/rounds/report.go
+++ b/internal/rounds/report.go
@@ -20,7 +20,8 @@
 	Prices []price
 	// Breaks holds the broken rules by name, as the bench reports them.
 	Breaks map[string]json.RawMessage
-	// Missed lists the duties that the deployment did not fulfil.
+	// Missed lists what the bench required of the deployment on the simulated day
+	// and the deployment did not do.
 	Missed  []string
 	Classes []class
 }
@@ -77,8 +78,9 @@
 	return r.Worth
 }
 
-// shownPrices are the prices that get a column of their own in the printed table: the bench's
-// name of the price and the head of the column. One more column has the sum of all other prices.
+// shownPrices are the prices (amounts that a simulated day pays for resources) that get a column
+// of their own in the printed table: the bench's name of the price and the head of the column.
+// One more column has the sum of what the day pays for all other resources.
 var shownPrices = []struct{ name, head string }{
 	{"worth paid for the use of models", "models"},
 	{"GB between zones", "bytes"},
@@ -163,8 +165,9 @@
 	fmt.Fprintf(w, "| %s |\n", strings.Join(cells, " | "))
 }
 
-// priceCells returns the mean of each of the shownPrices,
-// and the mean of the sum of all other prices.
+// priceCells returns, for each resource in shownPrices, the mean over all reports of the amount
+// that a simulated day pays for the resource. The last cell is the mean over all reports
+// of the total that a simulated day pays for all other resources.
 func priceCells(reports []*report) []string {
 	sums := make([]sampleStats, len(shownPrices)+1)
 	for _, r := range reports {
@@ -204,7 +207,8 @@
 	return strings.Join(cells, " ")
 }
 
-// brokenCell returns how many simulated days broke each rule, ended with a fault or missed a duty.
+// brokenCell returns how many simulated days broke each rule, ended with a fault
+// or had an entry in Missed (what the bench required and the deployment did not do).
 func brokenCell(reports []*report) string {
 	counts := make(map[string]int)
 	for _, r := range reports {
--- a/quarantine/trials.go
+++ b/quarantine/trials.go
@@ -15,13 +15,16 @@
 var trialDelays = [...]time.Duration{RetryAfter, time.Hour}
 
 // RetryAfter is the earliest time after which the caller of a quarantined content may retry:
-// the content's first trial (a single test send) is due then.
+// the first trial of the content is due then. In a trial, one VM sends the content once
+// to test whether the content still crashes upstreams.
 const RetryAfter = 5 * time.Minute
 
-// grantDuration is how long a granted trial (a permitted test send) stays valid on a VM.
+// grantDuration is how long a VM may use a granted trial
+// (the permission to send a quarantined content once, as a test).
 const grantDuration = time.Minute
 
-// trials holds the state of the trials (test sends) of one quarantined content.
+// trials holds the state of the trials of one quarantined content.
+// In a trial, one VM sends the content once to test whether it still crashes upstreams.
 type trials struct {
 	// count is the number of granted trials. since is when this VM learned of the last granted
 	// trial or, before any trial, that the content is quarantined.
@@ -33,19 +36,19 @@
 	grantedUntil time.Time
 }
 
-// setCount records the number of trials (test sends) that the platform's object store has granted.
+// setCount records how many trials of the content the platform's object store has granted.
 func (s *trials) setCount(count int, now time.Time) {
 	s.count, s.since, s.requested = count, now, false
 }
 
-// due reports whether a trial (a test send) may be requested from the platform's object store.
+// due reports whether this VM may ask the platform's object store for a trial of the content.
 func (s *trials) due(now time.Time) bool {
 	return !s.since.IsZero() && s.count < len(trialDelays) && now.Sub(s.since) >= trialDelays[s.count]
 }
 
 // Blocks reports whether a request content must not be sent to any upstream now.
-// If a trial (a test send) is granted, the call uses it up.
-// If a trial is due, the call requests one.
+// If a trial of the content is granted, the call of Blocks uses up the trial.
+// If a trial of the content is due, the call of Blocks requests a trial.
 func (t *Table) Blocks(p Fingerprint, now time.Time) bool {
 	c := t.records[p]
 	if c == nil || !c.Quarantined {
@@ -60,7 +63,7 @@
 }
 
 // TrialRequests returns the quarantined contents for which this VM should request a trial
-// (a test send) from the platform's object store.
+// (the permission to send the content once, as a test) from the platform's object store.
 func (t *Table) TrialRequests() []QuarantinedContent {
 	out := t.recordsWhere(func(c *Record) bool { return c.Quarantined && c.inStore && c.trials.requested })
 	for i := range out {
@@ -69,7 +72,7 @@
 	return out
 }
 
-// TrialDecided records the decision of the platform's object store on a trial (a test send)
+// TrialDecided records the decision of the platform's object store on a trial of a content
 // that this VM requested.
 func (t *Table) TrialDecided(p Fingerprint, ok bool, now time.Time) {
 	c := t.records[p]
--- a/site/election.go
+++ b/site/election.go
@@ -68,13 +68,13 @@
 	// which takes a few milliseconds.
 	dataCentreStep = 50 * time.Millisecond
 	// firstStartListDelay is how long a VM waits,
-	// at the first start of the deployment, for another VM to list the store.
+	// at the first start of the deployment, for another VM to list the objects in the store.
 	// At the first start all VMs start at once and no client is waiting.
 	firstStartListDelay = 3 * time.Second
 	// restartListDelay is how long a VM waits, at a later start of the deployment,
-	// for another VM to list the store. Clients are waiting at a later start,
+	// for another VM to list the objects in the store. Clients are waiting at a later start,
 	// so the delay is only as long as a reply from another VM takes.
-	// A VM that has no reply after this delay lists the store itself,
+	// A VM that has no reply after this delay lists the objects in the store itself,
 	// because the other VMs may all have restarted too.
 	// With a delay of 0.4 s and a further delay by rank,
 	// a fleet of six VMs served requests 0.5 s later after all six VMs were lost.
@@ -110,7 +110,7 @@
 )
 
 // requestDelay returns how long a VM lets the other VMs of its data centre go first
-// before it lists the store while client requests wait.
+// before the VM lists the objects in the store while client requests wait.
 func (r Rank) requestDelay(randomRank int) time.Duration {
 	if r.NoLocalPeers {
 		return noPeersRankStep * time.Duration(randomRank)
@@ -122,15 +122,17 @@
 // in the store on behalf of its peers, or relies on what the peers send.
 // WatcherElection is a pure state machine and not safe for concurrent use.
 //
-// A VM that finds the last store confirmation stale begins to watch. A watching VM stops
-// when it learns of another active watcher that precedes it in the order of watchers.
-// So one VM watches where all VMs can communicate, and one on each side of a network partition.
+// A VM that finds the last store confirmation stale begins to watch the store.
+// A VM stops watching the store when the VM learns of another active watcher
+// that precedes the VM in the order of watchers.
+// So one VM watches the store if all VMs can communicate.
+// In a network partition, one VM on each side watches the store.
 // The VMs need not agree on which VMs are alive.
 type WatcherElection struct {
 	self   Watcher
 	timing Timing
 	// listNotBefore is the earliest time, before the delay by rank,
-	// at which a VM without any state lists the store.
+	// at which a VM without any state lists the objects in the store.
 	// listNotBefore is zero for a VM that expects no state from peers.
 	listNotBefore time.Time
 	// requestsWaitingSince is the time since which client requests have been waiting for state
@@ -152,7 +154,8 @@
 }
 
 // NewWatcherElection returns the election state of a VM
-// that has no state yet and lists the store from listNotBefore on.
+// that has no state yet. The VM lists the objects in the store
+// at the time listNotBefore or later, or earlier if client requests wait for the state.
 func NewWatcherElection(self Watcher, t Timing, listNotBefore time.Time) *WatcherElection {
 	return &WatcherElection{self: self, timing: t, listNotBefore: listNotBefore}
 }
@@ -177,7 +180,7 @@
 }
 
 // RecordWaitingRequest notes that client requests wait for state that this VM may lack.
-// randomRank is the rank of this VM as long as this VM does not know the other VMs.
+// randomRank replaces the rank of this VM as long as this VM does not know the other VMs.
 func (e *WatcherElection) RecordWaitingRequest(randomRank int, now time.Time) {
 	e.requestsWaitingSince, e.randomRank = now, randomRank
 }
@@ -210,7 +213,7 @@
 	return changed
 }
 
-// observeWatcher records that a VM watches, unless an active watcher precedes it.
+// observeWatcher records that a VM watches the store, unless an active watcher precedes it.
 func (e *WatcherElection) observeWatcher(watcher Watcher, at, now time.Time) {
 	switch {
 	case watcher == e.activeWatcher:
--- a/site/follow.go
+++ b/site/follow.go
@@ -33,8 +33,9 @@
 	// An idle VM checks about once per watch. A VM that was frozen checks soon after it resumes.
 	idleCheckInterval = 50 * time.Millisecond
 	maxIdleInterval   = 500 * time.Millisecond
-	// minIdleInterval keeps a VM that is due
-	// to call the store within milliseconds from polling without a pause.
+	// minIdleInterval is the shortest pause between two checks whether to watch the store.
+	// Without minIdleInterval, a VM that is due to call the store within milliseconds
+	// would check without a pause.
 	minIdleInterval = 2 * time.Millisecond
 	// minRetryPause and maxRetryPause bound the pause after a failed call.
 	// Rejected calls are billed too,
@@ -68,7 +69,8 @@
 	now                              func() time.Time
 	// requestWaiting is closed when client requests wait for state that this VM lacks.
 	requestWaiting <-chan struct{}
-	// randomRank is the rank of this VM while client requests wait and this VM knows no other VM.
+	// randomRank is the random rank by which this VM delays its first call to the store
+	// while client requests wait for state that this VM lacks and this VM knows no other VM.
 	// randomRank is the same for all kinds of objects.
 	randomRank int
 
@@ -167,7 +169,8 @@
 	metrics.GetOrRegisterCounter(fmt.Sprintf("%s{kind=%q,by=%q}", name, f.source.Name(), label), f.registry).Inc(1)
 }
 
-// idleInterval returns how long this VM, which does not watch, may wait until the next check.
+// idleInterval returns how long this VM, which does not watch the store,
+// may wait until the next check whether to start to watch the store.
 func (f *follower[T]) idleInterval() time.Duration {
 	rank := f.rank()
 	f.mu.Lock()
--- a/upstream/cold.go
+++ b/upstream/cold.go
@@ -73,7 +73,8 @@
 
 // Parameters of cold upstreams.
 const (
-	// coldWindow is the window in which an owner's requests are counted: one second plus
+	// coldWindow is the window in which the requests of an owner (one of the few VMs
+	// that may send to a cold upstream) are counted: one second plus
 	// the variation in network delay, which can bring two requests closer together.
 	coldWindow = 1100 * time.Millisecond
 	// recoveryMargin extends the cold period of an upstream whose connections failed:
