--- a/entry/load_reports.go
+++ b/entry/load_reports.go
@@ -16,7 +16,7 @@
 )
 
 // loadReportLoop periodically requests a load report from the upstreams of all pools. An upstream that does
-// not answer is no longer used after upstream.Options.SilentAfter.
+// not answer is no longer used after upstream.Options.ReportTimeout.
 func (s *Server) loadReportLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		var upstreams []config.Upstream
